--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -12,8 +12,8 @@
 	// SameZone: the back end is in the caller's zone. OtherRegion: it is known to
 	// be in another region than the caller.
 	SameZone, OtherRegion bool
-	// Busy is how many requests run or wait there, the caller's own included.
-	Busy float64
+	// Outstanding is how many requests run or wait there, the caller's own included.
+	Outstanding float64
 	// Slots is how many requests the back end works on at once.
 	Slots int
 	// Work is how long it works on this request, waiting not counted.
@@ -82,9 +82,9 @@
 // Expected estimates the time until the candidate's answer.
 func Expected(candidate Candidate) time.Duration {
 	slots := float64(max(candidate.Slots, 1))
-	used := min(candidate.Busy/slots, 1)
+	used := min(candidate.Outstanding/slots, 1)
 	expected := float64(candidate.Work) * (1 + crowding*used*used)
-	if waiting := candidate.Busy + 1 - slots; waiting > 0 {
+	if waiting := candidate.Outstanding + 1 - slots; waiting > 0 {
 		expected += float64(candidate.Held) * waiting / slots
 	}
 	return time.Duration(expected) + candidate.RoundTrip + candidate.Wait
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -33,12 +33,12 @@
 			with(far, func(c *choice.Candidate) { c.OtherRegion, c.Work = true, 20*ms }), far,
 		}, 300 * ms, 1},
 		{"another region when the own one's would be late", []choice.Candidate{
-			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), with(far, func(c *choice.Candidate) { c.Busy = 60 }),
+			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), with(far, func(c *choice.Candidate) { c.Outstanding = 60 }),
 		}, 300 * ms, 0},
 		{"another zone when this one's would be late", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Work = 320 * ms })}, 300 * ms, 0},
-		{"another zone when this one's queue is long", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Busy = 40 })}, 300 * ms, 0},
+		{"another zone when this one's queue is long", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Outstanding = 40 })}, 300 * ms, 0},
 		{"the shorter of two queues that are both too long", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Busy = 200 }), with(near, func(c *choice.Candidate) { c.Busy = 150 }),
+			with(near, func(c *choice.Candidate) { c.Outstanding = 200 }), with(near, func(c *choice.Candidate) { c.Outstanding = 150 }),
 		}, 300 * ms, 1},
 		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
 		{"not the one at which many fail, although it answers fast", []choice.Candidate{
@@ -61,7 +61,7 @@
 			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
 		}, 300 * ms, 1},
 		{"without a target latency the less busy", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Busy = 20 }), near,
+			with(near, func(c *choice.Candidate) { c.Outstanding = 20 }), near,
 		}, 0, 1},
 	}
 	for _, chosen := range cases {
@@ -154,14 +154,14 @@
 // TestDrawBalanced: where requests compete for room they go where least is there for each slot and
 // work is shortest, and leave the zone once that is worth its price.
 func TestDrawBalanced(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Busy: 4, Work: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Busy: 4, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, Work: 80 * ms, Held: 80 * ms}
+	far := choice.Candidate{Slots: 8, Outstanding: 4, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
 	}
 	busy := func(from choice.Candidate, count float64) choice.Candidate {
-		return with(from, func(c *choice.Candidate) { c.Busy = count })
+		return with(from, func(c *choice.Candidate) { c.Outstanding = count })
 	}
 	slow := func(from choice.Candidate, times time.Duration) choice.Candidate {
 		return with(from, func(c *choice.Candidate) { c.Work *= times })
@@ -398,17 +398,17 @@
 		resort := idle
 		last(&resort)
 		for _, ordinary := range []choice.Candidate{
-			{Slots: 1, Busy: 40, Work: 100 * ms},
-			{Slots: 6, Busy: 240, Work: 2400 * ms},
+			{Slots: 1, Outstanding: 40, Work: 100 * ms},
+			{Slots: 6, Outstanding: 240, Work: 2400 * ms},
 			{Slots: 6, Work: 100 * ms, RoundTrip: 16 * time.Second},
-			{Slots: 1, Busy: 1e9, Work: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
+			{Slots: 1, Outstanding: 1e9, Work: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
 		} {
 			g := NewWithT(t)
 			g.Expect(choice.BalancedCost(ordinary, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(resort, 300*ms, weights)), name)
 		}
 	}
-	longer := choice.Candidate{Slots: 6, Busy: 49, Work: 2400 * ms}
-	shorter := choice.Candidate{Slots: 6, Busy: 48, Work: 2400 * ms}
+	longer := choice.Candidate{Slots: 6, Outstanding: 49, Work: 2400 * ms}
+	shorter := choice.Candidate{Slots: 6, Outstanding: 48, Work: 2400 * ms}
 	NewWithT(t).Expect(choice.BalancedCost(shorter, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(longer, 300*ms, weights)))
 }
 
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -108,7 +108,7 @@
 	described := found.candidate(record, s.near, s.usual, s.now)
 	if s.competes {
 		described.RoundTrip += s.call.transfer(record)
-		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * found.unheard(record, s.now)
+		described.Outstanding += s.call.handler.zoneLoads.others(record, s.now) * found.unheard(record, s.now)
 	}
 	s.judgeNotices(&described, found, record)
 	described.Tried = s.call.visited(found)
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -125,7 +125,7 @@
 func (t *target) candidate(record *roster.Record, near place, usual time.Duration, now time.Time) choice.Candidate {
 	described := choice.Candidate{
 		SameZone: record.Zone == near.zone, OtherRegion: near.leaves(record.Zone),
-		Busy:    float64(t.inFlight.Load()),
+		Outstanding:    float64(t.inFlight.Load()),
 		Slots:   record.Endpoint.Slots,
 		Work:    usual,
 		Held:    usual,
@@ -141,7 +141,7 @@
 	}
 	if report := t.report.Load(); report != nil && report.of(record) {
 		age := now.Sub(report.taken)
-		described.Busy += report.others.Others(now)
+		described.Outstanding += report.others.Others(now)
 		described.Work = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
 		described.Held = report.Held
 		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -48,10 +48,10 @@
 	held := &target{}
 	held.learn(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
 	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, place{}, time.Second, now) }
-	g.Expect(described(record(1, "a")).Busy).To(Equal(5.0))
+	g.Expect(described(record(1, "a")).Outstanding).To(Equal(5.0))
 	g.Expect(described(record(1, "a")).Work).To(Equal(7 * time.Second))
 	for _, later := range []*roster.Record{record(2, "a"), record(1, "b")} {
-		g.Expect(described(later).Busy).To(BeZero())
+		g.Expect(described(later).Outstanding).To(BeZero())
 		g.Expect(described(later).Work).To(Equal(time.Second))
 	}
 }
@@ -66,5 +66,5 @@
 	held.inFlight.Store(2)
 	held.learn(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
 	held.inFlight.Store(4)
-	g.Expect(held.candidate(record, place{}, time.Second, now).Busy).To(Equal(5.0))
+	g.Expect(held.candidate(record, place{}, time.Second, now).Outstanding).To(Equal(5.0))
 }
--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		seen := found.candidate(record, near, 0, now)
-		busy += seen.Busy
+		busy += seen.Outstanding
 		slots += seen.Slots
 	}
 	if slots == 0 {
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -28,7 +28,7 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (v *visit) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("node", v.target.node)
-	encoder.AddFloat64("busy", v.seen.Busy)
+	encoder.AddFloat64("busy", v.seen.Outstanding)
 	encoder.AddInt("slots", v.seen.Slots)
 	encoder.AddDuration("work", v.seen.Work)
 	encoder.AddDuration("reportAge", v.reportAge)
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -350,7 +350,7 @@
 	work := time.Duration(float64(f.service.work) * takes)
 	candidate := choice.Candidate{
 		SameZone: s.zone == r.from.zone, Slots: f.service.slots, Work: work, Held: work, Tried: slices.Contains(r.tried, index),
-		Busy: float64(r.from.inFlight[index]) + r.from.beliefs[index].others(f.clock()),
+		Outstanding: float64(r.from.inFlight[index]) + r.from.beliefs[index].others(f.clock()),
 	}
 	if !candidate.SameZone {
 		candidate.RoundTrip = zoneTrip
@@ -358,10 +358,10 @@
 	candidate.Leaving = index == 0 && f.now < f.joins
 	if f.policy.average {
 		unheard := 1 - r.from.beliefs[index].(*estimated).Weight(f.clock())
-		candidate.Busy += r.from.averages[s.zone].PerSlot(f.clock()) * float64(f.service.slots) * unheard
+		candidate.Outstanding += r.from.averages[s.zone].PerSlot(f.clock()) * float64(f.service.slots) * unheard
 	}
 	if f.policy.knows {
-		candidate.Busy = float64(s.running + len(s.queue))
+		candidate.Outstanding = float64(s.running + len(s.queue))
 	}
 	return candidate
 }
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -63,7 +63,7 @@
 // hotAndCold goes by the work among back ends with room, and by what is there among the others.
 func hotAndCold(c choice.Candidate, aim time.Duration) float64 {
 	const hot, behindTheCold = 0.8, 10
-	if used := c.Busy / float64(c.Slots); used > hot {
+	if used := c.Outstanding / float64(c.Slots); used > hot {
 		return behindTheCold + used + fixedPrices(c)
 	}
 	return float64(c.Work)/float64(aim) + fixedPrices(c)
@@ -71,7 +71,7 @@
 
 // cubic goes by the third power of what is there.
 func cubic(c choice.Candidate, aim time.Duration) float64 {
-	perSlot := (1 + c.Busy) / float64(c.Slots)
+	perSlot := (1 + c.Outstanding) / float64(c.Slots)
 	return 0.18*perSlot*perSlot*perSlot*float64(c.Work)/float64(aim) + fixedPrices(c)
 }
 
