--- a/internal/sidecar/choice/balance.go
+++ b/internal/sidecar/choice/balance.go
@@ -20,7 +20,7 @@
 		aim = assumedAim
 	}
 	perSlot := (max(candidate.Outstanding, 0) + 1) / float64(max(candidate.Slots, 1))
-	work := float64(candidate.Work) / float64(aim)
+	work := float64(candidate.ServiceTime) / float64(aim)
 	way := float64(candidate.RoundTrip+candidate.Wait) / float64(aim)
 	measured := fullness*(perSlot*perSlot*work+way) + lateness*min(max(work+way-1, 0), 1)
 	cost := measured / (1 + measured/(weights.Avoided/2))
--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -16,8 +16,8 @@
 	Outstanding float64
 	// Slots is how many requests the back end works on at once.
 	Slots int
-	// Work is how long it works on this request, waiting not counted.
-	Work time.Duration
+	// ServiceTime is how long it works on this request, waiting not counted.
+	ServiceTime time.Duration
 	// Held is how long requests of all kinds hold one of its slots.
 	Held time.Duration
 	// RoundTrip is the time to it and back.
@@ -83,7 +83,7 @@
 func Expected(candidate Candidate) time.Duration {
 	slots := float64(max(candidate.Slots, 1))
 	used := min(candidate.Outstanding/slots, 1)
-	expected := float64(candidate.Work) * (1 + crowding*used*used)
+	expected := float64(candidate.ServiceTime) * (1 + crowding*used*used)
 	if waiting := candidate.Outstanding + 1 - slots; waiting > 0 {
 		expected += float64(candidate.Held) * waiting / slots
 	}
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -14,8 +14,8 @@
 const ms = time.Millisecond
 
 func TestDraw(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Work: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+	near := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms}
+	far := choice.Candidate{Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
@@ -28,25 +28,25 @@
 	}{
 		{"none", nil, 300 * ms, -1},
 		{"the zone", []choice.Candidate{far, near}, 300 * ms, 1},
-		{"the zone, although it is twice as slow", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Work = 160 * ms })}, 400 * ms, 1},
+		{"the zone, although it is twice as slow", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.ServiceTime = 160 * ms })}, 400 * ms, 1},
 		{"the region, although another one's back end is faster", []choice.Candidate{
-			with(far, func(c *choice.Candidate) { c.OtherRegion, c.Work = true, 20*ms }), far,
+			with(far, func(c *choice.Candidate) { c.OtherRegion, c.ServiceTime = true, 20*ms }), far,
 		}, 300 * ms, 1},
 		{"another region when the own one's would be late", []choice.Candidate{
 			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), with(far, func(c *choice.Candidate) { c.Outstanding = 60 }),
 		}, 300 * ms, 0},
-		{"another zone when this one's would be late", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Work = 320 * ms })}, 300 * ms, 0},
+		{"another zone when this one's would be late", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.ServiceTime = 320 * ms })}, 300 * ms, 0},
 		{"another zone when this one's queue is long", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Outstanding = 40 })}, 300 * ms, 0},
 		{"the shorter of two queues that are both too long", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Outstanding = 200 }), with(near, func(c *choice.Candidate) { c.Outstanding = 150 }),
 		}, 300 * ms, 1},
 		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
 		{"not the one at which many fail, although it answers fast", []choice.Candidate{
-			far, with(near, func(c *choice.Candidate) { c.Failing, c.Work = 0.3, 5*ms }),
+			far, with(near, func(c *choice.Candidate) { c.Failing, c.ServiceTime = 0.3, 5*ms }),
 		}, 300 * ms, 0},
 		{"the zone in spite of a failure now and then", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Failing = 0.04 })}, 300 * ms, 1},
 		{"of two in the zone the one that works, although it is slower", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), with(near, func(c *choice.Candidate) { c.Work = 130 * ms }),
+			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
 		}, 300 * ms, 1},
 		{"one that failed before one that leaves", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
@@ -109,7 +109,7 @@
 // good one among slow ones nearly always.
 func TestDrawLooksOn(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	good := choice.Candidate{SameZone: true, Slots: 8, Work: 80 * ms, Held: 80 * ms}
+	good := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms}
 	pool := func(count, place int, other func(*choice.Candidate)) []choice.Candidate {
 		candidates := make([]choice.Candidate, count)
 		for i := range candidates {
@@ -138,7 +138,7 @@
 		candidates := pool(20, -1, func(*choice.Candidate) {})
 		for i := range candidates {
 			if i%5 < 2 {
-				candidates[i].Work *= 12
+				candidates[i].ServiceTime *= 12
 			}
 		}
 		slow := 0
@@ -154,8 +154,8 @@
 // TestDrawBalanced: where requests compete for room they go where least is there for each slot and
 // work is shortest, and leave the zone once that is worth its price.
 func TestDrawBalanced(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, Work: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Outstanding: 4, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, Held: 80 * ms}
+	far := choice.Candidate{Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
@@ -164,7 +164,7 @@
 		return with(from, func(c *choice.Candidate) { c.Outstanding = count })
 	}
 	slow := func(from choice.Candidate, times time.Duration) choice.Candidate {
-		return with(from, func(c *choice.Candidate) { c.Work *= times })
+		return with(from, func(c *choice.Candidate) { c.ServiceTime *= times })
 	}
 	cases := []struct {
 		name       string
@@ -388,7 +388,7 @@
 // that is to be chosen only when nothing else is left.
 func TestBalancedCostKeepsTheRank(t *testing.T) {
 	weights := choice.DefaultWeights()
-	idle := choice.Candidate{SameZone: true, Slots: 6, Work: 100 * ms}
+	idle := choice.Candidate{SameZone: true, Slots: 6, ServiceTime: 100 * ms}
 	for name, last := range map[string]func(*choice.Candidate){
 		"avoided": func(c *choice.Candidate) { c.Avoid = true },
 		"leaving": func(c *choice.Candidate) { c.Leaving = true },
@@ -398,17 +398,17 @@
 		resort := idle
 		last(&resort)
 		for _, ordinary := range []choice.Candidate{
-			{Slots: 1, Outstanding: 40, Work: 100 * ms},
-			{Slots: 6, Outstanding: 240, Work: 2400 * ms},
-			{Slots: 6, Work: 100 * ms, RoundTrip: 16 * time.Second},
-			{Slots: 1, Outstanding: 1e9, Work: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
+			{Slots: 1, Outstanding: 40, ServiceTime: 100 * ms},
+			{Slots: 6, Outstanding: 240, ServiceTime: 2400 * ms},
+			{Slots: 6, ServiceTime: 100 * ms, RoundTrip: 16 * time.Second},
+			{Slots: 1, Outstanding: 1e9, ServiceTime: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
 		} {
 			g := NewWithT(t)
 			g.Expect(choice.BalancedCost(ordinary, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(resort, 300*ms, weights)), name)
 		}
 	}
-	longer := choice.Candidate{Slots: 6, Outstanding: 49, Work: 2400 * ms}
-	shorter := choice.Candidate{Slots: 6, Outstanding: 48, Work: 2400 * ms}
+	longer := choice.Candidate{Slots: 6, Outstanding: 49, ServiceTime: 2400 * ms}
+	shorter := choice.Candidate{Slots: 6, Outstanding: 48, ServiceTime: 2400 * ms}
 	NewWithT(t).Expect(choice.BalancedCost(shorter, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(longer, 300*ms, weights)))
 }
 
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -128,7 +128,7 @@
 		return
 	}
 	described.Wait = limit.Wait(s.call.class(), s.now)
-	if described.Wait > 0 && described.Wait > s.patience(described.Work) {
+	if described.Wait > 0 && described.Wait > s.patience(described.ServiceTime) {
 		described.Closed = true
 		s.full = true
 	}
--- a/internal/sidecar/egress/silence.go
+++ b/internal/sidecar/egress/silence.go
@@ -59,7 +59,7 @@
 func (h *Handler) register(a *attempt) *pending {
 	record, held := a.record, a.target
 	entry := &pending{attempt: a}
-	patience := max(time.Duration(float64(a.seen.Work)*suspicionFactor), suspicionLeast)
+	patience := max(time.Duration(float64(a.seen.ServiceTime)*suspicionFactor), suspicionLeast)
 	sent := clock.Now()
 	waiting := &held.outstanding
 	waiting.mutex.Lock()
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -127,7 +127,7 @@
 		SameZone: record.Zone == near.zone, OtherRegion: near.leaves(record.Zone),
 		Outstanding:    float64(t.inFlight.Load()),
 		Slots:   record.Endpoint.Slots,
-		Work:    usual,
+		ServiceTime:    usual,
 		Held:    usual,
 		Avoid:   t.avoided(now),
 		Leaving: !record.AcceptsWork(),
@@ -142,7 +142,7 @@
 	if report := t.report.Load(); report != nil && report.of(record) {
 		age := now.Sub(report.taken)
 		described.Outstanding += report.others.Others(now)
-		described.Work = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
+		described.ServiceTime = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
 		described.Held = report.Held
 		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
 	}
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -49,10 +49,10 @@
 	held.learn(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
 	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, place{}, time.Second, now) }
 	g.Expect(described(record(1, "a")).Outstanding).To(Equal(5.0))
-	g.Expect(described(record(1, "a")).Work).To(Equal(7 * time.Second))
+	g.Expect(described(record(1, "a")).ServiceTime).To(Equal(7 * time.Second))
 	for _, later := range []*roster.Record{record(2, "a"), record(1, "b")} {
 		g.Expect(described(later).Outstanding).To(BeZero())
-		g.Expect(described(later).Work).To(Equal(time.Second))
+		g.Expect(described(later).ServiceTime).To(Equal(time.Second))
 	}
 }
 
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -239,7 +239,7 @@
 	delete(header, "Expect")
 	c.setTenant(header)
 	remaining := clock.Until(c.deadline)
-	request := c.described(remaining, a.seen.Work)
+	request := c.described(remaining, a.seen.ServiceTime)
 	told := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
 		MaximumWait: c.mostWait(request, a), Expected: c.work().Mean(c.assumedWork()),
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -30,7 +30,7 @@
 	encoder.AddString("node", v.target.node)
 	encoder.AddFloat64("busy", v.seen.Outstanding)
 	encoder.AddInt("slots", v.seen.Slots)
-	encoder.AddDuration("work", v.seen.Work)
+	encoder.AddDuration("work", v.seen.ServiceTime)
 	encoder.AddDuration("reportAge", v.reportAge)
 	if v.seen.Failing >= loggedFailing {
 		encoder.AddFloat64("failing", v.seen.Failing)
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -66,13 +66,13 @@
 	if used := c.Outstanding / float64(c.Slots); used > hot {
 		return behindTheCold + used + fixedPrices(c)
 	}
-	return float64(c.Work)/float64(aim) + fixedPrices(c)
+	return float64(c.ServiceTime)/float64(aim) + fixedPrices(c)
 }
 
 // cubic goes by the third power of what is there.
 func cubic(c choice.Candidate, aim time.Duration) float64 {
 	perSlot := (1 + c.Outstanding) / float64(c.Slots)
-	return 0.18*perSlot*perSlot*perSlot*float64(c.Work)/float64(aim) + fixedPrices(c)
+	return 0.18*perSlot*perSlot*perSlot*float64(c.ServiceTime)/float64(aim) + fixedPrices(c)
 }
 
 func fixedPrices(c choice.Candidate) float64 {
