--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -18,8 +18,8 @@
 	Slots int
 	// ServiceTime is how long it works on this request, waiting not counted.
 	ServiceTime time.Duration
-	// Held is how long requests of all kinds hold one of its slots.
-	Held time.Duration
+	// HoldTime is how long requests of all kinds hold one of its slots.
+	HoldTime time.Duration
 	// RoundTrip is the time to it and back.
 	RoundTrip time.Duration
 	// Failing is the share of its requests that fail there.
@@ -85,7 +85,7 @@
 	used := min(candidate.Outstanding/slots, 1)
 	expected := float64(candidate.ServiceTime) * (1 + crowding*used*used)
 	if waiting := candidate.Outstanding + 1 - slots; waiting > 0 {
-		expected += float64(candidate.Held) * waiting / slots
+		expected += float64(candidate.HoldTime) * waiting / slots
 	}
 	return time.Duration(expected) + candidate.RoundTrip + candidate.Wait
 }
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -14,8 +14,8 @@
 const ms = time.Millisecond
 
 func TestDraw(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+	near := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms}
+	far := choice.Candidate{Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
@@ -109,7 +109,7 @@
 // good one among slow ones nearly always.
 func TestDrawLooksOn(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	good := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, Held: 80 * ms}
+	good := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms}
 	pool := func(count, place int, other func(*choice.Candidate)) []choice.Candidate {
 		candidates := make([]choice.Candidate, count)
 		for i := range candidates {
@@ -154,8 +154,8 @@
 // TestDrawBalanced: where requests compete for room they go where least is there for each slot and
 // work is shortest, and leave the zone once that is worth its price.
 func TestDrawBalanced(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, HoldTime: 80 * ms}
+	far := choice.Candidate{Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, HoldTime: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -128,7 +128,7 @@
 		Outstanding:    float64(t.inFlight.Load()),
 		Slots:   record.Endpoint.Slots,
 		ServiceTime:    usual,
-		Held:    usual,
+		HoldTime:    usual,
 		Avoid:   t.avoided(now),
 		Leaving: !record.AcceptsWork(),
 		Silent:  t.silent.Load(),
@@ -143,7 +143,7 @@
 		age := now.Sub(report.taken)
 		described.Outstanding += report.others.Others(now)
 		described.ServiceTime = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
-		described.Held = report.Held
+		described.HoldTime = report.Held
 		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
 	}
 	return described
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -349,7 +349,7 @@
 	}
 	work := time.Duration(float64(f.service.work) * takes)
 	candidate := choice.Candidate{
-		SameZone: s.zone == r.from.zone, Slots: f.service.slots, ServiceTime: work, Held: work, Tried: slices.Contains(r.tried, index),
+		SameZone: s.zone == r.from.zone, Slots: f.service.slots, ServiceTime: work, HoldTime: work, Tried: slices.Contains(r.tried, index),
 		Outstanding: float64(r.from.inFlight[index]) + r.from.beliefs[index].others(f.clock()),
 	}
 	if !candidate.SameZone {
