--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -71,7 +71,7 @@
 		if before != nil && before.of(record) {
 			next.others = before.others
 		}
-		next.others = next.others.After(others, record.Endpoint.Slots, load.Held, now)
+		next.others = next.others.After(others, record.Endpoint.Slots, load.HoldTime, now)
 		if t.report.CompareAndSwap(before, next) {
 			return others
 		}
@@ -143,7 +143,7 @@
 		age := now.Sub(report.taken)
 		described.Outstanding += report.others.Others(now)
 		described.ServiceTime = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
-		described.HoldTime = report.Held
+		described.HoldTime = report.HoldTime
 		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
 	}
 	return described
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -46,7 +46,7 @@
 	}
 	now := time.Now()
 	held := &target{}
-	held.learn(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
+	held.learn(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, HoldTime: time.Second}, record(1, "a"), now)
 	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, place{}, time.Second, now) }
 	g.Expect(described(record(1, "a")).Outstanding).To(Equal(5.0))
 	g.Expect(described(record(1, "a")).ServiceTime).To(Equal(7 * time.Second))
@@ -64,7 +64,7 @@
 	now := time.Now()
 	held := &target{}
 	held.inFlight.Store(2)
-	held.learn(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
+	held.learn(hop.Reply{Running: 3, Slots: 4, Factor: 1, HoldTime: time.Second}, record, now)
 	held.inFlight.Store(4)
 	g.Expect(held.candidate(record, place{}, time.Second, now).Outstanding).To(Equal(5.0))
 }
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -44,7 +44,7 @@
 func TestReplyLine(t *testing.T) {
 	g := NewWithT(t)
 	sent := hop.Reply{
-		Version: 1<<53 - 1, Running: 9, Waiting: 2, Slots: 9, Held: 120 * time.Millisecond, Factor: 1.5, Worked: 80 * time.Millisecond, Failing: 0.25,
+		Version: 1<<53 - 1, Running: 9, Waiting: 2, Slots: 9, HoldTime: 120 * time.Millisecond, Factor: 1.5, Worked: 80 * time.Millisecond, Failing: 0.25,
 	}
 	received, err := hop.ParseReply(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -130,7 +130,7 @@
 	// Running, Waiting and Slots describe its back end's load, Held how long a
 	// slot is held.
 	Running, Waiting, Slots int
-	Held                    time.Duration
+	HoldTime                    time.Duration
 	// Factor is how much longer the back end works than others do.
 	Factor float64
 	// Worked is how long it worked on this request; zero when it did not.
@@ -147,7 +147,7 @@
 	line := make([]byte, 0, 64)
 	line = strconv.AppendUint(line, r.Version, 10)
 	for _, number := range [...]int64{
-		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.Held.Microseconds(),
+		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.HoldTime.Microseconds(),
 		int64(r.Factor * factorUnits), r.Worked.Microseconds(), int64(r.Failing * factorUnits),
 	} {
 		line = strconv.AppendInt(append(line, ' '), max(number, 0), 10)
@@ -171,7 +171,7 @@
 	}
 	return Reply{
 		Version: numbers[0], Running: int(numbers[1]), Waiting: int(numbers[2]), Slots: int(numbers[3]),
-		Held: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, Worked: microseconds(numbers[6]),
+		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, Worked: microseconds(numbers[6]),
 		Failing: float64(numbers[7]) / factorUnits,
 	}, nil
 }
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -285,7 +285,7 @@
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
-		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, Held: load.Service,
+		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.Service,
 		Factor: a.handler.pace.Factor(clock.Now()), Worked: worked, Failing: a.handler.failures.Share(),
 	}
 	header := a.writer.Header()
