--- a/internal/sidecar/choice/balance.go
+++ b/internal/sidecar/choice/balance.go
@@ -24,7 +24,7 @@
 	way := float64(candidate.RoundTrip+candidate.Wait) / float64(aim)
 	measured := fullness*(perSlot*perSlot*work+way) + lateness*min(max(work+way-1, 0), 1)
 	cost := measured / (1 + measured/(weights.Avoided/2))
-	cost += max(candidate.Failing-usualFailing, 0)
+	cost += max(candidate.FailureRate-usualFailing, 0)
 	return candidate.added(cost, weights)
 }
 
--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -22,8 +22,8 @@
 	HoldTime time.Duration
 	// RoundTrip is the time to it and back.
 	RoundTrip time.Duration
-	// Failing is the share of its requests that fail there.
-	Failing float64
+	// FailureRate is the share of its requests that fail there.
+	FailureRate float64
 	// Avoid: it failed a short time ago.
 	Avoid bool
 	// Silent: it has not answered a probe.
@@ -100,7 +100,7 @@
 	}
 	share := float64(Expected(candidate)) / float64(aim)
 	cost := lateness / (1 + math.Pow(typical*share, -steepness))
-	cost += slowness*share + max(candidate.Failing-usualFailing, 0)
+	cost += slowness*share + max(candidate.FailureRate-usualFailing, 0)
 	return candidate.added(cost, weights)
 }
 
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -42,11 +42,11 @@
 		}, 300 * ms, 1},
 		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
 		{"not the one at which many fail, although it answers fast", []choice.Candidate{
-			far, with(near, func(c *choice.Candidate) { c.Failing, c.ServiceTime = 0.3, 5*ms }),
+			far, with(near, func(c *choice.Candidate) { c.FailureRate, c.ServiceTime = 0.3, 5*ms }),
 		}, 300 * ms, 0},
-		{"the zone in spite of a failure now and then", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Failing = 0.04 })}, 300 * ms, 1},
+		{"the zone in spite of a failure now and then", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.FailureRate = 0.04 })}, 300 * ms, 1},
 		{"of two in the zone the one that works, although it is slower", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
+			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
 		}, 300 * ms, 1},
 		{"one that failed before one that leaves", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
@@ -191,7 +191,7 @@
 			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), busy(far, 40),
 		}, 300 * ms, 0},
 		{"not the one at which many fail", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), busy(near, 9),
+			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), busy(near, 9),
 		}, 300 * ms, 1},
 		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
 		{"one that failed before one that leaves", []choice.Candidate{
@@ -401,7 +401,7 @@
 			{Slots: 1, Outstanding: 40, ServiceTime: 100 * ms},
 			{Slots: 6, Outstanding: 240, ServiceTime: 2400 * ms},
 			{Slots: 6, ServiceTime: 100 * ms, RoundTrip: 16 * time.Second},
-			{Slots: 1, Outstanding: 1e9, ServiceTime: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
+			{Slots: 1, Outstanding: 1e9, ServiceTime: time.Hour, RoundTrip: time.Hour, OtherRegion: true, FailureRate: 1},
 		} {
 			g := NewWithT(t)
 			g.Expect(choice.BalancedCost(ordinary, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(resort, 300*ms, weights)), name)
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -32,8 +32,8 @@
 	encoder.AddInt("slots", v.seen.Slots)
 	encoder.AddDuration("work", v.seen.ServiceTime)
 	encoder.AddDuration("reportAge", v.reportAge)
-	if v.seen.Failing >= loggedFailing {
-		encoder.AddFloat64("failing", v.seen.Failing)
+	if v.seen.FailureRate >= loggedFailing {
+		encoder.AddFloat64("failing", v.seen.FailureRate)
 	}
 	if v.seen.Wait > 0 {
 		encoder.AddDuration("limitWait", v.seen.Wait)
