--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -135,8 +135,8 @@
 	Factor float64
 	// Worked is how long it worked on this request; zero when it did not.
 	Worked time.Duration
-	// Failing is the share of its requests that fail.
-	Failing float64
+	// FailureRate is the share of its requests that fail.
+	FailureRate float64
 }
 
 // factorUnits make a whole number of a factor.
@@ -148,7 +148,7 @@
 	line = strconv.AppendUint(line, r.Version, 10)
 	for _, number := range [...]int64{
 		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.HoldTime.Microseconds(),
-		int64(r.Factor * factorUnits), r.Worked.Microseconds(), int64(r.Failing * factorUnits),
+		int64(r.Factor * factorUnits), r.Worked.Microseconds(), int64(r.FailureRate * factorUnits),
 	} {
 		line = strconv.AppendInt(append(line, ' '), max(number, 0), 10)
 	}
@@ -172,7 +172,7 @@
 	return Reply{
 		Version: numbers[0], Running: int(numbers[1]), Waiting: int(numbers[2]), Slots: int(numbers[3]),
 		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, Worked: microseconds(numbers[6]),
-		Failing: float64(numbers[7]) / factorUnits,
+		FailureRate: float64(numbers[7]) / factorUnits,
 	}, nil
 }
 
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -168,10 +168,10 @@
 				last = made.send(t, t.Context())
 			}
 			if held.failed {
-				g.Expect(last.Failing).To(BeNumerically(">", 0.5))
+				g.Expect(last.FailureRate).To(BeNumerically(">", 0.5))
 				return
 			}
-			g.Expect(last.Failing).To(BeZero())
+			g.Expect(last.FailureRate).To(BeZero())
 		})
 	}
 }
@@ -188,7 +188,7 @@
 			ctx, leave := context.WithTimeout(t.Context(), wait)
 			last := made.send(t, ctx)
 			leave()
-			g.Expect(last.Failing > 0).To(Equal(failed))
+			g.Expect(last.FailureRate > 0).To(Equal(failed))
 		}
 	}
 }
