--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -24,8 +24,8 @@
 	RoundTrip time.Duration
 	// FailureRate is the share of its requests that fail there.
 	FailureRate float64
-	// Avoid: it failed a short time ago.
-	Avoid bool
+	// RecentlyFailed: it failed a short time ago.
+	RecentlyFailed bool
 	// Silent: it has not answered a probe.
 	Silent bool
 	// Leaving: it takes no new work, or will not for long.
@@ -112,7 +112,7 @@
 	if c.OtherRegion {
 		cost += weights.OtherRegion
 	}
-	if c.Avoid {
+	if c.RecentlyFailed {
 		cost += weights.Avoided
 	}
 	if c.Leaving {
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -40,7 +40,7 @@
 		{"the shorter of two queues that are both too long", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Outstanding = 200 }), with(near, func(c *choice.Candidate) { c.Outstanding = 150 }),
 		}, 300 * ms, 1},
-		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
+		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.RecentlyFailed = true })}, 300 * ms, 0},
 		{"not the one at which many fail, although it answers fast", []choice.Candidate{
 			far, with(near, func(c *choice.Candidate) { c.FailureRate, c.ServiceTime = 0.3, 5*ms }),
 		}, 300 * ms, 0},
@@ -49,7 +49,7 @@
 			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
 		}, 300 * ms, 1},
 		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
+			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"one that leaves before a silent one", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Silent = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
@@ -121,7 +121,7 @@
 		return candidates
 	}
 	for name, unusable := range map[string]func(*choice.Candidate){
-		"avoided": func(c *choice.Candidate) { c.Avoid = true },
+		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
 		"leaving": func(c *choice.Candidate) { c.Leaving = true },
 		"silent":  func(c *choice.Candidate) { c.Silent = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
@@ -193,9 +193,9 @@
 		{"not the one at which many fail", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), busy(near, 9),
 		}, 300 * ms, 1},
-		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
+		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.RecentlyFailed = true })}, 300 * ms, 0},
 		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
+			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"a silent one before one that was tried", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
@@ -227,7 +227,7 @@
 	for _, left := range []choice.Candidate{{Tried: true}, {Leaving: true}, {Silent: true}} {
 		g.Expect(left.Worthwhile()).To(BeFalse())
 	}
-	g.Expect(choice.Candidate{Avoid: true}.Worthwhile()).To(BeTrue())
+	g.Expect(choice.Candidate{RecentlyFailed: true}.Worthwhile()).To(BeTrue())
 }
 
 // TestEqualsShare: equal back ends get equal shares.
@@ -390,7 +390,7 @@
 	weights := choice.DefaultWeights()
 	idle := choice.Candidate{SameZone: true, Slots: 6, ServiceTime: 100 * ms}
 	for name, last := range map[string]func(*choice.Candidate){
-		"avoided": func(c *choice.Candidate) { c.Avoid = true },
+		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
 		"leaving": func(c *choice.Candidate) { c.Leaving = true },
 		"silent":  func(c *choice.Candidate) { c.Silent = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -129,7 +129,7 @@
 		Slots:   record.Endpoint.Slots,
 		ServiceTime:    usual,
 		HoldTime:    usual,
-		Avoid:   t.avoided(now),
+		RecentlyFailed:   t.avoided(now),
 		Leaving: !record.AcceptsWork(),
 		Silent:  t.silent.Load(),
 	}
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -38,8 +38,8 @@
 	if v.seen.Wait > 0 {
 		encoder.AddDuration("limitWait", v.seen.Wait)
 	}
-	if v.seen.Avoid || v.seen.Leaving {
-		encoder.AddBool("avoided", v.seen.Avoid)
+	if v.seen.RecentlyFailed || v.seen.Leaving {
+		encoder.AddBool("avoided", v.seen.RecentlyFailed)
 		encoder.AddBool("leaving", v.seen.Leaving)
 	}
 	if v.outcome != "" {
