--- a/internal/sidecar/choice/balance.go
+++ b/internal/sidecar/choice/balance.go
@@ -23,7 +23,7 @@
 	work := float64(candidate.ServiceTime) / float64(aim)
 	way := float64(candidate.RoundTrip+candidate.Wait) / float64(aim)
 	measured := fullness*(perSlot*perSlot*work+way) + lateness*min(max(work+way-1, 0), 1)
-	cost := measured / (1 + measured/(weights.Avoided/2))
+	cost := measured / (1 + measured/(weights.RecentFailure/2))
 	cost += max(candidate.FailureRate-usualFailing, 0)
 	return candidate.added(cost, weights)
 }
@@ -33,5 +33,5 @@
 // pool.
 func DrawBalanced(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
 	price := func(candidate Candidate) float64 { return BalancedCost(candidate, aim, weights) }
-	return draw(pool, drawnToBalance, intN, price, func(_ int, lowest float64) bool { return lowest < weights.Avoided })
+	return draw(pool, drawnToBalance, intN, price, func(_ int, lowest float64) bool { return lowest < weights.RecentFailure })
 }
--- a/internal/sidecar/choice/draw.go
+++ b/internal/sidecar/choice/draw.go
@@ -34,7 +34,7 @@
 func Draw(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
 	price := func(candidate Candidate) float64 { return Cost(candidate, aim, weights) }
 	return draw(pool, drawnTogether, intN, price, func(draws int, lowest float64) bool {
-		return lowest <= acceptableCost || (draws >= drawsMost && lowest < weights.Avoided)
+		return lowest <= acceptableCost || (draws >= drawsMost && lowest < weights.RecentFailure)
 	})
 }
 
