--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -28,8 +28,8 @@
 	RecentlyFailed bool
 	// Silent: it has not answered a probe.
 	Silent bool
-	// Leaving: it takes no new work, or will not for long.
-	Leaving bool
+	// Draining: it takes no new work, or will not for long.
+	Draining bool
 	// Tried: this request was sent to it before.
 	Tried bool
 	// Wait is the time until the back end's own limit has room for the request; zero without a limit.
@@ -115,7 +115,7 @@
 	if c.RecentlyFailed {
 		cost += weights.RecentFailure
 	}
-	if c.Leaving {
+	if c.Draining {
 		cost += weights.Leaving
 	}
 	if c.Silent {
@@ -133,4 +133,4 @@
 // Worthwhile reports whether the back end is one for a request that was refused
 // elsewhere: it was not tried, takes work and is there. To send it to a silent one
 // would only make its outcome unknown.
-func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Leaving && !c.Silent && !c.Closed }
+func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Draining && !c.Silent && !c.Closed }
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -49,16 +49,16 @@
 			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
 		}, 300 * ms, 1},
 		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
+			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"one that leaves before a silent one", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Silent = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
+			with(near, func(c *choice.Candidate) { c.Silent = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
 		}, 300 * ms, 1},
 		{"a silent one before one that was tried", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
 		}, 300 * ms, 1},
 		{"one that leaves before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
 		}, 300 * ms, 1},
 		{"without a target latency the less busy", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Outstanding = 20 }), near,
@@ -122,7 +122,7 @@
 	}
 	for name, unusable := range map[string]func(*choice.Candidate){
 		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
-		"leaving": func(c *choice.Candidate) { c.Leaving = true },
+		"leaving": func(c *choice.Candidate) { c.Draining = true },
 		"silent":  func(c *choice.Candidate) { c.Silent = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
@@ -195,7 +195,7 @@
 		}, 300 * ms, 1},
 		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.RecentlyFailed = true })}, 300 * ms, 0},
 		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
+			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"a silent one before one that was tried", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
@@ -215,7 +215,7 @@
 	t.Run("the only usable one of many", func(t *testing.T) {
 		g := NewWithT(t)
 		for place := range 40 {
-			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Leaving = true })}, 40)
+			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Draining = true })}, 40)
 			candidates[place] = near
 			g.Expect(chosenFrom(choice.DrawBalanced, candidates, 300*ms, random)).To(Equal(place))
 		}
@@ -224,7 +224,7 @@
 
 func TestWorthwhile(t *testing.T) {
 	g := NewWithT(t)
-	for _, left := range []choice.Candidate{{Tried: true}, {Leaving: true}, {Silent: true}} {
+	for _, left := range []choice.Candidate{{Tried: true}, {Draining: true}, {Silent: true}} {
 		g.Expect(left.Worthwhile()).To(BeFalse())
 	}
 	g.Expect(choice.Candidate{RecentlyFailed: true}.Worthwhile()).To(BeTrue())
@@ -391,7 +391,7 @@
 	idle := choice.Candidate{SameZone: true, Slots: 6, ServiceTime: 100 * ms}
 	for name, last := range map[string]func(*choice.Candidate){
 		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
-		"leaving": func(c *choice.Candidate) { c.Leaving = true },
+		"leaving": func(c *choice.Candidate) { c.Draining = true },
 		"silent":  func(c *choice.Candidate) { c.Silent = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -120,7 +120,7 @@
 // that has left, is not sent to.
 func (s *considered) judgeNotices(described *choice.Candidate, found *target, record *roster.Record) {
 	if age, leaves := found.left(record, s.now); leaves {
-		described.Leaving = true
+		described.Draining = true
 		described.Closed = age >= s.call.handler.options.DrainAfter()
 	}
 	limit := found.limitOf(record)
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -130,7 +130,7 @@
 		ServiceTime:    usual,
 		HoldTime:    usual,
 		RecentlyFailed:   t.avoided(now),
-		Leaving: !record.AcceptsWork(),
+		Draining: !record.AcceptsWork(),
 		Silent:  t.silent.Load(),
 	}
 	switch {
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -38,9 +38,9 @@
 	if v.seen.Wait > 0 {
 		encoder.AddDuration("limitWait", v.seen.Wait)
 	}
-	if v.seen.RecentlyFailed || v.seen.Leaving {
+	if v.seen.RecentlyFailed || v.seen.Draining {
 		encoder.AddBool("avoided", v.seen.RecentlyFailed)
-		encoder.AddBool("leaving", v.seen.Leaving)
+		encoder.AddBool("leaving", v.seen.Draining)
 	}
 	if v.outcome != "" {
 		encoder.AddString("outcome", string(v.outcome))
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -355,7 +355,7 @@
 	if !candidate.SameZone {
 		candidate.RoundTrip = zoneTrip
 	}
-	candidate.Leaving = index == 0 && f.now < f.joins
+	candidate.Draining = index == 0 && f.now < f.joins
 	if f.policy.average {
 		unheard := 1 - r.from.beliefs[index].(*estimated).Weight(f.clock())
 		candidate.Outstanding += r.from.averages[s.zone].PerSlot(f.clock()) * float64(f.service.slots) * unheard
