--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -26,8 +26,8 @@
 	FailureRate float64
 	// RecentlyFailed: it failed a short time ago.
 	RecentlyFailed bool
-	// Silent: it has not answered a probe.
-	Silent bool
+	// Unresponsive: it has not answered a probe.
+	Unresponsive bool
 	// Draining: it takes no new work, or will not for long.
 	Draining bool
 	// Tried: this request was sent to it before.
@@ -118,7 +118,7 @@
 	if c.Draining {
 		cost += weights.Draining
 	}
-	if c.Silent {
+	if c.Unresponsive {
 		cost += weights.Silent
 	}
 	if c.Tried {
@@ -133,4 +133,4 @@
 // Worthwhile reports whether the back end is one for a request that was refused
 // elsewhere: it was not tried, takes work and is there. To send it to a silent one
 // would only make its outcome unknown.
-func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Draining && !c.Silent && !c.Closed }
+func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Draining && !c.Unresponsive && !c.Closed }
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -52,10 +52,10 @@
 			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"one that leaves before a silent one", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Silent = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
+			with(near, func(c *choice.Candidate) { c.Unresponsive = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
 		}, 300 * ms, 1},
 		{"a silent one before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Unresponsive = true }),
 		}, 300 * ms, 1},
 		{"one that leaves before one that was tried", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
@@ -123,7 +123,7 @@
 	for name, unusable := range map[string]func(*choice.Candidate){
 		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
 		"leaving": func(c *choice.Candidate) { c.Draining = true },
-		"silent":  func(c *choice.Candidate) { c.Silent = true },
+		"silent":  func(c *choice.Candidate) { c.Unresponsive = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
 		{"a silent one before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Unresponsive = true }),
 		}, 300 * ms, 1},
 		{"a route without a target", []choice.Candidate{busy(near, 7), near}, 0, 1},
 		{"a back end that tells no slots", []choice.Candidate{with(near, func(c *choice.Candidate) { c.Slots = 0 }), near}, 300 * ms, 1},
@@ -224,7 +224,7 @@
 
 func TestWorthwhile(t *testing.T) {
 	g := NewWithT(t)
-	for _, left := range []choice.Candidate{{Tried: true}, {Draining: true}, {Silent: true}} {
+	for _, left := range []choice.Candidate{{Tried: true}, {Draining: true}, {Unresponsive: true}} {
 		g.Expect(left.Worthwhile()).To(BeFalse())
 	}
 	g.Expect(choice.Candidate{RecentlyFailed: true}.Worthwhile()).To(BeTrue())
@@ -392,7 +392,7 @@
 	for name, last := range map[string]func(*choice.Candidate){
 		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
 		"leaving": func(c *choice.Candidate) { c.Draining = true },
-		"silent":  func(c *choice.Candidate) { c.Silent = true },
+		"silent":  func(c *choice.Candidate) { c.Unresponsive = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
 		resort := idle
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -131,7 +131,7 @@
 		HoldTime:    usual,
 		RecentlyFailed:   t.avoided(now),
 		Draining: !record.AcceptsWork(),
-		Silent:  t.silent.Load(),
+		Unresponsive:  t.silent.Load(),
 	}
 	switch {
 	case described.OtherRegion:
