--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -44,9 +44,9 @@
 	// ForeignZone is the price of leaving the zone, OtherRegion what is added to
 	// it for leaving the region.
 	ForeignZone, OtherRegion float64
-	// RecentFailure, Draining, Unresponsive and Repeated are added for back ends that are to
+	// RecentFailure, Draining, Unresponsive and AlreadyTried are added for back ends that are to
 	// be chosen only when nothing else is left.
-	RecentFailure, Draining, Unresponsive, Repeated float64
+	RecentFailure, Draining, Unresponsive, AlreadyTried float64
 	// Closed is above all others together.
 	Closed float64
 }
@@ -56,7 +56,7 @@
 // number of answers in time where demand is near capacity; with 0.3 a third, but one in
 // a hundred answers is lost (docs/design/0010-the-shifted-work.md).
 func DefaultWeights() Weights {
-	return Weights{ForeignZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, Repeated: 400, Closed: 1000}
+	return Weights{ForeignZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Closed: 1000}
 }
 
 const (
@@ -122,7 +122,7 @@
 		cost += weights.Unresponsive
 	}
 	if c.Tried {
-		cost += weights.Repeated
+		cost += weights.AlreadyTried
 	}
 	if c.Closed {
 		cost += weights.Closed
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -81,7 +81,7 @@
 		sum += weights.ForeignZone
 	}
 	if c.Tried {
-		sum += weights.Repeated
+		sum += weights.AlreadyTried
 	}
 	return sum
 }
