--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -34,8 +34,8 @@
 	Tried bool
 	// Wait is the time until the back end's own limit has room for the request; zero without a limit.
 	Wait time.Duration
-	// Closed: it would refuse the request, which is not to be sent there at all.
-	Closed bool
+	// Excluded: it would refuse the request, which is not to be sent there at all.
+	Excluded bool
 }
 
 // Weights price what cannot be measured in time, in units of the worth of an
@@ -124,7 +124,7 @@
 	if c.Tried {
 		cost += weights.AlreadyTried
 	}
-	if c.Closed {
+	if c.Excluded {
 		cost += weights.Closed
 	}
 	return cost
@@ -133,4 +133,4 @@
 // Worthwhile reports whether the back end is one for a request that was refused
 // elsewhere: it was not tried, takes work and is there. To send it to a silent one
 // would only make its outcome unknown.
-func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Draining && !c.Unresponsive && !c.Closed }
+func (c Candidate) Worthwhile() bool { return !c.Tried && !c.Draining && !c.Unresponsive && !c.Excluded }
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -18,18 +18,18 @@
 func (c *call) choose() (*attempt, *outcome.Failure) {
 	considered := c.considered(clock.Now(), c.selected())
 	index, seen := considered.draw()
-	if plan := c.handler.plan(c.service); seen.Closed && plan != nil && !plan.Moves() {
+	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Moves() {
 		// That back ends on trial have no room is no reason to refuse a request.
 		considered = c.considered(considered.now, plan.Otherwise())
 		index, seen = considered.draw()
 	}
 	if considered.full {
-		c.handler.options.Observer.Diverted(c.service, index >= 0 && !seen.Closed)
+		c.handler.options.Observer.Diverted(c.service, index >= 0 && !seen.Excluded)
 	}
 	switch {
 	case index < 0:
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, defaultRetryAfter, errNoEndpoint)
-	case seen.Closed:
+	case seen.Excluded:
 		return nil, considered.closed()
 	}
 	record := considered.records[index]
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -121,7 +121,7 @@
 func (s *considered) judgeNotices(described *choice.Candidate, found *target, record *roster.Record) {
 	if age, leaves := found.left(record, s.now); leaves {
 		described.Draining = true
-		described.Closed = age >= s.call.handler.options.DrainAfter()
+		described.Excluded = age >= s.call.handler.options.DrainAfter()
 	}
 	limit := found.limitOf(record)
 	if limit == nil {
@@ -129,7 +129,7 @@
 	}
 	described.Wait = limit.Wait(s.call.class(), s.now)
 	if described.Wait > 0 && described.Wait > s.patience(described.ServiceTime) {
-		described.Closed = true
+		described.Excluded = true
 		s.full = true
 	}
 }
