--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -47,8 +47,8 @@
 	// RecentFailure, Draining, Unresponsive and AlreadyTried are added for back ends that are to
 	// be chosen only when nothing else is left.
 	RecentFailure, Draining, Unresponsive, AlreadyTried float64
-	// Closed is above all others together.
-	Closed float64
+	// Excluded is above all others together.
+	Excluded float64
 }
 
 // DefaultWeights prefer the zone until its back ends would answer late. With a price of
@@ -56,7 +56,7 @@
 // number of answers in time where demand is near capacity; with 0.3 a third, but one in
 // a hundred answers is lost (docs/design/0010-the-shifted-work.md).
 func DefaultWeights() Weights {
-	return Weights{ForeignZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Closed: 1000}
+	return Weights{ForeignZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Excluded: 1000}
 }
 
 const (
@@ -125,7 +125,7 @@
 		cost += weights.AlreadyTried
 	}
 	if c.Excluded {
-		cost += weights.Closed
+		cost += weights.Excluded
 	}
 	return cost
 }
