--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -41,9 +41,9 @@
 // Weights price what cannot be measured in time, in units of the worth of an
 // answer that comes in time.
 type Weights struct {
-	// ForeignZone is the price of leaving the zone, OtherRegion what is added to
+	// OtherZone is the price of leaving the zone, OtherRegion what is added to
 	// it for leaving the region.
-	ForeignZone, OtherRegion float64
+	OtherZone, OtherRegion float64
 	// RecentFailure, Draining, Unresponsive and AlreadyTried are added for back ends that are to
 	// be chosen only when nothing else is left.
 	RecentFailure, Draining, Unresponsive, AlreadyTried float64
@@ -56,7 +56,7 @@
 // number of answers in time where demand is near capacity; with 0.3 a third, but one in
 // a hundred answers is lost (docs/design/0010-the-shifted-work.md).
 func DefaultWeights() Weights {
-	return Weights{ForeignZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Excluded: 1000}
+	return Weights{OtherZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Excluded: 1000}
 }
 
 const (
@@ -107,7 +107,7 @@
 // added returns the cost with the prices of what cannot be measured in time.
 func (c Candidate) added(cost float64, weights Weights) float64 {
 	if !c.SameZone {
-		cost += weights.ForeignZone
+		cost += weights.OtherZone
 	}
 	if c.OtherRegion {
 		cost += weights.OtherRegion
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -78,7 +78,7 @@
 func fixedPrices(c choice.Candidate) float64 {
 	weights, sum := choice.DefaultWeights(), 0.0
 	if !c.SameZone {
-		sum += weights.ForeignZone
+		sum += weights.OtherZone
 	}
 	if c.Tried {
 		sum += weights.AlreadyTried
