--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -225,9 +225,9 @@
 func TestWorthwhile(t *testing.T) {
 	g := NewWithT(t)
 	for _, left := range []choice.Candidate{{Tried: true}, {Draining: true}, {Unresponsive: true}} {
-		g.Expect(left.Worthwhile()).To(BeFalse())
+		g.Expect(left.EligibleForRetry()).To(BeFalse())
 	}
-	g.Expect(choice.Candidate{RecentlyFailed: true}.Worthwhile()).To(BeTrue())
+	g.Expect(choice.Candidate{RecentlyFailed: true}.EligibleForRetry()).To(BeTrue())
 }
 
 // TestEqualsShare: equal back ends get equal shares.
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -142,7 +142,7 @@
 // refused.
 func (s *considered) worthwhile() bool {
 	for index := range s.records {
-		if s.describe(index).Worthwhile() {
+		if s.describe(index).EligibleForRetry() {
 			return true
 		}
 	}
