--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -323,7 +323,7 @@
 		}
 		return far[i-len(near)]
 	}
-	pool := choice.Pool{Near: len(near), Far: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
+	pool := choice.Pool{Local: len(near), Far: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
 	r.to = index(f.policy.choose(pool, f.service.aim, f.random))
 	r.tried = append(r.tried, r.to)
 	r.from.inFlight[r.to]++
@@ -450,9 +450,9 @@
 
 // cheapestOfAll is the choice before back ends were drawn.
 func cheapestOfAll(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	best, lowest, start := -1, 0.0, random.IntN(pool.Near)
-	for offset := range pool.Near {
-		index := (start + offset) % pool.Near
+	best, lowest, start := -1, 0.0, random.IntN(pool.Local)
+	for offset := range pool.Local {
+		index := (start + offset) % pool.Local
 		cost := choice.Cost(pool.Describe(index), aim, choice.DefaultWeights())
 		if best < 0 || cost < lowest {
 			best, lowest = index, cost
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -54,8 +54,8 @@
 				}
 			}
 		}
-		consider(0, pool.Near)
-		consider(pool.Near, pool.Far)
+		consider(0, pool.Local)
+		consider(pool.Local, pool.Far)
 		return best
 	}
 }
