--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -95,7 +95,7 @@
 			places = append(places, place)
 		}
 	}
-	pool := choice.Pool{Local: near, Far: len(candidates) - near, Describe: func(index int) choice.Candidate {
+	pool := choice.Pool{Local: near, Remote: len(candidates) - near, Describe: func(index int) choice.Candidate {
 		return candidates[places[index]]
 	}}
 	index, _ := draw(pool, aim, random.IntN, choice.DefaultWeights())
--- a/internal/sidecar/choice/draw.go
+++ b/internal/sidecar/choice/draw.go
@@ -4,8 +4,8 @@
 
 // Pool holds the back ends that may take a request.
 type Pool struct {
-	// Local is how many of them are in the caller's zone, Far how many are not.
-	Local, Far int
+	// Local is how many of them are in the caller's zone, Remote how many are not.
+	Local, Remote int
 	// Describe returns what is known of one of them. Indices begin at zero, those
 	// of the zone come first.
 	Describe func(index int) Candidate
@@ -41,7 +41,7 @@
 // draw returns the cheapest of the back ends that were drawn, count of the zone and count of others
 // at a time, when enough says so of the number of draws and the lowest price, or all were drawn.
 func draw(pool Pool, count int, intN func(n int) int, price func(Candidate) float64, enough func(draws int, lowest float64) bool) (index int, drawn Candidate) {
-	near, far := newUrn(0, pool.Local), newUrn(pool.Local, pool.Far)
+	near, far := newUrn(0, pool.Local), newUrn(pool.Local, pool.Remote)
 	index, lowest := -1, 0.0
 	for draws := 1; len(near)+len(far) > 0; draws++ {
 		for _, next := range append(near.take(count, intN), far.take(count, intN)...) {
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -135,7 +135,7 @@
 
 // pool returns them for the choice.
 func (s *considered) pool() choice.Pool {
-	return choice.Pool{Local: s.subset.near, Far: len(s.records) - s.subset.near, Describe: s.describe}
+	return choice.Pool{Local: s.subset.near, Remote: len(s.records) - s.subset.near, Describe: s.describe}
 }
 
 // worthwhile reports whether another back end is left for a request that was
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -323,7 +323,7 @@
 		}
 		return far[i-len(near)]
 	}
-	pool := choice.Pool{Local: len(near), Far: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
+	pool := choice.Pool{Local: len(near), Remote: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
 	r.to = index(f.policy.choose(pool, f.service.aim, f.random))
 	r.tried = append(r.tried, r.to)
 	r.from.inFlight[r.to]++
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 		consider(0, pool.Local)
-		consider(pool.Local, pool.Far)
+		consider(pool.Local, pool.Remote)
 		return best
 	}
 }
