--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -77,7 +77,7 @@
 // drawFrom draws from candidates in any order and returns the place of the chosen
 // one in it.
 func drawFrom(candidates []choice.Candidate, aim time.Duration, random *rand.Rand) int {
-	return chosenFrom(choice.Draw, candidates, aim, random)
+	return chosenFrom(choice.Select, candidates, aim, random)
 }
 
 // drawFunc is Draw or DrawBalanced.
--- a/internal/sidecar/choice/draw.go
+++ b/internal/sidecar/choice/draw.go
@@ -27,11 +27,11 @@
 	drawsMost = 3
 )
 
-// Draw chooses the cheapest of a few back ends that are drawn at random. It draws
+// Select chooses the cheapest of a few back ends that are drawn at random. It draws
 // again while the answer would be likely to come late, and for as long as none was
 // found that is to be chosen at all. The index is -1 for an empty pool. intN
 // returns a random number from zero up to its argument, as rand.IntN does.
-func Draw(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
+func Select(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
 	price := func(candidate Candidate) float64 { return Cost(candidate, aim, weights) }
 	return draw(pool, drawnTogether, intN, price, func(draws int, lowest float64) bool {
 		return lowest <= acceptableCost || (draws >= drawsMost && lowest < weights.RecentFailure)
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -66,7 +66,7 @@
 
 // draw returns the index of the back end that is to take the request, and what is known of it.
 func (s *considered) draw() (index int, seen choice.Candidate) {
-	draw := choice.Draw
+	draw := choice.Select
 	if s.competes {
 		draw = choice.DrawBalanced
 	}
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -462,7 +462,7 @@
 }
 
 func drawn(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	index, _ := choice.Draw(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := choice.Select(pool, aim, random.IntN, choice.DefaultWeights())
 	return index
 }
 
