--- a/internal/sidecar/choice/balance.go
+++ b/internal/sidecar/choice/balance.go
@@ -28,10 +28,10 @@
 	return candidate.added(cost, weights)
 }
 
-// DrawBalanced chooses the cheapest by BalancedCost of a few back ends that are drawn at random. It
+// SelectBalanced chooses the cheapest by BalancedCost of a few back ends that are drawn at random. It
 // draws again only while none was found that is to be chosen at all. The index is -1 for an empty
 // pool.
-func DrawBalanced(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
+func SelectBalanced(pool Pool, aim time.Duration, intN func(n int) int, weights Weights) (index int, drawn Candidate) {
 	price := func(candidate Candidate) float64 { return BalancedCost(candidate, aim, weights) }
 	return draw(pool, drawnToBalance, intN, price, func(_ int, lowest float64) bool { return lowest < weights.RecentFailure })
 }
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -208,7 +208,7 @@
 		t.Run(drawn.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for range 20 {
-				g.Expect(chosenFrom(choice.DrawBalanced, drawn.candidates, drawn.aim, random)).To(Equal(drawn.want))
+				g.Expect(chosenFrom(choice.SelectBalanced, drawn.candidates, drawn.aim, random)).To(Equal(drawn.want))
 			}
 		})
 	}
@@ -217,7 +217,7 @@
 		for place := range 40 {
 			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Draining = true })}, 40)
 			candidates[place] = near
-			g.Expect(chosenFrom(choice.DrawBalanced, candidates, 300*ms, random)).To(Equal(place))
+			g.Expect(chosenFrom(choice.SelectBalanced, candidates, 300*ms, random)).To(Equal(place))
 		}
 	})
 }
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -68,7 +68,7 @@
 func (s *considered) draw() (index int, seen choice.Candidate) {
 	draw := choice.Select
 	if s.competes {
-		draw = choice.DrawBalanced
+		draw = choice.SelectBalanced
 	}
 	return draw(s.pool(), s.call.route.TargetLatency, rand.IntN, s.call.handler.options.Weights)
 }
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -37,7 +37,7 @@
 }
 
 func balanced(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	index, _ := choice.DrawBalanced(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := choice.SelectBalanced(pool, aim, random.IntN, choice.DefaultWeights())
 	return index
 }
 
