--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -79,8 +79,8 @@
 	usualFailing = 0.05
 )
 
-// Expected estimates the time until the candidate's answer.
-func Expected(candidate Candidate) time.Duration {
+// ExpectedLatency estimates the time until the candidate's answer.
+func ExpectedLatency(candidate Candidate) time.Duration {
 	slots := float64(max(candidate.Slots, 1))
 	used := min(candidate.Outstanding/slots, 1)
 	expected := float64(candidate.ServiceTime) * (1 + crowding*used*used)
@@ -98,7 +98,7 @@
 	if aim <= 0 {
 		aim = assumedAim
 	}
-	share := float64(Expected(candidate)) / float64(aim)
+	share := float64(ExpectedLatency(candidate)) / float64(aim)
 	cost := lateness / (1 + math.Pow(typical*share, -steepness))
 	cost += slowness*share + max(candidate.FailureRate-usualFailing, 0)
 	return candidate.added(cost, weights)
