--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -284,12 +284,12 @@
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 0.5, 0.01))
 	pace.Observe(time.Hour, 100*ms)
 	g.Expect(pace.Factor(now)).To(BeNumerically("<", 1.0), "one request alone says little")
-	g.Expect(choice.Faded(5, 0, 0)).To(Equal(5.0))
-	g.Expect(choice.Faded(5, 3*time.Second, time.Second)).To(BeNumerically("~", 3, 0.001))
-	g.Expect(choice.Faded(5, time.Hour, time.Second)).To(BeNumerically("~", 1, 0.001))
-	g.Expect(choice.Faded(0, 0, 0)).To(Equal(1.0))
-	g.Expect(choice.Faded(1e12, 0, 0)).To(Equal(24.0), "whatever is told")
-	g.Expect(choice.Faded(5, 8*time.Second, 8*time.Second)).To(BeNumerically("~", 3, 0.001), "heard rarely")
+	g.Expect(choice.DecayedPace(5, 0, 0)).To(Equal(5.0))
+	g.Expect(choice.DecayedPace(5, 3*time.Second, time.Second)).To(BeNumerically("~", 3, 0.001))
+	g.Expect(choice.DecayedPace(5, time.Hour, time.Second)).To(BeNumerically("~", 1, 0.001))
+	g.Expect(choice.DecayedPace(0, 0, 0)).To(Equal(1.0))
+	g.Expect(choice.DecayedPace(1e12, 0, 0)).To(Equal(24.0), "whatever is told")
+	g.Expect(choice.DecayedPace(5, 8*time.Second, 8*time.Second)).To(BeNumerically("~", 3, 0.001), "heard rarely")
 }
 
 // TestPaceOfRunningRequests: that a back end became slow shows before it ends the
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -140,10 +140,10 @@
 	return min(factor+excess/(p.samples+priorSamples), highestFactor)
 }
 
-// Faded returns what a factor of that age still says. heard is the time in which
+// DecayedPace returns what a factor of that age still says. heard is the time in which
 // half of a report of the load is forgotten where it comes from: who hears of a back
 // end rarely remembers its pace for longer.
-func Faded(factor float64, age, heard time.Duration) float64 {
+func DecayedPace(factor float64, age, heard time.Duration) float64 {
 	if factor <= 0 {
 		return usualFactor
 	}
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -142,7 +142,7 @@
 	if report := t.report.Load(); report != nil && report.of(record) {
 		age := now.Sub(report.taken)
 		described.Outstanding += report.others.Others(now)
-		described.ServiceTime = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
+		described.ServiceTime = time.Duration(float64(usual) * choice.DecayedPace(report.Factor, age, report.others.HalfLife()))
 		described.HoldTime = report.HoldTime
 		described.FailureRate = choice.FadedShare(report.FailureRate, age, report.others.HalfLife())
 	}
