--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -433,8 +433,8 @@
 		failures.Observe(false)
 	}
 	g.Expect(failures.Share()).To(BeNumerically("<", 0.01))
-	g.Expect(choice.FadedShare(1e12, 0, 0)).To(Equal(1.0), "whatever is told")
-	g.Expect(choice.FadedShare(0.4, 3*time.Second, 0)).To(BeNumerically("~", 0.2, 0.001))
+	g.Expect(choice.DecayedFailureRate(1e12, 0, 0)).To(Equal(1.0), "whatever is told")
+	g.Expect(choice.DecayedFailureRate(0.4, 3*time.Second, 0)).To(BeNumerically("~", 0.2, 0.001))
 }
 
 // TestBriefSends: the first sends wait a part of the time only, and never the last one that
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -150,9 +150,9 @@
 	return usualFactor + (min(factor, highestFactor)-usualFactor)*fading(age, heard)
 }
 
-// FadedShare returns what a share of failures of that age still says: a back end
+// DecayedFailureRate returns what a share of failures of that age still says: a back end
 // that was left alone is tried again.
-func FadedShare(share float64, age, heard time.Duration) float64 {
+func DecayedFailureRate(share float64, age, heard time.Duration) float64 {
 	return min(share, 1) * fading(age, heard)
 }
 
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -144,7 +144,7 @@
 		described.Outstanding += report.others.Others(now)
 		described.ServiceTime = time.Duration(float64(usual) * choice.DecayedPace(report.Factor, age, report.others.HalfLife()))
 		described.HoldTime = report.HoldTime
-		described.FailureRate = choice.FadedShare(report.FailureRate, age, report.others.HalfLife())
+		described.FailureRate = choice.DecayedFailureRate(report.FailureRate, age, report.others.HalfLife())
 	}
 	return described
 }
