--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -323,7 +323,7 @@
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	answer := func(worked time.Duration, told float64) {
 		now = now.Add(40 * ms)
-		pace.Tell(told, now)
+		pace.SetReported(told, now)
 		pace.ObserveTold(worked, 100*ms, told, now)
 	}
 	for range 400 {
@@ -347,13 +347,13 @@
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	for range 400 {
-		pace.Tell(0.5, now)
+		pace.SetReported(0.5, now)
 		pace.ObserveTold(150*ms, 100*ms, 0.5, now)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 1.5, 0.02))
-	pace.Tell(1e9, now)
+	pace.SetReported(1e9, now)
 	g.Expect(pace.Factor(now)).To(BeNumerically("<=", 24), "whatever is told")
-	pace.Tell(0, now)
+	pace.SetReported(0, now)
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 3, 0.02), "it tells no more")
 }
 
@@ -364,10 +364,10 @@
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	for range 200 {
 		now = now.Add(40 * ms)
-		pace.Tell(1, now)
+		pace.SetReported(1, now)
 		pace.ObserveTold(100*ms, 100*ms, 1, now)
 	}
-	pace.Tell(4, now)
+	pace.SetReported(4, now)
 	for range 2000 {
 		now = now.Add(40 * ms)
 		pace.ObserveTold(100*ms, 100*ms, 0, now)
@@ -375,9 +375,9 @@
 			g.Expect(pace.Factor(now)).To(BeNumerically("~", 1, 0.1))
 		}
 	}
-	pace.Tell(3, now)
+	pace.SetReported(3, now)
 	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 3, 0.1), "what is older than half a minute is no part of the average")
-	pace.Tell(1e-9, now)
+	pace.SetReported(1e-9, now)
 	for range 100 {
 		pace.ObserveTold(time.Nanosecond, 100*ms, 1e-9, now)
 	}
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -44,9 +44,9 @@
 	paceHalfLife = 3 * time.Second
 )
 
-// Tell takes in how much longer work takes at the back end at the moment than usually, as it
+// SetReported takes in how much longer work takes at the back end at the moment than usually, as it
 // says itself. Zero has what it said forgotten: the back end does not tell.
-func (p *Pace) Tell(factor float64, now time.Time) {
+func (p *Pace) SetReported(factor float64, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if factor <= 0 {
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -202,7 +202,7 @@
 	if !options.Told(load) {
 		return 0
 	}
-	a.handler.pace.Tell(load.Factor, clock.Now())
+	a.handler.pace.SetReported(load.Factor, clock.Now())
 	return load.Factor
 }
 
