--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -334,11 +334,11 @@
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 2, 0.02), "told just now")
 	g.Expect(pace.Factor(now.Add(300*ms))).To(BeNumerically("~", 1.4, 0.02), "half way to the average")
 	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 0.8, 0.02), "the average")
-	told, age := pace.Told(now.Add(time.Second))
+	told, age := pace.Reported(now.Add(time.Second))
 	g.Expect(told).To(Equal(2.0))
 	g.Expect(age).To(Equal(time.Second))
 	g.Expect(pace.Factor(now.Add(time.Minute))).To(BeNumerically("~", 1, 0.02), "too old")
-	told, _ = pace.Told(now.Add(time.Minute))
+	told, _ = pace.Reported(now.Add(time.Minute))
 	g.Expect(told).To(BeZero())
 }
 
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -56,8 +56,8 @@
 	p.told = p.told.after(min(max(factor, lowestRatio), highestRatio), now)
 }
 
-// Told returns what the back end last said and how old that is; zero when it never did.
-func (p *Pace) Told(now time.Time) (factor float64, age time.Duration) {
+// Reported returns what the back end last said and how old that is; zero when it never did.
+func (p *Pace) Reported(now time.Time) (factor float64, age time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.told.silent(now) {
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -244,7 +244,7 @@
 // said of that itself, with its age; zero when it says nothing.
 func (h *Handler) Pace() (factor, told float64, age time.Duration) {
 	now := clock.Now()
-	told, age = h.pace.Told(now)
+	told, age = h.pace.Reported(now)
 	return h.pace.Factor(now), told, age
 }
 
