--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -324,7 +324,7 @@
 	answer := func(worked time.Duration, told float64) {
 		now = now.Add(40 * ms)
 		pace.SetReported(told, now)
-		pace.ObserveTold(worked, 100*ms, told, now)
+		pace.ObserveReported(worked, 100*ms, told, now)
 	}
 	for range 400 {
 		answer(80*ms, 0.8)
@@ -348,7 +348,7 @@
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	for range 400 {
 		pace.SetReported(0.5, now)
-		pace.ObserveTold(150*ms, 100*ms, 0.5, now)
+		pace.ObserveReported(150*ms, 100*ms, 0.5, now)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 1.5, 0.02))
 	pace.SetReported(1e9, now)
@@ -365,12 +365,12 @@
 	for range 200 {
 		now = now.Add(40 * ms)
 		pace.SetReported(1, now)
-		pace.ObserveTold(100*ms, 100*ms, 1, now)
+		pace.ObserveReported(100*ms, 100*ms, 1, now)
 	}
 	pace.SetReported(4, now)
 	for range 2000 {
 		now = now.Add(40 * ms)
-		pace.ObserveTold(100*ms, 100*ms, 0, now)
+		pace.ObserveReported(100*ms, 100*ms, 0, now)
 		if now.Sub(time.Unix(100, 0)) > 12*time.Second {
 			g.Expect(pace.Factor(now)).To(BeNumerically("~", 1, 0.1))
 		}
@@ -379,7 +379,7 @@
 	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 3, 0.1), "what is older than half a minute is no part of the average")
 	pace.SetReported(1e-9, now)
 	for range 100 {
-		pace.ObserveTold(time.Nanosecond, 100*ms, 1e-9, now)
+		pace.ObserveReported(time.Nanosecond, 100*ms, 1e-9, now)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically(">=", 0.1), "bounded below")
 }
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -93,9 +93,9 @@
 	p.observe(worked, expected, usualFactor)
 }
 
-// ObserveTold takes in one request, whose answer told that factor; zero when it told none. Then
+// ObserveReported takes in one request, whose answer told that factor; zero when it told none. Then
 // what is believed by now stands in: the same that Factor goes by.
-func (p *Pace) ObserveTold(worked, expected time.Duration, factor float64, now time.Time) {
+func (p *Pace) ObserveReported(worked, expected time.Duration, factor float64, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if factor <= 0 {
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -211,7 +211,7 @@
 func (a *arrival) learn(response *http.Response, told float64) {
 	worked := clock.Since(a.started) - a.waited
 	if response.StatusCode < http.StatusMultipleChoices {
-		a.handler.pace.ObserveTold(worked, a.told.Expected, told, clock.Now())
+		a.handler.pace.ObserveReported(worked, a.told.Expected, told, clock.Now())
 	}
 	a.mark(worked)
 }
