--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -414,7 +414,7 @@
 
 func TestWork(t *testing.T) {
 	g := NewWithT(t)
-	work := &choice.Work{}
+	work := &choice.ServiceTime{}
 	g.Expect(work.Mean(70 * ms)).To(Equal(70 * ms))
 	work.Observe(20 * ms)
 	work.Observe(40 * ms)
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -161,9 +161,9 @@
 	return math.Exp2(-float64(age) / float64(max(paceHalfLife, heard)))
 }
 
-// Work is the usual time that requests of one route are worked on. It is safe
+// ServiceTime is the usual time that requests of one route are worked on. It is safe
 // for concurrent use.
-type Work struct {
+type ServiceTime struct {
 	mutex   sync.Mutex // guards all below
 	mean    float64
 	samples float64
@@ -173,7 +173,7 @@
 const workSamples = 100
 
 // Observe takes in one request.
-func (w *Work) Observe(worked time.Duration) {
+func (w *ServiceTime) Observe(worked time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.samples = min(w.samples+1, workSamples)
@@ -181,7 +181,7 @@
 }
 
 // Mean returns the usual time, or the assumed one before the first request.
-func (w *Work) Mean(assumed time.Duration) time.Duration {
+func (w *ServiceTime) Mean(assumed time.Duration) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.samples == 0 {
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -153,13 +153,13 @@
 const mostTransfer = 10 * time.Second
 
 // work returns the estimate of how long requests of the route are worked on.
-func (c *call) work() *choice.Work {
+func (c *call) work() *choice.ServiceTime {
 	key := c.route.Name
 	if held, found := c.handler.work.Load(key); found {
-		return held.(*choice.Work)
+		return held.(*choice.ServiceTime)
 	}
-	held, _ := c.handler.work.LoadOrStore(key, &choice.Work{})
-	return held.(*choice.Work)
+	held, _ := c.handler.work.LoadOrStore(key, &choice.ServiceTime{})
+	return held.(*choice.ServiceTime)
 }
 
 // assumedWork stands in for the time a route's requests take before any was
