--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -424,15 +424,15 @@
 func TestFailures(t *testing.T) {
 	g := NewWithT(t)
 	failures := &choice.Failures{}
-	g.Expect(failures.Share()).To(BeZero())
+	g.Expect(failures.Rate()).To(BeZero())
 	for i := range 200 {
 		failures.Observe(i%2 == 0)
 	}
-	g.Expect(failures.Share()).To(BeNumerically("~", 0.5, 0.05))
+	g.Expect(failures.Rate()).To(BeNumerically("~", 0.5, 0.05))
 	for range 200 {
 		failures.Observe(false)
 	}
-	g.Expect(failures.Share()).To(BeNumerically("<", 0.01))
+	g.Expect(failures.Rate()).To(BeNumerically("<", 0.01))
 	g.Expect(choice.DecayedFailureRate(1e12, 0, 0)).To(Equal(1.0), "whatever is told")
 	g.Expect(choice.DecayedFailureRate(0.4, 3*time.Second, 0)).To(BeNumerically("~", 0.2, 0.001))
 }
--- a/internal/sidecar/choice/failures.go
+++ b/internal/sidecar/choice/failures.go
@@ -24,8 +24,8 @@
 	f.share += (seen - f.share) * failureWeight
 }
 
-// Share returns the share of failures.
-func (f *Failures) Share() float64 {
+// Rate returns the share of failures.
+func (f *Failures) Rate() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.share
