--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -267,7 +267,7 @@
 	for _, asked := range cases {
 		t.Run(asked.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(choice.Patience(asked.request)).To(Equal(asked.wait))
+			g.Expect(choice.MaximumWait(asked.request)).To(Equal(asked.wait))
 		})
 	}
 }
@@ -460,9 +460,9 @@
 			request := choice.Request{
 				Aim: 600 * ms, Remaining: 4000 * ms, CallerTime: 4000 * ms, Expected: 200 * ms,
 			}
-			whole := choice.Patience(request)
+			whole := choice.MaximumWait(request)
 			request.Sends, request.Candidates = met.sends, met.candidates
-			wait := choice.Patience(request)
+			wait := choice.MaximumWait(request)
 			if met.brief {
 				g.Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<", whole/2)))
 			} else {
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -44,12 +44,12 @@
 	briefShare = 0.35
 )
 
-// Patience returns how long a request may wait for a slot: as long as its answer
+// MaximumWait returns how long a request may wait for a slot: as long as its answer
 // can still come in time, also when its caller was refused before, since who is
 // served late takes the slot of one who could be served in time. One whose caller
 // has no time to come back, such as a call that a back end makes while it works,
 // is of use until its deadline.
-func Patience(request Request) time.Duration {
+func MaximumWait(request Request) time.Duration {
 	most := time.Duration(float64(request.Remaining) * lateShare)
 	if request.Aim <= 0 {
 		return most
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -81,11 +81,11 @@
 			request := choice.Request{Aim: time.Second, Remaining: 6 * time.Second, CallerTime: 6 * time.Second, Expected: 250 * time.Millisecond}
 			wait := made.mostWait(request, &attempt{candidates: 22})
 			if body.large {
-				g.Expect(wait).To(Equal(choice.Patience(request)))
+				g.Expect(wait).To(Equal(choice.MaximumWait(request)))
 				g.Expect(made.refusals()).To(Equal(largeRefusals))
 				return
 			}
-			g.Expect(wait).To(BeNumerically("<", choice.Patience(request)/2))
+			g.Expect(wait).To(BeNumerically("<", choice.MaximumWait(request)/2))
 			g.Expect(made.refusals()).To(Equal(refusalsPerCall))
 		})
 	}
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -299,7 +299,7 @@
 	if !c.large() {
 		request.Sends, request.Candidates = sends, candidates
 	}
-	return choice.Patience(request)
+	return choice.MaximumWait(request)
 }
 
 // described is what the choice needs to know of the request.
