--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -57,7 +57,7 @@
 	least := time.Duration(float64(request.Aim) * earlyShare)
 	wait := request.Aim - request.Elapsed - time.Duration(float64(request.Expected)*workMargin)
 	wait = min(max(wait, least), most)
-	if request.Hurried() {
+	if request.LacksRetryTime() {
 		wait = min(max(request.Remaining-request.Expected, wait), most)
 	}
 	if request.brief() {
@@ -72,5 +72,5 @@
 	return r.Sends < briefSends && r.Candidates-r.Sends > briefSends
 }
 
-// Hurried reports whether the caller has no time to come back after a refusal.
-func (r Request) Hurried() bool { return r.Aim > 0 && r.CallerTime < returnRoom*r.Aim }
+// LacksRetryTime reports whether the caller has no time to come back after a refusal.
+func (r Request) LacksRetryTime() bool { return r.Aim > 0 && r.CallerTime < returnRoom*r.Aim }
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -43,7 +43,7 @@
 			}
 			g.Expect(made.bound()).To(BeNil())
 			described := made.described(time.Until(made.deadline), aim/4)
-			g.Expect(described.Hurried()).To(Equal(asked.hurried))
+			g.Expect(described.LacksRetryTime()).To(Equal(asked.hurried))
 		})
 	}
 }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -243,7 +243,7 @@
 	told := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
 		MaximumWait: c.mostWait(request, a), Expected: c.work().Mean(c.assumedWork()),
-		Returning: request.Returning && !request.Hurried(),
+		Returning: request.Returning && !request.LacksRetryTime(),
 		Suspect:   a.crashed,
 		Nested:    c.nested,
 		OverShare: c.overShare,
