--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -4,8 +4,8 @@
 
 // Request is what is known of a request when it is sent to a back end.
 type Request struct {
-	// Aim is the target latency; zero when there is none.
-	Aim time.Duration
+	// LatencyTarget is the target latency; zero when there is none.
+	LatencyTarget time.Duration
 	// Remaining is the time until the answer is of no use or the route's time-out
 	// ends the request, whichever comes first.
 	Remaining time.Duration
@@ -51,11 +51,11 @@
 // is of use until its deadline.
 func MaximumWait(request Request) time.Duration {
 	most := time.Duration(float64(request.Remaining) * lateShare)
-	if request.Aim <= 0 {
+	if request.LatencyTarget <= 0 {
 		return most
 	}
-	least := time.Duration(float64(request.Aim) * earlyShare)
-	wait := request.Aim - request.Elapsed - time.Duration(float64(request.Expected)*workMargin)
+	least := time.Duration(float64(request.LatencyTarget) * earlyShare)
+	wait := request.LatencyTarget - request.Elapsed - time.Duration(float64(request.Expected)*workMargin)
 	wait = min(max(wait, least), most)
 	if request.LacksRetryTime() {
 		wait = min(max(request.Remaining-request.Expected, wait), most)
@@ -73,4 +73,4 @@
 }
 
 // LacksRetryTime reports whether the caller has no time to come back after a refusal.
-func (r Request) LacksRetryTime() bool { return r.Aim > 0 && r.CallerTime < returnRoom*r.Aim }
+func (r Request) LacksRetryTime() bool { return r.LatencyTarget > 0 && r.CallerTime < returnRoom*r.LatencyTarget }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -305,7 +305,7 @@
 // described is what the choice needs to know of the request.
 func (c *call) described(remaining, expected time.Duration) choice.Request {
 	return choice.Request{
-		Aim:        c.route.TargetLatency,
+		LatencyTarget:        c.route.TargetLatency,
 		Remaining:  remaining,
 		CallerTime: c.callerTime,
 		Elapsed:    clock.Since(c.started),
