--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -9,9 +9,9 @@
 	// Remaining is the time until the answer is of no use or the route's time-out
 	// ends the request, whichever comes first.
 	Remaining time.Duration
-	// CallerTime is how long the caller itself waits for the answer and comes back
+	// CallerRemaining is how long the caller itself waits for the answer and comes back
 	// after a refusal. The route's time-out does not shorten it.
-	CallerTime time.Duration
+	CallerRemaining time.Duration
 	// Elapsed is the time since the request came in.
 	Elapsed time.Duration
 	// Expected is how long the back end will work on it.
@@ -73,4 +73,4 @@
 }
 
 // LacksRetryTime reports whether the caller has no time to come back after a refusal.
-func (r Request) LacksRetryTime() bool { return r.LatencyTarget > 0 && r.CallerTime < returnRoom*r.LatencyTarget }
+func (r Request) LacksRetryTime() bool { return r.LatencyTarget > 0 && r.CallerRemaining < returnRoom*r.LatencyTarget }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -307,7 +307,7 @@
 	return choice.Request{
 		LatencyTarget:        c.route.TargetLatency,
 		Remaining:  remaining,
-		CallerTime: c.callerTime,
+		CallerRemaining: c.callerTime,
 		Elapsed:    clock.Since(c.started),
 		Expected:   expected,
 		Returning:  c.returning,
