--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -253,16 +253,16 @@
 		wait    time.Duration
 	}{
 		{"no target latency", choice.Request{Remaining: time.Second, CallerRemaining: time.Second}, 500 * ms},
-		{"time to spare", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, Expected: 200 * ms}, 300 * ms},
-		{"part of it gone", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, Expected: 200 * ms, Elapsed: 100 * ms}, 200 * ms},
-		{"time to come back, but not within the route's time-out", choice.Request{LatencyTarget: 400 * ms, Remaining: 1190 * ms, CallerRemaining: 2500 * ms, Expected: 100 * ms}, 250 * ms},
-		{"hardly in time", choice.Request{LatencyTarget: 400 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, Expected: 390 * ms}, 100 * ms},
-		{"came back", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, Expected: 200 * ms, Returning: true}, 300 * ms},
-		{"no time to come back", choice.Request{LatencyTarget: 100 * ms, Remaining: 250 * ms, CallerRemaining: 250 * ms, Expected: 20 * ms}, 125 * ms},
-		{"no time to come back, slow back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, Expected: 400 * ms}, 190 * ms},
-		{"no time to come back, too slow a back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, Expected: 580 * ms}, 50 * ms},
-		{"came back, no time to do so again", choice.Request{LatencyTarget: 200 * ms, Remaining: 400 * ms, CallerRemaining: 400 * ms, Expected: 100 * ms, Returning: true}, 200 * ms},
-		{"hardly any time at all", choice.Request{LatencyTarget: 100 * ms, Remaining: 40 * ms, CallerRemaining: 40 * ms, Expected: 20 * ms}, 20 * ms},
+		{"time to spare", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms}, 300 * ms},
+		{"part of it gone", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms, Elapsed: 100 * ms}, 200 * ms},
+		{"time to come back, but not within the route's time-out", choice.Request{LatencyTarget: 400 * ms, Remaining: 1190 * ms, CallerRemaining: 2500 * ms, ExpectedServiceTime: 100 * ms}, 250 * ms},
+		{"hardly in time", choice.Request{LatencyTarget: 400 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 390 * ms}, 100 * ms},
+		{"came back", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms, Returning: true}, 300 * ms},
+		{"no time to come back", choice.Request{LatencyTarget: 100 * ms, Remaining: 250 * ms, CallerRemaining: 250 * ms, ExpectedServiceTime: 20 * ms}, 125 * ms},
+		{"no time to come back, slow back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, ExpectedServiceTime: 400 * ms}, 190 * ms},
+		{"no time to come back, too slow a back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, ExpectedServiceTime: 580 * ms}, 50 * ms},
+		{"came back, no time to do so again", choice.Request{LatencyTarget: 200 * ms, Remaining: 400 * ms, CallerRemaining: 400 * ms, ExpectedServiceTime: 100 * ms, Returning: true}, 200 * ms},
+		{"hardly any time at all", choice.Request{LatencyTarget: 100 * ms, Remaining: 40 * ms, CallerRemaining: 40 * ms, ExpectedServiceTime: 20 * ms}, 20 * ms},
 	}
 	for _, asked := range cases {
 		t.Run(asked.name, func(t *testing.T) {
@@ -458,7 +458,7 @@
 		t.Run(met.name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := choice.Request{
-				LatencyTarget: 600 * ms, Remaining: 4000 * ms, CallerRemaining: 4000 * ms, Expected: 200 * ms,
+				LatencyTarget: 600 * ms, Remaining: 4000 * ms, CallerRemaining: 4000 * ms, ExpectedServiceTime: 200 * ms,
 			}
 			whole := choice.MaximumWait(request)
 			request.Sends, request.Candidates = met.sends, met.candidates
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -14,8 +14,8 @@
 	CallerRemaining time.Duration
 	// Elapsed is the time since the request came in.
 	Elapsed time.Duration
-	// Expected is how long the back end will work on it.
-	Expected time.Duration
+	// ExpectedServiceTime is how long the back end will work on it.
+	ExpectedServiceTime time.Duration
 	// Returning: the caller was refused before and has come back.
 	Returning bool
 	// Sends is how many nodes it was sent to before, Candidates how many may take it,
@@ -55,10 +55,10 @@
 		return most
 	}
 	least := time.Duration(float64(request.LatencyTarget) * earlyShare)
-	wait := request.LatencyTarget - request.Elapsed - time.Duration(float64(request.Expected)*workMargin)
+	wait := request.LatencyTarget - request.Elapsed - time.Duration(float64(request.ExpectedServiceTime)*workMargin)
 	wait = min(max(wait, least), most)
 	if request.LacksRetryTime() {
-		wait = min(max(request.Remaining-request.Expected, wait), most)
+		wait = min(max(request.Remaining-request.ExpectedServiceTime, wait), most)
 	}
 	if request.brief() {
 		wait = time.Duration(float64(wait) * briefShare)
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			made := &call{request: &http.Request{ContentLength: body.length}}
-			request := choice.Request{LatencyTarget: time.Second, Remaining: 6 * time.Second, CallerRemaining: 6 * time.Second, Expected: 250 * time.Millisecond}
+			request := choice.Request{LatencyTarget: time.Second, Remaining: 6 * time.Second, CallerRemaining: 6 * time.Second, ExpectedServiceTime: 250 * time.Millisecond}
 			wait := made.mostWait(request, &attempt{candidates: 22})
 			if body.large {
 				g.Expect(wait).To(Equal(choice.MaximumWait(request)))
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -309,7 +309,7 @@
 		Remaining:  remaining,
 		CallerRemaining: c.callerTime,
 		Elapsed:    clock.Since(c.started),
-		Expected:   expected,
+		ExpectedServiceTime:   expected,
 		Returning:  c.returning,
 	}
 }
