--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -242,7 +242,7 @@
 	request := c.described(remaining, a.seen.ServiceTime)
 	told := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
-		MaximumWait: c.mostWait(request, a), Expected: c.work().Mean(c.assumedWork()),
+		MaximumWait: c.mostWait(request, a), ExpectedServiceTime: c.work().Mean(c.assumedWork()),
 		Returning: request.Returning && !request.LacksRetryTime(),
 		Suspect:   a.crashed,
 		Nested:    c.nested,
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -14,7 +14,7 @@
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: 1234567 * time.Microsecond, Priority: 3,
-		MaximumWait: 90 * time.Millisecond, Expected: 36500 * time.Microsecond, Returning: true, Suspect: true, Nested: true, OverShare: true,
+		MaximumWait: 90 * time.Millisecond, ExpectedServiceTime: 36500 * time.Microsecond, Returning: true, Suspect: true, Nested: true, OverShare: true,
 		Repeated: true,
 	}
 	received, err := hop.ParseRequest(sent.Format())
@@ -37,7 +37,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received).To(Equal(hop.Request{
 		Service: "one", Caller: "two", Remaining: time.Microsecond, Priority: 2, MaximumWait: 3 * time.Microsecond,
-		Expected: 5 * time.Microsecond, Returning: true,
+		ExpectedServiceTime: 5 * time.Microsecond, Returning: true,
 	}))
 }
 
@@ -57,7 +57,7 @@
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: time.Second, Priority: 1, MaximumWait: 20 * time.Millisecond,
-		Expected: 30 * time.Millisecond, Usual: &rollout.Usual{Failing: 0.25, Slow: 0.004},
+		ExpectedServiceTime: 30 * time.Millisecond, Usual: &rollout.Usual{Failing: 0.25, Slow: 0.004},
 	}
 	received, err := hop.ParseRequest(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -23,8 +23,8 @@
 	Priority int
 	// MaximumWait is how long the request may wait for a slot.
 	MaximumWait time.Duration
-	// Expected is how long back ends usually work on such a request.
-	Expected time.Duration
+	// ExpectedServiceTime is how long back ends usually work on such a request.
+	ExpectedServiceTime time.Duration
 	// Returning: the caller was refused before and has come back.
 	Returning bool
 	// Suspect: a back end ended under the request at an earlier send.
@@ -65,7 +65,7 @@
 	}
 	for _, number := range [...]int64{
 		max(r.Remaining.Microseconds(), 1), int64(r.Priority), max(r.MaximumWait.Microseconds(), 0),
-		max(r.Expected.Microseconds(), 0), flags,
+		max(r.ExpectedServiceTime.Microseconds(), 0), flags,
 	} {
 		line = strconv.AppendInt(append(line, ' '), number, 10)
 	}
@@ -111,7 +111,7 @@
 	read := Request{
 		Service: parts[0], Caller: parts[1],
 		Remaining: microseconds(numbers[0]), Priority: int(numbers[1]), MaximumWait: microseconds(numbers[2]),
-		Expected: microseconds(numbers[3]), Returning: numbers[4]&flagReturning != 0, Suspect: numbers[4]&flagSuspect != 0,
+		ExpectedServiceTime: microseconds(numbers[3]), Returning: numbers[4]&flagReturning != 0, Suspect: numbers[4]&flagSuspect != 0,
 		Nested: numbers[4]&flagNested != 0, OverShare: numbers[4]&flagOverShare != 0,
 		Repeated: numbers[4]&flagRepeated != 0,
 	}
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -124,7 +124,7 @@
 	if work := a.handler.options.Work; work != nil {
 		defer work.Begin(a.deadline, a.told.Repeated)()
 	}
-	run := a.handler.pace.Begin(a.told.Expected, a.sent)
+	run := a.handler.pace.Begin(a.told.ExpectedServiceTime, a.sent)
 	defer a.handler.pace.End(run)
 	failure = a.exchange(body)
 	served = failure == nil
@@ -247,7 +247,7 @@
 		OverShare:   a.told.OverShare,
 		Tenant:      a.tenant(),
 		Bounded:     a.contended(),
-		Work:        a.told.Expected,
+		Work:        a.told.ExpectedServiceTime,
 		MaximumWait: a.told.MaximumWait,
 		Peer:        a.peer(),
 	}
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -137,7 +137,7 @@
 		if failure.Step != outcome.StepConnect { // nobody was there to be asked
 			a.judged(failure.Step != outcome.StepShed)
 		}
-	case a.told.Expected > 0 && clock.Since(a.started)-a.waited > hangs*a.told.Expected:
+	case a.told.ExpectedServiceTime > 0 && clock.Since(a.started)-a.waited > hangs*a.told.ExpectedServiceTime:
 		a.handler.failures.Observe(true)
 		a.judged(true)
 	}
@@ -151,7 +151,7 @@
 	if judge == nil || a.besideEnd || a.told.Usual == nil || !judge.Judges() {
 		return
 	}
-	judge.Answered(a.request, failed, clock.Since(a.started)-a.waited, a.told.Expected, *a.told.Usual)
+	judge.Answered(a.request, failed, clock.Since(a.started)-a.waited, a.told.ExpectedServiceTime, *a.told.Usual)
 }
 
 // take judges an answer and passes it on when it is the one to this request.
@@ -211,7 +211,7 @@
 func (a *arrival) learn(response *http.Response, told float64) {
 	worked := clock.Since(a.started) - a.waited
 	if response.StatusCode < http.StatusMultipleChoices {
-		a.handler.pace.ObserveReported(worked, a.told.Expected, told, clock.Now())
+		a.handler.pace.ObserveReported(worked, a.told.ExpectedServiceTime, told, clock.Now())
 	}
 	a.mark(worked)
 }
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -113,7 +113,7 @@
 
 // receive passes one request through the handler and returns the answer.
 func (p *played) receive(ctx context.Context) *httptest.ResponseRecorder {
-	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, Expected: 10 * time.Millisecond}
+	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
 	if p.told != nil {
 		p.told(&told)
 	}
@@ -242,7 +242,7 @@
 	})
 	made.answer.Store(&answer)
 	for length, running := range map[int]int{100: 1, 60_000: 0, 360_000: 0} {
-		told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, Expected: 10 * time.Millisecond}
+		told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
 		seen := -1
 		body := &watchedBody{Reader: strings.NewReader(strings.Repeat("x", length)), begun: func() {
 			if seen < 0 {
--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -38,14 +38,14 @@
 	a.counted = tenant != ""
 	if a.counted && !a.told.OverShare {
 		part := shares.ParsePart(a.request.Header.Get(hop.HeaderShare))
-		a.handler.meter.Came(a.told.Priority, tenant, a.told.Expected, part, clock.Now())
+		a.handler.meter.Came(a.told.Priority, tenant, a.told.ExpectedServiceTime, part, clock.Now())
 	}
 }
 
 // admitted has the meter count that the request has a slot.
 func (a *arrival) admitted() {
 	if a.counted {
-		a.handler.meter.Served(a.told.Priority, a.told.Expected, clock.Now())
+		a.handler.meter.Served(a.told.Priority, a.told.ExpectedServiceTime, clock.Now())
 	}
 }
 
--- a/internal/sidecar/ingress/tenant_test.go
+++ b/internal/sidecar/ingress/tenant_test.go
@@ -27,7 +27,7 @@
 		made.answer.Store(&answer)
 		ended := make(chan struct{}, 8)
 		send := func(tenant string) {
-			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Minute, Expected: 10 * time.Millisecond}
+			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Minute, ExpectedServiceTime: 10 * time.Millisecond}
 			req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/a/", strings.NewReader(""))
 			req.Header.Set(hop.HeaderHop, told.Format())
 			req.Header.Set(vocabulary.Tenant, tenant)
@@ -73,7 +73,7 @@
 			made.handler.SetMarks(played.marks)
 			answer := signed(http.StatusOK)
 			made.answer.Store(&answer)
-			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, Expected: 10 * time.Millisecond}
+			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
 			played.change(&told)
 			req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/a/", strings.NewReader(""))
 			req.Header.Set(hop.HeaderHop, told.Format())
