--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -175,10 +175,10 @@
 	}
 	a.call.hearShare(response.Header)
 	a.hearNotices(response.Header, now)
-	a.worked, a.version = reply.Worked, reply.Version
+	a.worked, a.version = reply.ServiceTime, reply.Version
 	a.room = reply.Running+reply.Waiting < reply.Slots
-	if reply.Worked > 0 && response.StatusCode < http.StatusMultipleChoices && !a.compared {
-		a.call.work().Observe(reply.Worked)
+	if reply.ServiceTime > 0 && response.StatusCode < http.StatusMultipleChoices && !a.compared {
+		a.call.work().Observe(reply.ServiceTime)
 	}
 	if reply.Version > a.call.table.Version() {
 		a.call.handler.options.Observer.Behind(a.target.node, reply.Version)
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -44,7 +44,7 @@
 func TestReplyLine(t *testing.T) {
 	g := NewWithT(t)
 	sent := hop.Reply{
-		Version: 1<<53 - 1, Running: 9, Waiting: 2, Slots: 9, HoldTime: 120 * time.Millisecond, Factor: 1.5, Worked: 80 * time.Millisecond, FailureRate: 0.25,
+		Version: 1<<53 - 1, Running: 9, Waiting: 2, Slots: 9, HoldTime: 120 * time.Millisecond, Factor: 1.5, ServiceTime: 80 * time.Millisecond, FailureRate: 0.25,
 	}
 	received, err := hop.ParseReply(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -72,7 +72,7 @@
 	g := NewWithT(t)
 	received, err := hop.ParseReply("1 2 3 4 5 6 7")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(received.Worked).To(Equal(7 * time.Microsecond))
+	g.Expect(received.ServiceTime).To(Equal(7 * time.Microsecond))
 	g.Expect(received.FailureRate).To(BeZero())
 }
 
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -133,8 +133,8 @@
 	HoldTime                    time.Duration
 	// Factor is how much longer the back end works than others do.
 	Factor float64
-	// Worked is how long it worked on this request; zero when it did not.
-	Worked time.Duration
+	// ServiceTime is how long it worked on this request; zero when it did not.
+	ServiceTime time.Duration
 	// FailureRate is the share of its requests that fail.
 	FailureRate float64
 }
@@ -148,7 +148,7 @@
 	line = strconv.AppendUint(line, r.Version, 10)
 	for _, number := range [...]int64{
 		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.HoldTime.Microseconds(),
-		int64(r.Factor * factorUnits), r.Worked.Microseconds(), int64(r.FailureRate * factorUnits),
+		int64(r.Factor * factorUnits), r.ServiceTime.Microseconds(), int64(r.FailureRate * factorUnits),
 	} {
 		line = strconv.AppendInt(append(line, ' '), max(number, 0), 10)
 	}
@@ -171,7 +171,7 @@
 	}
 	return Reply{
 		Version: numbers[0], Running: int(numbers[1]), Waiting: int(numbers[2]), Slots: int(numbers[3]),
-		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, Worked: microseconds(numbers[6]),
+		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, ServiceTime: microseconds(numbers[6]),
 		FailureRate: float64(numbers[7]) / factorUnits,
 	}, nil
 }
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -286,7 +286,7 @@
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
 		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.Service,
-		Factor: a.handler.pace.Factor(clock.Now()), Worked: worked, FailureRate: a.handler.failures.Rate(),
+		Factor: a.handler.pace.Factor(clock.Now()), ServiceTime: worked, FailureRate: a.handler.failures.Rate(),
 	}
 	header := a.writer.Header()
 	header[hop.HeaderReply] = []string{reply.Format()}
