--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -79,11 +79,11 @@
 func TestLinesThatCannotBeRead(t *testing.T) {
 	for _, line := range []string{"", "one", " two 1 2 3 4 5 0", "one two 1 2 3 4", "one two 1 2 3 4 0 6 7 8", "one two 1 2 3 4 0 6 x", "one two -1 2 3 4 0", "one two x 2 3 4 0"} {
 		_, err := hop.ParseRequest(line)
-		NewWithT(t).Expect(err).To(MatchError(hop.ErrLine), line)
+		NewWithT(t).Expect(err).To(MatchError(hop.ErrMalformedHeader), line)
 	}
 	for _, line := range []string{"", "1 2 3 4 5 6", "1 2 3 4 5 6 7 8 9", "1 2 3 4 5 6 99999999999999999999", "1 2 3 4 5 6 -7"} {
 		_, err := hop.ParseReply(line)
-		NewWithT(t).Expect(err).To(MatchError(hop.ErrLine), line)
+		NewWithT(t).Expect(err).To(MatchError(hop.ErrMalformedHeader), line)
 	}
 }
 
--- a/internal/sidecar/hop/limit.go
+++ b/internal/sidecar/hop/limit.go
@@ -46,18 +46,18 @@
 func ParseLimit(line string) (Limit, error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != limitNumbers {
-		return Limit{}, fmt.Errorf("%w: %d parts", ErrLine, len(parts))
+		return Limit{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
 	numbers := [limitNumbers]float64{}
 	for i, part := range parts {
 		number, err := strconv.ParseInt(part, 10, 64)
 		if err != nil || number > mostLimit*limitUnits || number < -mostLimit*limitUnits {
-			return Limit{}, fmt.Errorf("%w: %q is no number of a limit", ErrLine, part)
+			return Limit{}, fmt.Errorf("%w: %q is no number of a limit", ErrMalformedHeader, part)
 		}
 		numbers[i] = float64(number) / limitUnits
 	}
 	if numbers[0] < 0 {
-		return Limit{}, fmt.Errorf("%w: a limit below zero", ErrLine)
+		return Limit{}, fmt.Errorf("%w: a limit below zero", ErrMalformedHeader)
 	}
 	return Limit{PerSecond: numbers[0], Room: numbers[1]}, nil
 }
--- a/internal/sidecar/hop/limit_test.go
+++ b/internal/sidecar/hop/limit_test.go
@@ -16,6 +16,6 @@
 	}
 	for _, line := range []string{"", "1", "1 2 3", "x 1", "1 x", "-1 0", "1  2", "99999999999999999999 1", "1.5 2"} {
 		_, err := hop.ParseLimit(line)
-		NewWithT(t).Expect(err).To(MatchError(hop.ErrLine), line)
+		NewWithT(t).Expect(err).To(MatchError(hop.ErrMalformedHeader), line)
 	}
 }
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -38,8 +38,8 @@
 	Usual *rollout.Usual
 }
 
-// ErrLine says that a header between nodes cannot be read.
-var ErrLine = errors.New("hop: header between nodes cannot be read")
+// ErrMalformedHeader says that a header between nodes cannot be read.
+var ErrMalformedHeader = errors.New("hop: header between nodes cannot be read")
 
 // Format writes the request as a header value. Times are whole microseconds.
 func (r *Request) Format() string {
@@ -102,7 +102,7 @@
 	}
 	compared := len(parts) == requestNames+requestNumbers+usualNumbers
 	if (len(parts) != requestNames+requestNumbers && !compared) || parts[0] == "" {
-		return Request{}, fmt.Errorf("%w: %d parts", ErrLine, len(parts))
+		return Request{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts[requestNames:])
 	if err != nil {
@@ -163,7 +163,7 @@
 		parts = append(parts, "0")
 	}
 	if len(parts) != replyNumbers {
-		return Reply{}, fmt.Errorf("%w: %d parts", ErrLine, len(parts))
+		return Reply{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts)
 	if err != nil {
@@ -183,7 +183,7 @@
 		const bits = 53
 		number, err := strconv.ParseUint(part, 10, bits)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrLine, err)
+			return nil, fmt.Errorf("%w: %w", ErrMalformedHeader, err)
 		}
 		numbers[index] = number
 	}
