--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -275,7 +275,7 @@
 
 // large reports whether the body is one that the arriving node receives before it has a slot.
 // One whose length is not known waits at this node until there is one.
-func (c *call) large() bool { return c.request.ContentLength > hop.LargeBody }
+func (c *call) large() bool { return c.request.ContentLength > hop.LargeBodyBytes }
 
 // refusals is how many nodes may refuse the request.
 func (c *call) refusals() int {
--- a/internal/sidecar/hop/hop.go
+++ b/internal/sidecar/hop/hop.go
@@ -26,9 +26,9 @@
 	HeaderShare = "Kestrel-Share"
 )
 
-// LargeBody is from what length on, in bytes, a body is received by the arriving node
+// LargeBodyBytes is from what length on, in bytes, a body is received by the arriving node
 // before a slot is taken: a slot is not held while the link works.
-const LargeBody = 16 << 10
+const LargeBodyBytes = 16 << 10
 
 // Vocabulary names the headers by which callers and back ends speak with the
 // mesh. The assembly provides it; names are in canonical form.
--- a/internal/sidecar/ingress/transfer.go
+++ b/internal/sidecar/ingress/transfer.go
@@ -67,7 +67,7 @@
 // receivesFirst reports whether the body is received before a slot is taken: a slot
 // would be held idle for as long as the link takes.
 func (a *arrival) receivesFirst() bool {
-	return a.consented && a.request.ContentLength > hop.LargeBody && a.request.ContentLength <= largestHeld
+	return a.consented && a.request.ContentLength > hop.LargeBodyBytes && a.request.ContentLength <= largestHeld
 }
 
 // receive has the caller's node send the body once there is room on the link. Who
