--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -189,7 +189,7 @@
 // hearProof takes in how old the node's proof is that it holds the newest configuration. The time
 // since the request was sent counts against it.
 func (a *attempt) hearProof(header http.Header, version uint64) {
-	if age, told := hop.Milliseconds(header.Get(hop.HeaderProof)); told {
+	if age, told := hop.ParseMilliseconds(header.Get(hop.HeaderProof)); told {
 		a.call.handler.options.Level.Proven(version, a.sent.Add(-age))
 	}
 }
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -167,7 +167,7 @@
 		limit = c.route.Timeout
 	}
 	text := c.request.Header.Get(c.handler.options.Vocabulary.Deadline)
-	if asked, valid := hop.Milliseconds(text); valid {
+	if asked, valid := hop.ParseMilliseconds(text); valid {
 		c.returning = c.handler.patience(c.route.Name).returns(asked)
 		limit = min(limit, asked)
 		c.callerTime = asked
--- a/internal/sidecar/hop/hop.go
+++ b/internal/sidecar/hop/hop.go
@@ -58,8 +58,8 @@
 	Load string
 }
 
-// Milliseconds reads a whole number of milliseconds above or equal to zero.
-func Milliseconds(text string) (duration time.Duration, valid bool) {
+// ParseMilliseconds reads a whole number of milliseconds above or equal to zero.
+func ParseMilliseconds(text string) (duration time.Duration, valid bool) {
 	number, err := strconv.ParseInt(text, 10, 64)
 	const most = int64(24 * time.Hour / time.Millisecond)
 	if err != nil || number < 0 || number > most {
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -90,10 +90,10 @@
 func TestMilliseconds(t *testing.T) {
 	g := NewWithT(t)
 	for _, text := range []string{"", "-1", "x", "1.5", "99999999999999"} {
-		_, valid := hop.Milliseconds(text)
+		_, valid := hop.ParseMilliseconds(text)
 		g.Expect(valid).To(BeFalse(), text)
 	}
-	read, valid := hop.Milliseconds("1200")
+	read, valid := hop.ParseMilliseconds("1200")
 	g.Expect(valid).To(BeTrue())
 	g.Expect(read).To(Equal(1200 * time.Millisecond))
 	g.Expect(hop.FormatMilliseconds(10 * time.Microsecond)).To(Equal("1"))
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -74,7 +74,7 @@
 	}
 	_ = response.Body.Close()
 	names := &h.options.Vocabulary
-	left, told := hop.Milliseconds(response.Header.Get(names.WarmupLeft))
+	left, told := hop.ParseMilliseconds(response.Header.Get(names.WarmupLeft))
 	if found := response.Header.Get(names.InstanceID); found != endpoint.ID {
 		h.options.Logger.Info("health of another back end", zap.String("endpoint", endpoint.ID), zap.String("found", found))
 		return
