--- a/internal/sidecar/hop/notice.go
+++ b/internal/sidecar/hop/notice.go
@@ -5,6 +5,6 @@
 	// Limited: the back end takes PerSecond requests a second from all nodes together, zero for none.
 	Limited   bool
 	PerSecond float64
-	// Leaving: the back end is about to end and wants no new work.
-	Leaving bool
+	// Draining: the back end is about to end and wants no new work.
+	Draining bool
 }
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -94,7 +94,7 @@
 		return hop.Notice{}, false
 	}
 	notice, err := h.options.DecodeNotice(header)
-	if notice.Leaving && h.notices.leaves(of.Incarnation()) {
+	if notice.Draining && h.notices.leaves(of.Incarnation()) {
 		h.options.Logger.Info("back end leaves by word of an answer", zap.String("endpoint", of.ID), zap.String("service", of.Service))
 		h.options.Leaves(of.Incarnation())
 	}
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -19,7 +19,7 @@
 
 // decodeNotice reads the headers that these tests use.
 func decodeNotice(header http.Header) (notice hop.Notice, err error) {
-	notice.Leaving = header.Get("Leaving") != ""
+	notice.Draining = header.Get("Leaving") != ""
 	if text := header.Get("Limit"); text != "" {
 		notice.Limited = true
 		notice.PerSecond, err = strconv.ParseFloat(text, 64)
