--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -16,9 +16,9 @@
 	// Routes and Services are those that are new or differ.
 	Routes   []Route   `json:"routes,omitempty"`
 	Services []Service `json:"services,omitempty"`
-	// Places are the hosts and prefixes of routes that are gone, Gone the names
+	// RemovedRoutes are the hosts and prefixes of routes that are gone, Gone the names
 	// of services that are.
-	Places []string `json:"places,omitempty"`
+	RemovedRoutes []string `json:"places,omitempty"`
 	Gone   []string `json:"gone,omitempty"`
 	Limits Limits   `json:"limits"`
 	// Tenants are those that are new or differ, GoneTenants the names of those that are gone.
@@ -50,7 +50,7 @@
 		return change
 	}
 	change.Base = base.Version
-	change.Routes, change.Places = differing(base.Routes, d.Routes, (*Route).place)
+	change.Routes, change.RemovedRoutes = differing(base.Routes, d.Routes, (*Route).place)
 	change.Services, change.Gone = differing(base.Services, d.Services, (*Service).name)
 	change.Tenants, change.GoneTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
 	return change
@@ -66,7 +66,7 @@
 	case base == nil || base.Version != c.Base:
 		return nil, ErrBase
 	default:
-		document.Routes = replaced(base.Routes, c.Routes, c.Places, (*Route).place)
+		document.Routes = replaced(base.Routes, c.Routes, c.RemovedRoutes, (*Route).place)
 		document.Services = replaced(base.Services, c.Services, c.Gone, (*Service).name)
 		document.Tenants = replaced(base.Tenants, c.Tenants, c.GoneTenants, (*Tenant).name)
 	}
--- a/internal/sidecar/route/change_test.go
+++ b/internal/sidecar/route/change_test.go
@@ -61,7 +61,7 @@
 	next := &route.Document{Version: 5, Routes: append([]route.Route{{Name: "new", Host: "h", PathPrefix: "/new/"}}, base.Routes[:999]...)}
 	change := next.ChangeFrom(base)
 	g.Expect(change.Routes).To(HaveLen(1))
-	g.Expect(change.Places).To(Equal([]string{"h/999/"}))
+	g.Expect(change.RemovedRoutes).To(Equal([]string{"h/999/"}))
 }
 
 // TestAChangeOfAnotherBase is refused.
