--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -19,7 +19,7 @@
 	// RemovedRoutes are the hosts and prefixes of routes that are gone, Gone the names
 	// of services that are.
 	RemovedRoutes []string `json:"places,omitempty"`
-	Gone   []string `json:"gone,omitempty"`
+	RemovedServices   []string `json:"gone,omitempty"`
 	Limits Limits   `json:"limits"`
 	// Tenants are those that are new or differ, GoneTenants the names of those that are gone.
 	Tenants     []Tenant `json:"tenants,omitempty"`
@@ -51,7 +51,7 @@
 	}
 	change.Base = base.Version
 	change.Routes, change.RemovedRoutes = differing(base.Routes, d.Routes, (*Route).place)
-	change.Services, change.Gone = differing(base.Services, d.Services, (*Service).name)
+	change.Services, change.RemovedServices = differing(base.Services, d.Services, (*Service).name)
 	change.Tenants, change.GoneTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
 	return change
 }
@@ -67,7 +67,7 @@
 		return nil, ErrBase
 	default:
 		document.Routes = replaced(base.Routes, c.Routes, c.RemovedRoutes, (*Route).place)
-		document.Services = replaced(base.Services, c.Services, c.Gone, (*Service).name)
+		document.Services = replaced(base.Services, c.Services, c.RemovedServices, (*Service).name)
 		document.Tenants = replaced(base.Tenants, c.Tenants, c.GoneTenants, (*Tenant).name)
 	}
 	if len(document.Routes) != c.RouteCount || len(document.Services) != c.ServiceCount || len(document.Tenants) != c.TenantCount {
