--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -23,7 +23,7 @@
 	Limits Limits   `json:"limits"`
 	// Tenants are those that are new or differ, GoneTenants the names of those that are gone.
 	Tenants     []Tenant `json:"tenants,omitempty"`
-	GoneTenants []string `json:"goneTenants,omitempty"`
+	RemovedTenants []string `json:"goneTenants,omitempty"`
 	// RouteCount, ServiceCount and TenantCount are those of the later version.
 	RouteCount   int `json:"routeCount"`
 	ServiceCount int `json:"serviceCount"`
@@ -52,7 +52,7 @@
 	change.Base = base.Version
 	change.Routes, change.RemovedRoutes = differing(base.Routes, d.Routes, (*Route).place)
 	change.Services, change.RemovedServices = differing(base.Services, d.Services, (*Service).name)
-	change.Tenants, change.GoneTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
+	change.Tenants, change.RemovedTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
 	return change
 }
 
@@ -68,7 +68,7 @@
 	default:
 		document.Routes = replaced(base.Routes, c.Routes, c.RemovedRoutes, (*Route).place)
 		document.Services = replaced(base.Services, c.Services, c.RemovedServices, (*Service).name)
-		document.Tenants = replaced(base.Tenants, c.Tenants, c.GoneTenants, (*Tenant).name)
+		document.Tenants = replaced(base.Tenants, c.Tenants, c.RemovedTenants, (*Tenant).name)
 	}
 	if len(document.Routes) != c.RouteCount || len(document.Services) != c.ServiceCount || len(document.Tenants) != c.TenantCount {
 		return nil, ErrBase
