--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -21,7 +21,7 @@
 // something comes in.
 func (e *Exchanger) fetch(ctx context.Context, peer *roster.Record, heard func()) error {
 	err := e.advance(ctx, peer, e.options.Configuration.Version(), heard)
-	if errors.Is(err, route.ErrBase) {
+	if errors.Is(err, route.ErrBaseMismatch) {
 		err = e.advance(ctx, peer, 0, heard)
 	}
 	if errors.Is(err, configuration.ErrNotNewer) {
--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -30,8 +30,8 @@
 	TenantCount  int `json:"tenantCount,omitempty"`
 }
 
-// ErrBase says that a change does not start from the document it is applied to.
-var ErrBase = errors.New("route: the change starts from another document")
+// ErrBaseMismatch says that a change does not start from the document it is applied to.
+var ErrBaseMismatch = errors.New("route: the change starts from another document")
 
 // place identifies a route within a document.
 func (r *Route) place() string { return normalizeHost(r.Host) + r.PathPrefix }
@@ -64,14 +64,14 @@
 	case c.Base == 0:
 		document.Routes, document.Services, document.Tenants = c.Routes, c.Services, c.Tenants
 	case base == nil || base.Version != c.Base:
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	default:
 		document.Routes = replaced(base.Routes, c.Routes, c.RemovedRoutes, (*Route).place)
 		document.Services = replaced(base.Services, c.Services, c.RemovedServices, (*Service).name)
 		document.Tenants = replaced(base.Tenants, c.Tenants, c.RemovedTenants, (*Tenant).name)
 	}
 	if len(document.Routes) != c.RouteCount || len(document.Services) != c.ServiceCount || len(document.Tenants) != c.TenantCount {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	return document, nil
 }
--- a/internal/sidecar/route/change_test.go
+++ b/internal/sidecar/route/change_test.go
@@ -72,6 +72,6 @@
 	change := next.ChangeFrom(base)
 	for _, other := range []*route.Document{nil, {Version: 3}, {Version: 4}} {
 		_, err := change.Apply(other)
-		g.Expect(err).To(MatchError(route.ErrBase))
+		g.Expect(err).To(MatchError(route.ErrBaseMismatch))
 	}
 }
