--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -49,7 +49,7 @@
 	started time.Time
 
 	table *route.Table
-	route *route.Matched
+	route *route.CompiledRoute
 	// tenant is the one whose key the caller has; nil without one.
 	tenant *route.Tenant
 	// tokens are the request's places within its tenant's limit, one for each run that it may need,
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -39,7 +39,7 @@
 			}
 			made := &call{
 				handler: newHandler(t, &quiet{}, present), request: request, started: time.Now(),
-				route: &route.Matched{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: asked.timeout}},
+				route: &route.CompiledRoute{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: asked.timeout}},
 			}
 			g.Expect(made.bound()).To(BeNil())
 			described := made.described(time.Until(made.deadline), aim/4)
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -273,7 +273,7 @@
 }
 
 // match finds the route of a request; nil without a table or a route.
-func match(table *route.Table, r *http.Request) *route.Matched {
+func match(table *route.Table, r *http.Request) *route.CompiledRoute {
 	if table == nil {
 		return nil
 	}
--- a/internal/sidecar/route/table.go
+++ b/internal/sidecar/route/table.go
@@ -11,7 +11,7 @@
 // of the splits, which outlive versions.
 type Table struct {
 	document     *Document
-	hosts        map[string]map[string]*Matched
+	hosts        map[string]map[string]*CompiledRoute
 	services     map[string]*Service
 	serviceNames []string
 	// tenants holds each tenant by each of its keys.
@@ -21,14 +21,14 @@
 	limitedNames []string
 }
 
-// Matched is a route in force, with the state of its split.
-type Matched struct {
+// CompiledRoute is a route in force, with the state of its split.
+type CompiledRoute struct {
 	Route
 	split *split
 }
 
 // NextService returns the service that takes the route's next request.
-func (m *Matched) NextService() string {
+func (m *CompiledRoute) NextService() string {
 	if len(m.Targets) == 1 {
 		return m.Targets[0].Service
 	}
@@ -36,7 +36,7 @@
 }
 
 // Leads reports whether some of the route's requests go to the service.
-func (m *Matched) Leads(service string) bool {
+func (m *CompiledRoute) Leads(service string) bool {
 	return slices.ContainsFunc(m.Targets, func(target Target) bool { return target.Service == service })
 }
 
@@ -48,7 +48,7 @@
 	}
 	compiled := &Table{
 		document: document,
-		hosts:    map[string]map[string]*Matched{},
+		hosts:    map[string]map[string]*CompiledRoute{},
 		services: make(map[string]*Service, len(document.Services)),
 		tenants:  make(map[Key]*Tenant, len(document.Tenants)),
 		limited:  map[string]*Tenant{},
@@ -77,10 +77,10 @@
 	host := normalizeHost(route.Host)
 	prefixes := t.hosts[host]
 	if prefixes == nil {
-		prefixes = map[string]*Matched{}
+		prefixes = map[string]*CompiledRoute{}
 		t.hosts[host] = prefixes
 	}
-	prefixes[route.PathPrefix] = &Matched{Route: *route, split: previous.splitOf(host, route)}
+	prefixes[route.PathPrefix] = &CompiledRoute{Route: *route, split: previous.splitOf(host, route)}
 }
 
 // splitOf returns the split of the same targets at the same place, or a new one.
@@ -124,7 +124,7 @@
 
 // Match finds the route of the host whose prefix begins the path and is the
 // longest, or nil. The path is the escaped one, as it was received.
-func (t *Table) Match(host, path string) *Matched {
+func (t *Table) Match(host, path string) *CompiledRoute {
 	prefixes := t.hosts[normalizeHost(host)]
 	if prefixes == nil {
 		return nil
@@ -138,7 +138,7 @@
 }
 
 // MatchRequest finds the route of a request, or nil.
-func (t *Table) MatchRequest(r *http.Request) *Matched {
+func (t *Table) MatchRequest(r *http.Request) *CompiledRoute {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return t.Match(r.Host, path)
 }
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -116,7 +116,7 @@
 
 // Authenticated reports whether callers of the route identify themselves by a key: where there
 // are tenants, unless the route is open.
-func (t *Table) Authenticated(matched *Matched) bool { return len(t.tenants) > 0 && !matched.Open }
+func (t *Table) Authenticated(matched *CompiledRoute) bool { return len(t.tenants) > 0 && !matched.Open }
 
 // Holder returns the tenant that holds the key, nil when none does.
 func (t *Table) Holder(key string) *Tenant {
