--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -19,7 +19,7 @@
 		return false
 	}
 	matched := table.MatchRequest(request)
-	return matched != nil && matched.Leads(service)
+	return matched != nil && matched.RoutesTo(service)
 }
 
 // level makes sure that the node is level, for its egress.
--- a/internal/sidecar/route/table.go
+++ b/internal/sidecar/route/table.go
@@ -35,8 +35,8 @@
 	return m.split.next(m.Targets)
 }
 
-// Leads reports whether some of the route's requests go to the service.
-func (m *CompiledRoute) Leads(service string) bool {
+// RoutesTo reports whether some of the route's requests go to the service.
+func (m *CompiledRoute) RoutesTo(service string) bool {
 	return slices.ContainsFunc(m.Targets, func(target Target) bool { return target.Service == service })
 }
 
