--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -118,8 +118,8 @@
 // are tenants, unless the route is open.
 func (t *Table) Authenticated(matched *CompiledRoute) bool { return len(t.tenants) > 0 && !matched.Open }
 
-// Holder returns the tenant that holds the key, nil when none does.
-func (t *Table) Holder(key string) *Tenant {
+// TenantByKey returns the tenant that holds the key, nil when none does.
+func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
--- a/internal/sidecar/route/tenant_test.go
+++ b/internal/sidecar/route/tenant_test.go
@@ -83,7 +83,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if table.Holder("key-of-77") == nil {
+		if table.TenantByKey("key-of-77") == nil {
 			b.Fatal("not found")
 		}
 	}
