--- a/internal/sidecar/egress/tenant.go
+++ b/internal/sidecar/egress/tenant.go
@@ -13,7 +13,7 @@
 // back ends are told of a tenant there too when there is one. No key is logged.
 func (c *call) identify() *outcome.Failure {
 	c.tenant = c.table.TenantByKey(c.request.Header.Get(c.handler.options.Vocabulary.APIKey))
-	if c.tenant == nil && c.table.Authenticated(c.route) {
+	if c.tenant == nil && c.table.RequiresKey(c.route) {
 		return outcome.Refusal(http.StatusUnauthorized, outcome.StepIdentify, 0, errNoTenant)
 	}
 	return nil
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// Authenticated reports whether callers of the route identify themselves by a key: where there
+// RequiresKey reports whether callers of the route identify themselves by a key: where there
 // are tenants, unless the route is open.
-func (t *Table) Authenticated(matched *CompiledRoute) bool { return len(t.tenants) > 0 && !matched.Open }
+func (t *Table) RequiresKey(matched *CompiledRoute) bool { return len(t.tenants) > 0 && !matched.Open }
 
 // TenantByKey returns the tenant that holds the key, nil when none does.
 func (t *Table) TenantByKey(key string) *Tenant {
