--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -33,7 +33,7 @@
 			}
 			return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 		},
-		Tenants: func() []string { return s.keeper.Table().LimitedNames() },
+		Tenants: func() []string { return s.keeper.Table().LimitedTenantNames() },
 		Bounds:  func() quota.Bounds { return s.settings.Load().Quota },
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -134,9 +134,9 @@
 	return t.limited[name]
 }
 
-// LimitedNames returns the names of the tenants that have a limit, in order. The list is not to be
+// LimitedTenantNames returns the names of the tenants that have a limit, in order. The list is not to be
 // modified.
-func (t *Table) LimitedNames() []string {
+func (t *Table) LimitedTenantNames() []string {
 	if t == nil {
 		return nil
 	}
