--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -27,7 +27,7 @@
 		Usable: func(record *roster.Record) bool { return s.exchanger.Usable(record) },
 		Known:  s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
-			tenant := s.keeper.Table().Limited(name)
+			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
 				return quota.Limit{}, false
 			}
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -126,8 +126,8 @@
 	return t.tenants[Key(key)]
 }
 
-// Limited returns the tenant of that name when it has a limit, otherwise nil; nil for a nil table.
-func (t *Table) Limited(name string) *Tenant {
+// LimitedTenant returns the tenant of that name when it has a limit, otherwise nil; nil for a nil table.
+func (t *Table) LimitedTenant(name string) *Tenant {
 	if t == nil {
 		return nil
 	}
