--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -199,7 +199,7 @@
 		next.lostKeys = make(map[uint64]map[string]bool, remembered)
 		for _, base := range next.past {
 			next.changes[base.Version] = encodedChange(document, base)
-			next.lostKeys[base.Version] = base.LostKeys(document)
+			next.lostKeys[base.Version] = base.TenantsWithRevokedKeys(document)
 		}
 	}
 	old := k.Version()
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -54,8 +54,8 @@
 	return later == nil || slices.ContainsFunc(t.Keys, func(key Key) bool { return !slices.Contains(later.Keys, key) })
 }
 
-// LostKeys returns the names of the tenants of the document that lack a key in the later one.
-func (d *Document) LostKeys(later *Document) map[string]bool {
+// TenantsWithRevokedKeys returns the names of the tenants of the document that lack a key in the later one.
+func (d *Document) TenantsWithRevokedKeys(later *Document) map[string]bool {
 	held := make(map[string]*Tenant, len(later.Tenants))
 	for i := range later.Tenants {
 		held[later.Tenants[i].Name] = &later.Tenants[i]
--- a/internal/sidecar/route/tenant_test.go
+++ b/internal/sidecar/route/tenant_test.go
@@ -67,8 +67,8 @@
 	made, err := change.Apply(base)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(made.Tenants).To(ConsistOf(next.Tenants))
-	g.Expect(base.LostKeys(next)).To(Equal(map[string]bool{"goes": true, "differs": true}))
-	g.Expect(next.LostKeys(next)).To(BeEmpty())
+	g.Expect(base.TenantsWithRevokedKeys(next)).To(Equal(map[string]bool{"goes": true, "differs": true}))
+	g.Expect(next.TenantsWithRevokedKeys(next)).To(BeEmpty())
 }
 
 // BenchmarkHolder: from a key to its tenant among 2,000, 20 ns and no allocation.
