--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Work knows until when what a back end works on is of use. It is safe for concurrent use.
-type Work struct {
+// ActiveRequests knows until when what a back end works on is of use. It is safe for concurrent use.
+type ActiveRequests struct {
 	mu sync.Mutex // guards runs
 	// runs holds the requests at work by when their deadline is.
 	runs map[*run]struct{}
@@ -25,7 +25,7 @@
 
 // Begin notes a request that is of use until the deadline; repeated says that it has reached a
 // back end before. The result notes its end.
-func (w *Work) Begin(deadline time.Time, repeated bool) (end func()) {
+func (w *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
 	begun := &run{deadline: deadline, repeated: repeated}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -36,14 +36,14 @@
 	return func() { w.end(begun) }
 }
 
-func (w *Work) end(ended *run) {
+func (w *ActiveRequests) end(ended *run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.runs, ended)
 }
 
 // Latest returns the latest deadline of what is at work, the zero time when nothing is.
-func (w *Work) Latest() (latest time.Time) {
+func (w *ActiveRequests) Latest() (latest time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for begun := range w.runs {
@@ -57,7 +57,7 @@
 // Repeated returns how likely it is that the run which makes a call with that deadline is a
 // repeat: the part of those that are, among the runs with about that deadline or, where there are
 // none, among all.
-func (w *Work) Repeated(deadline time.Time) float64 {
+func (w *ActiveRequests) Repeated(deadline time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	about, all := &likelihood{}, &likelihood{}
@@ -103,7 +103,7 @@
 
 // Recognizer learns which routes back ends call. It is safe for concurrent use.
 type Recognizer struct {
-	work    *Work
+	work    *ActiveRequests
 	started time.Time
 	routes  sync.Map // of *seen by route name
 }
@@ -116,7 +116,7 @@
 }
 
 // NewRecognizer returns one that has seen no route. started is when the node started.
-func NewRecognizer(work *Work, started time.Time) *Recognizer {
+func NewRecognizer(work *ActiveRequests, started time.Time) *Recognizer {
 	return &Recognizer{work: work, started: started}
 }
 
--- a/internal/sidecar/nested/nested_test.go
+++ b/internal/sidecar/nested/nested_test.go
@@ -16,7 +16,7 @@
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
-	work := &nested.Work{}
+	work := &nested.ActiveRequests{}
 	told := nested.NewRecognizer(work, start)
 	now := start.Add(2 * time.Second)
 	var deadlines []time.Time
@@ -66,7 +66,7 @@
 	}
 	for _, moment := range cases {
 		t.Run(moment.name, func(t *testing.T) {
-			work := &nested.Work{}
+			work := &nested.ActiveRequests{}
 			if moment.work > 0 {
 				work.Begin(moment.now.Add(moment.work), false)
 			}
@@ -85,7 +85,7 @@
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
 	now := start.Add(time.Minute)
-	work := &nested.Work{}
+	work := &nested.ActiveRequests{}
 	work.Begin(now.Add(time.Second), false)
 	told := nested.NewRecognizer(work, start)
 	for i := range 200 {
@@ -101,7 +101,7 @@
 func TestWhoseCallItIs(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	work := &nested.Work{}
+	work := &nested.ActiveRequests{}
 	g.Expect(work.Repeated(now)).To(BeZero(), "nothing is at work")
 	endFirst := work.Begin(now.Add(time.Second), false)
 	endAgain := work.Begin(now.Add(2*time.Second), true)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -107,7 +107,7 @@
 	repeats     *repeats.Repeats
 	// contention says whether requests compete for room, work what the back end works on.
 	contention *contention.Switch
-	work       *nested.Work
+	work       *nested.ActiveRequests
 	egress     *egress.Handler
 	ingress    *ingress.Handler
 	stopping   atomic.Bool
@@ -150,7 +150,7 @@
 		started:    clock.Now(),
 		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
 		contention: contention.NewSwitch(settings.OverloadControl),
-		work:       &nested.Work{},
+		work:       &nested.ActiveRequests{},
 		claims:     roster.Claims{Interval: settings.HeartbeatInterval},
 	}
 	observed := newMetrics(options.Registry)
