--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -121,7 +121,7 @@
 	a.sent, sent = clock.Now(), true
 	a.handler.workplace.begin(a)
 	defer a.handler.workplace.end(a)
-	if work := a.handler.options.Work; work != nil {
+	if work := a.handler.options.ActiveRequests; work != nil {
 		defer work.Begin(a.deadline, a.told.Repeated)()
 	}
 	run := a.handler.pace.Begin(a.told.ExpectedServiceTime, a.sent)
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -53,8 +53,8 @@
 	Judge Judge
 	// Quarantine knows which requests end back ends.
 	Quarantine Quarantine
-	// Work is told what the back end works on; nil where nobody asks.
-	Work *nested.ActiveRequests
+	// ActiveRequests is told what the back end works on; nil where nobody asks.
+	ActiveRequests *nested.ActiveRequests
 	// DecodeLoad reads what the back end tells of its load; nil when it tells nothing. Told takes
 	// it in and reports whether it counts.
 	DecodeLoad func(header string) (hop.BackendLoad, error)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -208,7 +208,7 @@
 		Vocabulary: s.options.Vocabulary,
 		Address:    settings.BackendAddress,
 		LinkMbps:   settings.LinkMbps,
-		Work:       s.work,
+		ActiveRequests:       s.work,
 		DecodeLoad: s.options.DecodeLoad,
 		Told:       s.loadTold,
 
