--- a/internal/sidecar/contention.go
+++ b/internal/sidecar/contention.go
@@ -22,7 +22,7 @@
 // nestedCalls tells calls of back ends where requests compete for room.
 type nestedCalls struct {
 	contention *contention.Switch
-	recognizer *nested.Recognizer
+	recognizer *nested.Classifier
 }
 
 // Repeated implements egress.Nested.
--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -101,8 +101,8 @@
 	settleTime = time.Second
 )
 
-// Recognizer learns which routes back ends call. It is safe for concurrent use.
-type Recognizer struct {
+// Classifier learns which routes back ends call. It is safe for concurrent use.
+type Classifier struct {
 	work    *ActiveRequests
 	started time.Time
 	routes  sync.Map // of *seen by route name
@@ -116,13 +116,13 @@
 }
 
 // NewRecognizer returns one that has seen no route. started is when the node started.
-func NewRecognizer(work *ActiveRequests, started time.Time) *Recognizer {
-	return &Recognizer{work: work, started: started}
+func NewRecognizer(work *ActiveRequests, started time.Time) *Classifier {
+	return &Classifier{work: work, started: started}
 }
 
 // Nested takes in a request that begins at this machine and reports whether it is a call of what
 // its back end works on. identified says that the request bears what only clients have.
-func (r *Recognizer) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
+func (r *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
 	if now.Sub(r.started) < settleTime {
 		return false
 	}
@@ -132,9 +132,9 @@
 }
 
 // Repeated is as of the work at the node's back end.
-func (r *Recognizer) Repeated(deadline time.Time) float64 { return r.work.Repeated(deadline) }
+func (r *Classifier) Repeated(deadline time.Time) float64 { return r.work.Repeated(deadline) }
 
-func (r *Recognizer) of(route string) *seen {
+func (r *Classifier) of(route string) *seen {
 	if held, found := r.routes.Load(route); found {
 		return held.(*seen)
 	}
