--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -115,8 +115,8 @@
 	total, clients float64
 }
 
-// NewRecognizer returns one that has seen no route. started is when the node started.
-func NewRecognizer(work *ActiveRequests, started time.Time) *Classifier {
+// NewClassifier returns one that has seen no route. started is when the node started.
+func NewClassifier(work *ActiveRequests, started time.Time) *Classifier {
 	return &Classifier{work: work, started: started}
 }
 
--- a/internal/sidecar/nested/nested_test.go
+++ b/internal/sidecar/nested/nested_test.go
@@ -17,7 +17,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
 	work := &nested.ActiveRequests{}
-	told := nested.NewRecognizer(work, start)
+	told := nested.NewClassifier(work, start)
 	now := start.Add(2 * time.Second)
 	var deadlines []time.Time
 	var ends []func()
@@ -70,7 +70,7 @@
 			if moment.work > 0 {
 				work.Begin(moment.now.Add(moment.work), false)
 			}
-			told := nested.NewRecognizer(work, start)
+			told := nested.NewClassifier(work, start)
 			last := false
 			for range 20 {
 				last = told.Nested("r", moment.now.Add(moment.left), moment.identified, moment.now)
@@ -87,7 +87,7 @@
 	now := start.Add(time.Minute)
 	work := &nested.ActiveRequests{}
 	work.Begin(now.Add(time.Second), false)
-	told := nested.NewRecognizer(work, start)
+	told := nested.NewClassifier(work, start)
 	for i := range 200 {
 		left := 400 * time.Millisecond
 		if i%10 == 0 {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -246,7 +246,7 @@
 		Emptied:    s.evacuations.Zones,
 		Quarantine: s.quarantine,
 		Quota:      s.quota,
-		Nested:     &nestedCalls{contention: s.contention, recognizer: nested.NewRecognizer(s.work, s.started)},
+		Nested:     &nestedCalls{contention: s.contention, recognizer: nested.NewClassifier(s.work, s.started)},
 		Repeats:    s.repeats,
 		Contended:  s.contention.On,
 		Weights:    choice.DefaultWeights(),
