--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -42,8 +42,8 @@
 	delete(w.runs, ended)
 }
 
-// Latest returns the latest deadline of what is at work, the zero time when nothing is.
-func (w *ActiveRequests) Latest() (latest time.Time) {
+// LatestDeadline returns the latest deadline of what is at work, the zero time when nothing is.
+func (w *ActiveRequests) LatestDeadline() (latest time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for begun := range w.runs {
@@ -126,7 +126,7 @@
 	if now.Sub(r.started) < settleTime {
 		return false
 	}
-	client := identified || deadline.After(r.work.Latest().Add(readDelay))
+	client := identified || deadline.After(r.work.LatestDeadline().Add(readDelay))
 	called := r.of(route).add(client)
 	return called && !client
 }
