--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -54,7 +54,7 @@
 	made.handler = ingress.New(ingress.Options{
 		Vocabulary: vocabulary, Address: made.server.Listener.Addr().String(),
 		Endpoint:   func() *roster.Endpoint { return made.endpoint.Load() },
-		Identified: func(string) {}, Version: func() uint64 { return 1 },
+		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainAfter: func() time.Duration { return time.Second },
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.New(core), Observer: silentObserver{}, Quarantine: made.quarantine, Judge: &made.failures,
 	})
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -225,7 +225,7 @@
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepShed, a.retryAfter(), errShed)
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest {
-		a.handler.options.Identified(header.Get(names.InstanceID))
+		a.handler.options.OnInstanceMismatch(header.Get(names.InstanceID))
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepIdentity, refusedWait, errOtherID)
 	}
 	if header.Get(names.RequestID) != a.request.Header.Get(names.RequestID) {
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -32,9 +32,9 @@
 	Address string
 	// Endpoint returns the back end beside the node, or nil.
 	Endpoint func() *roster.Endpoint
-	// Identified is told the id that the back end itself gives when it is not
+	// OnInstanceMismatch is told the id that the back end itself gives when it is not
 	// the one that was meant.
-	Identified func(id string)
+	OnInstanceMismatch func(id string)
 	// Version returns the version of the configuration in force.
 	Version func() uint64
 	// Proof returns how long ago that version is known to have been the newest; false when it is not
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -76,7 +76,7 @@
 	options := ingress.Options{
 		Vocabulary: vocabulary, Address: backend.Listener.Addr().String(),
 		Endpoint:   func() *roster.Endpoint { return endpoint },
-		Identified: func(string) {}, Version: func() uint64 { return 1 },
+		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainAfter: func() time.Duration { return time.Second },
 		Emptied:    made.emptied.Load,
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -219,7 +219,7 @@
 		Judge:        &judge{sidecar: s},
 		Quarantine:   &guard{Quarantine: s.quarantine, sidecar: s},
 		Endpoint:     func() *roster.Endpoint { return s.members.Own().Endpoint },
-		Identified:   s.identified,
+		OnInstanceMismatch:   s.identified,
 		Version:      s.keeper.Version,
 		Proof:        func() (time.Duration, bool) { return s.exchanger.FreshProof() },
 		Serves:       s.serves,
