--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -190,10 +190,10 @@
 // that they have left for as long as it is.
 func (a *arrival) moved() bool {
 	version, err := strconv.ParseUint(a.request.Header.Get(hop.HeaderVersion), 10, 64)
-	if err != nil || a.handler.options.Serves == nil {
+	if err != nil || a.handler.options.RoutesTo == nil {
 		return false // nodes of the version before do not tell
 	}
-	return !a.handler.options.Serves(a.request, a.endpoint.Service, version)
+	return !a.handler.options.RoutesTo(a.request, a.endpoint.Service, version)
 }
 
 func (a *arrival) readBody() (*forward.Body, error) {
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -40,9 +40,9 @@
 	// Proof returns how long ago that version is known to have been the newest; false when it is not
 	// worth telling. Nil for never.
 	Proof func() (age time.Duration, proven bool)
-	// Serves reports whether a configuration newer than the given version, if there is one in
+	// RoutesTo reports whether a configuration newer than the given version, if there is one in
 	// force, leads the request to the service; nil when nobody can tell.
-	Serves func(request *http.Request, service string, version uint64) bool
+	RoutesTo func(request *http.Request, service string, version uint64) bool
 	// DrainAfter is how long after a back end's word that it is leaving new
 	// work is still taken.
 	DrainAfter func() time.Duration
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -80,7 +80,7 @@
 		DrainAfter: func() time.Duration { return time.Second },
 		Emptied:    made.emptied.Load,
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
-		Serves: func(request *http.Request, service string, version uint64) bool {
+		RoutesTo: func(request *http.Request, service string, version uint64) bool {
 			return made.serves == nil || made.serves(request, service, version)
 		},
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -222,7 +222,7 @@
 		OnInstanceMismatch:   s.identified,
 		Version:      s.keeper.Version,
 		Proof:        func() (time.Duration, bool) { return s.exchanger.FreshProof() },
-		Serves:       s.serves,
+		RoutesTo:       s.serves,
 		Emptied:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
 		DrainAfter:   s.drainAfter,
 		Dial:         s.options.Network.Dialer(0, dial.Silence{}),
