--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -173,7 +173,7 @@
 	if a.handler.leftBehind(a.endpoint.Incarnation()) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errLeaving)
 	}
-	if emptied := a.handler.options.Emptied; emptied != nil && emptied() {
+	if emptied := a.handler.options.Evacuated; emptied != nil && emptied() {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errEmptied)
 	}
 	if judge := a.handler.options.Judge; judge != nil && judge.Refuses() {
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -46,8 +46,8 @@
 	// DrainAfter is how long after a back end's word that it is leaving new
 	// work is still taken.
 	DrainAfter func() time.Duration
-	// Emptied reports whether the back end's zone is ordered to be emptied; nil for never.
-	Emptied func() bool
+	// Evacuated reports whether the back end's zone is ordered to be emptied; nil for never.
+	Evacuated func() bool
 	// Judge takes in what the back end's answers show of its version; nil when nobody
 	// compares versions.
 	Judge Judge
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -78,7 +78,7 @@
 		Endpoint:   func() *roster.Endpoint { return endpoint },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainAfter: func() time.Duration { return time.Second },
-		Emptied:    made.emptied.Load,
+		Evacuated:    made.emptied.Load,
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
 		RoutesTo: func(request *http.Request, service string, version uint64) bool {
 			return made.serves == nil || made.serves(request, service, version)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -223,7 +223,7 @@
 		Version:      s.keeper.Version,
 		Proof:        func() (time.Duration, bool) { return s.exchanger.FreshProof() },
 		RoutesTo:       s.serves,
-		Emptied:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
+		Evacuated:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
 		DrainAfter:   s.drainAfter,
 		Dial:         s.options.Network.Dialer(0, dial.Silence{}),
 		Logger:       s.logger,
