--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -55,7 +55,7 @@
 		Vocabulary: vocabulary, Address: made.server.Listener.Addr().String(),
 		Endpoint:   func() *roster.Endpoint { return made.endpoint.Load() },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
-		DrainAfter: func() time.Duration { return time.Second },
+		DrainDelay: func() time.Duration { return time.Second },
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.New(core), Observer: silentObserver{}, Quarantine: made.quarantine, Judge: &made.failures,
 	})
 	made.handler.Follow(made.endpoint.Load())
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -43,9 +43,9 @@
 	// RoutesTo reports whether a configuration newer than the given version, if there is one in
 	// force, leads the request to the service; nil when nobody can tell.
 	RoutesTo func(request *http.Request, service string, version uint64) bool
-	// DrainAfter is how long after a back end's word that it is leaving new
+	// DrainDelay is how long after a back end's word that it is leaving new
 	// work is still taken.
-	DrainAfter func() time.Duration
+	DrainDelay func() time.Duration
 	// Evacuated reports whether the back end's zone is ordered to be emptied; nil for never.
 	Evacuated func() bool
 	// Judge takes in what the back end's answers show of its version; nil when nobody
@@ -264,7 +264,7 @@
 // leftBehind reports whether the back end takes no new work any more.
 func (h *Handler) leftBehind(of roster.Incarnation) bool {
 	held := h.leaving.Load()
-	return held != nil && held.of == of && clock.Since(held.since) >= h.options.DrainAfter()
+	return held != nil && held.of == of && clock.Since(held.since) >= h.options.DrainDelay()
 }
 
 // ServeHTTP implements http.Handler.
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -77,7 +77,7 @@
 		Vocabulary: vocabulary, Address: backend.Listener.Addr().String(),
 		Endpoint:   func() *roster.Endpoint { return endpoint },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
-		DrainAfter: func() time.Duration { return time.Second },
+		DrainDelay: func() time.Duration { return time.Second },
 		Evacuated:    made.emptied.Load,
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
 		RoutesTo: func(request *http.Request, service string, version uint64) bool {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -224,7 +224,7 @@
 		Proof:        func() (time.Duration, bool) { return s.exchanger.FreshProof() },
 		RoutesTo:       s.serves,
 		Evacuated:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
-		DrainAfter:   s.drainAfter,
+		DrainDelay:   s.drainAfter,
 		Dial:         s.options.Network.Dialer(0, dial.Silence{}),
 		Logger:       s.logger,
 		Observer:     observed,
