--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -199,7 +199,7 @@
 		options.Logger.Info("load of the back end not read", zap.String("endpoint", a.endpoint.ID), zap.Error(err))
 		return 0
 	}
-	if !options.Told(load) {
+	if !options.RecordLoad(load) {
 		return 0
 	}
 	a.handler.pace.SetReported(load.Factor, clock.Now())
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -210,7 +210,7 @@
 		LinkMbps:   settings.LinkMbps,
 		ActiveRequests:       s.work,
 		DecodeLoad: s.options.DecodeLoad,
-		Told:       s.loadTold,
+		RecordLoad:       s.loadTold,
 
 		DecodeNotice: s.options.DecodeNotice,
 		Leaves:       s.leaves,
