--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -61,8 +61,8 @@
 	RecordLoad       func(hop.BackendLoad) (counts bool)
 	// DecodeNotice reads what the back end asks for with an answer; nil when it asks for nothing.
 	DecodeNotice func(header http.Header) (hop.Notice, error)
-	// Leaves is told of an incarnation that leaves by what an answer says.
-	Leaves func(of roster.Incarnation)
+	// OnDraining is told of an incarnation that leaves by what an answer says.
+	OnDraining func(of roster.Incarnation)
 	// Restarted: the back end may have named a limit before this life of the node.
 	Restarted bool
 	// Contended reports whether requests compete for room, so that tenants have their shares of it;
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -96,7 +96,7 @@
 	notice, err := h.options.DecodeNotice(header)
 	if notice.Draining && h.notices.leaves(of.Incarnation()) {
 		h.options.Logger.Info("back end leaves by word of an answer", zap.String("endpoint", of.ID), zap.String("service", of.Service))
-		h.options.Leaves(of.Incarnation())
+		h.options.OnDraining(of.Incarnation())
 	}
 	if err == nil {
 		return notice, true
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -37,7 +37,7 @@
 	made := &noticed{}
 	made.played = playWith(t, func(options *ingress.Options) {
 		options.DecodeNotice = decodeNotice
-		options.Leaves = func(roster.Incarnation) { made.left.Add(1) }
+		options.OnDraining = func(roster.Incarnation) { made.left.Add(1) }
 		options.Restarted = restarted
 	})
 	made.handler.SetService(&route.Service{Name: "one", HealthPath: "/health"})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -213,7 +213,7 @@
 		RecordLoad:       s.loadTold,
 
 		DecodeNotice: s.options.DecodeNotice,
-		Leaves:       s.leaves,
+		OnDraining:       s.leaves,
 		Restarted:    !settings.FirstStart,
 		Contended:    s.contention.On,
 		Judge:        &judge{sidecar: s},
