--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -68,8 +68,8 @@
 	// Contended reports whether requests compete for room, so that tenants have their shares of it;
 	// nil for never.
 	Contended func() bool
-	// Marks: replies tell of tenants' shares. Off in the program, as in egress.Options.
-	Marks bool
+	// ReportShares: replies tell of tenants' shares. Off in the program, as in egress.Options.
+	ReportShares bool
 	// LinkMbps is the speed of the machine's link in Mbit/s; zero when unknown.
 	LinkMbps int
 	// Dial opens connections to the back end.
--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -25,7 +25,7 @@
 
 // shared returns the tenant against whose share the request counts, empty for none.
 func (a *arrival) shared() string {
-	if a.told.Nested || !a.handler.options.Marks {
+	if a.told.Nested || !a.handler.options.ReportShares {
 		return ""
 	}
 	return a.tenant()
