--- a/internal/sidecar/ingress/export_test.go
+++ b/internal/sidecar/ingress/export_test.go
@@ -1,4 +1,4 @@
 package ingress
 
-// SetMarks has replies tell of tenants' shares.
-func (h *Handler) SetMarks(marks bool) { h.options.ReportShares = marks }
+// SetReportShares has replies tell of tenants' shares.
+func (h *Handler) SetReportShares(marks bool) { h.options.ReportShares = marks }
--- a/internal/sidecar/ingress/tenant_test.go
+++ b/internal/sidecar/ingress/tenant_test.go
@@ -70,7 +70,7 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			made := play(t, func() bool { return played.contended })
-			made.handler.SetMarks(played.marks)
+			made.handler.SetReportShares(played.marks)
 			answer := signed(http.StatusOK)
 			made.answer.Store(&answer)
 			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
