--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -228,8 +228,8 @@
 // Stop has answers close their connections from now on.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// Refuse has whatever comes from now on, and what waits for a slot, refused: it has not run.
-func (h *Handler) Refuse() {
+// RejectNew has whatever comes from now on, and what waits for a slot, refused: it has not run.
+func (h *Handler) RejectNew() {
 	h.refusing.Store(true)
 	h.gate.Close()
 }
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -208,7 +208,7 @@
 	first := make(chan *httptest.ResponseRecorder)
 	go func() { first <- made.receive(t.Context()) }()
 	<-begun
-	made.handler.Refuse()
+	made.handler.RejectNew()
 	g.Expect(made.handler.InFlight()).To(Equal(1))
 	refused := made.receive(t.Context())
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -74,7 +74,7 @@
 // refuse has both sides refuse whatever comes from now on.
 func (s *Sidecar) refuse() {
 	s.egress.RefuseFrom(clock.Now())
-	s.ingress.Refuse()
+	s.ingress.RejectNew()
 }
 
 // stopPlan says what happens when in a planned stop. Times count from its
