--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -29,7 +29,7 @@
 	s.lastBeat.Store(clock.Stamp(now))
 	if beat.WarmupLeft > 0 {
 		s.warm.Store(clock.Stamp(now.Add(beat.WarmupLeft)))
-		s.ingress.WarmsUp(beat.WarmupLeft)
+		s.ingress.SetWarmupRemaining(beat.WarmupLeft)
 	}
 	own, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) {
 		return s.claims.Beat(record, beat, clock.Now())
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -32,8 +32,8 @@
 	h.warmup.Configure(service.WarmupRate, service.WarmupTime)
 }
 
-// WarmsUp takes in the back end's word that it is cold for that much longer.
-func (h *Handler) WarmsUp(left time.Duration) { h.warmup.Told(left, clock.Now()) }
+// SetWarmupRemaining takes in the back end's word that it is cold for that much longer.
+func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
 
 // MayBeCold takes in that the back end may have turned cold unheard.
 func (h *Handler) MayBeCold() { h.warmup.Suspect(clock.Now()) }
--- a/internal/sidecar/ingress/warmup_test.go
+++ b/internal/sidecar/ingress/warmup_test.go
@@ -55,7 +55,7 @@
 	g := NewWithT(t)
 	made := playUnconfigured(t)
 	ran := made.counts()
-	made.handler.WarmsUp(time.Hour)
+	made.handler.SetWarmupRemaining(time.Hour)
 	for range 20 {
 		made.receive(t.Context())
 	}
