--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -24,7 +24,7 @@
 // meanwhile: each is asked before it gets more than it bears then.
 func (s *Sidecar) emptied(zone string, emptied bool) {
 	if zone == s.options.Settings.Zone {
-		s.ingress.MayBeCold()
+		s.ingress.MarkPossiblyCold()
 		s.logger.Info("own zone", zap.Bool("emptied", emptied), zap.Int("callsInFlight", s.egress.InFlight()))
 	}
 }
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -45,7 +45,7 @@
 		}
 		failure := a.failed(err)
 		if failure.Step == outcome.StepConnect {
-			a.handler.MayBeCold()
+			a.handler.MarkPossiblyCold()
 		}
 		if failure.Outcome == outcome.Unknown {
 			a.seeEnd(failure)
@@ -112,7 +112,7 @@
 	if !ended {
 		return
 	}
-	a.handler.MayBeCold()
+	a.handler.MarkPossiblyCold()
 	a.besideEnd = !first
 	failure.Step = outcome.StepCrash
 	failure.Cause = errors.Join(errEnded, failure.Cause)
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -35,8 +35,8 @@
 // SetWarmupRemaining takes in the back end's word that it is cold for that much longer.
 func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
 
-// MayBeCold takes in that the back end may have turned cold unheard.
-func (h *Handler) MayBeCold() { h.warmup.Suspect(clock.Now()) }
+// MarkPossiblyCold takes in that the back end may have turned cold unheard.
+func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
 
 // bear refuses a request that a cold back end would not bear. It has not run.
 func (a *arrival) bear() *outcome.Failure {
