--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -32,8 +32,8 @@
 	gatherTimeout = 20 * time.Millisecond
 )
 
-// Ending is the unplanned end of the process of a back end.
-type Ending struct {
+// BackendCrash is the unplanned end of the process of a back end.
+type BackendCrash struct {
 	// Endpoint is the back end.
 	Endpoint *roster.Endpoint
 	// Running are the requests that were at work there when its first connection broke.
@@ -158,10 +158,10 @@
 
 // ending returns the end of the process that the breakage was, the requests in the order in
 // which they began.
-func (w *workplace) ending(of *breakage) *Ending {
+func (w *workplace) ending(of *breakage) *BackendCrash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &Ending{Endpoint: of.endpoint, Running: slices.SortedFunc(maps.Values(of.running), func(a, b Running) int {
+	return &BackendCrash{Endpoint: of.endpoint, Running: slices.SortedFunc(maps.Values(of.running), func(a, b Running) int {
 		return cmp.Or(cmp.Compare(b.For, a.For), cmp.Compare(a.RequestID, b.RequestID))
 	})}
 }
@@ -246,7 +246,7 @@
 }
 
 // crash is the end as other nodes are told of it.
-func (e *Ending) crash() roster.Crash {
+func (e *BackendCrash) crash() roster.Crash {
 	crash := roster.Crash{Endpoint: e.Endpoint.Incarnation().String(), Service: e.Endpoint.Service}
 	for _, running := range e.Running {
 		crash.Running = append(crash.Running, running.Print)
