--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -314,10 +314,10 @@
 	options := &a.handler.options
 	elapsed := clock.Since(a.started)
 	if failure == nil {
-		options.Observer.Arrived("", "", elapsed, a.waited)
+		options.Observer.RequestCompleted("", "", elapsed, a.waited)
 		return
 	}
-	options.Observer.Arrived(failure.Outcome, failure.Step, elapsed, a.waited)
+	options.Observer.RequestCompleted(failure.Outcome, failure.Step, elapsed, a.waited)
 	entry := options.Logger.Check(zap.InfoLevel, "arrival failed")
 	if entry == nil {
 		return
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -80,9 +80,9 @@
 
 // Observer is told how requests went at the back end.
 type Observer interface {
-	// Arrived: a request has its answer or was refused, after that time in all
+	// RequestCompleted: a request has its answer or was refused, after that time in all
 	// and that time in the queue.
-	Arrived(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration)
+	RequestCompleted(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration)
 	// BackendEnded: the process of the back end ended unplanned while so many requests
 	// were at work there.
 	BackendEnded(running int)
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -31,7 +31,7 @@
 
 type silentObserver struct{}
 
-func (silentObserver) Arrived(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
+func (silentObserver) RequestCompleted(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
 func (silentObserver) BackendEnded(int)                                                    {}
 func (silentObserver) BackendSent()                                                        {}
 func (silentObserver) NoticeUnreadable()                                                   {}
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -164,8 +164,8 @@
 	m.diverted.WithLabelValues(service, strconv.FormatBool(elsewhere)).Inc()
 }
 
-// Arrived implements ingress.Observer.
-func (m *metrics) Arrived(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration) {
+// RequestCompleted implements ingress.Observer.
+func (m *metrics) RequestCompleted(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration) {
 	m.arrivals.WithLabelValues(string(result), string(step)).Inc()
 	m.queued.Observe(waited.Seconds())
 	m.worked.Observe((elapsed - waited).Seconds())
