--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -241,7 +241,7 @@
 	ending := h.workplace.ending(met)
 	h.options.Logger.Warn("back end ended", zap.String("endpoint", ending.Endpoint.ID), zap.String("service", ending.Endpoint.Service),
 		zap.String("software", ending.Endpoint.Version), zap.Objects("running", ending.Running))
-	h.options.Observer.BackendEnded(len(ending.Running))
+	h.options.Observer.BackendCrashed(len(ending.Running))
 	h.options.Quarantine.Ended(ending.crash())
 }
 
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -83,9 +83,9 @@
 	// RequestCompleted: a request has its answer or was refused, after that time in all
 	// and that time in the queue.
 	RequestCompleted(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration)
-	// BackendEnded: the process of the back end ended unplanned while so many requests
+	// BackendCrashed: the process of the back end ended unplanned while so many requests
 	// were at work there.
-	BackendEnded(running int)
+	BackendCrashed(running int)
 	// BackendSent: a request goes to the back end.
 	BackendSent()
 	// NoticeUnreadable: the back end asked for something that cannot be read.
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -32,7 +32,7 @@
 type silentObserver struct{}
 
 func (silentObserver) RequestCompleted(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
-func (silentObserver) BackendEnded(int)                                                    {}
+func (silentObserver) BackendCrashed(int)                                                    {}
 func (silentObserver) BackendSent()                                                        {}
 func (silentObserver) NoticeUnreadable()                                                   {}
 
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -171,8 +171,8 @@
 	m.worked.Observe((elapsed - waited).Seconds())
 }
 
-// BackendEnded implements ingress.Observer.
-func (m *metrics) BackendEnded(running int) {
+// BackendCrashed implements ingress.Observer.
+func (m *metrics) BackendCrashed(running int) {
 	m.ended.Inc()
 	m.running.Add(float64(running))
 }
