--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -133,4 +133,6 @@
 // EligibleForRetry reports whether the back end is one for a request that was refused
 // elsewhere: it was not tried, takes work and is there. To send it to a silent one
 // would only make its outcome unknown.
-func (c Candidate) EligibleForRetry() bool { return !c.Tried && !c.Draining && !c.Unresponsive && !c.Excluded }
+func (c Candidate) EligibleForRetry() bool {
+	return !c.Tried && !c.Draining && !c.Unresponsive && !c.Excluded
+}
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -73,4 +73,6 @@
 }
 
 // LacksRetryTime reports whether the caller has no time to come back after a refusal.
-func (r Request) LacksRetryTime() bool { return r.LatencyTarget > 0 && r.CallerRemaining < returnRoom*r.LatencyTarget }
+func (r Request) LacksRetryTime() bool {
+	return r.LatencyTarget > 0 && r.CallerRemaining < returnRoom*r.LatencyTarget
+}
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -126,12 +126,12 @@
 	described := choice.Candidate{
 		SameZone: record.Zone == near.zone, OtherRegion: near.leaves(record.Zone),
 		Outstanding:    float64(t.inFlight.Load()),
-		Slots:   record.Endpoint.Slots,
+		Slots:          record.Endpoint.Slots,
 		ServiceTime:    usual,
-		HoldTime:    usual,
-		RecentlyFailed:   t.avoided(now),
-		Draining: !record.AcceptsWork(),
-		Unresponsive:  t.silent.Load(),
+		HoldTime:       usual,
+		RecentlyFailed: t.avoided(now),
+		Draining:       !record.AcceptsWork(),
+		Unresponsive:   t.silent.Load(),
 	}
 	switch {
 	case described.OtherRegion:
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -305,11 +305,11 @@
 // described is what the choice needs to know of the request.
 func (c *call) described(remaining, expected time.Duration) choice.Request {
 	return choice.Request{
-		LatencyTarget:        c.route.TargetLatency,
-		Remaining:  remaining,
-		CallerRemaining: c.callerTime,
-		Elapsed:    clock.Since(c.started),
-		ExpectedServiceTime:   expected,
-		Returning:  c.returning,
+		LatencyTarget:       c.route.TargetLatency,
+		Remaining:           remaining,
+		CallerRemaining:     c.callerTime,
+		Elapsed:             clock.Since(c.started),
+		ExpectedServiceTime: expected,
+		Returning:           c.returning,
 	}
 }
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -130,7 +130,7 @@
 	// Running, Waiting and Slots describe its back end's load, Held how long a
 	// slot is held.
 	Running, Waiting, Slots int
-	HoldTime                    time.Duration
+	HoldTime                time.Duration
 	// Factor is how much longer the back end works than others do.
 	Factor float64
 	// ServiceTime is how long it worked on this request; zero when it did not.
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -53,7 +53,7 @@
 	made.endpoint.Store(&roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready})
 	made.handler = ingress.New(ingress.Options{
 		Vocabulary: vocabulary, Address: made.server.Listener.Addr().String(),
-		Endpoint:   func() *roster.Endpoint { return made.endpoint.Load() },
+		Endpoint:           func() *roster.Endpoint { return made.endpoint.Load() },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainDelay: func() time.Duration { return time.Second },
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.New(core), Observer: silentObserver{}, Quarantine: made.quarantine, Judge: &made.failures,
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -58,7 +58,7 @@
 	// DecodeLoad reads what the back end tells of its load; nil when it tells nothing. Told takes
 	// it in and reports whether it counts.
 	DecodeLoad func(header string) (hop.BackendLoad, error)
-	RecordLoad       func(hop.BackendLoad) (counts bool)
+	RecordLoad func(hop.BackendLoad) (counts bool)
 	// DecodeNotice reads what the back end asks for with an answer; nil when it asks for nothing.
 	DecodeNotice func(header http.Header) (hop.Notice, error)
 	// OnDraining is told of an incarnation that leaves by what an answer says.
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -32,9 +32,9 @@
 type silentObserver struct{}
 
 func (silentObserver) RequestCompleted(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
-func (silentObserver) BackendCrashed(int)                                                    {}
-func (silentObserver) BackendSent()                                                        {}
-func (silentObserver) NoticeUnreadable()                                                   {}
+func (silentObserver) BackendCrashed(int)                                                           {}
+func (silentObserver) BackendSent()                                                                 {}
+func (silentObserver) NoticeUnreadable()                                                            {}
 
 // played is a handler with a back end that answers as it is told.
 type played struct {
@@ -75,10 +75,10 @@
 	endpoint := &roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready}
 	options := ingress.Options{
 		Vocabulary: vocabulary, Address: backend.Listener.Addr().String(),
-		Endpoint:   func() *roster.Endpoint { return endpoint },
+		Endpoint:           func() *roster.Endpoint { return endpoint },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainDelay: func() time.Duration { return time.Second },
-		Evacuated:    made.emptied.Load,
+		Evacuated:  made.emptied.Load,
 		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
 		RoutesTo: func(request *http.Request, service string, version uint64) bool {
 			return made.serves == nil || made.serves(request, service, version)
--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -18,11 +18,11 @@
 	Services []Service `json:"services,omitempty"`
 	// RemovedRoutes are the hosts and prefixes of routes that are gone, Gone the names
 	// of services that are.
-	RemovedRoutes []string `json:"places,omitempty"`
-	RemovedServices   []string `json:"gone,omitempty"`
-	Limits Limits   `json:"limits"`
+	RemovedRoutes   []string `json:"places,omitempty"`
+	RemovedServices []string `json:"gone,omitempty"`
+	Limits          Limits   `json:"limits"`
 	// Tenants are those that are new or differ, GoneTenants the names of those that are gone.
-	Tenants     []Tenant `json:"tenants,omitempty"`
+	Tenants        []Tenant `json:"tenants,omitempty"`
 	RemovedTenants []string `json:"goneTenants,omitempty"`
 	// RouteCount, ServiceCount and TenantCount are those of the later version.
 	RouteCount   int `json:"routeCount"`
