--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -25,8 +25,8 @@
 	ErrClosed = errors.New("admission: the node takes no requests any more")
 )
 
-// Ticket describes a request that wants a slot.
-type Ticket struct {
+// RequestInfo describes a request that wants a slot.
+type RequestInfo struct {
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
 	// Returning requests were refused before. They come after those that come for
@@ -51,7 +51,7 @@
 }
 
 // precedence is the request's among those that compete for slots.
-func (t Ticket) precedence() precedence.Precedence {
+func (t RequestInfo) precedence() precedence.Precedence {
 	return precedence.Precedence{Nested: t.Nested, Priority: t.Priority, OverShare: t.OverShare, Returning: t.Returning}
 }
 
@@ -132,7 +132,7 @@
 
 // Acquire waits for a slot. The context bounds the wait; its error is returned
 // when it ends first.
-func (g *Gate) Acquire(ctx context.Context, ticket Ticket) (*Slot, error) {
+func (g *Gate) Acquire(ctx context.Context, ticket RequestInfo) (*Slot, error) {
 	entry, err := g.enter(ticket)
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 }
 
 // enter takes a slot at once, joins the queue or refuses.
-func (g *Gate) enter(ticket Ticket) (*waiter, error) {
+func (g *Gate) enter(ticket RequestInfo) (*waiter, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.closed {
@@ -207,7 +207,7 @@
 
 // open returns how many slots there are for such requests. Nested calls may have all: requests that
 // are at work wait for them.
-func (g *Gate) open(ticket Ticket) int {
+func (g *Gate) open(ticket RequestInfo) int {
 	if ticket.Nested {
 		return g.slots
 	}
@@ -240,7 +240,7 @@
 // that, and the work of one that runs, over all slots. It is corrected by how
 // long others waited compared to what was expected of them, since back ends
 // differ in pace and more urgent requests keep coming.
-func (g *Gate) expectedWait(before time.Duration, ticket Ticket) time.Duration {
+func (g *Gate) expectedWait(before time.Duration, ticket RequestInfo) time.Duration {
 	if g.slots == 0 {
 		return time.Hour
 	}
@@ -249,7 +249,7 @@
 }
 
 // workOf returns how long a request is expected to hold a slot.
-func (g *Gate) workOf(ticket Ticket) time.Duration {
+func (g *Gate) workOf(ticket RequestInfo) time.Duration {
 	if ticket.Work > 0 {
 		return ticket.Work
 	}
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -12,8 +12,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-func ticket(priority int, wait time.Duration) admission.Ticket {
-	return admission.Ticket{Priority: priority, MaximumWait: wait}
+func ticket(priority int, wait time.Duration) admission.RequestInfo {
+	return admission.RequestInfo{Priority: priority, MaximumWait: wait}
 }
 
 // TestOrder: the more urgent first, then those that come for the first time,
@@ -28,16 +28,16 @@
 		served := make(chan string, 11)
 		waiters := []struct {
 			name   string
-			ticket admission.Ticket
+			ticket admission.RequestInfo
 		}{
 			{"least urgent", ticket(2, time.Minute)},
-			{"long", admission.Ticket{Priority: 1, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
-			{"as long, newer", admission.Ticket{Priority: 1, Work: 70 * time.Millisecond, MaximumWait: time.Minute}},
-			{"nested", admission.Ticket{Priority: 2, Nested: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
-			{"over its share", admission.Ticket{Priority: 1, OverShare: true, MaximumWait: time.Minute}},
-			{"came back", admission.Ticket{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"came back later", admission.Ticket{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"long, came back", admission.Ticket{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
+			{"long", admission.RequestInfo{Priority: 1, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
+			{"as long, newer", admission.RequestInfo{Priority: 1, Work: 70 * time.Millisecond, MaximumWait: time.Minute}},
+			{"nested", admission.RequestInfo{Priority: 2, Nested: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
+			{"over its share", admission.RequestInfo{Priority: 1, OverShare: true, MaximumWait: time.Minute}},
+			{"came back", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"came back later", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"long, came back", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"older", ticket(1, time.Minute)},
 			{"newer", ticket(1, time.Minute)},
 			{"most urgent", ticket(0, time.Minute)},
@@ -149,12 +149,12 @@
 		gate := admission.New(time.Now)
 		gate.Resize(2)
 		for range 100 {
-			slot, err := gate.Acquire(t.Context(), admission.Ticket{Work: 10 * time.Millisecond, MaximumWait: time.Second})
+			slot, err := gate.Acquire(t.Context(), admission.RequestInfo{Work: 10 * time.Millisecond, MaximumWait: time.Second})
 			g.Expect(err).NotTo(HaveOccurred())
 			time.Sleep(10 * time.Millisecond)
 			slot.Release(true)
 		}
-		long := admission.Ticket{Work: 200 * time.Millisecond, MaximumWait: 450 * time.Millisecond}
+		long := admission.RequestInfo{Work: 200 * time.Millisecond, MaximumWait: 450 * time.Millisecond}
 		waited := make(chan time.Duration, 20)
 		refused := 0
 		var refusedAtOnce atomic.Int64
@@ -203,7 +203,7 @@
 			go func() {
 				defer func() { ended <- struct{}{} }()
 				started := time.Now()
-				slot, err := gate.Acquire(t.Context(), admission.Ticket{Work: 20 * time.Millisecond, MaximumWait: 200 * time.Millisecond})
+				slot, err := gate.Acquire(t.Context(), admission.RequestInfo{Work: 20 * time.Millisecond, MaximumWait: 200 * time.Millisecond})
 				if err != nil {
 					return
 				}
@@ -239,7 +239,7 @@
 		var inTime, late atomic.Int64
 		attempt := func(returning bool) bool {
 			began := time.Now()
-			slot, err := gate.Acquire(t.Context(), admission.Ticket{
+			slot, err := gate.Acquire(t.Context(), admission.RequestInfo{
 				Returning: returning, Work: work, MaximumWait: aim - work*3/2,
 			})
 			if err != nil {
--- a/internal/sidecar/admission/flow.go
+++ b/internal/sidecar/admission/flow.go
@@ -23,7 +23,7 @@
 }
 
 // groupOf returns the group that the request belongs to.
-func (f *flow) groupOf(ticket Ticket, unused *spare[group]) *group {
+func (f *flow) groupOf(ticket RequestInfo, unused *spare[group]) *group {
 	wanted := magnitude(ticket.Work)
 	index, found := slices.BinarySearchFunc(f.groups, wanted, func(held *group, wanted int) int { return cmp.Compare(held.magnitude, wanted) })
 	if !found {
--- a/internal/sidecar/admission/flow_test.go
+++ b/internal/sidecar/admission/flow_test.go
@@ -43,13 +43,13 @@
 	clock := &manual{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	running, err := gate.enter(Ticket{MaximumWait: time.Hour})
+	running, err := gate.enter(RequestInfo{MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
 	var waiting []*waiter
 	for step := range 4000 {
 		clock.at = clock.at.Add(time.Duration(random.IntN(20)) * time.Millisecond)
 		if step < 200 || random.IntN(2) == 0 {
-			entry, err := gate.enter(Ticket{
+			entry, err := gate.enter(RequestInfo{
 				Priority: random.IntN(3), Nested: random.IntN(8) == 0, OverShare: random.IntN(4) == 0, Returning: random.IntN(3) == 0,
 				Work: time.Duration(random.IntN(300)) * time.Millisecond, MaximumWait: 10 * time.Hour,
 			})
@@ -117,11 +117,11 @@
 	clock := &manual{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	running, _ := gate.enter(Ticket{MaximumWait: time.Hour})
+	running, _ := gate.enter(RequestInfo{MaximumWait: time.Hour})
 	var waiting []*waiter
 	join := func(tenant string, count int) {
 		for range count {
-			entry, err := gate.enter(Ticket{Tenant: tenant, Work: 100 * time.Millisecond, MaximumWait: time.Hour})
+			entry, err := gate.enter(RequestInfo{Tenant: tenant, Work: 100 * time.Millisecond, MaximumWait: time.Hour})
 			g.Expect(err).NotTo(HaveOccurred())
 			waiting = append(waiting, entry)
 		}
@@ -145,14 +145,14 @@
 	clock := &manual{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	_, _ = gate.enter(Ticket{MaximumWait: time.Hour})
+	_, _ = gate.enter(RequestInfo{MaximumWait: time.Hour})
 	var flood []*waiter
 	for range 4 {
-		entry, err := gate.enter(Ticket{Tenant: "flood", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
+		entry, err := gate.enter(RequestInfo{Tenant: "flood", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
 		g.Expect(err).NotTo(HaveOccurred())
 		flood = append(flood, entry)
 	}
-	small, err := gate.enter(Ticket{Tenant: "small", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
+	small, err := gate.enter(RequestInfo{Tenant: "small", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(gate.waiting.holds(small)).To(BeTrue())
 	g.Expect(flood[0].result).To(Receive(MatchError(ErrDisplaced)), "the oldest of the tenant with the most")
@@ -166,7 +166,7 @@
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 100_000 {
-		entry, err := gate.enter(Ticket{Tenant: fmt.Sprint(number), Work: time.Millisecond, MaximumWait: time.Second})
+		entry, err := gate.enter(RequestInfo{Tenant: fmt.Sprint(number), Work: time.Millisecond, MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		clock.at = clock.at.Add(time.Millisecond)
 		(&Slot{gate: gate, entry: entry, started: clock.at.Add(-time.Millisecond)}).Release(true)
@@ -184,7 +184,7 @@
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 10_000 {
-		entry, err := gate.enter(Ticket{Priority: number, Bounded: true, Tenant: "t", MaximumWait: time.Second})
+		entry, err := gate.enter(RequestInfo{Priority: number, Bounded: true, Tenant: "t", MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		(&Slot{gate: gate, entry: entry, started: clock.at}).Release(true)
 	}
@@ -209,7 +209,7 @@
 				time.Sleep(asks.from)
 				for time.Now().Before(end) {
 					go func() {
-						slot, err := gate.Acquire(context.Background(), Ticket{Tenant: name, Bounded: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
+						slot, err := gate.Acquire(context.Background(), RequestInfo{Tenant: name, Bounded: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
 						if err != nil {
 							return
 						}
@@ -244,7 +244,7 @@
 			}
 			waiting := make([]*waiter, 2000)
 			for i := range waiting {
-				ticket := Ticket{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
+				ticket := RequestInfo{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
 				of := gate.waiting.standings.join(ticket, clock.at)
 				waiting[i] = &waiter{ticket: ticket, work: ticket.Work, standing: of, kind: of.class.kind(magnitude(ticket.Work))}
 				gate.waiting.add(waiting[i])
--- a/internal/sidecar/admission/kind_test.go
+++ b/internal/sidecar/admission/kind_test.go
@@ -14,13 +14,13 @@
 // the same priority, gets a slot at least every so often, and no more than that. Where requests are not
 // bounded it gets none.
 func TestNoKindWaitsInVain(t *testing.T) {
-	flooding := Ticket{Priority: 1, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}
+	flooding := RequestInfo{Priority: 1, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}
 	cases := []struct {
 		name    string
-		starved Ticket
+		starved RequestInfo
 	}{
-		{"less urgent", Ticket{Priority: 2, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
-		{"longer", Ticket{Priority: 1, Work: 200 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
+		{"less urgent", RequestInfo{Priority: 2, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
+		{"longer", RequestInfo{Priority: 1, Work: 200 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
 	}
 	for _, played := range cases {
 		for _, bounded := range []bool{true, false} {
@@ -33,7 +33,7 @@
 					var mu sync.Mutex // guards all below
 					var got []time.Time
 					flooded := 0
-					serve := func(ticket Ticket, began func()) {
+					serve := func(ticket RequestInfo, began func()) {
 						ticket.Bounded = bounded
 						slot, err := gate.Acquire(t.Context(), ticket)
 						if err != nil {
@@ -92,10 +92,10 @@
 func overdueQueue(g *WithT, clock *manual) (gate *Gate, running, waiting *waiter) {
 	gate = New(clock.now)
 	gate.Resize(1)
-	running, err := gate.enter(Ticket{Priority: 1, MaximumWait: time.Hour})
+	running, err := gate.enter(RequestInfo{Priority: 1, MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
 	gate.grants = grantsPerOverdue
-	late := Ticket{Priority: 2, Bounded: true, Work: 100 * time.Millisecond, MaximumWait: time.Hour}
+	late := RequestInfo{Priority: 2, Bounded: true, Work: 100 * time.Millisecond, MaximumWait: time.Hour}
 	first, err := gate.enter(late)
 	g.Expect(err).NotTo(HaveOccurred())
 	gate.waiting.remove(first)
@@ -112,9 +112,9 @@
 	g := NewWithT(t)
 	clock := &manual{at: time.Unix(1, 0)}
 	gate, running, late := overdueQueue(g, clock)
-	nested, err := gate.enter(Ticket{Nested: true, MaximumWait: time.Hour})
+	nested, err := gate.enter(RequestInfo{Nested: true, MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
-	urgent, err := gate.enter(Ticket{Priority: 1, MaximumWait: time.Hour})
+	urgent, err := gate.enter(RequestInfo{Priority: 1, MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
 	waiting := []*waiter{late, nested, urgent}
 	for _, wanted := range []*waiter{nested, late, urgent} {
@@ -131,7 +131,7 @@
 	gate, _, late := overdueQueue(g, clock)
 	var urgent []*waiter
 	for range 6 {
-		entry, err := gate.enter(Ticket{Priority: 1, Work: 100 * time.Millisecond, MaximumWait: 300 * time.Millisecond})
+		entry, err := gate.enter(RequestInfo{Priority: 1, Work: 100 * time.Millisecond, MaximumWait: 300 * time.Millisecond})
 		g.Expect(err).NotTo(HaveOccurred())
 		urgent = append(urgent, entry)
 	}
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -74,7 +74,7 @@
 // Room returns the rate of the back end's limit, in requests a second, and how many requests like the
 // ticket's it has room for, below zero for those that wait; false without a limit. An error that refused
 // the request tells the time that its peer was told.
-func (g *Gate) Room(ticket Ticket, refused *LimitedError) (perSecond, room float64, limited bool) {
+func (g *Gate) Room(ticket RequestInfo, refused *LimitedError) (perSecond, room float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
@@ -90,7 +90,7 @@
 
 // limitBinds reports whether a request waits for the limit alone: what is ahead of it is worked off at a
 // known rate, so that the oldest may go first and others are refused when they come. The lock is held.
-func (g *Gate) limitBinds(ticket Ticket) bool { return g.limited.Load() && g.running < g.open(ticket) }
+func (g *Gate) limitBinds(ticket RequestInfo) bool { return g.limited.Load() && g.running < g.open(ticket) }
 
 // withinLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
 // is held.
@@ -102,12 +102,12 @@
 }
 
 // limitedError returns the error for a request before which so many others pass; the lock is held.
-func (g *Gate) limitedError(ticket Ticket, ahead int, now time.Time) *LimitedError {
+func (g *Gate) limitedError(ticket RequestInfo, ahead int, now time.Time) *LimitedError {
 	return &LimitedError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
 }
 
 // class is the ticket's among those that a limit tells apart.
-func (t Ticket) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
+func (t RequestInfo) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
 
 // tooLate returns why an entry has waited for too long; the lock is held.
 func (g *Gate) tooLate(entry *waiter) error {
--- a/internal/sidecar/admission/overload_test.go
+++ b/internal/sidecar/admission/overload_test.go
@@ -51,7 +51,7 @@
 	gate := admission.New(time.Now)
 	gate.Resize(overloadSlots)
 	return func(returning bool) func() {
-		slot, err := gate.Acquire(context.Background(), admission.Ticket{
+		slot, err := gate.Acquire(context.Background(), admission.RequestInfo{
 			Returning: returning, Work: overloadWork, MaximumWait: overloadAim - overloadWork*3/2,
 		})
 		if err != nil {
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -11,7 +11,7 @@
 
 // waiter is a request in the queue.
 type waiter struct {
-	ticket Ticket
+	ticket RequestInfo
 	result chan error
 	// entered is when it joined the queue, predicted the wait expected then.
 	entered   time.Time
--- a/internal/sidecar/admission/reserve_test.go
+++ b/internal/sidecar/admission/reserve_test.go
@@ -29,7 +29,7 @@
 		var late, urgent, running, most atomic.Int64
 		began := time.Now()
 		learned := func() bool { return time.Since(began) > period/4 }
-		serve := func(ticket admission.Ticket, work time.Duration) {
+		serve := func(ticket admission.RequestInfo, work time.Duration) {
 			slot, err := gate.Acquire(t.Context(), ticket)
 			if ticket.Priority == 1 && learned() {
 				urgent.Add(1)
@@ -46,12 +46,12 @@
 			slot.Release(true)
 		}
 		for i := 0; time.Since(began) < 2*period; i++ {
-			go serve(admission.Ticket{Priority: 2, Work: long, MaximumWait: long}, long)
+			go serve(admission.RequestInfo{Priority: 2, Work: long, MaximumWait: long}, long)
 			if time.Since(began) < period {
 				// Urgent ones come in pairs, at uneven times.
 				time.Sleep(time.Duration(i%7) * time.Millisecond)
 				for range i % 3 {
-					go serve(admission.Ticket{Priority: 1, Work: short, MaximumWait: slack}, short)
+					go serve(admission.RequestInfo{Priority: 1, Work: short, MaximumWait: slack}, short)
 				}
 			} else if time.Since(began) < period+period/2 {
 				most.Store(0)
--- a/internal/sidecar/admission/standing.go
+++ b/internal/sidecar/admission/standing.go
@@ -56,7 +56,7 @@
 )
 
 // join returns the standing of the ticket's tenant for a request that comes now.
-func (s *standings) join(ticket Ticket, now time.Time) *standing {
+func (s *standings) join(ticket RequestInfo, now time.Time) *standing {
 	competes := s.classOf(ticket)
 	held := &competes.unnamed
 	if ticket.Tenant != "" {
@@ -68,7 +68,7 @@
 	return held
 }
 
-func (s *standings) classOf(ticket Ticket) *class {
+func (s *standings) classOf(ticket RequestInfo) *class {
 	number := ticket.Priority
 	if ticket.Nested {
 		number = nestedClass
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -239,8 +239,8 @@
 }
 
 // ticket describes the request to the gate.
-func (a *arrival) ticket() admission.Ticket {
-	return admission.Ticket{
+func (a *arrival) ticket() admission.RequestInfo {
+	return admission.RequestInfo{
 		Priority:    a.told.Priority,
 		Returning:   a.told.Returning,
 		Nested:      a.told.Nested,
--- a/internal/sidecar/tenants_test.go
+++ b/internal/sidecar/tenants_test.go
@@ -17,7 +17,7 @@
 	gate := admission.New(func() time.Time { return time.Unix(1, 0) })
 	gate.Resize(1)
 	for number := range 2 * labelledTenants {
-		slot, err := gate.Acquire(t.Context(), admission.Ticket{Tenant: strconv.Itoa(number), MaximumWait: time.Second})
+		slot, err := gate.Acquire(t.Context(), admission.RequestInfo{Tenant: strconv.Itoa(number), MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		slot.Release(true)
 	}
