--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -37,8 +37,8 @@
 	Nested, OverShare bool
 	// Tenant is whose request it is; empty where nobody is told apart.
 	Tenant string
-	// Bounded: no kind of request is to wait in vain for long, however urgent others are.
-	Bounded bool
+	// PreventStarvation: no kind of request is to wait in vain for long, however urgent others are.
+	PreventStarvation bool
 	// Work is how long the back end is expected to work on the request. Of equal
 	// urgency the much shorter go first: more of them are served, and calls that
 	// back ends make while they work are short.
@@ -179,7 +179,7 @@
 	entry := &waiter{ticket: ticket, work: g.workOf(ticket), result: make(chan error, 1), entered: now}
 	entry.standing = g.waiting.standings.join(ticket, now)
 	entry.kind = entry.standing.class.kind(magnitude(ticket.Work))
-	if ticket.Bounded {
+	if ticket.PreventStarvation {
 		entry.kind.comes(now)
 	}
 	entry.behind = g.limitBinds(ticket)
--- a/internal/sidecar/admission/flow_test.go
+++ b/internal/sidecar/admission/flow_test.go
@@ -184,7 +184,7 @@
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 10_000 {
-		entry, err := gate.enter(RequestInfo{Priority: number, Bounded: true, Tenant: "t", MaximumWait: time.Second})
+		entry, err := gate.enter(RequestInfo{Priority: number, PreventStarvation: true, Tenant: "t", MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		(&Slot{gate: gate, entry: entry, started: clock.at}).Release(true)
 	}
@@ -209,7 +209,7 @@
 				time.Sleep(asks.from)
 				for time.Now().Before(end) {
 					go func() {
-						slot, err := gate.Acquire(context.Background(), RequestInfo{Tenant: name, Bounded: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
+						slot, err := gate.Acquire(context.Background(), RequestInfo{Tenant: name, PreventStarvation: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
 						if err != nil {
 							return
 						}
--- a/internal/sidecar/admission/kind_test.go
+++ b/internal/sidecar/admission/kind_test.go
@@ -34,7 +34,7 @@
 					var got []time.Time
 					flooded := 0
 					serve := func(ticket RequestInfo, began func()) {
-						ticket.Bounded = bounded
+						ticket.PreventStarvation = bounded
 						slot, err := gate.Acquire(t.Context(), ticket)
 						if err != nil {
 							return
@@ -95,7 +95,7 @@
 	running, err := gate.enter(RequestInfo{Priority: 1, MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
 	gate.grants = grantsPerOverdue
-	late := RequestInfo{Priority: 2, Bounded: true, Work: 100 * time.Millisecond, MaximumWait: time.Hour}
+	late := RequestInfo{Priority: 2, PreventStarvation: true, Work: 100 * time.Millisecond, MaximumWait: time.Hour}
 	first, err := gate.enter(late)
 	g.Expect(err).NotTo(HaveOccurred())
 	gate.waiting.remove(first)
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -246,7 +246,7 @@
 		Nested:      a.told.Nested,
 		OverShare:   a.told.OverShare,
 		Tenant:      a.tenant(),
-		Bounded:     a.contended(),
+		PreventStarvation:     a.contended(),
 		Work:        a.told.Expected,
 		MaximumWait: a.told.MaximumWait,
 		Peer:        a.peer(),
