--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -16,8 +16,8 @@
 
 // Refusals. A refused request has not run.
 var (
-	// ErrTooLong: the request would wait longer than it may.
-	ErrTooLong = errors.New("admission: the queue is too long")
+	// ErrWaitTooLong: the request would wait longer than it may.
+	ErrWaitTooLong = errors.New("admission: the queue is too long")
 	// ErrDisplaced: requests that come before it took its place: more urgent ones, those of tenants
 	// that have had less, or shorter ones.
 	ErrDisplaced = errors.New("admission: displaced by requests that come before it")
@@ -197,7 +197,7 @@
 	entry.predicted = g.expectedWait(g.waiting.workBefore(entry), ticket)
 	if entry.predicted > ticket.MaximumWait && !entry.kind.kept(0, now) {
 		g.reserve.began(ticket.Priority, true, g.slots, now)
-		return nil, ErrTooLong
+		return nil, ErrWaitTooLong
 	}
 	g.waiting.add(entry)
 	g.displace()
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -69,7 +69,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 
 		_, err = gate.Acquire(t.Context(), ticket(1, 10*time.Millisecond))
-		g.Expect(err).To(MatchError(admission.ErrTooLong))
+		g.Expect(err).To(MatchError(admission.ErrWaitTooLong))
 
 		refused := make(chan error, 2)
 		for range 2 {
@@ -87,7 +87,7 @@
 		g.Expect(<-refused).To(MatchError(admission.ErrDisplaced))
 
 		started := time.Now()
-		g.Expect(<-refused).To(MatchError(admission.ErrTooLong))
+		g.Expect(<-refused).To(MatchError(admission.ErrWaitTooLong))
 		g.Expect(time.Since(started)).To(BeNumerically("<=", 150*time.Millisecond))
 		g.Expect(gate.Load().Waiting).To(Equal(1))
 
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -116,7 +116,7 @@
 		return g.limitedError(entry.ticket, g.waiting.lengthBefore(entry), now)
 	}
 	g.reserve.began(entry.ticket.Priority, true, g.slots, now)
-	return ErrTooLong
+	return ErrWaitTooLong
 }
 
 // wakeLater grants slots once the limit has room for a request that waits; the lock is held.
