--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -113,14 +113,14 @@
 // Load is a moment's state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
-	Service                 time.Duration
+	ServiceTime                 time.Duration
 }
 
 // Load returns the present state.
 func (g *Gate) Load() Load {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, Service: g.service}
+	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, ServiceTime: g.service}
 }
 
 // Slot is a held slot.
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -131,13 +131,13 @@
 			time.Sleep(200 * time.Millisecond)
 			slot.Release(true)
 		}
-		g.Expect(gate.Load().Service).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
+		g.Expect(gate.Load().ServiceTime).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
 		slot, err := gate.Acquire(t.Context(), ticket(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
-		before := gate.Load().Service
+		before := gate.Load().ServiceTime
 		time.Sleep(time.Hour)
 		slot.Release(false)
-		g.Expect(gate.Load().Service).To(Equal(before))
+		g.Expect(gate.Load().ServiceTime).To(Equal(before))
 	})
 }
 
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -262,7 +262,7 @@
 // retryAfter is the time in which the queue is expected to be worked off.
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
-	wait := load.Service * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
+	wait := load.ServiceTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	return max(wait, refusedWait/2)
 }
 
@@ -285,7 +285,7 @@
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
-		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, Held: load.Service,
+		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, Held: load.ServiceTime,
 		Factor: a.handler.pace.Factor(clock.Now()), Worked: worked, Failing: a.handler.failures.Share(),
 	}
 	header := a.writer.Header()
