--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -37,7 +37,7 @@
 func (t *tenantTimes) Collect(into chan<- prometheus.Metric) {
 	top, others := t.usage(labelledTenants)
 	for _, one := range top {
-		into <- prometheus.MustNewConstMetric(t.named, prometheus.GaugeValue, one.Held.Seconds(), one.Tenant)
+		into <- prometheus.MustNewConstMetric(t.named, prometheus.GaugeValue, one.SlotTime.Seconds(), one.Tenant)
 	}
 	into <- prometheus.MustNewConstMetric(t.others, prometheus.GaugeValue, others.Seconds())
 }
