--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -7,15 +7,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/ratelimit"
 )
 
-// LimitedError says that the back end's own limit has no room for a request within its maximum wait.
+// RateLimitError says that the back end's own limit has no room for a request within its maximum wait.
 // The request has not run.
-type LimitedError struct {
+type RateLimitError struct {
 	// Wait is the time until there is likely to be room.
 	Wait time.Duration
 }
 
 // Error implements error.
-func (e *LimitedError) Error() string {
+func (e *RateLimitError) Error() string {
 	return fmt.Sprintf("admission: the back end's limit has no room for %v", e.Wait)
 }
 
@@ -74,7 +74,7 @@
 // Room returns the rate of the back end's limit, in requests a second, and how many requests like the
 // ticket's it has room for, below zero for those that wait; false without a limit. An error that refused
 // the request tells the time that its peer was told.
-func (g *Gate) Room(ticket RequestInfo, refused *LimitedError) (perSecond, room float64, limited bool) {
+func (g *Gate) Room(ticket RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
@@ -102,8 +102,8 @@
 }
 
 // limitedError returns the error for a request before which so many others pass; the lock is held.
-func (g *Gate) limitedError(ticket RequestInfo, ahead int, now time.Time) *LimitedError {
-	return &LimitedError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
+func (g *Gate) limitedError(ticket RequestInfo, ahead int, now time.Time) *RateLimitError {
+	return &RateLimitError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
 }
 
 // class is the ticket's among those that a limit tells apart.
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -31,9 +31,9 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		_, err := gate.Acquire(t.Context(), ticket(1, 50*time.Millisecond))
-		var limited *admission.LimitedError
+		var limited *admission.RateLimitError
 		g.Expect(err).To(BeAssignableToTypeOf(limited))
-		g.Expect(err.(*admission.LimitedError).Wait).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
+		g.Expect(err.(*admission.RateLimitError).Wait).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 		began := time.Now()
 		_, err = gate.Acquire(t.Context(), ticket(1, 200*time.Millisecond))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -60,7 +60,7 @@
 			served.Store(err == nil)
 		}()
 		synctest.Wait()
-		g.Expect(<-displaced).To(BeAssignableToTypeOf(&admission.LimitedError{}))
+		g.Expect(<-displaced).To(BeAssignableToTypeOf(&admission.RateLimitError{}))
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
 		g.Expect(served.Load()).To(BeTrue())
@@ -100,7 +100,7 @@
 					g.Expect(<-results).NotTo(HaveOccurred())
 					return
 				}
-				g.Expect(<-results).To(BeAssignableToTypeOf(&admission.LimitedError{}))
+				g.Expect(<-results).To(BeAssignableToTypeOf(&admission.RateLimitError{}))
 			})
 		})
 	}
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -61,7 +61,7 @@
 	// counted: the request was offered to the queue, and counts against its tenant's share.
 	counted bool
 	// limited is why the back end's limit refused the request, nil when it did not.
-	limited *admission.LimitedError
+	limited *admission.RateLimitError
 	// onTrial: the request is suspected of ending back ends and has the handler's trial.
 	onTrial bool
 }
