--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -329,8 +329,8 @@
 	g.grant()
 }
 
-// Return frees the slot of a request that was not sent to the back end.
-func (s *Slot) Return() {
+// Refund frees the slot of a request that was not sent to the back end.
+func (s *Slot) Refund() {
 	g := s.gate
 	g.mutex.Lock()
 	g.limit.Return(g.now())
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -134,7 +134,7 @@
 		for range 5 {
 			slot, err := gate.Acquire(t.Context(), ticket(1, 0))
 			g.Expect(err).NotTo(HaveOccurred())
-			slot.Return()
+			slot.Refund()
 		}
 	})
 }
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -93,7 +93,7 @@
 	served, sent := false, false
 	defer func() {
 		if !sent {
-			slot.Return()
+			slot.Refund()
 			return
 		}
 		slot.Release(served)
@@ -231,7 +231,7 @@
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, a.retryAfter(), err)
 	}
 	if a.handler.leftBehind(a.endpoint.Incarnation()) {
-		slot.Return()
+		slot.Refund()
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errLeaving)
 	}
 	a.admitted()
