--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -308,7 +308,7 @@
 	}
 	g.running--
 	entry.standing.end(entry, 0, g.now())
-	g.limit.Return(g.now())
+	g.limit.Refund(g.now())
 	g.grant()
 	return cause
 }
@@ -333,7 +333,7 @@
 func (s *Slot) Refund() {
 	g := s.gate
 	g.mutex.Lock()
-	g.limit.Return(g.now())
+	g.limit.Refund(g.now())
 	g.mutex.Unlock()
 	s.Release(false)
 }
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Return takes back the count of a request that passed and was not sent.
-func (l *Limit) Return(now time.Time) {
+// Refund takes back the count of a request that passed and was not sent.
+func (l *Limit) Refund(now time.Time) {
 	if l.advertised.Named {
 		l.bucket.refill(now)
 		l.bucket.tokens = min(l.bucket.tokens+1, l.bucket.size)
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -170,7 +170,7 @@
 func TestWhatWasNotSentDoesNotCount(t *testing.T) {
 	limit, now := limited(1), start.Add(time.Second)
 	limit.Pass(1, now)
-	limit.Return(now)
+	limit.Refund(now)
 	NewWithT(t).Expect(limit.Ready(now)).To(BeTrue())
 }
 
