--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -28,7 +28,7 @@
 	if !g.limit.Update(advertised, sent, answered) {
 		return Limit{}, false
 	}
-	g.limited.Store(advertised.Named)
+	g.limited.Store(advertised.HasLimit)
 	g.displace()
 	g.grant()
 	return Limit{Advertised: held, Age: answered.Sub(since), Recent: g.limit.Recent(answered)}, true
@@ -79,7 +79,7 @@
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
 	switch {
-	case !advertised.Named:
+	case !advertised.HasLimit:
 		return 0, 0, false
 	case refused != nil:
 		return advertised.PerSecond, g.limit.RoomIn(refused.Wait), true
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -17,7 +17,7 @@
 func newLimitedGate(slots int, perSecond float64) *admission.Gate {
 	gate := admission.New(time.Now)
 	gate.Resize(slots)
-	gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: perSecond}, time.Now(), time.Now())
+	gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: perSecond}, time.Now(), time.Now())
 	return gate
 }
 
@@ -74,7 +74,7 @@
 		word   ratelimit.Advertised
 		passes bool
 	}{
-		{"lowered", ratelimit.Advertised{Named: true, PerSecond: 0.5}, false},
+		{"lowered", ratelimit.Advertised{HasLimit: true, PerSecond: 0.5}, false},
 		{"ended", ratelimit.Advertised{}, true},
 	} {
 		t.Run(held.name, func(t *testing.T) {
--- a/internal/sidecar/backendstatus.go
+++ b/internal/sidecar/backendstatus.go
@@ -37,7 +37,7 @@
 	if status.Endpoint != nil {
 		status.LeavesByAnswer = s.ingress.LeavesByAnswer(status.Endpoint.Incarnation())
 	}
-	if limit.Named {
+	if limit.HasLimit {
 		status.Limit = &LimitStatus{PerSecond: limit.PerSecond, ForSeconds: limit.Age.Round(time.Millisecond).Seconds()}
 	}
 	return status
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -77,14 +77,14 @@
 // hear takes in what the back end asks for with an answer to a request sent at that moment.
 func (h *Handler) hear(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read {
-		h.hearLimit(ratelimit.Advertised{Named: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
+		h.hearLimit(ratelimit.Advertised{HasLimit: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
 // hearHealth is hear for the answer to a health check. It may leave a limit out that holds.
 func (h *Handler) hearHealth(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read && notice.Limited {
-		h.hearLimit(ratelimit.Advertised{Named: true, PerSecond: notice.PerSecond}, of, sent)
+		h.hearLimit(ratelimit.Advertised{HasLimit: true, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 	// Of what several nodes know the strictest holds.
-	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: told.PerSecond}, time.Time{}, clock.Now()); changed {
+	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: told.PerSecond}, time.Time{}, clock.Now()); changed {
 		a.handler.options.Logger.Info("limit of the back end told by a node", zap.String("endpoint", a.endpoint.ID),
 			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", told.PerSecond))
 	}
@@ -144,13 +144,13 @@
 
 // logLimit tells of a change; the lock of the notices is held.
 func (h *Handler) logLimit(of *roster.Endpoint, before admission.Limit, advertised ratelimit.Advertised, now time.Time) {
-	if before.Named == advertised.Named && now.Sub(h.notices.logged) < noticeLogInterval {
+	if before.HasLimit == advertised.HasLimit && now.Sub(h.notices.logged) < noticeLogInterval {
 		return
 	}
 	h.notices.logged = now
 	h.options.Logger.Info("limit of the back end", zap.String("endpoint", of.ID), zap.String("service", of.Service),
-		zap.Bool("limited", advertised.Named), zap.Float64("perSecond", advertised.PerSecond),
-		zap.Bool("limitedBefore", before.Named), zap.Float64("perSecondBefore", before.PerSecond),
+		zap.Bool("limited", advertised.HasLimit), zap.Float64("perSecond", advertised.PerSecond),
+		zap.Bool("limitedBefore", before.HasLimit), zap.Float64("perSecondBefore", before.PerSecond),
 		zap.Duration("for", before.Age), zap.Int("recent", before.Recent))
 }
 
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -80,7 +80,7 @@
 			made := playNoticed(t, false)
 			made.names("3", held.answer)
 			made.receive(t.Context())
-			g.Expect(made.handler.Limit().Named).To(Equal(held.heard))
+			g.Expect(made.handler.Limit().HasLimit).To(Equal(held.heard))
 		})
 	}
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -243,7 +243,7 @@
 	})
 	gauge("kestrel_sidecar_backend_limit", "Requests a second that the local back end takes by its own word, below zero without one.", func() float64 {
 		limit := s.ingress.Limit()
-		if !limit.Named {
+		if !limit.HasLimit {
 			return -1
 		}
 		return limit.PerSecond
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -7,14 +7,14 @@
 
 // Advertised is the limit that an answer of a back end names. The zero value names none.
 type Advertised struct {
-	Named bool
+	HasLimit bool
 	// PerSecond is how many requests a second the back end takes.
 	PerSecond float64
 }
 
 // looser reports whether it allows more than the other one.
 func (a Advertised) looser(other Advertised) bool {
-	return other.Named && (!a.Named || a.PerSecond > other.PerSecond)
+	return other.HasLimit && (!a.HasLimit || a.PerSecond > other.PerSecond)
 }
 
 // Limit is the limit that a back end has named. In any Window it lets pass no more than four times the
@@ -49,10 +49,10 @@
 	case advertised.looser(l.advertised) && sent.Before(l.heard):
 		return false
 	}
-	if !l.advertised.Named {
+	if !l.advertised.HasLimit {
 		l.begin(advertised.PerSecond, answered)
 	}
-	if advertised.Named {
+	if advertised.HasLimit {
 		l.bucket.setRate(advertised.PerSecond, answered)
 	}
 	l.advertised, l.since, l.heard = advertised, answered, answered
@@ -84,7 +84,7 @@
 // Pass counts a request of the class that passes.
 func (l *Limit) Pass(class Class, now time.Time) {
 	l.recent.note(now)
-	if l.advertised.Named {
+	if l.advertised.HasLimit {
 		l.usage.note(class, now)
 		l.bucket.refill(now)
 		l.bucket.tokens--
@@ -93,7 +93,7 @@
 
 // Refund takes back the count of a request that passed and was not sent.
 func (l *Limit) Refund(now time.Time) {
-	if l.advertised.Named {
+	if l.advertised.HasLimit {
 		l.bucket.refill(now)
 		l.bucket.tokens = min(l.bucket.tokens+1, l.bucket.size)
 	}
@@ -101,7 +101,7 @@
 
 // Wait returns the time until a request may pass before which so many others do.
 func (l *Limit) Wait(ahead int, now time.Time) time.Duration {
-	if !l.advertised.Named {
+	if !l.advertised.HasLimit {
 		return 0
 	}
 	return l.bucket.wait(float64(ahead+1), now)
@@ -131,7 +131,7 @@
 // the class has passed for the interval of the least share, nor has another one before its turn, and no class
 // that asks as well has waited longer. At most one is ahead of the limit.
 func (l *Limit) TakeOwed(class Class, now time.Time) bool {
-	if !l.advertised.Named {
+	if !l.advertised.HasLimit {
 		return false
 	}
 	l.bucket.refill(now)
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -17,7 +17,7 @@
 )
 
 func named(perSecond float64) ratelimit.Advertised {
-	return ratelimit.Advertised{Named: true, PerSecond: perSecond}
+	return ratelimit.Advertised{HasLimit: true, PerSecond: perSecond}
 }
 
 // limited returns a limit that was named at start.
