--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -223,7 +223,7 @@
 // start gives the entry a slot.
 func (g *Gate) start(entry *waiter) {
 	g.reserve.began(entry.ticket.Priority, false, g.slots, g.now())
-	g.limit.Pass(entry.ticket.class(), g.now())
+	g.limit.Consume(entry.ticket.class(), g.now())
 	g.running++
 	g.grants++
 	entry.kind.since = g.now()
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -102,7 +102,7 @@
 	wait, room := limit.Wait(0, now), 0.0
 	served := wait <= fleetPatience
 	if served {
-		limit.Pass(1, now) // what waits is counted at once: the bucket goes below zero
+		limit.Consume(1, now) // what waits is counted at once: the bucket goes below zero
 		f.served++
 		f.servedBy[one.back] = append(f.servedBy[one.back], now.Add(wait))
 		room = limit.Room(fmt.Sprint(one.node), 1, 0, now)
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -81,8 +81,8 @@
 // Ready reports whether a request may pass now.
 func (l *Limit) Ready(now time.Time) bool { return l.Wait(0, now) == 0 }
 
-// Pass counts a request of the class that passes.
-func (l *Limit) Pass(class Class, now time.Time) {
+// Consume counts a request of the class that passes.
+func (l *Limit) Consume(class Class, now time.Time) {
 	l.recent.note(now)
 	if l.advertised.HasLimit {
 		l.usage.note(class, now)
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -54,7 +54,7 @@
 				now = now.Add(time.Duration(gap * float64(time.Second)))
 				class := ratelimit.Class(random.IntN(4))
 				if limit.Ready(now) || limit.TakeOwed(class, now) {
-					limit.Pass(class, now)
+					limit.Consume(class, now)
 					passed = append(passed, now)
 				}
 			}
@@ -72,7 +72,7 @@
 			for range 50 {
 				for range together {
 					NewWithT(t).Expect(limit.Wait(0, now)).To(BeZero(), "rate %v, %d together", rate, together)
-					limit.Pass(1, now)
+					limit.Consume(1, now)
 				}
 				now = now.Add(time.Duration(float64(together)/rate*float64(time.Second)).Round(time.Microsecond) + time.Microsecond)
 			}
@@ -85,13 +85,13 @@
 	g := NewWithT(t)
 	limit := &ratelimit.Limit{}
 	for range 7 {
-		limit.Pass(1, start)
+		limit.Consume(1, start)
 	}
 	now := start.Add(500 * time.Millisecond)
 	limit.Update(named(10), now, now)
 	for range 3 {
 		g.Expect(limit.Ready(now)).To(BeTrue())
-		limit.Pass(1, now)
+		limit.Consume(1, now)
 	}
 	g.Expect(limit.Ready(now)).To(BeFalse())
 	g.Expect(limit.Recent(now)).To(Equal(10))
@@ -138,8 +138,8 @@
 		"another incarnation": (*ratelimit.Limit).Reset,
 	} {
 		limit := limited(0)
-		limit.Pass(1, start)
-		limit.Pass(1, start)
+		limit.Consume(1, start)
+		limit.Consume(1, start)
 		NewWithT(t).Expect(limit.Ready(start)).To(BeFalse(), name)
 		end(limit)
 		NewWithT(t).Expect(limit.Ready(start)).To(BeTrue(), name)
@@ -157,7 +157,7 @@
 				limit.Update(named(rates[1]), now, now)
 			}
 			if limit.Ready(now) {
-				limit.Pass(1, now)
+				limit.Consume(1, now)
 				passed = append(passed, now)
 			}
 		}
@@ -169,7 +169,7 @@
 // TestWhatWasNotSentDoesNotCount.
 func TestWhatWasNotSentDoesNotCount(t *testing.T) {
 	limit, now := limited(1), start.Add(time.Second)
-	limit.Pass(1, now)
+	limit.Consume(1, now)
 	limit.Refund(now)
 	NewWithT(t).Expect(limit.Ready(now)).To(BeTrue())
 }
@@ -193,7 +193,7 @@
 func TestALimitOfANodeThatHasJustStartedBeginsWithoutRoom(t *testing.T) {
 	limit := &ratelimit.Limit{}
 	limit.Restarted()
-	limit.Pass(1, start)
+	limit.Consume(1, start)
 	limit.Update(named(10), start, start)
 	NewWithT(t).Expect(limit.Wait(0, start)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
@@ -208,7 +208,7 @@
 		now = now.Add(10 * time.Millisecond)
 		for class := range passed {
 			if class == 0 && limit.Ready(now) || class > 0 && limit.TakeOwed(ratelimit.Class(class), now) {
-				limit.Pass(ratelimit.Class(class), now)
+				limit.Consume(ratelimit.Class(class), now)
 				passed[class]++
 			}
 		}
@@ -224,10 +224,10 @@
 	limit, now := limited(10), start
 	for range 100 { // half of the limit
 		now = now.Add(200 * time.Millisecond)
-		limit.Pass(0, now)
+		limit.Consume(0, now)
 	}
 	for limit.Ready(now) {
-		limit.Pass(1, now)
+		limit.Consume(1, now)
 	}
 	g.Expect(limit.WaitOf(0, 0, now)).To(Equal(limit.Wait(0, now)))
 	g.Expect(limit.WaitOf(1, 0, now)).To(BeNumerically("~", 2*limit.Wait(0, now), 20*time.Millisecond))
