--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -35,7 +35,7 @@
 	record := considered.records[index]
 	chosen := c.handler.targets.of(record)
 	if limit := chosen.limitOf(record); limit != nil {
-		limit.Sent(c.class(), considered.now)
+		limit.Consume(c.class(), considered.now)
 	}
 	if considered.competes {
 		c.handler.zoneLoads.of(record).sent.Add(1)
--- a/internal/sidecar/ratelimit/estimate.go
+++ b/internal/sidecar/ratelimit/estimate.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Sent counts a request of the class.
-func (e *Estimate) Sent(class Class, now time.Time) {
+// Consume counts a request of the class.
+func (e *Estimate) Consume(class Class, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := class; i < classes; i++ {
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if estimate := f.estimates[one.node][one.back]; estimate != nil {
-		estimate.Sent(1, now)
+		estimate.Consume(1, now)
 	}
 	one.at = now.Add(fleetLatency / 2)
 	one.sends++
