--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -188,7 +188,7 @@
 		return entry, nil
 	}
 	if err := g.withinLimit(entry, g.waiting.lengthBefore(entry), now); err != nil {
-		if g.running < g.open(ticket) && g.limit.TakeOwed(ticket.class(), now) {
+		if g.running < g.open(ticket) && g.limit.TakeMinimumShare(ticket.class(), now) {
 			g.start(entry)
 			return entry, nil
 		}
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -127,10 +127,10 @@
 	return time.Duration(float64(wait) / l.left(class, now))
 }
 
-// TakeOwed reports whether a request of the class, which is about to pass, may do so before its turn: none of
+// TakeMinimumShare reports whether a request of the class, which is about to pass, may do so before its turn: none of
 // the class has passed for the interval of the least share, nor has another one before its turn, and no class
 // that asks as well has waited longer. At most one is ahead of the limit.
-func (l *Limit) TakeOwed(class Class, now time.Time) bool {
+func (l *Limit) TakeMinimumShare(class Class, now time.Time) bool {
 	if !l.advertised.HasLimit {
 		return false
 	}
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -53,7 +53,7 @@
 				}
 				now = now.Add(time.Duration(gap * float64(time.Second)))
 				class := ratelimit.Class(random.IntN(4))
-				if limit.Ready(now) || limit.TakeOwed(class, now) {
+				if limit.Ready(now) || limit.TakeMinimumShare(class, now) {
 					limit.Consume(class, now)
 					passed = append(passed, now)
 				}
@@ -207,7 +207,7 @@
 	for range seconds * 100 {
 		now = now.Add(10 * time.Millisecond)
 		for class := range passed {
-			if class == 0 && limit.Ready(now) || class > 0 && limit.TakeOwed(ratelimit.Class(class), now) {
+			if class == 0 && limit.Ready(now) || class > 0 && limit.TakeMinimumShare(ratelimit.Class(class), now) {
 				limit.Consume(ratelimit.Class(class), now)
 				passed[class]++
 			}
