--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -282,7 +282,7 @@
 			return
 		}
 		left := last.ticket.MaximumWait - g.now().Sub(last.entered)
-		limited := g.limit.WaitOf(last.ticket.class(), g.waiting.length-1, g.now()) > left
+		limited := g.limit.WaitForClass(last.ticket.class(), g.waiting.length-1, g.now()) > left
 		if !limited && g.expectedWait(g.waiting.work()-last.work, last.ticket) <= left {
 			return
 		}
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -95,7 +95,7 @@
 // withinLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
 // is held.
 func (g *Gate) withinLimit(entry *waiter, ahead int, now time.Time) error {
-	if g.limit.WaitOf(entry.ticket.class(), ahead, now) <= entry.ticket.MaximumWait {
+	if g.limit.WaitForClass(entry.ticket.class(), ahead, now) <= entry.ticket.MaximumWait {
 		return nil
 	}
 	return g.limitedError(entry.ticket, ahead, now)
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -117,9 +117,9 @@
 	return max(1-l.usage.before(class, now)/l.bucket.perSecond, leastShare)
 }
 
-// WaitOf returns the time until a request of the class is likely to pass, before which so many others do
+// WaitForClass returns the time until a request of the class is likely to pass, before which so many others do
 // and the more urgent ones that keep coming.
-func (l *Limit) WaitOf(class Class, ahead int, now time.Time) time.Duration {
+func (l *Limit) WaitForClass(class Class, ahead int, now time.Time) time.Duration {
 	wait := l.Wait(ahead, now)
 	if wait == 0 {
 		return 0
@@ -155,7 +155,7 @@
 	if l.schedule.outstanding(class, now) {
 		return l.RoomIn(l.RetryAfter(peer, class, ahead, now))
 	}
-	if wait := l.WaitOf(class, ahead, now); wait > 0 {
+	if wait := l.WaitForClass(class, ahead, now); wait > 0 {
 		return l.RoomIn(wait)
 	}
 	return l.bucket.tokens - float64(ahead)
@@ -168,7 +168,7 @@
 // peer is told a time of its own, so that they do not come back together.
 func (l *Limit) RetryAfter(peer string, class Class, ahead int, now time.Time) time.Duration {
 	interval := time.Duration(float64(l.bucket.interval()) / l.left(class, now))
-	return l.schedule.next(peer, class, l.WaitOf(class, ahead, now), interval, now)
+	return l.schedule.next(peer, class, l.WaitForClass(class, ahead, now), interval, now)
 }
 
 // Recent returns how many requests passed in the last Window.
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -229,7 +229,7 @@
 	for limit.Ready(now) {
 		limit.Consume(1, now)
 	}
-	g.Expect(limit.WaitOf(0, 0, now)).To(Equal(limit.Wait(0, now)))
-	g.Expect(limit.WaitOf(1, 0, now)).To(BeNumerically("~", 2*limit.Wait(0, now), 20*time.Millisecond))
-	g.Expect(limit.RetryAfter("peer", 1, 0, now)).To(Equal(limit.WaitOf(1, 0, now)))
+	g.Expect(limit.WaitForClass(0, 0, now)).To(Equal(limit.Wait(0, now)))
+	g.Expect(limit.WaitForClass(1, 0, now)).To(BeNumerically("~", 2*limit.Wait(0, now), 20*time.Millisecond))
+	g.Expect(limit.RetryAfter("peer", 1, 0, now)).To(Equal(limit.WaitForClass(1, 0, now)))
 }
