--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -33,7 +33,7 @@
 }
 
 // WarmsUp takes in the back end's word that it is cold for that much longer.
-func (h *Handler) WarmsUp(left time.Duration) { h.warmup.Told(left, clock.Now()) }
+func (h *Handler) WarmsUp(left time.Duration) { h.warmup.ExtendWarmup(left, clock.Now()) }
 
 // MayBeCold takes in that the back end may have turned cold unheard.
 func (h *Handler) MayBeCold() { h.warmup.Suspect(clock.Now()) }
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Told takes in the back end's word that it is cold for that much longer.
-func (l *Limit) Told(left time.Duration, now time.Time) {
+// ExtendWarmup takes in the back end's word that it is cold for that much longer.
+func (l *Limit) ExtendWarmup(left time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if until := now.Add(left); left > 0 && until.After(l.coldUntil) {
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -47,11 +47,11 @@
 	}{
 		{"a node that has just started knows nothing", func(*warmup.Limit) {}, 0, perSecond},
 		{"one that answers is warm", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 0, many},
-		{"told by a heartbeat", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.Told(2*time.Second, at(0)) }, 10, perSecond},
+		{"told by a heartbeat", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
 		{"a heartbeat that tells of less", func(l *warmup.Limit) {
 			l.Answer(0, at(-1), at(0))
-			l.Told(2*time.Second, at(0))
-			l.Told(time.Millisecond, at(1))
+			l.ExtendWarmup(2*time.Second, at(0))
+			l.ExtendWarmup(time.Millisecond, at(1))
 		}, 10, perSecond},
 		{"told by the back end when asked", func(l *warmup.Limit) { l.Answer(2*time.Second, at(-1), at(0)) }, 10, perSecond},
 		{"the warm-up is over", func(l *warmup.Limit) { l.Answer(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
@@ -75,7 +75,7 @@
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
 	limit.Configure(0, lasts)
-	limit.Told(time.Minute, at(0))
+	limit.ExtendWarmup(time.Minute, at(0))
 	limit.Suspect(at(0))
 	for i := range 1000 {
 		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Verdict{}))
@@ -109,7 +109,7 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := NewWithT(t)
 		limit := configured()
-		limit.Told(time.Hour, at(0))
+		limit.ExtendWarmup(time.Hour, at(0))
 		var passed []time.Time
 		now := at(0)
 		for range 3000 {
