--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -36,7 +36,7 @@
 func (h *Handler) WarmsUp(left time.Duration) { h.warmup.ExtendWarmup(left, clock.Now()) }
 
 // MayBeCold takes in that the back end may have turned cold unheard.
-func (h *Handler) MayBeCold() { h.warmup.Suspect(clock.Now()) }
+func (h *Handler) MayBeCold() { h.warmup.SuspectCold(clock.Now()) }
 
 // bear refuses a request that a cold back end would not bear. It has not run.
 func (a *arrival) bear() *outcome.Failure {
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Suspect takes in that the back end may have turned cold, or started again.
-func (l *Limit) Suspect(now time.Time) {
+// SuspectCold takes in that the back end may have turned cold, or started again.
+func (l *Limit) SuspectCold(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.suspect(now)
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -55,11 +55,11 @@
 		}, 10, perSecond},
 		{"told by the back end when asked", func(l *warmup.Limit) { l.Answer(2*time.Second, at(-1), at(0)) }, 10, perSecond},
 		{"the warm-up is over", func(l *warmup.Limit) { l.Answer(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
-		{"may have started again", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.Suspect(at(5)) }, 10, perSecond},
-		{"has answered since", func(l *warmup.Limit) { l.Suspect(at(0)); l.Answer(0, at(1), at(5)) }, 10, many},
-		{"has answered a question from before", func(l *warmup.Limit) { l.Suspect(at(3)); l.Answer(0, at(1), at(5)) }, 10, perSecond},
+		{"may have started again", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
+		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.Answer(0, at(1), at(5)) }, 10, many},
+		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.Answer(0, at(1), at(5)) }, 10, perSecond},
 		{"was quiet", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 600, perSecond},
-		{"any start would be over", func(l *warmup.Limit) { l.Suspect(at(0)); l.Answered(at(3000)) }, 3001, many},
+		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.Answered(at(3000)) }, 3001, many},
 	}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 	limit := &warmup.Limit{}
 	limit.Configure(0, lasts)
 	limit.ExtendWarmup(time.Minute, at(0))
-	limit.Suspect(at(0))
+	limit.SuspectCold(at(0))
 	for i := range 1000 {
 		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Verdict{}))
 	}
