--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -81,7 +81,7 @@
 	}
 	h.hearHealth(response.Header, endpoint, asked)
 	if told || response.StatusCode == http.StatusOK {
-		h.warmup.Answer(left, asked, clock.Now())
+		h.warmup.SetProbeResult(left, asked, clock.Now())
 		h.options.Logger.Info("back end asked whether it is cold", zap.String("endpoint", endpoint.ID), zap.Duration("left", left))
 	}
 }
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -109,9 +109,9 @@
 
 func (l *Limit) suspect(now time.Time) { l.suspected, l.suspectedUntil = now, now.Add(l.lasts) }
 
-// Answer takes in what the back end itself answered to a question of a moment: for how much
+// SetProbeResult takes in what the back end itself answered to a question of a moment: for how much
 // longer it is cold, zero when it is not.
-func (l *Limit) Answer(left time.Duration, asked, now time.Time) {
+func (l *Limit) SetProbeResult(left time.Duration, asked, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.coldUntil, l.answered = now.Add(left), now
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -46,19 +46,19 @@
 		pass int
 	}{
 		{"a node that has just started knows nothing", func(*warmup.Limit) {}, 0, perSecond},
-		{"one that answers is warm", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 0, many},
-		{"told by a heartbeat", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
+		{"one that answers is warm", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 0, many},
+		{"told by a heartbeat", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
 		{"a heartbeat that tells of less", func(l *warmup.Limit) {
-			l.Answer(0, at(-1), at(0))
+			l.SetProbeResult(0, at(-1), at(0))
 			l.ExtendWarmup(2*time.Second, at(0))
 			l.ExtendWarmup(time.Millisecond, at(1))
 		}, 10, perSecond},
-		{"told by the back end when asked", func(l *warmup.Limit) { l.Answer(2*time.Second, at(-1), at(0)) }, 10, perSecond},
-		{"the warm-up is over", func(l *warmup.Limit) { l.Answer(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
-		{"may have started again", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
-		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.Answer(0, at(1), at(5)) }, 10, many},
-		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.Answer(0, at(1), at(5)) }, 10, perSecond},
-		{"was quiet", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 600, perSecond},
+		{"told by the back end when asked", func(l *warmup.Limit) { l.SetProbeResult(2*time.Second, at(-1), at(0)) }, 10, perSecond},
+		{"the warm-up is over", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
+		{"may have started again", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
+		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.SetProbeResult(0, at(1), at(5)) }, 10, many},
+		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.SetProbeResult(0, at(1), at(5)) }, 10, perSecond},
+		{"was quiet", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
 		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.Answered(at(3000)) }, 3001, many},
 	}
 	for _, played := range cases {
@@ -98,7 +98,7 @@
 	g.Expect(asked(configured(), 1, 1000)).To(BeNumerically("<=", 10))
 	warm := configured()
 	g.Expect(asked(warm, 1, 10)).To(Equal(1))
-	warm.Answer(0, at(9), at(10))
+	warm.SetProbeResult(0, at(9), at(10))
 	g.Expect(asked(warm, 1, 400)).To(Equal(0))
 }
 
