--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -172,7 +172,7 @@
 	}
 	a.survived()
 	told := a.hearLoad(response)
-	a.handler.warmup.Answered(clock.Now())
+	a.handler.warmup.RecordResponse(clock.Now())
 	failed := response.StatusCode >= http.StatusInternalServerError
 	a.handler.failures.Observe(failed)
 	a.judged(failed)
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Answered takes in that the back end has answered a request.
-func (l *Limit) Answered(now time.Time) {
+// RecordResponse takes in that the back end has answered a request.
+func (l *Limit) RecordResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.most > 0 {
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -54,12 +54,12 @@
 			l.ExtendWarmup(time.Millisecond, at(1))
 		}, 10, perSecond},
 		{"told by the back end when asked", func(l *warmup.Limit) { l.SetProbeResult(2*time.Second, at(-1), at(0)) }, 10, perSecond},
-		{"the warm-up is over", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
+		{"the warm-up is over", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.RecordResponse(at(1000)) }, 1001, many},
 		{"may have started again", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
 		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.SetProbeResult(0, at(1), at(5)) }, 10, many},
 		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.SetProbeResult(0, at(1), at(5)) }, 10, perSecond},
 		{"was quiet", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
-		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.Answered(at(3000)) }, 3001, many},
+		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.RecordResponse(at(3000)) }, 3001, many},
 	}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
