--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -49,8 +49,8 @@
 	answered, asked time.Time
 }
 
-// Verdict says what becomes of one request.
-type Verdict struct {
+// Decision says what becomes of one request.
+type Decision struct {
 	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
 	// bears another one.
 	Refused bool
@@ -130,14 +130,14 @@
 }
 
 // Admit decides on one request, and counts it when it passes.
-func (l *Limit) Admit(now time.Time) (verdict Verdict) {
+func (l *Limit) Admit(now time.Time) (verdict Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.configured && l.most == 0 {
 		l.resize(mostUnknown)
 	}
 	if l.most == 0 {
-		return Verdict{}
+		return Decision{}
 	}
 	if now.Sub(l.answered) > quietGap && !now.Before(l.suspectedUntil) {
 		l.suspect(now)
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -78,7 +78,7 @@
 	limit.ExtendWarmup(time.Minute, at(0))
 	limit.SuspectCold(at(0))
 	for i := range 1000 {
-		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Verdict{}))
+		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Decision{}))
 	}
 }
 
