--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -41,7 +41,7 @@
 // bear refuses a request that a cold back end would not bear. It has not run.
 func (a *arrival) bear() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
-	if verdict.Ask {
+	if verdict.Probe {
 		go func() { _ = contain.Run("health", a.handler.options.Logger, a.handler.askHealth) }()
 	}
 	if !verdict.Refused {
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -55,8 +55,8 @@
 	// bears another one.
 	Refused bool
 	Wait    time.Duration
-	// Ask: the back end is to be asked whether it is cold. The answer goes to Answer.
-	Ask bool
+	// Probe: the back end is to be asked whether it is cold. The answer goes to Answer.
+	Probe bool
 }
 
 // Configure sets how many requests a second a cold back end bears, zero for any number, and how
@@ -144,7 +144,7 @@
 	}
 	cold, doubtful := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
 	if doubtful && l.recent(now) >= int(askShare*float64(l.most)) && now.Sub(l.asked) >= askInterval {
-		l.asked, verdict.Ask = now, true
+		l.asked, verdict.Probe = now, true
 	}
 	oldest := l.passed[l.next]
 	if wait := window - now.Sub(oldest); (cold || doubtful) && wait > 0 && !oldest.IsZero() {
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -88,7 +88,7 @@
 	g := NewWithT(t)
 	asked := func(limit *warmup.Limit, gap, requests int) (count int) {
 		for i := range requests {
-			if limit.Admit(at(i * gap)).Ask {
+			if limit.Admit(at(i * gap)).Probe {
 				count++
 			}
 		}
