--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -47,7 +47,7 @@
 	if !verdict.Refused {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, refusedWait/2), errCold)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.RetryAfter, refusedWait/2), errCold)
 }
 
 // newHealthClient returns the client of the back end's health path. Each question has a
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -54,7 +54,7 @@
 	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
 	// bears another one.
 	Refused bool
-	Wait    time.Duration
+	RetryAfter    time.Duration
 	// Probe: the back end is to be asked whether it is cold. The answer goes to Answer.
 	Probe bool
 }
@@ -148,7 +148,7 @@
 	}
 	oldest := l.passed[l.next]
 	if wait := window - now.Sub(oldest); (cold || doubtful) && wait > 0 && !oldest.IsZero() {
-		verdict.Refused, verdict.Wait = true, wait
+		verdict.Refused, verdict.RetryAfter = true, wait
 		return verdict
 	}
 	l.passed[l.next] = now
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -116,8 +116,8 @@
 			now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 			verdict := limit.Admit(now)
 			if verdict.Refused {
-				g.Expect(verdict.Wait).To(BeNumerically(">", 0))
-				g.Expect(verdict.Wait).To(BeNumerically("<=", time.Second))
+				g.Expect(verdict.RetryAfter).To(BeNumerically(">", 0))
+				g.Expect(verdict.RetryAfter).To(BeNumerically("<=", time.Second))
 				continue
 			}
 			passed = append(passed, now)
