--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -126,7 +126,7 @@
 	// when it has told of none.
 	warm atomic.Int64
 	// stalls are the times at which the node did not run, known while its answers are judged.
-	stalls stall.Watch
+	stalls stall.Monitor
 	// claims is used under the roster's lock.
 	claims roster.Claims
 }
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -44,7 +44,7 @@
 func TestATimeWithoutWatchIsNoStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		watch := &stall.Watch{}
+		watch := &stall.Monitor{}
 		began := clock.Now()
 		watch.Keep()
 		time.Sleep(time.Minute)
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -10,8 +10,8 @@
 // watchTime is for how long a watch goes on after it was last asked to.
 const watchTime = 2 * time.Second
 
-// Watch ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
-type Watch struct {
+// Monitor ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
+type Monitor struct {
 	mu     sync.Mutex // guards all below
 	record Record
 	// until is when the watch ends, zero while it does not tick.
@@ -19,7 +19,7 @@
 }
 
 // Keep has the watch tick for a while.
-func (w *Watch) Keep() {
+func (w *Monitor) Keep() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ticks := !w.until.IsZero()
@@ -30,7 +30,7 @@
 	}
 }
 
-func (w *Watch) run() {
+func (w *Monitor) run() {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for w.tick() {
@@ -39,7 +39,7 @@
 }
 
 // tick reports whether the watch goes on.
-func (w *Watch) tick() bool {
+func (w *Monitor) tick() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
@@ -53,7 +53,7 @@
 }
 
 // Within returns for how long the node did not run since a moment.
-func (w *Watch) Within(from time.Time) time.Duration {
+func (w *Monitor) Within(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.record.Within(from, clock.Now())
