--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -82,7 +82,7 @@
 func (j *judge) Judges() bool {
 	judges := j.sidecar.rollouts.Judges()
 	if judges {
-		j.sidecar.stalls.Keep()
+		j.sidecar.stalls.Extend()
 	}
 	return judges
 }
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -46,10 +46,10 @@
 		g := NewWithT(t)
 		watch := &stall.Monitor{}
 		began := clock.Now()
-		watch.Keep()
+		watch.Extend()
 		time.Sleep(time.Minute)
 		g.Expect(watch.Within(began)).To(BeZero())
-		watch.Keep()
+		watch.Extend()
 		time.Sleep(time.Second)
 		g.Expect(watch.Within(began)).To(BeZero())
 		time.Sleep(time.Minute)
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -18,8 +18,8 @@
 	until time.Time
 }
 
-// Keep has the watch tick for a while.
-func (w *Monitor) Keep() {
+// Extend has the watch tick for a while.
+func (w *Monitor) Extend() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ticks := !w.until.IsZero()
