--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -98,7 +98,7 @@
 	}
 	until := j.sidecar.warm.Load()
 	warm := until == 0 || clock.Stamp(clock.Now()) >= until
-	worked -= j.sidecar.stalls.Within(clock.Now().Add(-worked))
+	worked -= j.sidecar.stalls.Stalled(clock.Now().Add(-worked))
 	answer.Slow = warm && expected > 0 && worked > rollout.SlowFactor*expected
 	j.sidecar.rollouts.Answered(answer)
 }
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -48,10 +48,10 @@
 		began := clock.Now()
 		watch.Extend()
 		time.Sleep(time.Minute)
-		g.Expect(watch.Within(began)).To(BeZero())
+		g.Expect(watch.Stalled(began)).To(BeZero())
 		watch.Extend()
 		time.Sleep(time.Second)
-		g.Expect(watch.Within(began)).To(BeZero())
+		g.Expect(watch.Stalled(began)).To(BeZero())
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -52,8 +52,8 @@
 	return false
 }
 
-// Within returns for how long the node did not run since a moment.
-func (w *Monitor) Within(from time.Time) time.Duration {
+// Stalled returns for how long the node did not run since a moment.
+func (w *Monitor) Stalled(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.record.Within(from, clock.Now())
