--- a/internal/sidecar/stall/stall.go
+++ b/internal/sidecar/stall/stall.go
@@ -54,8 +54,8 @@
 	return stretch{from: r.last.Add(Interval), to: now}
 }
 
-// Within returns for how long the node did not run between two moments, the later of which is now.
-func (r *Record) Within(from, now time.Time) (total time.Duration) {
+// Stalled returns for how long the node did not run between two moments, the later of which is now.
+func (r *Record) Stalled(from, now time.Time) (total time.Duration) {
 	for _, one := range r.stalls {
 		total += one.within(from, now)
 	}
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -35,7 +35,7 @@
 			for _, tick := range held.ticks {
 				record.Tick(at(tick))
 			}
-			NewWithT(t).Expect(record.Within(at(held.from), at(held.now))).To(Equal(held.want))
+			NewWithT(t).Expect(record.Stalled(at(held.from), at(held.now))).To(Equal(held.want))
 		})
 	}
 }
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -56,5 +56,5 @@
 func (w *Monitor) Stalled(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.record.Within(from, clock.Now())
+	return w.record.Stalled(from, clock.Now())
 }
