--- a/internal/sidecar/stall/stall.go
+++ b/internal/sidecar/stall/stall.go
@@ -11,9 +11,9 @@
 	kept = 32
 )
 
-// Record remembers stalls by ticks that came late. It is pure: it is told the time. The zero value has
+// Tracker remembers stalls by ticks that came late. It is pure: it is told the time. The zero value has
 // seen no tick. Its owner holds a lock.
-type Record struct {
+type Tracker struct {
 	// last is the last tick.
 	last   time.Time
 	stalls [kept]stretch
@@ -35,10 +35,10 @@
 }
 
 // Reset forgets the last tick: none were due since.
-func (r *Record) Reset() { r.last = time.Time{} }
+func (r *Tracker) Reset() { r.last = time.Time{} }
 
 // Tick takes in a tick.
-func (r *Record) Tick(now time.Time) {
+func (r *Tracker) Tick(now time.Time) {
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
 		r.stalls[r.next] = late
 		r.next = (r.next + 1) % kept
@@ -47,7 +47,7 @@
 }
 
 // late is the time by which the next tick is late now.
-func (r *Record) late(now time.Time) stretch {
+func (r *Tracker) late(now time.Time) stretch {
 	if r.last.IsZero() {
 		return stretch{from: now, to: now}
 	}
@@ -55,7 +55,7 @@
 }
 
 // Stalled returns for how long the node did not run between two moments, the later of which is now.
-func (r *Record) Stalled(from, now time.Time) (total time.Duration) {
+func (r *Tracker) Stalled(from, now time.Time) (total time.Duration) {
 	for _, one := range r.stalls {
 		total += one.within(from, now)
 	}
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, held := range cases {
 		t.Run(held.name, func(t *testing.T) {
-			var record stall.Record
+			var record stall.Tracker
 			for _, tick := range held.ticks {
 				record.Tick(at(tick))
 			}
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -13,7 +13,7 @@
 // Monitor ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
 type Monitor struct {
 	mu     sync.Mutex // guards all below
-	record Record
+	record Tracker
 	// until is when the watch ends, zero while it does not tick.
 	until time.Time
 }
