--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -77,7 +77,7 @@
 // meanwhile must not stay unheard. While reads returns false the store is left
 // alone.
 func Follow(ctx context.Context, reader store.Reader, place Place, keeper *Keeper, reads func() bool, logger *zap.Logger) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	healthy := true
 	reading := true
 	for ctx.Err() == nil {
@@ -120,8 +120,8 @@
 		if !since.IsZero() && clock.Since(since) >= refusedMost {
 			backoff.Succeeded()
 		}
-		if backoff.Most = pauseMost; keeper.Version() > 0 {
-			backoff.Most = refusedMost
+		if backoff.Max = pauseMost; keeper.Version() > 0 {
+			backoff.Max = refusedMost
 		}
 		backoff.Failed(ctx)
 	}
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -124,7 +124,7 @@
 
 // findUntilRead reads all keys, the own one among them, until that succeeds.
 func (m *Membership) findUntilRead(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	for ctx.Err() == nil {
 		left, err := m.find(ctx)
 		if err == nil {
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -71,7 +71,7 @@
 
 // run brings the key up to date now and after each change, until the context ends.
 func (p *publisher) run(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	for ctx.Err() == nil {
 		if err := p.publish(ctx); err != nil {
 			backoff.Failed(ctx)
--- a/internal/sidecar/pause/pause.go
+++ b/internal/sidecar/pause/pause.go
@@ -20,14 +20,14 @@
 // Backoff is the wait after failures in a row: Base after the first, twice as
 // long after each further one, up to Most.
 type Backoff struct {
-	Base, Most time.Duration
+	Base, Max time.Duration
 	next       time.Duration
 }
 
 // Failed waits after a failure.
 func (b *Backoff) Failed(ctx context.Context) {
 	wait := max(b.next, b.Base)
-	b.next = min(2*wait, b.Most)
+	b.next = min(2*wait, b.Max)
 	Wait(ctx, wait)
 }
 
--- a/internal/sidecar/pause/pause_test.go
+++ b/internal/sidecar/pause/pause_test.go
@@ -14,7 +14,7 @@
 func TestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		backoff := pause.Backoff{Base: 100 * time.Millisecond, Most: 300 * time.Millisecond}
+		backoff := pause.Backoff{Base: 100 * time.Millisecond, Max: 300 * time.Millisecond}
 		waited := func() time.Duration {
 			started := time.Now()
 			backoff.Failed(t.Context())
