--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -123,7 +123,7 @@
 		if backoff.Max = pauseMost; keeper.Version() > 0 {
 			backoff.Max = refusedMost
 		}
-		backoff.Failed(ctx)
+		backoff.Pause(ctx)
 	}
 }
 
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -133,7 +133,7 @@
 			return
 		}
 		m.notRead(err)
-		backoff.Failed(ctx)
+		backoff.Pause(ctx)
 	}
 }
 
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -74,7 +74,7 @@
 	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	for ctx.Err() == nil {
 		if err := p.publish(ctx); err != nil {
-			backoff.Failed(ctx)
+			backoff.Pause(ctx)
 			continue
 		}
 		backoff.Succeeded()
--- a/internal/sidecar/pause/pause.go
+++ b/internal/sidecar/pause/pause.go
@@ -24,8 +24,8 @@
 	next       time.Duration
 }
 
-// Failed waits after a failure.
-func (b *Backoff) Failed(ctx context.Context) {
+// Pause waits after a failure.
+func (b *Backoff) Pause(ctx context.Context) {
 	wait := max(b.next, b.Base)
 	b.next = min(2*wait, b.Max)
 	Wait(ctx, wait)
--- a/internal/sidecar/pause/pause_test.go
+++ b/internal/sidecar/pause/pause_test.go
@@ -17,7 +17,7 @@
 		backoff := pause.Backoff{Base: 100 * time.Millisecond, Max: 300 * time.Millisecond}
 		waited := func() time.Duration {
 			started := time.Now()
-			backoff.Failed(t.Context())
+			backoff.Pause(t.Context())
 			return time.Since(started)
 		}
 		for _, most := range []time.Duration{100, 200, 300, 300} {
