--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -109,7 +109,7 @@
 		}
 		if err == nil || errors.Is(err, store.ErrCompacted) {
 			answered()
-			backoff.Succeeded()
+			backoff.Reset()
 			pause.Wait(ctx, pauseBase/2)
 			continue
 		}
@@ -118,7 +118,7 @@
 		}
 		healthy = false
 		if !since.IsZero() && clock.Since(since) >= refusedMost {
-			backoff.Succeeded()
+			backoff.Reset()
 		}
 		if backoff.Max = pauseMost; keeper.Version() > 0 {
 			backoff.Max = refusedMost
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -77,7 +77,7 @@
 			backoff.Pause(ctx)
 			continue
 		}
-		backoff.Succeeded()
+		backoff.Reset()
 		p.once.Do(func() { close(p.written) })
 		select {
 		case <-p.wake:
--- a/internal/sidecar/pause/pause.go
+++ b/internal/sidecar/pause/pause.go
@@ -31,5 +31,5 @@
 	Wait(ctx, wait)
 }
 
-// Succeeded ends the failures in a row.
-func (b *Backoff) Succeeded() { b.next = 0 }
+// Reset ends the failures in a row.
+func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/sidecar/pause/pause_test.go
+++ b/internal/sidecar/pause/pause_test.go
@@ -23,7 +23,7 @@
 		for _, most := range []time.Duration{100, 200, 300, 300} {
 			g.Expect(waited()).To(And(BeNumerically(">=", most*time.Millisecond/2), BeNumerically("<=", most*time.Millisecond)))
 		}
-		backoff.Succeeded()
+		backoff.Reset()
 		g.Expect(waited()).To(BeNumerically("<=", 100*time.Millisecond))
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
