--- a/internal/sidecar/contention/contention.go
+++ b/internal/sidecar/contention/contention.go
@@ -34,8 +34,8 @@
 	return &Switch{mode: mode}
 }
 
-// SetTenants takes in whether the configuration in force names tenants.
-func (s *Switch) SetTenants(named bool) { s.tenants.Store(named) }
+// SetTenantsConfigured takes in whether the configuration in force names tenants.
+func (s *Switch) SetTenantsConfigured(named bool) { s.tenants.Store(named) }
 
 // SetShared takes in that a back end shares its machine with others, and reports whether that is
 // news. It holds for the life of the process.
--- a/internal/sidecar/contention/contention_test.go
+++ b/internal/sidecar/contention/contention_test.go
@@ -24,7 +24,7 @@
 	for _, given := range cases {
 		g := NewWithT(t)
 		made := contention.NewSwitch(given.mode)
-		made.SetTenants(given.tenants)
+		made.SetTenantsConfigured(given.tenants)
 		if given.shared {
 			g.Expect(made.SetShared()).To(BeTrue())
 			g.Expect(made.SetShared()).To(BeFalse(), "it is no news")
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -336,7 +336,7 @@
 // others as well: all are told.
 func (s *Sidecar) apply(table *route.Table, source configuration.Source) {
 	s.setService(table, s.members.Own().Endpoint)
-	s.contention.SetTenants(len(table.Document().Tenants) > 0)
+	s.contention.SetTenantsConfigured(len(table.Document().Tenants) > 0)
 	switch source {
 	case configuration.SourceWatch:
 		go s.exchanger.Announce()
