--- a/internal/sidecar/evenly/evenly.go
+++ b/internal/sidecar/evenly/evenly.go
@@ -27,8 +27,8 @@
 // Next returns the next place, in units of 2^-64.
 func (s *Sequence) Next() uint64 { return s.position.Add(goldenStep) }
 
-// NextShare returns the next place between zero and one.
-func (s *Sequence) NextShare() float64 {
+// NextFraction returns the next place between zero and one.
+func (s *Sequence) NextFraction() float64 {
 	const kept, scale = 53, 1.0 / (1 << 53)
 	return float64(s.Next()>>(64-kept)) * scale
 }
--- a/internal/sidecar/evenly/evenly_test.go
+++ b/internal/sidecar/evenly/evenly_test.go
@@ -18,7 +18,7 @@
 		for _, run := range []int{1, 10, 100, 1000} {
 			taken := 0
 			for range run {
-				place := sequence.NextShare()
+				place := sequence.NextFraction()
 				g.Expect(place).To(And(BeNumerically(">=", 0), BeNumerically("<", 1)))
 				if place < share {
 					taken++
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -60,7 +60,7 @@
 	case p.Moves():
 		return Only(p.Version)
 	case !sentBefore && len(p.Stint.BackEnds) > 0:
-		if place := p.split.sequence.NextShare(); place < p.Stint.Share {
+		if place := p.split.sequence.NextFraction(); place < p.Stint.Share {
 			index := int(place / p.Stint.Share * float64(len(p.Stint.BackEnds)))
 			return Node(p.Stint.BackEnds[min(index, len(p.Stint.BackEnds)-1)], p.Version)
 		}
