--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -113,7 +113,7 @@
 // Load is a moment's state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
-	ServiceTime                 time.Duration
+	ServiceTime             time.Duration
 }
 
 // Load returns the present state.
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -90,7 +90,9 @@
 
 // limitBinds reports whether a request waits for the limit alone: what is ahead of it is worked off at a
 // known rate, so that the oldest may go first and others are refused when they come. The lock is held.
-func (g *Gate) limitBinds(ticket RequestInfo) bool { return g.limited.Load() && g.running < g.open(ticket) }
+func (g *Gate) limitBinds(ticket RequestInfo) bool {
+	return g.limited.Load() && g.running < g.open(ticket)
+}
 
 // withinLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
 // is held.
--- a/internal/sidecar/admission/usage.go
+++ b/internal/sidecar/admission/usage.go
@@ -8,8 +8,8 @@
 
 // Usage is for how long a tenant's requests have held slots.
 type Usage struct {
-	Tenant string
-	SlotTime   time.Duration
+	Tenant   string
+	SlotTime time.Duration
 }
 
 // Usage returns that of the tenants with the most, and what all others add up to, those included
@@ -18,7 +18,9 @@
 	g.mutex.Lock()
 	all, others := g.waiting.standings.usage()
 	g.mutex.Unlock()
-	slices.SortFunc(all, func(a, b Usage) int { return cmp.Or(cmp.Compare(b.SlotTime, a.SlotTime), cmp.Compare(a.Tenant, b.Tenant)) })
+	slices.SortFunc(all, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.SlotTime, a.SlotTime), cmp.Compare(a.Tenant, b.Tenant))
+	})
 	for _, rest := range all[min(most, len(all)):] {
 		others += rest.SlotTime
 	}
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -241,15 +241,15 @@
 // ticket describes the request to the gate.
 func (a *arrival) ticket() admission.RequestInfo {
 	return admission.RequestInfo{
-		Priority:    a.told.Priority,
-		Returning:   a.told.Returning,
-		Nested:      a.told.Nested,
-		OverShare:   a.told.OverShare,
-		Tenant:      a.tenant(),
-		PreventStarvation:     a.contended(),
-		Work:        a.told.Expected,
-		MaximumWait: a.told.MaximumWait,
-		Peer:        a.peer(),
+		Priority:          a.told.Priority,
+		Returning:         a.told.Returning,
+		Nested:            a.told.Nested,
+		OverShare:         a.told.OverShare,
+		Tenant:            a.tenant(),
+		PreventStarvation: a.contended(),
+		Work:              a.told.Expected,
+		MaximumWait:       a.told.MaximumWait,
+		Peer:              a.peer(),
 	}
 }
 
--- a/internal/sidecar/pause/pause.go
+++ b/internal/sidecar/pause/pause.go
@@ -21,7 +21,7 @@
 // long after each further one, up to Most.
 type Backoff struct {
 	Base, Max time.Duration
-	next       time.Duration
+	next      time.Duration
 }
 
 // Pause waits after a failure.
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -53,8 +53,8 @@
 type Decision struct {
 	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
 	// bears another one.
-	Refused bool
-	RetryAfter    time.Duration
+	Refused    bool
+	RetryAfter time.Duration
 	// Probe: the back end is to be asked whether it is cold. The answer goes to Answer.
 	Probe bool
 }
