--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -16,8 +16,8 @@
 
 // Refusals. A refused request has not run.
 var (
-	// ErrTooLong: the request would wait longer than it may.
-	ErrTooLong = errors.New("admission: the queue is too long")
+	// ErrWaitTooLong: the request would wait longer than it may.
+	ErrWaitTooLong = errors.New("admission: the queue is too long")
 	// ErrDisplaced: requests that come before it took its place: more urgent ones, those of tenants
 	// that have had less, or shorter ones.
 	ErrDisplaced = errors.New("admission: displaced by requests that come before it")
@@ -25,8 +25,8 @@
 	ErrClosed = errors.New("admission: the node takes no requests any more")
 )
 
-// Ticket describes a request that wants a slot.
-type Ticket struct {
+// RequestInfo describes a request that wants a slot.
+type RequestInfo struct {
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
 	// Returning requests were refused before. They come after those that come for
@@ -37,8 +37,8 @@
 	Nested, OverShare bool
 	// Tenant is whose request it is; empty where nobody is told apart.
 	Tenant string
-	// Bounded: no kind of request is to wait in vain for long, however urgent others are.
-	Bounded bool
+	// PreventStarvation: no kind of request is to wait in vain for long, however urgent others are.
+	PreventStarvation bool
 	// Work is how long the back end is expected to work on the request. Of equal
 	// urgency the much shorter go first: more of them are served, and calls that
 	// back ends make while they work are short.
@@ -51,7 +51,7 @@
 }
 
 // precedence is the request's among those that compete for slots.
-func (t Ticket) precedence() precedence.Precedence {
+func (t RequestInfo) precedence() precedence.Precedence {
 	return precedence.Precedence{Nested: t.Nested, Priority: t.Priority, OverShare: t.OverShare, Returning: t.Returning}
 }
 
@@ -113,14 +113,14 @@
 // Load is a moment's state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
-	Service                 time.Duration
+	ServiceTime             time.Duration
 }
 
 // Load returns the present state.
 func (g *Gate) Load() Load {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, Service: g.service}
+	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, ServiceTime: g.service}
 }
 
 // Slot is a held slot.
@@ -132,7 +132,7 @@
 
 // Acquire waits for a slot. The context bounds the wait; its error is returned
 // when it ends first.
-func (g *Gate) Acquire(ctx context.Context, ticket Ticket) (*Slot, error) {
+func (g *Gate) Acquire(ctx context.Context, ticket RequestInfo) (*Slot, error) {
 	entry, err := g.enter(ticket)
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 }
 
 // enter takes a slot at once, joins the queue or refuses.
-func (g *Gate) enter(ticket Ticket) (*waiter, error) {
+func (g *Gate) enter(ticket RequestInfo) (*waiter, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.closed {
@@ -179,7 +179,7 @@
 	entry := &waiter{ticket: ticket, work: g.workOf(ticket), result: make(chan error, 1), entered: now}
 	entry.standing = g.waiting.standings.join(ticket, now)
 	entry.kind = entry.standing.class.kind(magnitude(ticket.Work))
-	if ticket.Bounded {
+	if ticket.PreventStarvation {
 		entry.kind.comes(now)
 	}
 	entry.behind = g.limitBinds(ticket)
@@ -188,7 +188,7 @@
 		return entry, nil
 	}
 	if err := g.withinLimit(entry, g.waiting.lengthBefore(entry), now); err != nil {
-		if g.running < g.open(ticket) && g.limit.TakeOwed(ticket.class(), now) {
+		if g.running < g.open(ticket) && g.limit.TakeMinimumShare(ticket.class(), now) {
 			g.start(entry)
 			return entry, nil
 		}
@@ -197,7 +197,7 @@
 	entry.predicted = g.expectedWait(g.waiting.workBefore(entry), ticket)
 	if entry.predicted > ticket.MaximumWait && !entry.kind.kept(0, now) {
 		g.reserve.began(ticket.Priority, true, g.slots, now)
-		return nil, ErrTooLong
+		return nil, ErrWaitTooLong
 	}
 	g.waiting.add(entry)
 	g.displace()
@@ -207,7 +207,7 @@
 
 // open returns how many slots there are for such requests. Nested calls may have all: requests that
 // are at work wait for them.
-func (g *Gate) open(ticket Ticket) int {
+func (g *Gate) open(ticket RequestInfo) int {
 	if ticket.Nested {
 		return g.slots
 	}
@@ -223,7 +223,7 @@
 // start gives the entry a slot.
 func (g *Gate) start(entry *waiter) {
 	g.reserve.began(entry.ticket.Priority, false, g.slots, g.now())
-	g.limit.Pass(entry.ticket.class(), g.now())
+	g.limit.Consume(entry.ticket.class(), g.now())
 	g.running++
 	g.grants++
 	entry.kind.since = g.now()
@@ -240,7 +240,7 @@
 // that, and the work of one that runs, over all slots. It is corrected by how
 // long others waited compared to what was expected of them, since back ends
 // differ in pace and more urgent requests keep coming.
-func (g *Gate) expectedWait(before time.Duration, ticket Ticket) time.Duration {
+func (g *Gate) expectedWait(before time.Duration, ticket RequestInfo) time.Duration {
 	if g.slots == 0 {
 		return time.Hour
 	}
@@ -249,7 +249,7 @@
 }
 
 // workOf returns how long a request is expected to hold a slot.
-func (g *Gate) workOf(ticket Ticket) time.Duration {
+func (g *Gate) workOf(ticket RequestInfo) time.Duration {
 	if ticket.Work > 0 {
 		return ticket.Work
 	}
@@ -282,7 +282,7 @@
 			return
 		}
 		left := last.ticket.MaximumWait - g.now().Sub(last.entered)
-		limited := g.limit.WaitOf(last.ticket.class(), g.waiting.length-1, g.now()) > left
+		limited := g.limit.WaitForClass(last.ticket.class(), g.waiting.length-1, g.now()) > left
 		if !limited && g.expectedWait(g.waiting.work()-last.work, last.ticket) <= left {
 			return
 		}
@@ -308,7 +308,7 @@
 	}
 	g.running--
 	entry.standing.end(entry, 0, g.now())
-	g.limit.Return(g.now())
+	g.limit.Refund(g.now())
 	g.grant()
 	return cause
 }
@@ -329,11 +329,11 @@
 	g.grant()
 }
 
-// Return frees the slot of a request that was not sent to the back end.
-func (s *Slot) Return() {
+// Refund frees the slot of a request that was not sent to the back end.
+func (s *Slot) Refund() {
 	g := s.gate
 	g.mutex.Lock()
-	g.limit.Return(g.now())
+	g.limit.Refund(g.now())
 	g.mutex.Unlock()
 	s.Release(false)
 }
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -7,15 +7,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/ratelimit"
 )
 
-// LimitedError says that the back end's own limit has no room for a request within its maximum wait.
+// RateLimitError says that the back end's own limit has no room for a request within its maximum wait.
 // The request has not run.
-type LimitedError struct {
+type RateLimitError struct {
 	// Wait is the time until there is likely to be room.
 	Wait time.Duration
 }
 
 // Error implements error.
-func (e *LimitedError) Error() string {
+func (e *RateLimitError) Error() string {
 	return fmt.Sprintf("admission: the back end's limit has no room for %v", e.Wait)
 }
 
@@ -28,7 +28,7 @@
 	if !g.limit.Update(advertised, sent, answered) {
 		return Limit{}, false
 	}
-	g.limited.Store(advertised.Named)
+	g.limited.Store(advertised.HasLimit)
 	g.displace()
 	g.grant()
 	return Limit{Advertised: held, Age: answered.Sub(since), Recent: g.limit.Recent(answered)}, true
@@ -74,12 +74,12 @@
 // Room returns the rate of the back end's limit, in requests a second, and how many requests like the
 // ticket's it has room for, below zero for those that wait; false without a limit. An error that refused
 // the request tells the time that its peer was told.
-func (g *Gate) Room(ticket Ticket, refused *LimitedError) (perSecond, room float64, limited bool) {
+func (g *Gate) Room(ticket RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
 	switch {
-	case !advertised.Named:
+	case !advertised.HasLimit:
 		return 0, 0, false
 	case refused != nil:
 		return advertised.PerSecond, g.limit.RoomIn(refused.Wait), true
@@ -90,24 +90,26 @@
 
 // limitBinds reports whether a request waits for the limit alone: what is ahead of it is worked off at a
 // known rate, so that the oldest may go first and others are refused when they come. The lock is held.
-func (g *Gate) limitBinds(ticket Ticket) bool { return g.limited.Load() && g.running < g.open(ticket) }
+func (g *Gate) limitBinds(ticket RequestInfo) bool {
+	return g.limited.Load() && g.running < g.open(ticket)
+}
 
 // withinLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
 // is held.
 func (g *Gate) withinLimit(entry *waiter, ahead int, now time.Time) error {
-	if g.limit.WaitOf(entry.ticket.class(), ahead, now) <= entry.ticket.MaximumWait {
+	if g.limit.WaitForClass(entry.ticket.class(), ahead, now) <= entry.ticket.MaximumWait {
 		return nil
 	}
 	return g.limitedError(entry.ticket, ahead, now)
 }
 
 // limitedError returns the error for a request before which so many others pass; the lock is held.
-func (g *Gate) limitedError(ticket Ticket, ahead int, now time.Time) *LimitedError {
-	return &LimitedError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
+func (g *Gate) limitedError(ticket RequestInfo, ahead int, now time.Time) *RateLimitError {
+	return &RateLimitError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
 }
 
 // class is the ticket's among those that a limit tells apart.
-func (t Ticket) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
+func (t RequestInfo) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
 
 // tooLate returns why an entry has waited for too long; the lock is held.
 func (g *Gate) tooLate(entry *waiter) error {
@@ -116,7 +118,7 @@
 		return g.limitedError(entry.ticket, g.waiting.lengthBefore(entry), now)
 	}
 	g.reserve.began(entry.ticket.Priority, true, g.slots, now)
-	return ErrTooLong
+	return ErrWaitTooLong
 }
 
 // wakeLater grants slots once the limit has room for a request that waits; the lock is held.
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -17,7 +17,7 @@
 func newLimitedGate(slots int, perSecond float64) *admission.Gate {
 	gate := admission.New(time.Now)
 	gate.Resize(slots)
-	gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: perSecond}, time.Now(), time.Now())
+	gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: perSecond}, time.Now(), time.Now())
 	return gate
 }
 
@@ -31,9 +31,9 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		_, err := gate.Acquire(t.Context(), ticket(1, 50*time.Millisecond))
-		var limited *admission.LimitedError
+		var limited *admission.RateLimitError
 		g.Expect(err).To(BeAssignableToTypeOf(limited))
-		g.Expect(err.(*admission.LimitedError).Wait).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
+		g.Expect(err.(*admission.RateLimitError).Wait).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 		began := time.Now()
 		_, err = gate.Acquire(t.Context(), ticket(1, 200*time.Millisecond))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -60,7 +60,7 @@
 			served.Store(err == nil)
 		}()
 		synctest.Wait()
-		g.Expect(<-displaced).To(BeAssignableToTypeOf(&admission.LimitedError{}))
+		g.Expect(<-displaced).To(BeAssignableToTypeOf(&admission.RateLimitError{}))
 		time.Sleep(1100 * time.Millisecond)
 		synctest.Wait()
 		g.Expect(served.Load()).To(BeTrue())
@@ -74,7 +74,7 @@
 		word   ratelimit.Advertised
 		passes bool
 	}{
-		{"lowered", ratelimit.Advertised{Named: true, PerSecond: 0.5}, false},
+		{"lowered", ratelimit.Advertised{HasLimit: true, PerSecond: 0.5}, false},
 		{"ended", ratelimit.Advertised{}, true},
 	} {
 		t.Run(held.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 					g.Expect(<-results).NotTo(HaveOccurred())
 					return
 				}
-				g.Expect(<-results).To(BeAssignableToTypeOf(&admission.LimitedError{}))
+				g.Expect(<-results).To(BeAssignableToTypeOf(&admission.RateLimitError{}))
 			})
 		})
 	}
@@ -134,7 +134,7 @@
 		for range 5 {
 			slot, err := gate.Acquire(t.Context(), ticket(1, 0))
 			g.Expect(err).NotTo(HaveOccurred())
-			slot.Return()
+			slot.Refund()
 		}
 	})
 }
--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -77,7 +77,7 @@
 // meanwhile must not stay unheard. While reads returns false the store is left
 // alone.
 func Follow(ctx context.Context, reader store.Reader, place Place, keeper *Keeper, reads func() bool, logger *zap.Logger) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	healthy := true
 	reading := true
 	for ctx.Err() == nil {
@@ -109,7 +109,7 @@
 		}
 		if err == nil || errors.Is(err, store.ErrCompacted) {
 			answered()
-			backoff.Succeeded()
+			backoff.Reset()
 			pause.Wait(ctx, pauseBase/2)
 			continue
 		}
@@ -118,12 +118,12 @@
 		}
 		healthy = false
 		if !since.IsZero() && clock.Since(since) >= refusedMost {
-			backoff.Succeeded()
+			backoff.Reset()
 		}
-		if backoff.Most = pauseMost; keeper.Version() > 0 {
-			backoff.Most = refusedMost
+		if backoff.Max = pauseMost; keeper.Version() > 0 {
+			backoff.Max = refusedMost
 		}
-		backoff.Failed(ctx)
+		backoff.Pause(ctx)
 	}
 }
 
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -61,7 +61,7 @@
 	// counted: the request was offered to the queue, and counts against its tenant's share.
 	counted bool
 	// limited is why the back end's limit refused the request, nil when it did not.
-	limited *admission.LimitedError
+	limited *admission.RateLimitError
 	// onTrial: the request is suspected of ending back ends and has the handler's trial.
 	onTrial bool
 }
@@ -93,7 +93,7 @@
 	served, sent := false, false
 	defer func() {
 		if !sent {
-			slot.Return()
+			slot.Refund()
 			return
 		}
 		slot.Release(served)
@@ -231,7 +231,7 @@
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, a.retryAfter(), err)
 	}
 	if a.handler.leftBehind(a.endpoint.Incarnation()) {
-		slot.Return()
+		slot.Refund()
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errLeaving)
 	}
 	a.admitted()
@@ -239,17 +239,17 @@
 }
 
 // ticket describes the request to the gate.
-func (a *arrival) ticket() admission.Ticket {
-	return admission.Ticket{
-		Priority:    a.told.Priority,
-		Returning:   a.told.Returning,
-		Nested:      a.told.Nested,
-		OverShare:   a.told.OverShare,
-		Tenant:      a.tenant(),
-		Bounded:     a.contended(),
-		Work:        a.told.ExpectedServiceTime,
-		MaximumWait: a.told.MaximumWait,
-		Peer:        a.peer(),
+func (a *arrival) ticket() admission.RequestInfo {
+	return admission.RequestInfo{
+		Priority:          a.told.Priority,
+		Returning:         a.told.Returning,
+		Nested:            a.told.Nested,
+		OverShare:         a.told.OverShare,
+		Tenant:            a.tenant(),
+		PreventStarvation: a.contended(),
+		Work:              a.told.ExpectedServiceTime,
+		MaximumWait:       a.told.MaximumWait,
+		Peer:              a.peer(),
 	}
 }
 
@@ -262,7 +262,7 @@
 // retryAfter is the time in which the queue is expected to be worked off.
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
-	wait := load.Service * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
+	wait := load.ServiceTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	return max(wait, refusedWait/2)
 }
 
@@ -285,7 +285,7 @@
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
-		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.Service,
+		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.ServiceTime,
 		Factor: a.handler.pace.Factor(clock.Now()), ServiceTime: worked, FailureRate: a.handler.failures.Rate(),
 	}
 	header := a.writer.Header()
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -33,21 +33,21 @@
 }
 
 // SetWarmupRemaining takes in the back end's word that it is cold for that much longer.
-func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
+func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.ExtendWarmup(left, clock.Now()) }
 
 // MarkPossiblyCold takes in that the back end may have turned cold unheard.
-func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
+func (h *Handler) MarkPossiblyCold() { h.warmup.SuspectCold(clock.Now()) }
 
 // bear refuses a request that a cold back end would not bear. It has not run.
 func (a *arrival) bear() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
-	if verdict.Ask {
+	if verdict.Probe {
 		go func() { _ = contain.Run("health", a.handler.options.Logger, a.handler.askHealth) }()
 	}
 	if !verdict.Refused {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, refusedWait/2), errCold)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.RetryAfter, refusedWait/2), errCold)
 }
 
 // newHealthClient returns the client of the back end's health path. Each question has a
@@ -81,7 +81,7 @@
 	}
 	h.hearHealth(response.Header, endpoint, asked)
 	if told || response.StatusCode == http.StatusOK {
-		h.warmup.Answer(left, asked, clock.Now())
+		h.warmup.SetProbeResult(left, asked, clock.Now())
 		h.options.Logger.Info("back end asked whether it is cold", zap.String("endpoint", endpoint.ID), zap.Duration("left", left))
 	}
 }
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -7,14 +7,14 @@
 
 // Advertised is the limit that an answer of a back end names. The zero value names none.
 type Advertised struct {
-	Named bool
+	HasLimit bool
 	// PerSecond is how many requests a second the back end takes.
 	PerSecond float64
 }
 
 // looser reports whether it allows more than the other one.
 func (a Advertised) looser(other Advertised) bool {
-	return other.Named && (!a.Named || a.PerSecond > other.PerSecond)
+	return other.HasLimit && (!a.HasLimit || a.PerSecond > other.PerSecond)
 }
 
 // Limit is the limit that a back end has named. In any Window it lets pass no more than four times the
@@ -49,10 +49,10 @@
 	case advertised.looser(l.advertised) && sent.Before(l.heard):
 		return false
 	}
-	if !l.advertised.Named {
+	if !l.advertised.HasLimit {
 		l.begin(advertised.PerSecond, answered)
 	}
-	if advertised.Named {
+	if advertised.HasLimit {
 		l.bucket.setRate(advertised.PerSecond, answered)
 	}
 	l.advertised, l.since, l.heard = advertised, answered, answered
@@ -81,19 +81,19 @@
 // Ready reports whether a request may pass now.
 func (l *Limit) Ready(now time.Time) bool { return l.Wait(0, now) == 0 }
 
-// Pass counts a request of the class that passes.
-func (l *Limit) Pass(class Class, now time.Time) {
+// Consume counts a request of the class that passes.
+func (l *Limit) Consume(class Class, now time.Time) {
 	l.recent.note(now)
-	if l.advertised.Named {
+	if l.advertised.HasLimit {
 		l.usage.note(class, now)
 		l.bucket.refill(now)
 		l.bucket.tokens--
 	}
 }
 
-// Return takes back the count of a request that passed and was not sent.
-func (l *Limit) Return(now time.Time) {
-	if l.advertised.Named {
+// Refund takes back the count of a request that passed and was not sent.
+func (l *Limit) Refund(now time.Time) {
+	if l.advertised.HasLimit {
 		l.bucket.refill(now)
 		l.bucket.tokens = min(l.bucket.tokens+1, l.bucket.size)
 	}
@@ -101,7 +101,7 @@
 
 // Wait returns the time until a request may pass before which so many others do.
 func (l *Limit) Wait(ahead int, now time.Time) time.Duration {
-	if !l.advertised.Named {
+	if !l.advertised.HasLimit {
 		return 0
 	}
 	return l.bucket.wait(float64(ahead+1), now)
@@ -117,9 +117,9 @@
 	return max(1-l.usage.before(class, now)/l.bucket.perSecond, leastShare)
 }
 
-// WaitOf returns the time until a request of the class is likely to pass, before which so many others do
+// WaitForClass returns the time until a request of the class is likely to pass, before which so many others do
 // and the more urgent ones that keep coming.
-func (l *Limit) WaitOf(class Class, ahead int, now time.Time) time.Duration {
+func (l *Limit) WaitForClass(class Class, ahead int, now time.Time) time.Duration {
 	wait := l.Wait(ahead, now)
 	if wait == 0 {
 		return 0
@@ -127,11 +127,11 @@
 	return time.Duration(float64(wait) / l.left(class, now))
 }
 
-// TakeOwed reports whether a request of the class, which is about to pass, may do so before its turn: none of
+// TakeMinimumShare reports whether a request of the class, which is about to pass, may do so before its turn: none of
 // the class has passed for the interval of the least share, nor has another one before its turn, and no class
 // that asks as well has waited longer. At most one is ahead of the limit.
-func (l *Limit) TakeOwed(class Class, now time.Time) bool {
-	if !l.advertised.Named {
+func (l *Limit) TakeMinimumShare(class Class, now time.Time) bool {
+	if !l.advertised.HasLimit {
 		return false
 	}
 	l.bucket.refill(now)
@@ -155,7 +155,7 @@
 	if l.schedule.outstanding(class, now) {
 		return l.RoomIn(l.RetryAfter(peer, class, ahead, now))
 	}
-	if wait := l.WaitOf(class, ahead, now); wait > 0 {
+	if wait := l.WaitForClass(class, ahead, now); wait > 0 {
 		return l.RoomIn(wait)
 	}
 	return l.bucket.tokens - float64(ahead)
@@ -168,7 +168,7 @@
 // peer is told a time of its own, so that they do not come back together.
 func (l *Limit) RetryAfter(peer string, class Class, ahead int, now time.Time) time.Duration {
 	interval := time.Duration(float64(l.bucket.interval()) / l.left(class, now))
-	return l.schedule.next(peer, class, l.WaitOf(class, ahead, now), interval, now)
+	return l.schedule.next(peer, class, l.WaitForClass(class, ahead, now), interval, now)
 }
 
 // Recent returns how many requests passed in the last Window.
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -31,11 +31,11 @@
 	}
 	for _, held := range cases {
 		t.Run(held.name, func(t *testing.T) {
-			var record stall.Record
+			var record stall.Tracker
 			for _, tick := range held.ticks {
 				record.Tick(at(tick))
 			}
-			NewWithT(t).Expect(record.Within(at(held.from), at(held.now))).To(Equal(held.want))
+			NewWithT(t).Expect(record.Stalled(at(held.from), at(held.now))).To(Equal(held.want))
 		})
 	}
 }
@@ -44,14 +44,14 @@
 func TestATimeWithoutWatchIsNoStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		watch := &stall.Watch{}
+		watch := &stall.Monitor{}
 		began := clock.Now()
-		watch.Keep()
+		watch.Extend()
 		time.Sleep(time.Minute)
-		g.Expect(watch.Within(began)).To(BeZero())
-		watch.Keep()
+		g.Expect(watch.Stalled(began)).To(BeZero())
+		watch.Extend()
 		time.Sleep(time.Second)
-		g.Expect(watch.Within(began)).To(BeZero())
+		g.Expect(watch.Stalled(began)).To(BeZero())
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -49,14 +49,14 @@
 	answered, asked time.Time
 }
 
-// Verdict says what becomes of one request.
-type Verdict struct {
+// Decision says what becomes of one request.
+type Decision struct {
 	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
 	// bears another one.
-	Refused bool
-	Wait    time.Duration
-	// Ask: the back end is to be asked whether it is cold. The answer goes to Answer.
-	Ask bool
+	Refused    bool
+	RetryAfter time.Duration
+	// Probe: the back end is to be asked whether it is cold. The answer goes to Answer.
+	Probe bool
 }
 
 // Configure sets how many requests a second a cold back end bears, zero for any number, and how
@@ -91,8 +91,8 @@
 	}
 }
 
-// Told takes in the back end's word that it is cold for that much longer.
-func (l *Limit) Told(left time.Duration, now time.Time) {
+// ExtendWarmup takes in the back end's word that it is cold for that much longer.
+func (l *Limit) ExtendWarmup(left time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if until := now.Add(left); left > 0 && until.After(l.coldUntil) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Suspect takes in that the back end may have turned cold, or started again.
-func (l *Limit) Suspect(now time.Time) {
+// SuspectCold takes in that the back end may have turned cold, or started again.
+func (l *Limit) SuspectCold(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.suspect(now)
@@ -109,9 +109,9 @@
 
 func (l *Limit) suspect(now time.Time) { l.suspected, l.suspectedUntil = now, now.Add(l.lasts) }
 
-// Answer takes in what the back end itself answered to a question of a moment: for how much
+// SetProbeResult takes in what the back end itself answered to a question of a moment: for how much
 // longer it is cold, zero when it is not.
-func (l *Limit) Answer(left time.Duration, asked, now time.Time) {
+func (l *Limit) SetProbeResult(left time.Duration, asked, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.coldUntil, l.answered = now.Add(left), now
@@ -120,8 +120,8 @@
 	}
 }
 
-// Answered takes in that the back end has answered a request.
-func (l *Limit) Answered(now time.Time) {
+// RecordResponse takes in that the back end has answered a request.
+func (l *Limit) RecordResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.most > 0 {
@@ -130,25 +130,25 @@
 }
 
 // Admit decides on one request, and counts it when it passes.
-func (l *Limit) Admit(now time.Time) (verdict Verdict) {
+func (l *Limit) Admit(now time.Time) (verdict Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.configured && l.most == 0 {
 		l.resize(mostUnknown)
 	}
 	if l.most == 0 {
-		return Verdict{}
+		return Decision{}
 	}
 	if now.Sub(l.answered) > quietGap && !now.Before(l.suspectedUntil) {
 		l.suspect(now)
 	}
 	cold, doubtful := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
 	if doubtful && l.recent(now) >= int(askShare*float64(l.most)) && now.Sub(l.asked) >= askInterval {
-		l.asked, verdict.Ask = now, true
+		l.asked, verdict.Probe = now, true
 	}
 	oldest := l.passed[l.next]
 	if wait := window - now.Sub(oldest); (cold || doubtful) && wait > 0 && !oldest.IsZero() {
-		verdict.Refused, verdict.Wait = true, wait
+		verdict.Refused, verdict.RetryAfter = true, wait
 		return verdict
 	}
 	l.passed[l.next] = now
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -46,20 +46,20 @@
 		pass int
 	}{
 		{"a node that has just started knows nothing", func(*warmup.Limit) {}, 0, perSecond},
-		{"one that answers is warm", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 0, many},
-		{"told by a heartbeat", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.Told(2*time.Second, at(0)) }, 10, perSecond},
+		{"one that answers is warm", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 0, many},
+		{"told by a heartbeat", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
 		{"a heartbeat that tells of less", func(l *warmup.Limit) {
-			l.Answer(0, at(-1), at(0))
-			l.Told(2*time.Second, at(0))
-			l.Told(time.Millisecond, at(1))
+			l.SetProbeResult(0, at(-1), at(0))
+			l.ExtendWarmup(2*time.Second, at(0))
+			l.ExtendWarmup(time.Millisecond, at(1))
 		}, 10, perSecond},
-		{"told by the back end when asked", func(l *warmup.Limit) { l.Answer(2*time.Second, at(-1), at(0)) }, 10, perSecond},
-		{"the warm-up is over", func(l *warmup.Limit) { l.Answer(time.Second, at(-1), at(0)); l.Answered(at(1000)) }, 1001, many},
-		{"may have started again", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)); l.Suspect(at(5)) }, 10, perSecond},
-		{"has answered since", func(l *warmup.Limit) { l.Suspect(at(0)); l.Answer(0, at(1), at(5)) }, 10, many},
-		{"has answered a question from before", func(l *warmup.Limit) { l.Suspect(at(3)); l.Answer(0, at(1), at(5)) }, 10, perSecond},
-		{"was quiet", func(l *warmup.Limit) { l.Answer(0, at(-1), at(0)) }, 600, perSecond},
-		{"any start would be over", func(l *warmup.Limit) { l.Suspect(at(0)); l.Answered(at(3000)) }, 3001, many},
+		{"told by the back end when asked", func(l *warmup.Limit) { l.SetProbeResult(2*time.Second, at(-1), at(0)) }, 10, perSecond},
+		{"the warm-up is over", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.RecordResponse(at(1000)) }, 1001, many},
+		{"may have started again", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
+		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.SetProbeResult(0, at(1), at(5)) }, 10, many},
+		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.SetProbeResult(0, at(1), at(5)) }, 10, perSecond},
+		{"was quiet", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
+		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.RecordResponse(at(3000)) }, 3001, many},
 	}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
@@ -75,10 +75,10 @@
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
 	limit.Configure(0, lasts)
-	limit.Told(time.Minute, at(0))
-	limit.Suspect(at(0))
+	limit.ExtendWarmup(time.Minute, at(0))
+	limit.SuspectCold(at(0))
 	for i := range 1000 {
-		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Verdict{}))
+		g.Expect(limit.Admit(at(i))).To(Equal(warmup.Decision{}))
 	}
 }
 
@@ -88,7 +88,7 @@
 	g := NewWithT(t)
 	asked := func(limit *warmup.Limit, gap, requests int) (count int) {
 		for i := range requests {
-			if limit.Admit(at(i * gap)).Ask {
+			if limit.Admit(at(i * gap)).Probe {
 				count++
 			}
 		}
@@ -98,7 +98,7 @@
 	g.Expect(asked(configured(), 1, 1000)).To(BeNumerically("<=", 10))
 	warm := configured()
 	g.Expect(asked(warm, 1, 10)).To(Equal(1))
-	warm.Answer(0, at(9), at(10))
+	warm.SetProbeResult(0, at(9), at(10))
 	g.Expect(asked(warm, 1, 400)).To(Equal(0))
 }
 
@@ -109,15 +109,15 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := NewWithT(t)
 		limit := configured()
-		limit.Told(time.Hour, at(0))
+		limit.ExtendWarmup(time.Hour, at(0))
 		var passed []time.Time
 		now := at(0)
 		for range 3000 {
 			now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 			verdict := limit.Admit(now)
 			if verdict.Refused {
-				g.Expect(verdict.Wait).To(BeNumerically(">", 0))
-				g.Expect(verdict.Wait).To(BeNumerically("<=", time.Second))
+				g.Expect(verdict.RetryAfter).To(BeNumerically(">", 0))
+				g.Expect(verdict.RetryAfter).To(BeNumerically("<=", time.Second))
 				continue
 			}
 			passed = append(passed, now)
