--- a/internal/sidecar/configuration/encoded.go
+++ b/internal/sidecar/configuration/encoded.go
@@ -14,7 +14,7 @@
 func encodedChange(document, base *route.Document) func() (*encoded.Body, error) {
 	compressFrom := 0
 	if base != nil {
-		compressFrom = encoded.Long
+		compressFrom = encoded.CompressionThreshold
 	}
 	return sync.OnceValues(func() (*encoded.Body, error) {
 		return encoded.JSON(document.ChangeFrom(base), compressFrom)
--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// Long is the length in bytes from which a body is worth a compressor, which takes more memory
+	// CompressionThreshold is the length in bytes from which a body is worth a compressor, which takes more memory
 	// than shorter ones do.
-	Long = 4 << 10
+	CompressionThreshold = 4 << 10
 	// headerEncoding says how a body is compressed.
 	headerEncoding = "Content-Encoding"
 	// Compression is the only one that is used.
--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -19,7 +19,7 @@
 		length     int
 		from       int
 		compressed bool
-	}{{"short", 10, encoded.Long, false}, {"long", 2 * encoded.Long, encoded.Long, true}, {"always", 10, 0, true}}
+	}{{"short", 10, encoded.CompressionThreshold, false}, {"long", 2 * encoded.CompressionThreshold, encoded.CompressionThreshold, true}, {"always", 10, 0, true}}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -372,7 +372,7 @@
 // send posts a value to a peer. The body of the response, which has a status of
 // success, is to be closed.
 func (e *Exchanger) send(ctx context.Context, peer *roster.Record, path string, value any) (*http.Response, error) {
-	body, err := encoded.JSON(value, encoded.Long)
+	body, err := encoded.JSON(value, encoded.CompressionThreshold)
 	if err != nil {
 		return nil, trace.Wrap(err, "exchange")
 	}
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -53,7 +53,7 @@
 	}
 	compressFrom := math.MaxInt
 	if acceptsCompressed(request.Request) {
-		compressFrom = encoded.Long
+		compressFrom = encoded.CompressionThreshold
 	}
 	body, err := encoded.JSON(e.answer(received), compressFrom)
 	if err != nil {
