--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -51,8 +51,8 @@
 	return &Body{Bytes: written.Bytes(), Compressed: true}, nil
 }
 
-// Mark says in the header whether the body is compressed.
-func (b *Body) Mark(header http.Header) {
+// SetContentEncoding says in the header whether the body is compressed.
+func (b *Body) SetContentEncoding(header http.Header) {
 	if b.Compressed {
 		header.Set(headerEncoding, Compression)
 	}
--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -28,7 +28,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(body.Compressed).To(Equal(played.compressed))
 			header := http.Header{}
-			body.Mark(header)
+			body.SetContentEncoding(header)
 			plain, err := encoded.Reader(header, bytes.NewReader(body.Bytes))
 			g.Expect(err).NotTo(HaveOccurred())
 			var read string
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -382,7 +382,7 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerAccept, encoded.Compression)
-	body.Mark(req.Header)
+	body.SetContentEncoding(req.Header)
 	resp, err := e.do(req)
 	return resp, trace.Wrap(err, "exchange with %s", peer.Node)
 }
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -158,7 +158,7 @@
 func answerBody(response *restful.Response, body *encoded.Body) {
 	header := response.Header()
 	header.Set("Content-Type", restful.MIME_JSON)
-	body.Mark(header)
+	body.SetContentEncoding(header)
 	header.Set("Content-Length", strconv.Itoa(len(body.Bytes)))
 	_, _ = response.Write(body.Bytes)
 }
