--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -24,8 +24,8 @@
 	CompressionThreshold = 4 << 10
 	// headerEncoding says how a body is compressed.
 	headerEncoding = "Content-Encoding"
-	// Compression is the only one that is used.
-	Compression = "gzip"
+	// ContentCoding is the only one that is used.
+	ContentCoding = "gzip"
 )
 
 // JSON encodes a value, and compresses what has at least that many bytes.
@@ -54,13 +54,13 @@
 // SetContentEncoding says in the header whether the body is compressed.
 func (b *Body) SetContentEncoding(header http.Header) {
 	if b.Compressed {
-		header.Set(headerEncoding, Compression)
+		header.Set(headerEncoding, ContentCoding)
 	}
 }
 
 // Reader returns what a body with the header holds.
 func Reader(header http.Header, body io.Reader) (io.Reader, error) {
-	if header.Get(headerEncoding) != Compression {
+	if header.Get(headerEncoding) != ContentCoding {
 		return body, nil
 	}
 	return gzip.NewReader(body)
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -381,7 +381,7 @@
 		return nil, trace.Wrap(err, "exchange")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(headerAccept, encoded.Compression)
+	req.Header.Set(headerAccept, encoded.ContentCoding)
 	body.SetContentEncoding(req.Header)
 	resp, err := e.do(req)
 	return resp, trace.Wrap(err, "exchange with %s", peer.Node)
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set(headerAccept, encoded.Compression)
+	req.Header.Set(headerAccept, encoded.ContentCoding)
 	return e.do(req)
 }
 
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -135,7 +135,7 @@
 // acceptsCompressed reports whether the peer reads compressed answers. Nodes of the
 // version before do not ask for them.
 func acceptsCompressed(r *http.Request) bool {
-	return r.Header.Get(headerAccept) == encoded.Compression
+	return r.Header.Get(headerAccept) == encoded.ContentCoding
 }
 
 // answerEncoded answers what leads from a version to the one in force, compressed when it is
