--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Reader returns what a body with the header holds.
-func Reader(header http.Header, body io.Reader) (io.Reader, error) {
+// NewReader returns what a body with the header holds.
+func NewReader(header http.Header, body io.Reader) (io.Reader, error) {
 	if header.Get(headerEncoding) != ContentCoding {
 		return body, nil
 	}
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -62,7 +62,7 @@
 
 // plainBody returns the body of an answer that may be compressed.
 func plainBody(resp *http.Response, heard func()) (io.Reader, error) {
-	return encoded.Reader(resp.Header, &noticedReader{Reader: resp.Body, heard: heard})
+	return encoded.NewReader(resp.Header, &noticedReader{Reader: resp.Body, heard: heard})
 }
 
 // noticedReader tells whenever it brings something.
