--- a/internal/sidecar/body/body.go
+++ b/internal/sidecar/body/body.go
@@ -16,10 +16,10 @@
 // readBytes is the size of the first read of an answer without a length.
 const readBytes = 4 << 10
 
-// Gather reads the response's body whole when it is short. Afterwards the
+// BufferShort reads the response's body whole when it is short. Afterwards the
 // response either has a length and cannot break off any more, or streams what
 // is left. An error means that the answer broke off; its body is closed.
-func Gather(response *http.Response) error {
+func BufferShort(response *http.Response) error {
 	if response.ContentLength > BufferedBytes || response.Body == http.NoBody || response.ContentLength == 0 {
 		return nil
 	}
--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -154,7 +154,7 @@
 		a.failure = a.refused(response, said, now)
 		return
 	}
-	if err := body.Gather(response); err != nil {
+	if err := body.BufferShort(response); err != nil {
 		a.target.failed(now)
 		a.failure = &outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Cause: err}
 		return
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -164,7 +164,7 @@
 		a.observe(failure)
 		return failure
 	}
-	if err := body.Gather(response); err != nil {
+	if err := body.BufferShort(response); err != nil {
 		failure := a.unknown(errors.Join(errBrokenOff, err))
 		a.seeEnd(failure)
 		a.observe(failure)
