--- a/internal/sidecar/body/body.go
+++ b/internal/sidecar/body/body.go
@@ -10,8 +10,8 @@
 	"strconv"
 )
 
-// BufferedBytes is the longest answer that is read whole before it is passed on.
-const BufferedBytes = 64 << 10
+// MaxBufferedBytes is the longest answer that is read whole before it is passed on.
+const MaxBufferedBytes = 64 << 10
 
 // readBytes is the size of the first read of an answer without a length.
 const readBytes = 4 << 10
@@ -20,7 +20,7 @@
 // response either has a length and cannot break off any more, or streams what
 // is left. An error means that the answer broke off; its body is closed.
 func BufferShort(response *http.Response) error {
-	if response.ContentLength > BufferedBytes || response.Body == http.NoBody || response.ContentLength == 0 {
+	if response.ContentLength > MaxBufferedBytes || response.Body == http.NoBody || response.ContentLength == 0 {
 		return nil
 	}
 	gathered, whole, err := readUpTo(response.Body, response.ContentLength)
@@ -57,7 +57,7 @@
 		size = length + 1 // one more, to meet the end
 	}
 	buffer := make([]byte, 0, size)
-	for len(buffer) < BufferedBytes {
+	for len(buffer) < MaxBufferedBytes {
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
