--- a/internal/sidecar/dial/dial.go
+++ b/internal/sidecar/dial/dial.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Silence bounds how long a connection waits for a peer that acknowledges
+// PeerTimeouts bounds how long a connection waits for a peer that acknowledges
 // nothing.
-type Silence struct {
+type PeerTimeouts struct {
 	// Unacknowledged bounds data that was sent.
 	Unacknowledged time.Duration
 	// Idle is the time without traffic after which probes begin, and the time
@@ -29,7 +29,7 @@
 	// Listen listens at a TCP address.
 	Listen(address string) (net.Listener, error)
 	// Dialer returns a dialer with these bounds; a timeout of zero is none, a zero Silence the system's.
-	Dialer(timeout time.Duration, silence Silence) func(ctx context.Context, network, address string) (net.Conn, error)
+	Dialer(timeout time.Duration, silence PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // System is the machine's network.
@@ -39,8 +39,8 @@
 func (System) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // Dialer implements Network.
-func (System) Dialer(timeout time.Duration, silence Silence) func(ctx context.Context, network, address string) (net.Conn, error) {
-	if silence == (Silence{}) {
+func (System) Dialer(timeout time.Duration, silence PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error) {
+	if silence == (PeerTimeouts{}) {
 		return (&net.Dialer{Timeout: timeout}).DialContext
 	}
 	dialer := &net.Dialer{
@@ -51,7 +51,7 @@
 	return dialer.DialContext
 }
 
-func (s Silence) control(_, _ string, connection syscall.RawConn) error {
+func (s PeerTimeouts) control(_, _ string, connection syscall.RawConn) error {
 	var failed error
 	err := connection.Control(func(descriptor uintptr) {
 		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.Unacknowledged.Milliseconds()))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -133,7 +133,7 @@
 
 // StoreDialer returns the dialer for connections to the store.
 func StoreDialer(network dial.Network) func(ctx context.Context, network, address string) (net.Conn, error) {
-	return network.Dialer(storeDial, dial.Silence{Unacknowledged: storeSilence, Idle: peerIdle})
+	return network.Dialer(storeDial, dial.PeerTimeouts{Unacknowledged: storeSilence, Idle: peerIdle})
 }
 
 // New returns a sidecar that serves nobody before its first configuration.
@@ -172,7 +172,7 @@
 	created.exchanger = exchange.New(exchange.Options{
 		Roster:        created.members,
 		Configuration: created.keeper,
-		Dial:          options.Network.Dialer(exchangeDial, dial.Silence{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Dial:          options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
 		Refresh: func(ctx context.Context) error {
 			return configuration.Refresh(ctx, options.Store, created.place(), created.keeper)
 		},
@@ -225,7 +225,7 @@
 		Serves:       s.serves,
 		Emptied:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
 		DrainAfter:   s.drainAfter,
-		Dial:         s.options.Network.Dialer(0, dial.Silence{}),
+		Dial:         s.options.Network.Dialer(0, dial.PeerTimeouts{}),
 		Logger:       s.logger,
 		Observer:     observed,
 	})
@@ -252,7 +252,7 @@
 		Weights:    choice.DefaultWeights(),
 		Level:      (*level)(s),
 		DrainAfter: s.drainAfter,
-		Dial:       s.options.Network.Dialer(exchangeDial, dial.Silence{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Dial:       s.options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
 		Probe: func(ctx context.Context, record *roster.Record) error {
 			return s.exchanger.Ping(ctx, record)
 		},
