--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -149,9 +149,9 @@
 	return shared.withDeadline(parent, at)
 }
 
-// Use has another source tell for how long the machine has been suspended since its start,
+// SetSuspensionSource has another source tell for how long the machine has been suspended since its start,
 // from that moment on, until it is restored.
-func Use(read func() (time.Duration, error)) (restore func()) {
+func SetSuspensionSource(read func() (time.Duration, error)) (restore func()) {
 	shared.replace(read)
 	return func() { shared.replace(readSuspended) }
 }
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -97,7 +97,7 @@
 func TestTimesOfDay(t *testing.T) {
 	g := NewWithT(t)
 	suspended := time.Duration(0)
-	defer Use(func() (time.Duration, error) { return suspended, nil })()
+	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = time.Hour
 	Look()
 	moment := Now().Add(time.Minute)
@@ -111,7 +111,7 @@
 	heard := make(chan time.Duration, 4)
 	defer OnWake(func(slept time.Duration) { heard <- slept })()
 	suspended := time.Duration(0)
-	defer Use(func() (time.Duration, error) { return suspended, nil })()
+	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = 3 * time.Second
 	Look()
 	g.Eventually(heard).Should(Receive(BeNumerically("~", 3*time.Second, time.Second)))
--- a/internal/sidecar/clock/clocktest/clocktest.go
+++ b/internal/sidecar/clock/clocktest/clocktest.go
@@ -13,7 +13,7 @@
 // just now. The clock goes on as before after the test.
 func Suspendable(t testing.TB) (suspend func(slept time.Duration)) {
 	var total atomic.Int64
-	t.Cleanup(clock.Use(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
+	t.Cleanup(clock.SetSuspensionSource(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
 	return func(slept time.Duration) {
 		total.Add(int64(slept))
 		clock.Look()
