--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -174,8 +174,8 @@
 	return err
 }
 
-// Look looks for a suspension since the last look.
-func Look() { shared.look(time.Now()) }
+// DetectSuspension looks for a suspension since the last look.
+func DetectSuspension() { shared.look(time.Now()) }
 
 // Watch looks for suspensions until the context ends.
 func Watch(ctx context.Context) {
@@ -184,7 +184,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			Look()
+			DetectSuspension()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -99,7 +99,7 @@
 	suspended := time.Duration(0)
 	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = time.Hour
-	Look()
+	DetectSuspension()
 	moment := Now().Add(time.Minute)
 	g.Expect(time.Until(TimeOfDay(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
 	g.Expect(Moment(TimeOfDay(moment))).To(BeTemporally("~", moment, time.Second))
@@ -113,9 +113,9 @@
 	suspended := time.Duration(0)
 	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = 3 * time.Second
-	Look()
+	DetectSuspension()
 	g.Eventually(heard).Should(Receive(BeNumerically("~", 3*time.Second, time.Second)))
-	Look()
+	DetectSuspension()
 	g.Consistently(heard, "50ms").ShouldNot(Receive())
 }
 
--- a/internal/sidecar/clock/clocktest/clocktest.go
+++ b/internal/sidecar/clock/clocktest/clocktest.go
@@ -16,6 +16,6 @@
 	t.Cleanup(clock.SetSuspensionSource(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
 	return func(slept time.Duration) {
 		total.Add(int64(slept))
-		clock.Look()
+		clock.DetectSuspension()
 	}
 }
