--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -138,10 +138,10 @@
 // Moment returns the moment of this clock at a time of day that others told.
 func Moment(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
 
-// Received returns from when on the time counts that a message grants that is read now. A
+// ReceiveTime returns from when on the time counts that a message grants that is read now. A
 // message that is read just after a suspension may have come at its beginning: a node that
 // slept must not lengthen anybody's time.
-func Received() time.Time { return shared.received() }
+func ReceiveTime() time.Time { return shared.received() }
 
 // WithDeadline returns a context that ends at a moment of this clock: after a suspension,
 // once that is seen.
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -287,7 +287,7 @@
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	call := &call{handler: h, writer: w, request: r, started: clock.Received()}
+	call := &call{handler: h, writer: w, request: r, started: clock.ReceiveTime()}
 	h.lastCall.Store(clock.Stamp(call.started))
 	if failure := call.serve(); failure != nil {
 		call.reply(failure)
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -274,7 +274,7 @@
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	arrival := &arrival{handler: h, writer: w, request: r, started: clock.Received()}
+	arrival := &arrival{handler: h, writer: w, request: r, started: clock.ReceiveTime()}
 	failure := arrival.serve()
 	if failure != nil {
 		arrival.reply(failure)
