--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -132,8 +132,8 @@
 // At returns the moment of a stamp.
 func At(stamp int64) time.Time { return base.Add(time.Duration(stamp)) }
 
-// TimeOfDay returns the time of day of a moment of this clock, as others are told it.
-func TimeOfDay(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
+// WallTime returns the time of day of a moment of this clock, as others are told it.
+func WallTime(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
 
 // Moment returns the moment of this clock at a time of day that others told.
 func Moment(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -101,8 +101,8 @@
 	suspended = time.Hour
 	DetectSuspension()
 	moment := Now().Add(time.Minute)
-	g.Expect(time.Until(TimeOfDay(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
-	g.Expect(Moment(TimeOfDay(moment))).To(BeTemporally("~", moment, time.Second))
+	g.Expect(time.Until(WallTime(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
+	g.Expect(Moment(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
 }
 
 // TestListenersHearOfASuspension once each.
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -133,7 +133,7 @@
 
 func (c *Controller) swap(ctx context.Context, next rollout.Move, revision uint64) error {
 	value, err := c.options.Codec.EncodeStatus(Status{
-		Service: next.Service, Version: next.Version, Revision: next.Order.Revision, Phase: next.Phase, Deadline: clock.TimeOfDay(next.Deadline),
+		Service: next.Service, Version: next.Version, Revision: next.Order.Revision, Phase: next.Phase, Deadline: clock.WallTime(next.Deadline),
 	})
 	if err != nil {
 		return err
