--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -135,8 +135,8 @@
 // WallTime returns the time of day of a moment of this clock, as others are told it.
 func WallTime(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
 
-// Moment returns the moment of this clock at a time of day that others told.
-func Moment(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
+// FromWallTime returns the moment of this clock at a time of day that others told.
+func FromWallTime(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
 
 // ReceiveTime returns from when on the time counts that a message grants that is read now. A
 // message that is read just after a suspension may have come at its beginning: a node that
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -102,7 +102,7 @@
 	DetectSuspension()
 	moment := Now().Add(time.Minute)
 	g.Expect(time.Until(WallTime(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
-	g.Expect(Moment(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
+	g.Expect(FromWallTime(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
 }
 
 // TestListenersHearOfASuspension once each.
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	stored, revision, err := c.stored(bounded, next.Service)
 	if err == nil && stored.Revision == next.Revision && (stored.Phase.Final() || stored.Phase >= next.Phase) {
-		c.wrote(next.Reached(stored.Phase), clock.Moment(stored.Deadline))
+		c.wrote(next.Reached(stored.Phase), clock.FromWallTime(stored.Deadline))
 		return
 	}
 	if err == nil {
