--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// Check returns why suspensions of the machine cannot be seen, nil when they can. Whoever
+// CheckSupport returns why suspensions of the machine cannot be seen, nil when they can. Whoever
 // starts a node says so; the clock goes on without them.
-func Check() error {
+func CheckSupport() error {
 	_, err := readSuspended()
 	return err
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -20,7 +20,7 @@
 
 // Run does the node's work in the background until the context ends.
 func (s *Sidecar) Run(ctx context.Context) {
-	if err := clock.Check(); err != nil {
+	if err := clock.CheckSupport(); err != nil {
 		s.logger.Warn("suspensions of the machine cannot be seen", zap.Error(err))
 	}
 	defer clock.OnWake(s.woke)()
