--- a/internal/sidecar/clock/clocktest/clocktest.go
+++ b/internal/sidecar/clock/clocktest/clocktest.go
@@ -9,9 +9,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// Suspendable returns a function that has the machine of the process suspended for so long
+// Suspender returns a function that has the machine of the process suspended for so long
 // just now. The clock goes on as before after the test.
-func Suspendable(t testing.TB) (suspend func(slept time.Duration)) {
+func Suspender(t testing.TB) (suspend func(slept time.Duration)) {
 	var total atomic.Int64
 	t.Cleanup(clock.SetSuspensionSource(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
 	return func(slept time.Duration) {
--- a/internal/sidecar/egress/suspension_test.go
+++ b/internal/sidecar/egress/suspension_test.go
@@ -37,7 +37,7 @@
 // TestARepeatAfterASuspension has what the caller still has, not what it had before.
 func TestARepeatAfterASuspension(t *testing.T) {
 	g := NewWithT(t)
-	suspend := clocktest.Suspendable(t)
+	suspend := clocktest.Suspender(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
 	left := make(chan time.Duration, 2)
 	var sends atomic.Int64
@@ -57,7 +57,7 @@
 // TestARequestThatIsReadAfterASuspension may have waited all the while.
 func TestARequestThatIsReadAfterASuspension(t *testing.T) {
 	g := NewWithT(t)
-	suspend := clocktest.Suspendable(t)
+	suspend := clocktest.Suspender(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
 	left := make(chan time.Duration, 1)
 	handler := newHandler(t, &quiet{}, present, tellingPeer(t, left, func() bool { return true }))
--- a/internal/sidecar/ingress/suspension_test.go
+++ b/internal/sidecar/ingress/suspension_test.go
@@ -17,7 +17,7 @@
 // on while the machine is suspended.
 func TestASuspendedNodeStillDrains(t *testing.T) {
 	g := NewWithT(t)
-	suspend := clocktest.Suspendable(t)
+	suspend := clocktest.Suspender(t)
 	made := playMortal(t)
 	answer := signed(http.StatusOK)
 	made.answer.Store(&answer)
@@ -34,7 +34,7 @@
 // passed on with what its caller still has.
 func TestADeadlineIsNotLengthened(t *testing.T) {
 	g := NewWithT(t)
-	suspend := clocktest.Suspendable(t)
+	suspend := clocktest.Suspender(t)
 	made := playMortal(t)
 	const remaining, slept = 10 * time.Second, 4 * time.Second
 	made.told = func(told *hop.Request) { told.Remaining, told.MaximumWait = remaining, time.Minute }
