--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -81,9 +81,9 @@
 	return len(reading) == 0 || slices.ContainsFunc(reading, own.Same)
 }
 
-// Told returns the nodes that the given one is to tell of what it has read: of
+// AssignedNodes returns the nodes that the given one is to tell of what it has read: of
 // those in its zone that do not read, each is told by one reader.
-func Told(view *roster.View, own *roster.Record, usable Usable) []*roster.Record {
+func AssignedNodes(view *roster.View, own *roster.Record, usable Usable) []*roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
 	if !slices.ContainsFunc(reading, own.Same) {
 		return nil
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -55,7 +55,7 @@
 				served[record.Node]++
 				g.Expect(readers.Teller(view, record, usable)).To(BeNil())
 			}
-			for _, told := range readers.Told(view, record, usable) {
+			for _, told := range readers.AssignedNodes(view, record, usable) {
 				served[told.Node]++
 				g.Expect(readers.Teller(view, told, usable)).To(BeIdenticalTo(record))
 			}
@@ -86,7 +86,7 @@
 	g.Expect(others).To(HaveLen(12))
 	g.Expect([]string{reading[0].Node, reading[1].Node}).To(ConsistOf("node-3", "node-7"), "faster links first")
 	g.Expect(readers.Reads(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
-	g.Expect(readers.Told(view, view.Record("node-11"), all)).To(BeEmpty())
+	g.Expect(readers.AssignedNodes(view, view.Record("node-11"), all)).To(BeEmpty())
 	g.Expect(readers.All(view, all)).To(HaveLen(6))
 }
 
@@ -135,7 +135,7 @@
 	reading, others := readers.Zone(view, "z", all)
 	least, most := len(others), 0
 	for _, reader := range reading {
-		told := len(readers.Told(view, reader, all))
+		told := len(readers.AssignedNodes(view, reader, all))
 		least, most = min(least, told), max(most, told)
 	}
 	g.Expect(most).To(BeNumerically("<=", 3*least))
