--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -186,7 +186,7 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if teller := readers.Teller(view, own, e.Usable); teller != nil {
+		if teller := readers.AssignedReader(view, own, e.Usable); teller != nil {
 			return teller
 		}
 	}
--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -106,9 +106,9 @@
 	})
 }
 
-// Teller returns the reader that tells the given node, nil when the node reads
+// AssignedReader returns the reader that tells the given node, nil when the node reads
 // itself.
-func Teller(view *roster.View, own *roster.Record, usable Usable) *roster.Record {
+func AssignedReader(view *roster.View, own *roster.Record, usable Usable) *roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
 	if slices.ContainsFunc(others, own.Same) && len(reading) > 0 {
 		return tellerOf(own, reading)
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -53,11 +53,11 @@
 			}
 			if readers.Reads(view, record, usable) {
 				served[record.Node]++
-				g.Expect(readers.Teller(view, record, usable)).To(BeNil())
+				g.Expect(readers.AssignedReader(view, record, usable)).To(BeNil())
 			}
 			for _, told := range readers.AssignedNodes(view, record, usable) {
 				served[told.Node]++
-				g.Expect(readers.Teller(view, told, usable)).To(BeIdenticalTo(record))
+				g.Expect(readers.AssignedReader(view, told, usable)).To(BeIdenticalTo(record))
 			}
 		}
 		g.Expect(served).To(HaveLen(20 - away))
@@ -122,7 +122,7 @@
 		}
 		for _, record := range whole.Zone("z") {
 			if lacking(record) {
-				g.Expect(readers.Teller(whole, record, lacking)).To(BeIdenticalTo(readers.Teller(whole, record, all)))
+				g.Expect(readers.AssignedReader(whole, record, lacking)).To(BeIdenticalTo(readers.AssignedReader(whole, record, all)))
 			}
 		}
 	}
