--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -73,10 +73,10 @@
 	return reading
 }
 
-// Reads reports whether the node is among those of its zone that read. A node that
+// IsReader reports whether the node is among those of its zone that read. A node that
 // is leaving, or whose back end is gone, hears from its peers until its end, unless
 // there is none to read.
-func Reads(view *roster.View, own *roster.Record, usable Usable) bool {
+func IsReader(view *roster.View, own *roster.Record, usable Usable) bool {
 	reading, _ := Zone(view, own.Zone, usable)
 	return len(reading) == 0 || slices.ContainsFunc(reading, own.Same)
 }
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -51,7 +51,7 @@
 			if !usable(record) {
 				continue
 			}
-			if readers.Reads(view, record, usable) {
+			if readers.IsReader(view, record, usable) {
 				served[record.Node]++
 				g.Expect(readers.AssignedReader(view, record, usable)).To(BeNil())
 			}
@@ -85,7 +85,7 @@
 	g.Expect(reading).To(HaveLen(6))
 	g.Expect(others).To(HaveLen(12))
 	g.Expect([]string{reading[0].Node, reading[1].Node}).To(ConsistOf("node-3", "node-7"), "faster links first")
-	g.Expect(readers.Reads(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
+	g.Expect(readers.IsReader(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
 	g.Expect(readers.AssignedNodes(view, view.Record("node-11"), all)).To(BeEmpty())
 	g.Expect(readers.All(view, all)).To(HaveLen(6))
 }
@@ -106,7 +106,7 @@
 	g := NewWithT(t)
 	view := zoneOf(5, func(_ int, record *roster.Record) { record.Leaving = true })
 	for _, record := range view.Zone("z") {
-		g.Expect(readers.Reads(view, record, all)).To(BeTrue())
+		g.Expect(readers.IsReader(view, record, all)).To(BeTrue())
 	}
 }
 
@@ -117,7 +117,7 @@
 	whole := zoneOf(nodes, nil)
 	for away := range nodes {
 		lacking := func(record *roster.Record) bool { return record.Node != fmt.Sprint("node-", away) }
-		if readers.Reads(whole, whole.Record(fmt.Sprint("node-", away)), all) {
+		if readers.IsReader(whole, whole.Record(fmt.Sprint("node-", away)), all) {
 			continue
 		}
 		for _, record := range whole.Zone("z") {
