--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -23,8 +23,8 @@
 	share = 32
 )
 
-// Usable reports whether a node is believed to be there.
-type Usable func(*roster.Record) bool
+// Reachable reports whether a node is believed to be there.
+type Reachable func(*roster.Record) bool
 
 // Count returns how many of that many nodes of a zone read, where there are that
 // many zones.
@@ -43,7 +43,7 @@
 // Zone divides the nodes of one zone: those that read, in order, and the others
 // in the order of their names. Nodes that are not usable are in neither. Of two
 // nodes the one with the faster link reads.
-func Zone(view *roster.View, zone string, usable Usable) (reading, others []*roster.Record) {
+func Zone(view *roster.View, zone string, usable Reachable) (reading, others []*roster.Record) {
 	records := view.Zone(zone)
 	ranking := make([]ranked, 0, len(records))
 	for _, record := range records {
@@ -65,7 +65,7 @@
 }
 
 // All returns the nodes of all zones that read.
-func All(view *roster.View, usable Usable) (reading []*roster.Record) {
+func All(view *roster.View, usable Reachable) (reading []*roster.Record) {
 	for _, zone := range view.Zones() {
 		near, _ := Zone(view, zone, usable)
 		reading = append(reading, near...)
@@ -76,14 +76,14 @@
 // IsReader reports whether the node is among those of its zone that read. A node that
 // is leaving, or whose back end is gone, hears from its peers until its end, unless
 // there is none to read.
-func IsReader(view *roster.View, own *roster.Record, usable Usable) bool {
+func IsReader(view *roster.View, own *roster.Record, usable Reachable) bool {
 	reading, _ := Zone(view, own.Zone, usable)
 	return len(reading) == 0 || slices.ContainsFunc(reading, own.Same)
 }
 
 // AssignedNodes returns the nodes that the given one is to tell of what it has read: of
 // those in its zone that do not read, each is told by one reader.
-func AssignedNodes(view *roster.View, own *roster.Record, usable Usable) []*roster.Record {
+func AssignedNodes(view *roster.View, own *roster.Record, usable Reachable) []*roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
 	if !slices.ContainsFunc(reading, own.Same) {
 		return nil
@@ -108,7 +108,7 @@
 
 // AssignedReader returns the reader that tells the given node, nil when the node reads
 // itself.
-func AssignedReader(view *roster.View, own *roster.Record, usable Usable) *roster.Record {
+func AssignedReader(view *roster.View, own *roster.Record, usable Reachable) *roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
 	if slices.ContainsFunc(others, own.Same) && len(reading) > 0 {
 		return tellerOf(own, reading)
