--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -30,8 +30,8 @@
 	startInterval = 50 * time.Millisecond
 )
 
-// Place is where the store has what operators write.
-type Place struct {
+// Keyspace is where the store has what operators write.
+type Keyspace struct {
 	// Key is that of the configuration. Prefix begins it, and the keys of all else that
 	// operators write: one watch brings everything.
 	Key, Prefix string
@@ -47,7 +47,7 @@
 // take offers an item to whom it concerns. One that sets off a panic is left out, as one
 // that cannot be read is: the error is in the log. It reports whether the item is not a
 // configuration that was left out.
-func (p *Place) take(item store.KeyValue, keeper *Keeper, source Source) bool {
+func (p *Keyspace) take(item store.KeyValue, keeper *Keeper, source Source) bool {
 	switch {
 	case item.Key == p.Key:
 		err := keeper.Offer(item.Value, source)
@@ -59,14 +59,14 @@
 }
 
 // takeRemoved passes on that a key was removed. The configuration is never without a version.
-func (p *Place) takeRemoved(key string, revision uint64, keeper *Keeper) {
+func (p *Keyspace) takeRemoved(key string, revision uint64, keeper *Keeper) {
 	if key != p.Key && p.Removed != nil {
 		_ = contain.Run("removed order", keeper.logger, func() { p.Removed(key, revision) })
 	}
 }
 
 // takeList passes on what a read of the whole place has found.
-func (p *Place) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
+func (p *Keyspace) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
 	if p.Listed != nil {
 		_ = contain.Run("orders", keeper.logger, func() { p.Listed(found, revision) })
 	}
@@ -76,7 +76,7 @@
 // ends. After every end of a watch the place is read anew: what was missed
 // meanwhile must not stay unheard. While reads returns false the store is left
 // alone.
-func Follow(ctx context.Context, reader store.Reader, place Place, keeper *Keeper, reads func() bool, logger *zap.Logger) {
+func Follow(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper, reads func() bool, logger *zap.Logger) {
 	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
 	healthy := true
 	reading := true
@@ -151,7 +151,7 @@
 
 // followOnce reads the place, then watches it until the watch ends; answered is called once the
 // store has answered the read. A nil error means that the watch ended in order.
-func followOnce(ctx context.Context, reader store.Reader, place *Place, keeper *Keeper, answered func()) error {
+func followOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper, answered func()) error {
 	after, err := readOnce(ctx, reader, place, keeper)
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 // which nothing is missed: that of the store, not that of a key, which may be
 // older than the history that a watch can begin in. What concerns single services comes
 // before the configuration: a node that serves knows all orders given before.
-func readOnce(ctx context.Context, reader store.Reader, place *Place, keeper *Keeper) (after uint64, err error) {
+func readOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper) (after uint64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	asked := clock.Now()
@@ -210,7 +210,7 @@
 }
 
 // Refresh takes in what the store has at the place now.
-func Refresh(ctx context.Context, reader store.Reader, place Place, keeper *Keeper) error {
+func Refresh(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper) error {
 	_, err := readOnce(ctx, reader, &place, keeper)
 	return err
 }
--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -74,7 +74,7 @@
 
 // follow has the keeper follow the store as one that reads; the channel is closed at the end.
 func follow(ctx context.Context, reader store.Reader, keeper *configuration.Keeper, logger *zap.Logger) <-chan struct{} {
-	place := configuration.Place{Key: configurationKey, Prefix: configurationKey}
+	place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -174,7 +174,7 @@
 		held := &forgetfulStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		orders := 0
-		place := configuration.Place{Key: configurationKey, Prefix: configurationKey, Other: func(store.KeyValue) {
+		place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, Other: func(store.KeyValue) {
 			orders++
 			panic("a fault of the node")
 		}}
@@ -213,7 +213,7 @@
 		}
 		held := &forgetfulStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
-		go configuration.Follow(ctx, held, configuration.Place{Key: configurationKey, Prefix: configurationKey}, keeper, func() bool { return true }, zap.NewNop())
+		go configuration.Follow(ctx, held, configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}, keeper, func() bool { return true }, zap.NewNop())
 		synctest.Wait()
 		expectAge := func(want time.Duration) {
 			synctest.Wait()
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -42,8 +42,8 @@
 }
 
 // place is where the store has what operators write.
-func (s *Sidecar) place() configuration.Place {
-	return configuration.Place{
+func (s *Sidecar) place() configuration.Keyspace {
+	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
 		Other: s.ordered, Removed: s.orderRemoved, Listed: s.ordersListed,
 	}
