--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -35,8 +35,8 @@
 	// Key is that of the configuration. Prefix begins it, and the keys of all else that
 	// operators write: one watch brings everything.
 	Key, Prefix string
-	// Other takes in what lies under another key; nil takes nothing.
-	Other func(store.KeyValue)
+	// OnOther takes in what lies under another key; nil takes nothing.
+	OnOther func(store.KeyValue)
 	// Removed takes in that another key was removed at a revision; nil takes nothing.
 	Removed func(key string, revision uint64)
 	// Listed takes in all that lay under other keys at a revision: what is not among it is not
@@ -52,8 +52,8 @@
 	case item.Key == p.Key:
 		err := keeper.Offer(item.Value, source)
 		return err == nil || errors.Is(err, ErrNotNewer)
-	case p.Other != nil:
-		_ = contain.Run("order", keeper.logger, func() { p.Other(item) })
+	case p.OnOther != nil:
+		_ = contain.Run("order", keeper.logger, func() { p.OnOther(item) })
 	}
 	return true
 }
--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -174,7 +174,7 @@
 		held := &forgetfulStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		orders := 0
-		place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, Other: func(store.KeyValue) {
+		place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
 			orders++
 			panic("a fault of the node")
 		}}
