--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -37,8 +37,8 @@
 	Key, Prefix string
 	// OnOther takes in what lies under another key; nil takes nothing.
 	OnOther func(store.KeyValue)
-	// Removed takes in that another key was removed at a revision; nil takes nothing.
-	Removed func(key string, revision uint64)
+	// OnRemoved takes in that another key was removed at a revision; nil takes nothing.
+	OnRemoved func(key string, revision uint64)
 	// Listed takes in all that lay under other keys at a revision: what is not among it is not
 	// there; nil takes nothing.
 	Listed func(found []store.KeyValue, revision uint64)
@@ -60,8 +60,8 @@
 
 // takeRemoved passes on that a key was removed. The configuration is never without a version.
 func (p *Keyspace) takeRemoved(key string, revision uint64, keeper *Keeper) {
-	if key != p.Key && p.Removed != nil {
-		_ = contain.Run("removed order", keeper.logger, func() { p.Removed(key, revision) })
+	if key != p.Key && p.OnRemoved != nil {
+		_ = contain.Run("removed order", keeper.logger, func() { p.OnRemoved(key, revision) })
 	}
 }
 
