--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -39,9 +39,9 @@
 	OnOther func(store.KeyValue)
 	// OnRemoved takes in that another key was removed at a revision; nil takes nothing.
 	OnRemoved func(key string, revision uint64)
-	// Listed takes in all that lay under other keys at a revision: what is not among it is not
+	// OnListed takes in all that lay under other keys at a revision: what is not among it is not
 	// there; nil takes nothing.
-	Listed func(found []store.KeyValue, revision uint64)
+	OnListed func(found []store.KeyValue, revision uint64)
 }
 
 // take offers an item to whom it concerns. One that sets off a panic is left out, as one
@@ -67,8 +67,8 @@
 
 // takeList passes on what a read of the whole place has found.
 func (p *Keyspace) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
-	if p.Listed != nil {
-		_ = contain.Run("orders", keeper.logger, func() { p.Listed(found, revision) })
+	if p.OnListed != nil {
+		_ = contain.Run("orders", keeper.logger, func() { p.OnListed(found, revision) })
 	}
 }
 
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -45,7 +45,7 @@
 func (s *Sidecar) place() configuration.Keyspace {
 	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
-		OnOther: s.ordered, OnRemoved: s.orderRemoved, Listed: s.ordersListed,
+		OnOther: s.ordered, OnRemoved: s.orderRemoved, OnListed: s.ordersListed,
 	}
 }
 
