--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -84,9 +84,9 @@
 // Version returns the version in force, zero before the first.
 func (k *Keeper) Version() uint64 { return k.Table().Version() }
 
-// Since returns what leads from a past version to the one in force: the whole
+// ChangeSince returns what leads from a past version to the one in force: the whole
 // document when that version is not remembered, nil before the first.
-func (k *Keeper) Since(version uint64) *route.Change {
+func (k *Keeper) ChangeSince(version uint64) *route.Change {
 	current := k.held.Load()
 	if current == nil {
 		return nil
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -181,9 +181,9 @@
 		g.Eventually(first.keeper.Version).WithTimeout(patience).Should(Equal(second.keeper.Version()))
 	}
 	g.Expect(asked.Load()).To(BeZero())
-	g.Expect(second.keeper.Since(8).Base).To(BeEquivalentTo(8))
-	g.Expect(second.keeper.Since(3).Base).To(BeZero(), "not remembered: whole")
-	g.Expect(newMember(t, "third").keeper.Since(3)).To(BeNil())
+	g.Expect(second.keeper.ChangeSince(8).Base).To(BeEquivalentTo(8))
+	g.Expect(second.keeper.ChangeSince(3).Base).To(BeZero(), "not remembered: whole")
+	g.Expect(newMember(t, "third").keeper.ChangeSince(3)).To(BeNil())
 }
 
 // TestANodeThatDoesNotReadAsksTheStore when its peer does not answer.
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -120,7 +120,7 @@
 		e.answerEncoded(response, after)
 		return
 	}
-	change := e.options.Configuration.Since(after)
+	change := e.options.Configuration.ChangeSince(after)
 	if change == nil {
 		noneInForce(response)
 		return
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -134,7 +134,7 @@
 	for _, document := range []string{"7 800", "8 2200", "9 2201"} {
 		g.Expect(keeper.Offer([]byte(document), configuration.SourceWatch)).To(Succeed())
 	}
-	plain, err := json.Marshal(keeper.Since(7))
+	plain, err := json.Marshal(keeper.ChangeSince(7))
 	g.Expect(err).NotTo(HaveOccurred())
 	large, err := keeper.EncodedSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
