--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -100,9 +100,9 @@
 	return document.ChangeFrom(nil)
 }
 
-// EncodedSince is Since as it goes to peers, nil before the first version. It is made once, since
+// EncodedChangeSince is Since as it goes to peers, nil before the first version. It is made once, since
 // many ask for the same.
-func (k *Keeper) EncodedSince(version uint64) (*encoded.Body, error) {
+func (k *Keeper) EncodedChangeSince(version uint64) (*encoded.Body, error) {
 	current := k.held.Load()
 	if current == nil {
 		return nil, nil
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -225,7 +225,7 @@
 	first.members.Merge([]*roster.Record{second.record})
 	first.exchanger.Greet(t.Context())
 	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
-	g.Expect(newMember(t, "third").keeper.EncodedSince(0)).To(BeNil())
+	g.Expect(newMember(t, "third").keeper.EncodedChangeSince(0)).To(BeNil())
 }
 
 // TestARecordThatSetsOffAPanic does not end the node that hears it, and the next one is taken:
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -141,7 +141,7 @@
 // answerEncoded answers what leads from a version to the one in force, compressed when it is
 // long.
 func (e *Exchanger) answerEncoded(response *restful.Response, after uint64) {
-	change, err := e.options.Configuration.EncodedSince(after)
+	change, err := e.options.Configuration.EncodedChangeSince(after)
 	switch {
 	case err != nil:
 		e.options.Logger.Error("configuration not sent", zap.Error(err))
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -113,7 +113,7 @@
 		connection, err := in.dial(ctx, network, address)
 		return &narrow{connection, over}, err
 	})
-	change, err := held[1].keeper.EncodedSince(7)
+	change, err := held[1].keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	alone := time.Duration(len(change.Bytes)) * time.Second / time.Duration(over.bytesPerSecond)
 	began := time.Now()
@@ -136,15 +136,15 @@
 	}
 	plain, err := json.Marshal(keeper.ChangeSince(7))
 	g.Expect(err).NotTo(HaveOccurred())
-	large, err := keeper.EncodedSince(7)
+	large, err := keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(large.Compressed).To(BeTrue())
 	g.Expect(len(plain)).To(BeNumerically(">", 250_000))
 	g.Expect(len(large.Bytes)).To(BeNumerically("<", len(plain)/10))
-	small, err := keeper.EncodedSince(8)
+	small, err := keeper.EncodedChangeSince(8)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(small.Compressed).To(BeFalse())
-	again, err := keeper.EncodedSince(7)
+	again, err := keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(BeIdenticalTo(large), "made once")
 }
