--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -163,9 +163,9 @@
 	return k.adopt(document, notes, source)
 }
 
-// Advance puts in force what a peer's change makes of the document in force. The
+// ApplyChange puts in force what a peer's change makes of the document in force. The
 // error is route.ErrBase when it starts from another one.
-func (k *Keeper) Advance(change *route.Change) error {
+func (k *Keeper) ApplyChange(change *route.Change) error {
 	return k.contained(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.advance(change) })
 }
 
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -46,7 +46,7 @@
 	if err := json.NewDecoder(io.LimitReader(body, documentBytes)).Decode(change); err != nil {
 		return err
 	}
-	return e.options.Configuration.Advance(change)
+	return e.options.Configuration.ApplyChange(change)
 }
 
 // get asks a peer for what lies under a path. The body of the response, which has status
