--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -172,7 +172,7 @@
 			taken = place.take(event.KeyValue, keeper, SourceWatch) && taken
 		}
 		if !event.Current.IsZero() && taken {
-			keeper.Proven(keeper.Version(), event.Current)
+			keeper.RecordProof(keeper.Version(), event.Current)
 		}
 	}
 	return watch.Err()
@@ -204,7 +204,7 @@
 		place.takeList(found, after, keeper)
 	}
 	if index := slices.IndexFunc(found, isConfiguration); index >= 0 && place.take(found[index], keeper, SourceRead) {
-		keeper.Proven(keeper.Version(), asked)
+		keeper.RecordProof(keeper.Version(), asked)
 	}
 	return after, nil
 }
--- a/internal/sidecar/configuration/proof.go
+++ b/internal/sidecar/configuration/proof.go
@@ -58,9 +58,9 @@
 	return known
 }
 
-// Proven takes in that there was no version above the given one at a moment, whoever proved
+// RecordProof takes in that there was no version above the given one at a moment, whoever proved
 // it. It counts when the node holds that version or a newer one.
-func (k *Keeper) Proven(version uint64, at time.Time) {
+func (k *Keeper) RecordProof(version uint64, at time.Time) {
 	if version > 0 {
 		k.proof.take(version, at, k.Version())
 	}
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -229,7 +229,7 @@
 // was sent at the moment. The time on the way counts against the proof.
 func (l *levelCheck) prove(version uint64, told *int64, asked time.Time) {
 	if age, valid := proofAge(told); valid {
-		l.exchanger.options.Configuration.Proven(version, asked.Add(-age))
+		l.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
 	}
 }
 
