--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -307,7 +307,7 @@
 		time.Sleep(watches*watchTime + slack)
 		synctest.Wait()
 		g.Expect(held.reads).To(Equal(watches + 1))
-		g.Expect(keeper.LevelWithin(slack)).To(BeTrue())
+		g.Expect(keeper.UpToDateWithin(slack)).To(BeTrue())
 		end()
 		time.Sleep(time.Minute)
 		<-followed
--- a/internal/sidecar/configuration/proof.go
+++ b/internal/sidecar/configuration/proof.go
@@ -76,8 +76,8 @@
 	return clock.Since(known.at), true
 }
 
-// LevelWithin reports whether the node is known to have been level at most so long ago.
-func (k *Keeper) LevelWithin(span time.Duration) bool {
+// UpToDateWithin reports whether the node is known to have been level at most so long ago.
+func (k *Keeper) UpToDateWithin(span time.Duration) bool {
 	age, proven := k.ProofAge()
 	return proven && age <= span
 }
--- a/internal/sidecar/exchange/confirm.go
+++ b/internal/sidecar/exchange/confirm.go
@@ -98,7 +98,7 @@
 // limit.
 func (c *confirmation) proven() bool {
 	e := c.level.exchanger
-	return e.behind.level() && e.options.Configuration.LevelWithin(e.limits.final)
+	return e.behind.level() && e.options.Configuration.UpToDateWithin(e.limits.final)
 }
 
 // ask asks another node, and the store when two have not helped or nobody else is there.
