--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -288,12 +288,12 @@
 		Digest:   e.options.Roster.View().Digest(),
 		Version:  e.options.Configuration.Version(),
 		ProofAge: e.level.proofAge(),
-		Told:     e.told(),
+		SharedState:     e.told(),
 	}
 }
 
 // told is what this node knows of operators' orders.
-func (e *Exchanger) told() (told Told) {
+func (e *Exchanger) told() (told SharedState) {
 	if e.options.Store != nil {
 		told.Era = e.options.Store.Era()
 	}
@@ -311,7 +311,7 @@
 
 // hearEra takes in a peer's era of the store. What a peer of an earlier one takes for recorded
 // there may be gone.
-func (e *Exchanger) hearEra(told *Told) {
+func (e *Exchanger) hearEra(told *SharedState) {
 	if e.options.Store == nil {
 		return
 	}
@@ -325,7 +325,7 @@
 
 // hearTold takes in a peer's orders before its records: who knows of a new version knows why
 // it is there. News is passed on in the zone.
-func (e *Exchanger) hearTold(told *Told) {
+func (e *Exchanger) hearTold(told *SharedState) {
 	e.hearEra(told)
 	moved := e.options.Rollouts != nil && len(told.Rollouts) > 0 && e.options.Rollouts.Hear(told.Rollouts)
 	emptied := e.options.Evacuations != nil && len(told.Evacuations) > 0 && e.options.Evacuations.Hear(told.Evacuations)
@@ -341,7 +341,7 @@
 func (e *Exchanger) take(received *Message) {
 	e.met.Store(true)
 	e.lost.remove(received.From.Node) // it is there, whoever began
-	e.hearTold(&received.Told)
+	e.hearTold(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
 	e.Behind(received.From, received.Version)
 }
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -31,12 +31,12 @@
 	// Records are the sender's in the differing parts, as far as the receiver
 	// needs them.
 	Records []*roster.Record `json:"records,omitempty"`
-	Told
+	SharedState
 }
 
-// Told is what operators have ordered beside the configuration, and what holds for the whole
+// SharedState is what operators have ordered beside the configuration, and what holds for the whole
 // deployment, as the sender knows it.
-type Told struct {
+type SharedState struct {
 	// Era is how often the store has come back from an older copy.
 	Era uint64 `json:"era,omitempty"`
 	// Rollouts are the moves to other versions.
@@ -76,7 +76,7 @@
 	Version uint64 `json:"version"`
 	// Relay asks the receiver to pass the news on in its zone.
 	Relay bool `json:"relay,omitempty"`
-	Told
+	SharedState
 }
 
 const (
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -184,7 +184,7 @@
 	if notice.From == notice.Record.Node {
 		e.lost.remove(notice.From)
 	}
-	e.hearTold(&notice.Told)
+	e.hearTold(&notice.SharedState)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
 		e.Behind(sender, notice.Version)
@@ -225,7 +225,7 @@
 // notice returns what is told of a record.
 func (e *Exchanger) notice(record *roster.Record) *Notice {
 	return &Notice{
-		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), Told: e.told(),
+		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.told(),
 	}
 }
 
