--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -195,18 +195,18 @@
 }
 
 // levelOf returns what a node answers.
-func (l *levelCheck) levelOf(ctx context.Context, reader *roster.Record) (*Level, error) {
+func (l *levelCheck) levelOf(ctx context.Context, reader *roster.Record) (*VersionReply, error) {
 	resp, err := l.exchanger.get(ctx, reader, pathLevel)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	answer := &Level{}
+	answer := &VersionReply{}
 	return answer, json.NewDecoder(io.LimitReader(resp.Body, levelBytes)).Decode(answer)
 }
 
 // told notes what a reader has answered, and whether it had new proof.
-func (l *levelCheck) told(reader *roster.Record, answer *Level) {
+func (l *levelCheck) told(reader *roster.Record, answer *VersionReply) {
 	inForce, result := l.exchanger.options.Configuration.Version(), levelSame
 	if answer.Version > inForce {
 		result = levelNewer
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -47,8 +47,8 @@
 	SharedMachines bool `json:"sharedMachines,omitempty"`
 }
 
-// Level is what a node answers that is asked whether there is a newer configuration.
-type Level struct {
+// VersionReply is what a node answers that is asked whether there is a newer configuration.
+type VersionReply struct {
 	// Version is that of the configuration in force, zero without one.
 	Version uint64 `json:"version"`
 	// ProofAge is as in Message.
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -30,7 +30,7 @@
 	service.Route(service.POST(pathNotice).Consumes(restful.MIME_JSON).To(e.serveNotice))
 	service.Route(service.GET(pathConfiguration).Produces(restful.MIME_JSON).To(e.serveConfiguration))
 	service.Route(service.GET(pathLevel).Produces(restful.MIME_JSON).To(func(_ *restful.Request, response *restful.Response) {
-		_ = response.WriteAsJson(&Level{Version: e.options.Configuration.Version(), ProofAge: e.level.proofAge()})
+		_ = response.WriteAsJson(&VersionReply{Version: e.options.Configuration.Version(), ProofAge: e.level.proofAge()})
 	}))
 	if e.options.Quota != nil {
 		service.Route(service.POST(pathQuota).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(serveGranter(e.options.Quota)))
