--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -259,7 +259,7 @@
 	}
 	view := e.options.Roster.View()
 	asked := e.message()
-	asked.Of = len(theirs)
+	asked.BucketCount = len(theirs)
 	for index, digest := range view.Buckets(len(theirs)) {
 		if digest != theirs[index] {
 			asked.Differing = append(asked.Differing, index)
@@ -268,7 +268,7 @@
 	if len(asked.Differing) == 0 {
 		return nil
 	}
-	asked.Records = view.InBuckets(asked.Differing, asked.Of)
+	asked.Records = view.InBuckets(asked.Differing, asked.BucketCount)
 	return asked
 }
 
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -27,7 +27,7 @@
 	Buckets []uint32 `json:"buckets,omitempty"`
 	// Differing are the parts, of Of in all, that the sender wants compared.
 	Differing []int `json:"differing,omitempty"`
-	Of        int   `json:"of,omitempty"`
+	BucketCount        int   `json:"of,omitempty"`
 	// Records are the sender's in the differing parts, as far as the receiver
 	// needs them.
 	Records []*roster.Record `json:"records,omitempty"`
@@ -97,11 +97,11 @@
 
 // comparable reports whether the message asks for a comparison that can be made.
 func (m *Message) comparable() bool {
-	if m.Of < 1 || m.Of > mostBuckets || len(m.Differing) > m.Of {
+	if m.BucketCount < 1 || m.BucketCount > mostBuckets || len(m.Differing) > m.BucketCount {
 		return false
 	}
 	for _, index := range m.Differing {
-		if index < 0 || index >= m.Of {
+		if index < 0 || index >= m.BucketCount {
 			return false
 		}
 	}
