--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -149,11 +149,11 @@
 func TestMessagesThatCannotBeCompared(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []Message{
-		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, Differing: []int{4}}, {BucketCount: 4, Differing: []int{-1}}, {BucketCount: 1, Differing: []int{0, 0}},
+		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, DifferingBuckets: []int{4}}, {BucketCount: 4, DifferingBuckets: []int{-1}}, {BucketCount: 1, DifferingBuckets: []int{0, 0}},
 	} {
 		g.Expect(message.comparable()).To(BeFalse())
 	}
-	g.Expect((&Message{BucketCount: 4, Differing: []int{0, 3}}).comparable()).To(BeTrue())
+	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).comparable()).To(BeTrue())
 	answering := newMember(t, "first")
 	for _, body := range []string{"", "{", `{"digest":1}`, `{"from":{"node":"x"},"of":-1}`} {
 		response, err := http.Post("http://"+answering.record.PeerAddress+PathRoot+pathExchange, "application/json", strings.NewReader(body))
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -262,13 +262,13 @@
 	asked.BucketCount = len(theirs)
 	for index, digest := range view.Buckets(len(theirs)) {
 		if digest != theirs[index] {
-			asked.Differing = append(asked.Differing, index)
+			asked.DifferingBuckets = append(asked.DifferingBuckets, index)
 		}
 	}
-	if len(asked.Differing) == 0 {
+	if len(asked.DifferingBuckets) == 0 {
 		return nil
 	}
-	asked.Records = view.InBuckets(asked.Differing, asked.BucketCount)
+	asked.Records = view.InBuckets(asked.DifferingBuckets, asked.BucketCount)
 	return asked
 }
 
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -25,8 +25,8 @@
 	// Buckets are the digests of the sender's roster in parts, when the digests
 	// differ.
 	Buckets []uint32 `json:"buckets,omitempty"`
-	// Differing are the parts, of Of in all, that the sender wants compared.
-	Differing []int `json:"differing,omitempty"`
+	// DifferingBuckets are the parts, of Of in all, that the sender wants compared.
+	DifferingBuckets []int `json:"differing,omitempty"`
 	BucketCount        int   `json:"of,omitempty"`
 	// Records are the sender's in the differing parts, as far as the receiver
 	// needs them.
@@ -97,10 +97,10 @@
 
 // comparable reports whether the message asks for a comparison that can be made.
 func (m *Message) comparable() bool {
-	if m.BucketCount < 1 || m.BucketCount > mostBuckets || len(m.Differing) > m.BucketCount {
+	if m.BucketCount < 1 || m.BucketCount > mostBuckets || len(m.DifferingBuckets) > m.BucketCount {
 		return false
 	}
-	for _, index := range m.Differing {
+	for _, index := range m.DifferingBuckets {
 		if index < 0 || index >= m.BucketCount {
 			return false
 		}
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -84,7 +84,7 @@
 	view := e.options.Roster.View()
 	switch {
 	case received.comparable():
-		made.Records = lacking(view.InBuckets(received.Differing, received.BucketCount), received.Records)
+		made.Records = lacking(view.InBuckets(received.DifferingBuckets, received.BucketCount), received.Records)
 	case received.Digest != view.Digest():
 		made.Buckets = view.Buckets(bucketCount(view.Count()))
 	}
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -69,7 +69,7 @@
 	own := *peer
 	own.Node, own.Epoch = "n", 9
 	for _, message := range []any{
-		&exchange.Message{From: peer, Digest: 1, Version: 1, BucketCount: 8, Differing: []int{0, 7}, Records: []*roster.Record{&own, nil}},
+		&exchange.Message{From: peer, Digest: 1, Version: 1, BucketCount: 8, DifferingBuckets: []int{0, 7}, Records: []*roster.Record{&own, nil}},
 		&exchange.Message{
 			From: peer, SharedState: exchange.SharedState{Rollouts: []rollout.Told{{}}, Evacuations: []evacuation.Order{{}, {Zone: "z", Revision: 1, Emptied: true}}},
 			Buckets: []uint32{1, 2},
