--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -210,7 +210,7 @@
 		age, proven := late.keeper.ProofAge()
 		g.Expect(proven).To(BeTrue())
 		g.Expect(age).To(Equal(time.Second))
-		g.Expect(late.exchanger.With(t.Context(), peer.record)).To(Succeed())
+		g.Expect(late.exchanger.ExchangeWith(t.Context(), peer.record)).To(Succeed())
 
 		peer.offer(t, 8)
 		peer.keeper.RecordProof(8, time.Now())
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -93,7 +93,7 @@
 				newer.Counter = 9
 				first.members.Merge([]*roster.Record{&newer})
 			}
-			g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+			g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 			g.Expect(first.members.View().Digest()).To(Equal(second.members.View().Digest()))
 			g.Expect(first.members.View().Records()).To(HaveLen(size + 2))
 		})
@@ -108,11 +108,11 @@
 	first.members.Merge(records)
 	second.members.Merge(records)
 	// A large roster takes changes together.
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(func() bool { return first.members.View().Digest() == second.members.View().Digest() }).
 		WithTimeout(patience).Should(BeTrue())
 	second.bytes.Store(0)
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 1000), "nothing differs")
 	changed := *records[500]
 	changed.Counter = 2
@@ -122,7 +122,7 @@
 	}
 	g.Eventually(counter(second)).WithTimeout(patience).Should(BeEquivalentTo(2))
 	second.bytes.Store(0)
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 8000), "one record differs")
 	g.Eventually(counter(first)).WithTimeout(patience).Should(BeEquivalentTo(2))
 }
@@ -140,7 +140,7 @@
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	g.Expect(second.keeper.Offer([]byte("7"), configuration.SourceWatch)).To(Succeed())
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
 	g.Expect(first.keeper.Offer([]byte("6"), configuration.SourceRead)).To(MatchError(configuration.ErrNotNewer))
 	g.Expect(first.keeper.Version()).To(BeEquivalentTo(7), "versions only rise")
@@ -177,7 +177,7 @@
 	g.Expect(first.keeper.Offer([]byte("3"), configuration.SourceRead)).To(Succeed())
 	for _, version := range []string{"7", "8", "12"} {
 		g.Expect(second.keeper.Offer([]byte(version), configuration.SourceWatch)).To(Succeed())
-		g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+		g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 		g.Eventually(first.keeper.Version).WithTimeout(patience).Should(Equal(second.keeper.Version()))
 	}
 	g.Expect(asked.Load()).To(BeZero())
@@ -241,8 +241,8 @@
 		}
 	})
 	telling.members.Merge([]*roster.Record{{Node: "harmful", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.With(t.Context(), telling.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
+	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
 	telling.members.Merge([]*roster.Record{{Node: "harmless", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.With(t.Context(), telling.record)).To(Succeed())
+	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(Succeed())
 	g.Expect(hearing.members.View().Record("harmless")).NotTo(BeNil())
 }
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -174,7 +174,7 @@
 			return
 		}
 		if peer := e.pick(); peer != nil {
-			_ = e.With(ctx, peer)
+			_ = e.ExchangeWith(ctx, peer)
 		}
 	}
 }
@@ -220,9 +220,9 @@
 	return peers
 }
 
-// With exchanges with one peer: digests first, and where they differ the records
+// ExchangeWith exchanges with one peer: digests first, and where they differ the records
 // of the parts that do. What the peer says cannot end this node.
-func (e *Exchanger) With(ctx context.Context, peer *roster.Record) (err error) {
+func (e *Exchanger) ExchangeWith(ctx context.Context, peer *roster.Record) (err error) {
 	fault := contain.Run("exchange", e.options.Logger, func() { err = e.with(ctx, peer) })
 	return errors.Join(err, fault)
 }
--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -61,7 +61,7 @@
 	lost := func() bool { return !first.exchanger.Usable(second.record) }
 	first.exchanger.Lost("second")
 	g.Expect(lost()).To(BeTrue())
-	g.Expect(second.exchanger.With(t.Context(), first.record)).To(Succeed())
+	g.Expect(second.exchanger.ExchangeWith(t.Context(), first.record)).To(Succeed())
 	g.Expect(lost()).To(BeFalse())
 	first.exchanger.Lost("second")
 	second.members.Merge([]*roster.Record{first.record})
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -206,13 +206,13 @@
 		plain, err := json.Marshal(records)
 		g.Expect(err).NotTo(HaveOccurred())
 		known := func(of *virtualMember) int { return of.exchanger.options.Roster.View().Count() }
-		g.Expect(asks.exchanger.With(t.Context(), knows.record)).To(Succeed())
+		g.Expect(asks.exchanger.ExchangeWith(t.Context(), knows.record)).To(Succeed())
 		time.Sleep(time.Second) // a large roster takes changes together
 		g.Expect(known(asks)).To(Equal(986))
 		g.Expect(passed.Load()).To(BeNumerically("<", len(plain)/10))
 		// The other way round the asking node's own records are long.
 		passed.Store(0)
-		g.Expect(asks.exchanger.With(t.Context(), late.record)).To(Succeed())
+		g.Expect(asks.exchanger.ExchangeWith(t.Context(), late.record)).To(Succeed())
 		time.Sleep(time.Second)
 		g.Expect(known(late)).To(Equal(987))
 		g.Expect(passed.Load()).To(BeNumerically("<", len(plain)/10))
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -171,7 +171,7 @@
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
 	var group errgroup.Group
 	for _, peer := range peers[:min(len(peers), greetings)] {
-		group.Go(func() error { return e.With(ctx, peer) })
+		group.Go(func() error { return e.ExchangeWith(ctx, peer) })
 	}
 	if err := group.Wait(); err != nil {
 		e.options.Logger.Info("peer not greeted", zap.Error(err))
