--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -74,10 +74,10 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// Behind takes in that a peer has a version. When it is above the one in force, the node
+// HandlePeerVersion takes in that a peer has a version. When it is above the one in force, the node
 // catches up: mostly from the first peer that says so; one that reads the store mostly hears
 // from it, one that does not from a peer of its zone.
-func (e *Exchanger) Behind(peer *roster.Record, version uint64) {
+func (e *Exchanger) HandlePeerVersion(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -74,9 +74,9 @@
 			answer(connection)
 		})
 		peer.offer(t, 8)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.HandlePeerVersion(peer.record, 8)
 		time.Sleep(20 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 9)
+		late.exchanger.HandlePeerVersion(peer.record, 9)
 		time.Sleep(300 * time.Millisecond)
 		peer.offer(t, 9) // the peer had it announced before it was in force
 		time.Sleep(time.Second)
@@ -89,7 +89,7 @@
 	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		for version := uint64(8); version < 20; version++ {
 			peer.offer(t, version)
-			late.exchanger.Behind(peer.record, version)
+			late.exchanger.HandlePeerVersion(peer.record, version)
 			time.Sleep(100 * time.Millisecond)
 			g.Expect(late.keeper.Version()).To(Equal(version))
 		}
@@ -110,7 +110,7 @@
 			}
 			return errors.New("turned away")
 		}
-		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		time.Sleep(storeDelay - time.Millisecond)
 		g.Expect(calls.Load()).To(BeZero())
 		time.Sleep(time.Minute)
@@ -133,11 +133,11 @@
 			time.Sleep(time.Second)
 			return nil
 		}
-		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		<-asked
 		answer := in.nodes[peer.record.PeerAddress]
 		in.set(peer.record.PeerAddress, nil)
-		late.exchanger.Behind(peer.record, 9)
+		late.exchanger.HandlePeerVersion(peer.record, 9)
 		time.Sleep(1100 * time.Millisecond)
 		g.Expect(late.exchanger.behind.level()).To(BeFalse())
 		peer.offer(t, 9)
@@ -154,9 +154,9 @@
 		late.exchanger.behind.logger = zap.New(core)
 		in.set("quiet:1", silent)
 		peer.offer(t, 8)
-		late.exchanger.Behind(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
+		late.exchanger.HandlePeerVersion(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
 		time.Sleep(10 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.HandlePeerVersion(peer.record, 8)
 		time.Sleep(2 * time.Second)
 		g.Expect(logged.FilterMessage("newer configuration announced").Len()).To(Equal(1), "once a version")
 		caught := logged.FilterMessage("configuration caught up").All()
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -196,7 +196,7 @@
 		asked <- struct{}{}
 		return nil
 	}
-	first.exchanger.Behind(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
+	first.exchanger.HandlePeerVersion(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
 	g.Eventually(asked).WithTimeout(patience).Should(Receive())
 }
 
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -343,7 +343,7 @@
 	e.lost.remove(received.From.Node) // it is there, whoever began
 	e.hearTold(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.Behind(received.From, received.Version)
+	e.HandlePeerVersion(received.From, received.Version)
 }
 
 // post sends a message and reads the answer.
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -187,7 +187,7 @@
 	e.hearTold(&notice.SharedState)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
-		e.Behind(sender, notice.Version)
+		e.HandlePeerVersion(sender, notice.Version)
 	}
 	if count := passedTo(notice); count > 0 && len(news) > 0 {
 		go e.passOn(notice.Record, count)
