--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -232,7 +232,7 @@
 	answer, err := e.post(ctx, peer, e.message())
 	if err != nil {
 		if ctx.Err() == nil {
-			e.Lost(peer.Node)
+			e.MarkLost(peer.Node)
 			e.options.Suspect(peer)
 		}
 		return err
@@ -278,8 +278,8 @@
 // Usable reports whether a node has not failed to answer of late.
 func (e *Exchanger) Usable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
 
-// Lost notes that a node did not answer: it is looked for until it does.
-func (e *Exchanger) Lost(node string) { e.lost.add(node, clock.Now()) }
+// MarkLost notes that a node did not answer: it is looked for until it does.
+func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
 
 // message is what every message of this node says.
 func (e *Exchanger) message() *Message {
