--- a/internal/sidecar/exchange/announce.go
+++ b/internal/sidecar/exchange/announce.go
@@ -11,7 +11,7 @@
 // its nodes reach the store.
 func (e *Exchanger) Announce() {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
-	told := e.peersOf(readers.AssignedNodes(view, own, e.Usable))
+	told := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
 	for _, zone := range view.Zones() {
 		if peers := e.peersOf(view.Zone(zone)); zone != own.Zone && len(peers) > smallZone {
 			told = append(told, peers[rand.N(len(peers))])
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -186,7 +186,7 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if teller := readers.AssignedReader(view, own, e.Usable); teller != nil {
+		if teller := readers.AssignedReader(view, own, e.Reachable); teller != nil {
 			return teller
 		}
 	}
@@ -275,8 +275,8 @@
 // Met reports whether another node was in touch with this one since it started.
 func (e *Exchanger) Met() bool { return e.met.Load() }
 
-// Usable reports whether a node has not failed to answer of late.
-func (e *Exchanger) Usable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
+// Reachable reports whether a node has not failed to answer of late.
+func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
 
 // MarkLost notes that a node did not answer: it is looked for until it does.
 func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -143,8 +143,8 @@
 func (l *levelCheck) pick() *roster.Record {
 	e := l.exchanger
 	view := e.options.Roster.View()
-	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Usable)
-	all := readers.All(view, e.Usable)
+	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Reachable)
+	all := readers.All(view, e.Reachable)
 	for _, candidates := range [][]*roster.Record{near, all, view.Records()} {
 		if found := l.withoutAged(l.askable(candidates)); len(found) > 0 {
 			return found[rand.N(len(found))]
--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -58,7 +58,7 @@
 func TestALostPeerThatSpeaksIsLostNoMore(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
-	lost := func() bool { return !first.exchanger.Usable(second.record) }
+	lost := func() bool { return !first.exchanger.Reachable(second.record) }
 	first.exchanger.MarkLost("second")
 	g.Expect(lost()).To(BeTrue())
 	g.Expect(second.exchanger.ExchangeWith(t.Context(), first.record)).To(Succeed())
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -163,7 +163,7 @@
 // reading returns those of the members that read the store.
 func reading(members []*storeMember) (found []*storeMember) {
 	for _, member := range members {
-		if readers.IsReader(member.exchanger.options.Roster.View(), member.record, member.exchanger.Usable) {
+		if readers.IsReader(member.exchanger.options.Roster.View(), member.record, member.exchanger.Reachable) {
 			found = append(found, member)
 		}
 	}
