--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -65,6 +65,6 @@
 	g.Expect(lost()).To(BeFalse())
 	first.exchanger.MarkLost("second")
 	second.members.Merge([]*roster.Record{first.record})
-	second.exchanger.Appear(t.Context())
+	second.exchanger.AnnouncePresence(t.Context())
 	g.Expect(lost()).To(BeFalse())
 }
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -150,8 +150,8 @@
 // appearPeers is how many nodes of its zone a node tells that it is there again, without news of it.
 const appearPeers = 8
 
-// Appear tells some peers of the zone that the node is there: who has lost it need not look for it.
-func (e *Exchanger) Appear(ctx context.Context) {
+// AnnouncePresence tells some peers of the zone that the node is there: who has lost it need not look for it.
+func (e *Exchanger) AnnouncePresence(ctx context.Context) {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -97,7 +97,7 @@
 	now := clock.Now()
 	s.joined.CompareAndSwap(nil, &now)
 	if resumed {
-		go s.exchanger.Appear(context.Background())
+		go s.exchanger.AnnouncePresence(context.Background())
 	} else {
 		go s.spread(context.Background())
 	}
