--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -272,8 +272,8 @@
 	return asked
 }
 
-// Met reports whether another node was in touch with this one since it started.
-func (e *Exchanger) Met() bool { return e.met.Load() }
+// HadContact reports whether another node was in touch with this one since it started.
+func (e *Exchanger) HadContact() bool { return e.met.Load() }
 
 // Reachable reports whether a node has not failed to answer of late.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
