--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -101,7 +101,7 @@
 func (s *Sidecar) spread(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), spreadTimeout)
 	context.AfterFunc(ctx, cancel)
-	s.exchanger.BroadcastToOne(ctx)
+	s.exchanger.BroadcastUntilFirst(ctx)
 }
 
 // tellTimeout bounds how long the requests under which a back end has ended wait until the
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// BroadcastToOne is Broadcast, but returns when one peer has heard, or all were
+// BroadcastUntilFirst is Broadcast, but returns when one peer has heard, or all were
 // told in vain; the others are told meanwhile.
-func (e *Exchanger) BroadcastToOne(ctx context.Context) {
+func (e *Exchanger) BroadcastUntilFirst(ctx context.Context) {
 	heard := &listeners{first: make(chan struct{})}
 	done := make(chan struct{})
 	go func() {
--- a/internal/sidecar/exchange/spread_test.go
+++ b/internal/sidecar/exchange/spread_test.go
@@ -103,7 +103,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	all[0].exchanger.BroadcastToOne(ctx)
+	all[0].exchanger.BroadcastUntilFirst(ctx)
 	heard := 0
 	for _, other := range all[2:] {
 		if other.members.View().Record("east-0").Leaving {
@@ -117,7 +117,7 @@
 func TestNobodyListens(t *testing.T) {
 	alone := newMember(t, "first")
 	alone.members.Merge([]*roster.Record{{Node: "second", Epoch: 1, PeerAddress: "127.0.0.1:1"}})
-	alone.exchanger.BroadcastToOne(t.Context())
+	alone.exchanger.BroadcastUntilFirst(t.Context())
 }
 
 // TestAZoneIsToldBesidePeersThatHang: of the four of another zone that may be told two hang;
