--- a/internal/sidecar/exchange/announce.go
+++ b/internal/sidecar/exchange/announce.go
@@ -6,10 +6,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/readers"
 )
 
-// Announce tells others that this node has read a newer configuration: the nodes
+// AnnounceVersion tells others that this node has read a newer configuration: the nodes
 // of its zone that take it from here, and one of each other zone, should none of
 // its nodes reach the store.
-func (e *Exchanger) Announce() {
+func (e *Exchanger) AnnounceVersion() {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	told := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
 	for _, zone := range view.Zones() {
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -149,10 +149,10 @@
 		member.keeper.Observe(func(_ *route.Table, source configuration.Source) {
 			switch source {
 			case configuration.SourceWatch:
-				go member.exchanger.Announce()
+				go member.exchanger.AnnounceVersion()
 			case configuration.SourceRead:
 				go member.exchanger.Broadcast(ctx)
-				go member.exchanger.Announce()
+				go member.exchanger.AnnounceVersion()
 			}
 		})
 		go member.exchanger.Run(ctx)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -339,10 +339,10 @@
 	s.contention.SetTenants(len(table.Document().Tenants) > 0)
 	switch source {
 	case configuration.SourceWatch:
-		go s.exchanger.Announce()
+		go s.exchanger.AnnounceVersion()
 	case configuration.SourceRead:
 		go s.spread(context.Background())
-		go s.exchanger.Announce()
+		go s.exchanger.AnnounceVersion()
 	}
 }
 
