--- a/internal/sidecar/exchange/limits.go
+++ b/internal/sidecar/exchange/limits.go
@@ -23,12 +23,12 @@
 }
 
 func limitsOf(bound time.Duration) limits {
-	return limits{ask: FreshFor(bound), probe: part(bound, probeShare), final: part(bound, finalShare)}
+	return limits{ask: ProofRefreshAge(bound), probe: part(bound, probeShare), final: part(bound, finalShare)}
 }
 
-// FreshFor returns how old the newest proof of a fleet may be, for the time in which a version has
+// ProofRefreshAge returns how old the newest proof of a fleet may be, for the time in which a version has
 // to be in force: from that age on nodes ask for another one.
-func FreshFor(bound time.Duration) time.Duration { return part(bound, askShare) }
+func ProofRefreshAge(bound time.Duration) time.Duration { return part(bound, askShare) }
 
 func part(bound time.Duration, share float64) time.Duration {
 	return time.Duration(float64(bound) * share)
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -109,7 +109,7 @@
 // all at the same moment, begin the order, and it is kept while there are none.
 func (s *Sidecar) WatchWait(first bool) time.Duration {
 	rank, count := s.readingRank()
-	spacing := exchange.FreshFor(s.options.Settings.applyBound())
+	spacing := exchange.ProofRefreshAge(s.options.Settings.applyBound())
 	period := min(time.Duration(max(count, watchersLeast))*spacing, watchLongest)
 	if first {
 		return watchShortest + min(time.Duration(rank)*spacing, period)
--- a/internal/sidecar/reading_test.go
+++ b/internal/sidecar/reading_test.go
@@ -35,7 +35,7 @@
 				period = own.WatchWait(false)
 			}
 			slices.Sort(first)
-			spacing := exchange.FreshFor(node.options.Settings.applyBound())
+			spacing := exchange.ProofRefreshAge(node.options.Settings.applyBound())
 			for i, wait := range first {
 				g.Expect(wait).To(Equal(watchShortest + time.Duration(i)*spacing))
 			}
