--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -44,7 +44,7 @@
 	// Reads reports whether the node reads the store itself.
 	Reads func() bool
 	// Store knows how often the store has come back from a copy; nil when it never does.
-	Store Eras
+	Store EraTracker
 	// Rollouts knows the moves to other versions; nil when there are none ever.
 	Rollouts Rollouts
 	// Evacuations knows the zones that are to be emptied; nil when there are none ever.
@@ -62,8 +62,8 @@
 	Logger  *zap.Logger
 }
 
-// Eras know how often the store has come back from an older copy.
-type Eras interface {
+// EraTracker know how often the store has come back from an older copy.
+type EraTracker interface {
 	Era() uint64
 	LearnEra(era uint64)
 }
