--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store now.
 	Refresh func(ctx context.Context) error
-	// Reads reports whether the node reads the store itself.
-	Reads func() bool
+	// IsReader reports whether the node reads the store itself.
+	IsReader func() bool
 	// Store knows how often the store has come back from a copy; nil when it never does.
 	Store EraTracker
 	// Rollouts knows the moves to other versions; nil when there are none ever.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -183,7 +183,7 @@
 		Quota:       created.quota,
 		Repeats:     created.repeats,
 		Contention:  created.contention,
-		Reads:       created.reads,
+		IsReader:       created.reads,
 		Observer:    observed,
 		Suspect:     created.egress.Suspect,
 		Logger:      options.Logger,
