--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -242,7 +242,7 @@
 	defer c.mu.Unlock()
 	now, held := clock.Now(), c.exchanger.options.Configuration.Version()
 	c.asksStore = false
-	c.exchanger.observer.Asked(askedStore, err)
+	c.exchanger.observer.FetchFinished(askedStore, err)
 	c.storeDue = now.Add(c.storePause)
 	c.storePause = min(2*c.storePause, storeMost)
 	if held < c.newest {
--- a/internal/sidecar/exchange/observer.go
+++ b/internal/sidecar/exchange/observer.go
@@ -19,8 +19,8 @@
 type Observer interface {
 	// CaughtUp: the node was behind for so long since it had first heard so.
 	CaughtUp(behind time.Duration)
-	// Asked: a question for a configuration has ended; whom is "peer" or "store".
-	Asked(whom string, err error)
+	// FetchFinished: a question for a configuration has ended; whom is "peer" or "store".
+	FetchFinished(whom string, err error)
 	// LevelTold: another node was asked for its version. The result is one of the constants; the
 	// age is that of its proof, below zero without one.
 	LevelTold(result string, age time.Duration)
@@ -32,8 +32,8 @@
 // CaughtUp implements Observer.
 func (unobserved) CaughtUp(time.Duration) {}
 
-// Asked implements Observer.
-func (unobserved) Asked(string, error) {}
+// FetchFinished implements Observer.
+func (unobserved) FetchFinished(string, error) {}
 
 // LevelTold implements Observer.
 func (unobserved) LevelTold(string, time.Duration) {}
--- a/internal/sidecar/exchange/question.go
+++ b/internal/sidecar/exchange/question.go
@@ -92,7 +92,7 @@
 	c.remove(under)
 	from, now := under.source, clock.Now()
 	level := c.exchanger.options.Configuration.Version()
-	c.exchanger.observer.Asked(askedPeer, err)
+	c.exchanger.observer.FetchFinished(askedPeer, err)
 	switch {
 	case level >= c.newest && err != nil:
 		// Another peer was faster.
--- a/internal/sidecar/exchange/storeprobe.go
+++ b/internal/sidecar/exchange/storeprobe.go
@@ -76,7 +76,7 @@
 	e := l.exchanger
 	before, began := e.behind.proofAge(), clock.Now()
 	err := e.options.Refresh(ctx)
-	e.observer.Asked(askedStore, err)
+	e.observer.FetchFinished(askedStore, err)
 	if err == nil {
 		l.probe.reset()
 	}
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -186,8 +186,8 @@
 // CaughtUp implements exchange.Observer.
 func (m *metrics) CaughtUp(behind time.Duration) { m.behind.Observe(behind.Seconds()) }
 
-// Asked implements exchange.Observer.
-func (m *metrics) Asked(whom string, err error) {
+// FetchFinished implements exchange.Observer.
+func (m *metrics) FetchFinished(whom string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
