--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -182,7 +182,7 @@
 	answer, err := l.levelOf(ctx, reader)
 	if err != nil {
 		l.aged.Store(reader.Node, clock.Now())
-		l.exchanger.observer.LevelTold(levelFailed, -1)
+		l.exchanger.observer.VersionRequestFinished(levelFailed, -1)
 		return trace.Wrap(err, "ask %s for its version", reader.Node)
 	}
 	l.exchanger.met.Store(true)
@@ -220,7 +220,7 @@
 	} else {
 		l.aged.Store(reader.Node, clock.Now())
 	}
-	l.exchanger.observer.LevelTold(result, age)
+	l.exchanger.observer.VersionRequestFinished(result, age)
 	l.exchanger.options.Logger.Debug("version told", zap.String("peer", reader.Node), zap.Uint64("version", answer.Version),
 		zap.Uint64("inForce", inForce), zap.Duration("peerProofAge", age), l.exchanger.behind.proofAge())
 }
--- a/internal/sidecar/exchange/observer.go
+++ b/internal/sidecar/exchange/observer.go
@@ -21,9 +21,9 @@
 	CaughtUp(behind time.Duration)
 	// FetchFinished: a question for a configuration has ended; whom is "peer" or "store".
 	FetchFinished(whom string, err error)
-	// LevelTold: another node was asked for its version. The result is one of the constants; the
+	// VersionRequestFinished: another node was asked for its version. The result is one of the constants; the
 	// age is that of its proof, below zero without one.
-	LevelTold(result string, age time.Duration)
+	VersionRequestFinished(result string, age time.Duration)
 }
 
 // unobserved is the observer of nobody.
@@ -35,5 +35,5 @@
 // FetchFinished implements Observer.
 func (unobserved) FetchFinished(string, error) {}
 
-// LevelTold implements Observer.
-func (unobserved) LevelTold(string, time.Duration) {}
+// VersionRequestFinished implements Observer.
+func (unobserved) VersionRequestFinished(string, time.Duration) {}
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -195,8 +195,8 @@
 	m.asked.WithLabelValues(whom, result).Inc()
 }
 
-// LevelTold implements exchange.Observer.
-func (m *metrics) LevelTold(result string, age time.Duration) {
+// VersionRequestFinished implements exchange.Observer.
+func (m *metrics) VersionRequestFinished(result string, age time.Duration) {
 	m.levelTold.WithLabelValues(result).Inc()
 	if age >= 0 {
 		m.proofAges.Observe(age.Seconds())
