--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -57,8 +57,8 @@
 	Repeats Granter
 	// Observer is told how the node keeps level; nil for nobody.
 	Observer Observer
-	// Suspect is told of nodes that do not answer.
-	Suspect func(*roster.Record)
+	// OnUnreachable is told of nodes that do not answer.
+	OnUnreachable func(*roster.Record)
 	Logger  *zap.Logger
 }
 
@@ -233,7 +233,7 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			e.MarkLost(peer.Node)
-			e.options.Suspect(peer)
+			e.options.OnUnreachable(peer)
 		}
 		return err
 	}
