--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -132,16 +132,16 @@
 // At returns the moment of a stamp.
 func At(stamp int64) time.Time { return base.Add(time.Duration(stamp)) }
 
-// TimeOfDay returns the time of day of a moment of this clock, as others are told it.
-func TimeOfDay(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
+// WallTime returns the time of day of a moment of this clock, as others are told it.
+func WallTime(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
 
-// Moment returns the moment of this clock at a time of day that others told.
-func Moment(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
+// FromWallTime returns the moment of this clock at a time of day that others told.
+func FromWallTime(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
 
-// Received returns from when on the time counts that a message grants that is read now. A
+// ReceiveTime returns from when on the time counts that a message grants that is read now. A
 // message that is read just after a suspension may have come at its beginning: a node that
 // slept must not lengthen anybody's time.
-func Received() time.Time { return shared.received() }
+func ReceiveTime() time.Time { return shared.received() }
 
 // WithDeadline returns a context that ends at a moment of this clock: after a suspension,
 // once that is seen.
@@ -149,9 +149,9 @@
 	return shared.withDeadline(parent, at)
 }
 
-// Use has another source tell for how long the machine has been suspended since its start,
+// SetSuspensionSource has another source tell for how long the machine has been suspended since its start,
 // from that moment on, until it is restored.
-func Use(read func() (time.Duration, error)) (restore func()) {
+func SetSuspensionSource(read func() (time.Duration, error)) (restore func()) {
 	shared.replace(read)
 	return func() { shared.replace(readSuspended) }
 }
@@ -167,15 +167,15 @@
 	}
 }
 
-// Check returns why suspensions of the machine cannot be seen, nil when they can. Whoever
+// CheckSupport returns why suspensions of the machine cannot be seen, nil when they can. Whoever
 // starts a node says so; the clock goes on without them.
-func Check() error {
+func CheckSupport() error {
 	_, err := readSuspended()
 	return err
 }
 
-// Look looks for a suspension since the last look.
-func Look() { shared.look(time.Now()) }
+// DetectSuspension looks for a suspension since the last look.
+func DetectSuspension() { shared.look(time.Now()) }
 
 // Watch looks for suspensions until the context ends.
 func Watch(ctx context.Context) {
@@ -184,7 +184,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			Look()
+			DetectSuspension()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -97,12 +97,12 @@
 func TestTimesOfDay(t *testing.T) {
 	g := NewWithT(t)
 	suspended := time.Duration(0)
-	defer Use(func() (time.Duration, error) { return suspended, nil })()
+	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = time.Hour
-	Look()
+	DetectSuspension()
 	moment := Now().Add(time.Minute)
-	g.Expect(time.Until(TimeOfDay(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
-	g.Expect(Moment(TimeOfDay(moment))).To(BeTemporally("~", moment, time.Second))
+	g.Expect(time.Until(WallTime(moment))).To(BeNumerically("~", time.Minute, 10*time.Second))
+	g.Expect(FromWallTime(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
 }
 
 // TestListenersHearOfASuspension once each.
@@ -111,11 +111,11 @@
 	heard := make(chan time.Duration, 4)
 	defer OnWake(func(slept time.Duration) { heard <- slept })()
 	suspended := time.Duration(0)
-	defer Use(func() (time.Duration, error) { return suspended, nil })()
+	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = 3 * time.Second
-	Look()
+	DetectSuspension()
 	g.Eventually(heard).Should(Receive(BeNumerically("~", 3*time.Second, time.Second)))
-	Look()
+	DetectSuspension()
 	g.Consistently(heard, "50ms").ShouldNot(Receive())
 }
 
--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -30,45 +30,45 @@
 	startInterval = 50 * time.Millisecond
 )
 
-// Place is where the store has what operators write.
-type Place struct {
+// Keyspace is where the store has what operators write.
+type Keyspace struct {
 	// Key is that of the configuration. Prefix begins it, and the keys of all else that
 	// operators write: one watch brings everything.
 	Key, Prefix string
-	// Other takes in what lies under another key; nil takes nothing.
-	Other func(store.KeyValue)
-	// Removed takes in that another key was removed at a revision; nil takes nothing.
-	Removed func(key string, revision uint64)
-	// Listed takes in all that lay under other keys at a revision: what is not among it is not
+	// OnOther takes in what lies under another key; nil takes nothing.
+	OnOther func(store.KeyValue)
+	// OnRemoved takes in that another key was removed at a revision; nil takes nothing.
+	OnRemoved func(key string, revision uint64)
+	// OnListed takes in all that lay under other keys at a revision: what is not among it is not
 	// there; nil takes nothing.
-	Listed func(found []store.KeyValue, revision uint64)
+	OnListed func(found []store.KeyValue, revision uint64)
 }
 
 // take offers an item to whom it concerns. One that sets off a panic is left out, as one
 // that cannot be read is: the error is in the log. It reports whether the item is not a
 // configuration that was left out.
-func (p *Place) take(item store.KeyValue, keeper *Keeper, source Source) bool {
+func (p *Keyspace) take(item store.KeyValue, keeper *Keeper, source Source) bool {
 	switch {
 	case item.Key == p.Key:
 		err := keeper.Offer(item.Value, source)
 		return err == nil || errors.Is(err, ErrNotNewer)
-	case p.Other != nil:
-		_ = contain.Run("order", keeper.logger, func() { p.Other(item) })
+	case p.OnOther != nil:
+		_ = contain.Run("order", keeper.logger, func() { p.OnOther(item) })
 	}
 	return true
 }
 
 // takeRemoved passes on that a key was removed. The configuration is never without a version.
-func (p *Place) takeRemoved(key string, revision uint64, keeper *Keeper) {
-	if key != p.Key && p.Removed != nil {
-		_ = contain.Run("removed order", keeper.logger, func() { p.Removed(key, revision) })
+func (p *Keyspace) takeRemoved(key string, revision uint64, keeper *Keeper) {
+	if key != p.Key && p.OnRemoved != nil {
+		_ = contain.Run("removed order", keeper.logger, func() { p.OnRemoved(key, revision) })
 	}
 }
 
 // takeList passes on what a read of the whole place has found.
-func (p *Place) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
-	if p.Listed != nil {
-		_ = contain.Run("orders", keeper.logger, func() { p.Listed(found, revision) })
+func (p *Keyspace) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
+	if p.OnListed != nil {
+		_ = contain.Run("orders", keeper.logger, func() { p.OnListed(found, revision) })
 	}
 }
 
@@ -76,7 +76,7 @@
 // ends. After every end of a watch the place is read anew: what was missed
 // meanwhile must not stay unheard. While reads returns false the store is left
 // alone.
-func Follow(ctx context.Context, reader store.Reader, place Place, keeper *Keeper, reads func() bool, logger *zap.Logger) {
+func Follow(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper, reads func() bool, logger *zap.Logger) {
 	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
 	healthy := true
 	reading := true
@@ -151,7 +151,7 @@
 
 // followOnce reads the place, then watches it until the watch ends; answered is called once the
 // store has answered the read. A nil error means that the watch ended in order.
-func followOnce(ctx context.Context, reader store.Reader, place *Place, keeper *Keeper, answered func()) error {
+func followOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper, answered func()) error {
 	after, err := readOnce(ctx, reader, place, keeper)
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 			taken = place.take(event.KeyValue, keeper, SourceWatch) && taken
 		}
 		if !event.Current.IsZero() && taken {
-			keeper.Proven(keeper.Version(), event.Current)
+			keeper.RecordProof(keeper.Version(), event.Current)
 		}
 	}
 	return watch.Err()
@@ -186,7 +186,7 @@
 // which nothing is missed: that of the store, not that of a key, which may be
 // older than the history that a watch can begin in. What concerns single services comes
 // before the configuration: a node that serves knows all orders given before.
-func readOnce(ctx context.Context, reader store.Reader, place *Place, keeper *Keeper) (after uint64, err error) {
+func readOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper) (after uint64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	asked := clock.Now()
@@ -204,13 +204,13 @@
 		place.takeList(found, after, keeper)
 	}
 	if index := slices.IndexFunc(found, isConfiguration); index >= 0 && place.take(found[index], keeper, SourceRead) {
-		keeper.Proven(keeper.Version(), asked)
+		keeper.RecordProof(keeper.Version(), asked)
 	}
 	return after, nil
 }
 
 // Refresh takes in what the store has at the place now.
-func Refresh(ctx context.Context, reader store.Reader, place Place, keeper *Keeper) error {
+func Refresh(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper) error {
 	_, err := readOnce(ctx, reader, &place, keeper)
 	return err
 }
--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -84,9 +84,9 @@
 // Version returns the version in force, zero before the first.
 func (k *Keeper) Version() uint64 { return k.Table().Version() }
 
-// Since returns what leads from a past version to the one in force: the whole
+// ChangeSince returns what leads from a past version to the one in force: the whole
 // document when that version is not remembered, nil before the first.
-func (k *Keeper) Since(version uint64) *route.Change {
+func (k *Keeper) ChangeSince(version uint64) *route.Change {
 	current := k.held.Load()
 	if current == nil {
 		return nil
@@ -100,9 +100,9 @@
 	return document.ChangeFrom(nil)
 }
 
-// EncodedSince is Since as it goes to peers, nil before the first version. It is made once, since
+// EncodedChangeSince is Since as it goes to peers, nil before the first version. It is made once, since
 // many ask for the same.
-func (k *Keeper) EncodedSince(version uint64) (*encoded.Body, error) {
+func (k *Keeper) EncodedChangeSince(version uint64) (*encoded.Body, error) {
 	current := k.held.Load()
 	if current == nil {
 		return nil, nil
@@ -163,9 +163,9 @@
 	return k.adopt(document, notes, source)
 }
 
-// Advance puts in force what a peer's change makes of the document in force. The
+// ApplyChange puts in force what a peer's change makes of the document in force. The
 // error is route.ErrBase when it starts from another one.
-func (k *Keeper) Advance(change *route.Change) error {
+func (k *Keeper) ApplyChange(change *route.Change) error {
 	return k.contained(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.advance(change) })
 }
 
--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -19,13 +19,13 @@
 }
 
 const (
-	// Long is the length in bytes from which a body is worth a compressor, which takes more memory
+	// CompressionThreshold is the length in bytes from which a body is worth a compressor, which takes more memory
 	// than shorter ones do.
-	Long = 4 << 10
+	CompressionThreshold = 4 << 10
 	// headerEncoding says how a body is compressed.
 	headerEncoding = "Content-Encoding"
-	// Compression is the only one that is used.
-	Compression = "gzip"
+	// ContentCoding is the only one that is used.
+	ContentCoding = "gzip"
 )
 
 // JSON encodes a value, and compresses what has at least that many bytes.
@@ -51,16 +51,16 @@
 	return &Body{Bytes: written.Bytes(), Compressed: true}, nil
 }
 
-// Mark says in the header whether the body is compressed.
-func (b *Body) Mark(header http.Header) {
+// SetContentEncoding says in the header whether the body is compressed.
+func (b *Body) SetContentEncoding(header http.Header) {
 	if b.Compressed {
-		header.Set(headerEncoding, Compression)
+		header.Set(headerEncoding, ContentCoding)
 	}
 }
 
-// Reader returns what a body with the header holds.
-func Reader(header http.Header, body io.Reader) (io.Reader, error) {
-	if header.Get(headerEncoding) != Compression {
+// NewReader returns what a body with the header holds.
+func NewReader(header http.Header, body io.Reader) (io.Reader, error) {
+	if header.Get(headerEncoding) != ContentCoding {
 		return body, nil
 	}
 	return gzip.NewReader(body)
--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -19,7 +19,7 @@
 		length     int
 		from       int
 		compressed bool
-	}{{"short", 10, encoded.Long, false}, {"long", 2 * encoded.Long, encoded.Long, true}, {"always", 10, 0, true}}
+	}{{"short", 10, encoded.CompressionThreshold, false}, {"long", 2 * encoded.CompressionThreshold, encoded.CompressionThreshold, true}, {"always", 10, 0, true}}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -28,8 +28,8 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(body.Compressed).To(Equal(played.compressed))
 			header := http.Header{}
-			body.Mark(header)
-			plain, err := encoded.Reader(header, bytes.NewReader(body.Bytes))
+			body.SetContentEncoding(header)
+			plain, err := encoded.NewReader(header, bytes.NewReader(body.Bytes))
 			g.Expect(err).NotTo(HaveOccurred())
 			var read string
 			g.Expect(json.NewDecoder(plain).Decode(&read)).To(Succeed())
@@ -41,7 +41,7 @@
 // TestABodyThatIsNotWhatItSays is an error.
 func TestABodyThatIsNotWhatItSays(t *testing.T) {
 	g := NewWithT(t)
-	_, err := encoded.Reader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
+	_, err := encoded.NewReader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
 	g.Expect(err).To(HaveOccurred())
 	_, err = encoded.JSON(func() {}, 0)
 	g.Expect(err).To(HaveOccurred())
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -74,10 +74,10 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// Behind takes in that a peer has a version. When it is above the one in force, the node
+// HandlePeerVersion takes in that a peer has a version. When it is above the one in force, the node
 // catches up: mostly from the first peer that says so; one that reads the store mostly hears
 // from it, one that does not from a peer of its zone.
-func (e *Exchanger) Behind(peer *roster.Record, version uint64) {
+func (e *Exchanger) HandlePeerVersion(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
@@ -126,7 +126,7 @@
 	switch {
 	case e.options.Configuration.Version() == 0:
 		return 0
-	case e.options.Reads():
+	case e.options.IsReader():
 		return watchDelay
 	case peer.Zone == e.options.Roster.Own().Zone:
 		return 0
@@ -242,7 +242,7 @@
 	defer c.mu.Unlock()
 	now, held := clock.Now(), c.exchanger.options.Configuration.Version()
 	c.asksStore = false
-	c.exchanger.observer.Asked(askedStore, err)
+	c.exchanger.observer.FetchFinished(askedStore, err)
 	c.storeDue = now.Add(c.storePause)
 	c.storePause = min(2*c.storePause, storeMost)
 	if held < c.newest {
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -60,8 +60,8 @@
 		Roster: created.members, Configuration: created.keeper,
 		Dial:    (&net.Dialer{}).DialContext,
 		Refresh: func(context.Context) error { return nil },
-		Reads:   created.reads.Load,
-		Suspect: func(*roster.Record) {},
+		IsReader:   created.reads.Load,
+		OnUnreachable: func(*roster.Record) {},
 		Logger:  zap.NewNop(),
 	})
 	container.Add(created.exchanger.Service())
@@ -93,7 +93,7 @@
 				newer.Counter = 9
 				first.members.Merge([]*roster.Record{&newer})
 			}
-			g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+			g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 			g.Expect(first.members.View().Digest()).To(Equal(second.members.View().Digest()))
 			g.Expect(first.members.View().Records()).To(HaveLen(size + 2))
 		})
@@ -108,11 +108,11 @@
 	first.members.Merge(records)
 	second.members.Merge(records)
 	// A large roster takes changes together.
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(func() bool { return first.members.View().Digest() == second.members.View().Digest() }).
 		WithTimeout(patience).Should(BeTrue())
 	second.bytes.Store(0)
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 1000), "nothing differs")
 	changed := *records[500]
 	changed.Counter = 2
@@ -122,7 +122,7 @@
 	}
 	g.Eventually(counter(second)).WithTimeout(patience).Should(BeEquivalentTo(2))
 	second.bytes.Store(0)
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 8000), "one record differs")
 	g.Eventually(counter(first)).WithTimeout(patience).Should(BeEquivalentTo(2))
 }
@@ -140,7 +140,7 @@
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	g.Expect(second.keeper.Offer([]byte("7"), configuration.SourceWatch)).To(Succeed())
-	g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
 	g.Expect(first.keeper.Offer([]byte("6"), configuration.SourceRead)).To(MatchError(configuration.ErrNotNewer))
 	g.Expect(first.keeper.Version()).To(BeEquivalentTo(7), "versions only rise")
@@ -149,11 +149,11 @@
 func TestMessagesThatCannotBeCompared(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []Message{
-		{}, {Of: -1}, {Of: 1 << 30}, {Of: 4, Differing: []int{4}}, {Of: 4, Differing: []int{-1}}, {Of: 1, Differing: []int{0, 0}},
+		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, DifferingBuckets: []int{4}}, {BucketCount: 4, DifferingBuckets: []int{-1}}, {BucketCount: 1, DifferingBuckets: []int{0, 0}},
 	} {
 		g.Expect(message.comparable()).To(BeFalse())
 	}
-	g.Expect((&Message{Of: 4, Differing: []int{0, 3}}).comparable()).To(BeTrue())
+	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).comparable()).To(BeTrue())
 	answering := newMember(t, "first")
 	for _, body := range []string{"", "{", `{"digest":1}`, `{"from":{"node":"x"},"of":-1}`} {
 		response, err := http.Post("http://"+answering.record.PeerAddress+PathRoot+pathExchange, "application/json", strings.NewReader(body))
@@ -177,13 +177,13 @@
 	g.Expect(first.keeper.Offer([]byte("3"), configuration.SourceRead)).To(Succeed())
 	for _, version := range []string{"7", "8", "12"} {
 		g.Expect(second.keeper.Offer([]byte(version), configuration.SourceWatch)).To(Succeed())
-		g.Expect(first.exchanger.With(t.Context(), second.record)).To(Succeed())
+		g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 		g.Eventually(first.keeper.Version).WithTimeout(patience).Should(Equal(second.keeper.Version()))
 	}
 	g.Expect(asked.Load()).To(BeZero())
-	g.Expect(second.keeper.Since(8).Base).To(BeEquivalentTo(8))
-	g.Expect(second.keeper.Since(3).Base).To(BeZero(), "not remembered: whole")
-	g.Expect(newMember(t, "third").keeper.Since(3)).To(BeNil())
+	g.Expect(second.keeper.ChangeSince(8).Base).To(BeEquivalentTo(8))
+	g.Expect(second.keeper.ChangeSince(3).Base).To(BeZero(), "not remembered: whole")
+	g.Expect(newMember(t, "third").keeper.ChangeSince(3)).To(BeNil())
 }
 
 // TestANodeThatDoesNotReadAsksTheStore when its peer does not answer.
@@ -196,7 +196,7 @@
 		asked <- struct{}{}
 		return nil
 	}
-	first.exchanger.Behind(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
+	first.exchanger.HandlePeerVersion(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
 	g.Eventually(asked).WithTimeout(patience).Should(Receive())
 }
 
@@ -225,7 +225,7 @@
 	first.members.Merge([]*roster.Record{second.record})
 	first.exchanger.Greet(t.Context())
 	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
-	g.Expect(newMember(t, "third").keeper.EncodedSince(0)).To(BeNil())
+	g.Expect(newMember(t, "third").keeper.EncodedChangeSince(0)).To(BeNil())
 }
 
 // TestARecordThatSetsOffAPanic does not end the node that hears it, and the next one is taken:
@@ -241,8 +241,8 @@
 		}
 	})
 	telling.members.Merge([]*roster.Record{{Node: "harmful", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.With(t.Context(), telling.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
+	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
 	telling.members.Merge([]*roster.Record{{Node: "harmless", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.With(t.Context(), telling.record)).To(Succeed())
+	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(Succeed())
 	g.Expect(hearing.members.View().Record("harmless")).NotTo(BeNil())
 }
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,10 +41,10 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store now.
 	Refresh func(ctx context.Context) error
-	// Reads reports whether the node reads the store itself.
-	Reads func() bool
+	// IsReader reports whether the node reads the store itself.
+	IsReader func() bool
 	// Store knows how often the store has come back from a copy; nil when it never does.
-	Store Eras
+	Store EraTracker
 	// Rollouts knows the moves to other versions; nil when there are none ever.
 	Rollouts Rollouts
 	// Evacuations knows the zones that are to be emptied; nil when there are none ever.
@@ -57,13 +57,13 @@
 	Repeats Granter
 	// Observer is told how the node keeps level; nil for nobody.
 	Observer Observer
-	// Suspect is told of nodes that do not answer.
-	Suspect func(*roster.Record)
+	// OnUnreachable is told of nodes that do not answer.
+	OnUnreachable func(*roster.Record)
 	Logger  *zap.Logger
 }
 
-// Eras know how often the store has come back from an older copy.
-type Eras interface {
+// EraTracker know how often the store has come back from an older copy.
+type EraTracker interface {
 	Era() uint64
 	LearnEra(era uint64)
 }
@@ -174,7 +174,7 @@
 			return
 		}
 		if peer := e.pick(); peer != nil {
-			_ = e.With(ctx, peer)
+			_ = e.ExchangeWith(ctx, peer)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if teller := readers.Teller(view, own, e.Usable); teller != nil {
+		if teller := readers.AssignedReader(view, own, e.Reachable); teller != nil {
 			return teller
 		}
 	}
@@ -220,9 +220,9 @@
 	return peers
 }
 
-// With exchanges with one peer: digests first, and where they differ the records
+// ExchangeWith exchanges with one peer: digests first, and where they differ the records
 // of the parts that do. What the peer says cannot end this node.
-func (e *Exchanger) With(ctx context.Context, peer *roster.Record) (err error) {
+func (e *Exchanger) ExchangeWith(ctx context.Context, peer *roster.Record) (err error) {
 	fault := contain.Run("exchange", e.options.Logger, func() { err = e.with(ctx, peer) })
 	return errors.Join(err, fault)
 }
@@ -232,8 +232,8 @@
 	answer, err := e.post(ctx, peer, e.message())
 	if err != nil {
 		if ctx.Err() == nil {
-			e.Lost(peer.Node)
-			e.options.Suspect(peer)
+			e.MarkLost(peer.Node)
+			e.options.OnUnreachable(peer)
 		}
 		return err
 	}
@@ -259,27 +259,27 @@
 	}
 	view := e.options.Roster.View()
 	asked := e.message()
-	asked.Of = len(theirs)
+	asked.BucketCount = len(theirs)
 	for index, digest := range view.Buckets(len(theirs)) {
 		if digest != theirs[index] {
-			asked.Differing = append(asked.Differing, index)
+			asked.DifferingBuckets = append(asked.DifferingBuckets, index)
 		}
 	}
-	if len(asked.Differing) == 0 {
+	if len(asked.DifferingBuckets) == 0 {
 		return nil
 	}
-	asked.Records = view.InBuckets(asked.Differing, asked.Of)
+	asked.Records = view.InBuckets(asked.DifferingBuckets, asked.BucketCount)
 	return asked
 }
 
-// Met reports whether another node was in touch with this one since it started.
-func (e *Exchanger) Met() bool { return e.met.Load() }
+// HadContact reports whether another node was in touch with this one since it started.
+func (e *Exchanger) HadContact() bool { return e.met.Load() }
 
-// Usable reports whether a node has not failed to answer of late.
-func (e *Exchanger) Usable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
+// Reachable reports whether a node has not failed to answer of late.
+func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
 
-// Lost notes that a node did not answer: it is looked for until it does.
-func (e *Exchanger) Lost(node string) { e.lost.add(node, clock.Now()) }
+// MarkLost notes that a node did not answer: it is looked for until it does.
+func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
 
 // message is what every message of this node says.
 func (e *Exchanger) message() *Message {
@@ -288,12 +288,12 @@
 		Digest:   e.options.Roster.View().Digest(),
 		Version:  e.options.Configuration.Version(),
 		ProofAge: e.level.proofAge(),
-		Told:     e.told(),
+		SharedState:     e.told(),
 	}
 }
 
 // told is what this node knows of operators' orders.
-func (e *Exchanger) told() (told Told) {
+func (e *Exchanger) told() (told SharedState) {
 	if e.options.Store != nil {
 		told.Era = e.options.Store.Era()
 	}
@@ -311,7 +311,7 @@
 
 // hearEra takes in a peer's era of the store. What a peer of an earlier one takes for recorded
 // there may be gone.
-func (e *Exchanger) hearEra(told *Told) {
+func (e *Exchanger) hearEra(told *SharedState) {
 	if e.options.Store == nil {
 		return
 	}
@@ -325,7 +325,7 @@
 
 // hearTold takes in a peer's orders before its records: who knows of a new version knows why
 // it is there. News is passed on in the zone.
-func (e *Exchanger) hearTold(told *Told) {
+func (e *Exchanger) hearTold(told *SharedState) {
 	e.hearEra(told)
 	moved := e.options.Rollouts != nil && len(told.Rollouts) > 0 && e.options.Rollouts.Hear(told.Rollouts)
 	emptied := e.options.Evacuations != nil && len(told.Evacuations) > 0 && e.options.Evacuations.Hear(told.Evacuations)
@@ -341,9 +341,9 @@
 func (e *Exchanger) take(received *Message) {
 	e.met.Store(true)
 	e.lost.remove(received.From.Node) // it is there, whoever began
-	e.hearTold(&received.Told)
+	e.hearTold(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.Behind(received.From, received.Version)
+	e.HandlePeerVersion(received.From, received.Version)
 }
 
 // post sends a message and reads the answer.
@@ -356,7 +356,7 @@
 	}
 	defer resp.Body.Close()
 	received := &Message{}
-	plain, err := encoded.Reader(resp.Header, resp.Body)
+	plain, err := encoded.NewReader(resp.Header, resp.Body)
 	if err == nil {
 		err = json.NewDecoder(io.LimitReader(plain, messageBytes)).Decode(received)
 	}
@@ -372,7 +372,7 @@
 // send posts a value to a peer. The body of the response, which has a status of
 // success, is to be closed.
 func (e *Exchanger) send(ctx context.Context, peer *roster.Record, path string, value any) (*http.Response, error) {
-	body, err := encoded.JSON(value, encoded.Long)
+	body, err := encoded.JSON(value, encoded.CompressionThreshold)
 	if err != nil {
 		return nil, trace.Wrap(err, "exchange")
 	}
@@ -381,8 +381,8 @@
 		return nil, trace.Wrap(err, "exchange")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(headerAccept, encoded.Compression)
-	body.Mark(req.Header)
+	req.Header.Set(headerAccept, encoded.ContentCoding)
+	body.SetContentEncoding(req.Header)
 	resp, err := e.do(req)
 	return resp, trace.Wrap(err, "exchange with %s", peer.Node)
 }
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -46,7 +46,7 @@
 	if err := json.NewDecoder(io.LimitReader(body, documentBytes)).Decode(change); err != nil {
 		return err
 	}
-	return e.options.Configuration.Advance(change)
+	return e.options.Configuration.ApplyChange(change)
 }
 
 // get asks a peer for what lies under a path. The body of the response, which has status
@@ -56,13 +56,13 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set(headerAccept, encoded.Compression)
+	req.Header.Set(headerAccept, encoded.ContentCoding)
 	return e.do(req)
 }
 
 // plainBody returns the body of an answer that may be compressed.
 func plainBody(resp *http.Response, heard func()) (io.Reader, error) {
-	return encoded.Reader(resp.Header, &noticedReader{Reader: resp.Body, heard: heard})
+	return encoded.NewReader(resp.Header, &noticedReader{Reader: resp.Body, heard: heard})
 }
 
 // noticedReader tells whenever it brings something.
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -143,8 +143,8 @@
 func (l *levelCheck) pick() *roster.Record {
 	e := l.exchanger
 	view := e.options.Roster.View()
-	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Usable)
-	all := readers.All(view, e.Usable)
+	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Reachable)
+	all := readers.All(view, e.Reachable)
 	for _, candidates := range [][]*roster.Record{near, all, view.Records()} {
 		if found := l.withoutAged(l.askable(candidates)); len(found) > 0 {
 			return found[rand.N(len(found))]
@@ -182,7 +182,7 @@
 	answer, err := l.levelOf(ctx, reader)
 	if err != nil {
 		l.aged.Store(reader.Node, clock.Now())
-		l.exchanger.observer.LevelTold(levelFailed, -1)
+		l.exchanger.observer.VersionRequestFinished(levelFailed, -1)
 		return trace.Wrap(err, "ask %s for its version", reader.Node)
 	}
 	l.exchanger.met.Store(true)
@@ -195,18 +195,18 @@
 }
 
 // levelOf returns what a node answers.
-func (l *levelCheck) levelOf(ctx context.Context, reader *roster.Record) (*Level, error) {
+func (l *levelCheck) levelOf(ctx context.Context, reader *roster.Record) (*VersionReply, error) {
 	resp, err := l.exchanger.get(ctx, reader, pathLevel)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	answer := &Level{}
+	answer := &VersionReply{}
 	return answer, json.NewDecoder(io.LimitReader(resp.Body, levelBytes)).Decode(answer)
 }
 
 // told notes what a reader has answered, and whether it had new proof.
-func (l *levelCheck) told(reader *roster.Record, answer *Level) {
+func (l *levelCheck) told(reader *roster.Record, answer *VersionReply) {
 	inForce, result := l.exchanger.options.Configuration.Version(), levelSame
 	if answer.Version > inForce {
 		result = levelNewer
@@ -220,7 +220,7 @@
 	} else {
 		l.aged.Store(reader.Node, clock.Now())
 	}
-	l.exchanger.observer.LevelTold(result, age)
+	l.exchanger.observer.VersionRequestFinished(result, age)
 	l.exchanger.options.Logger.Debug("version told", zap.String("peer", reader.Node), zap.Uint64("version", answer.Version),
 		zap.Uint64("inForce", inForce), zap.Duration("peerProofAge", age), l.exchanger.behind.proofAge())
 }
@@ -229,7 +229,7 @@
 // was sent at the moment. The time on the way counts against the proof.
 func (l *levelCheck) prove(version uint64, told *int64, asked time.Time) {
 	if age, valid := proofAge(told); valid {
-		l.exchanger.options.Configuration.Proven(version, asked.Add(-age))
+		l.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
 	}
 }
 
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -25,18 +25,18 @@
 	// Buckets are the digests of the sender's roster in parts, when the digests
 	// differ.
 	Buckets []uint32 `json:"buckets,omitempty"`
-	// Differing are the parts, of Of in all, that the sender wants compared.
-	Differing []int `json:"differing,omitempty"`
-	Of        int   `json:"of,omitempty"`
+	// DifferingBuckets are the parts, of Of in all, that the sender wants compared.
+	DifferingBuckets []int `json:"differing,omitempty"`
+	BucketCount        int   `json:"of,omitempty"`
 	// Records are the sender's in the differing parts, as far as the receiver
 	// needs them.
 	Records []*roster.Record `json:"records,omitempty"`
-	Told
+	SharedState
 }
 
-// Told is what operators have ordered beside the configuration, and what holds for the whole
+// SharedState is what operators have ordered beside the configuration, and what holds for the whole
 // deployment, as the sender knows it.
-type Told struct {
+type SharedState struct {
 	// Era is how often the store has come back from an older copy.
 	Era uint64 `json:"era,omitempty"`
 	// Rollouts are the moves to other versions.
@@ -47,8 +47,8 @@
 	SharedMachines bool `json:"sharedMachines,omitempty"`
 }
 
-// Level is what a node answers that is asked whether there is a newer configuration.
-type Level struct {
+// VersionReply is what a node answers that is asked whether there is a newer configuration.
+type VersionReply struct {
 	// Version is that of the configuration in force, zero without one.
 	Version uint64 `json:"version"`
 	// ProofAge is as in Message.
@@ -76,7 +76,7 @@
 	Version uint64 `json:"version"`
 	// Relay asks the receiver to pass the news on in its zone.
 	Relay bool `json:"relay,omitempty"`
-	Told
+	SharedState
 }
 
 const (
@@ -97,11 +97,11 @@
 
 // comparable reports whether the message asks for a comparison that can be made.
 func (m *Message) comparable() bool {
-	if m.Of < 1 || m.Of > mostBuckets || len(m.Differing) > m.Of {
+	if m.BucketCount < 1 || m.BucketCount > mostBuckets || len(m.DifferingBuckets) > m.BucketCount {
 		return false
 	}
-	for _, index := range m.Differing {
-		if index < 0 || index >= m.Of {
+	for _, index := range m.DifferingBuckets {
+		if index < 0 || index >= m.BucketCount {
 			return false
 		}
 	}
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -30,7 +30,7 @@
 	service.Route(service.POST(pathNotice).Consumes(restful.MIME_JSON).To(e.serveNotice))
 	service.Route(service.GET(pathConfiguration).Produces(restful.MIME_JSON).To(e.serveConfiguration))
 	service.Route(service.GET(pathLevel).Produces(restful.MIME_JSON).To(func(_ *restful.Request, response *restful.Response) {
-		_ = response.WriteAsJson(&Level{Version: e.options.Configuration.Version(), ProofAge: e.level.proofAge()})
+		_ = response.WriteAsJson(&VersionReply{Version: e.options.Configuration.Version(), ProofAge: e.level.proofAge()})
 	}))
 	if e.options.Quota != nil {
 		service.Route(service.POST(pathQuota).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(serveGranter(e.options.Quota)))
@@ -53,7 +53,7 @@
 	}
 	compressFrom := math.MaxInt
 	if acceptsCompressed(request.Request) {
-		compressFrom = encoded.Long
+		compressFrom = encoded.CompressionThreshold
 	}
 	body, err := encoded.JSON(e.answer(received), compressFrom)
 	if err != nil {
@@ -84,7 +84,7 @@
 	view := e.options.Roster.View()
 	switch {
 	case received.comparable():
-		made.Records = lacking(view.InBuckets(received.Differing, received.Of), received.Records)
+		made.Records = lacking(view.InBuckets(received.DifferingBuckets, received.BucketCount), received.Records)
 	case received.Digest != view.Digest():
 		made.Buckets = view.Buckets(bucketCount(view.Count()))
 	}
@@ -120,7 +120,7 @@
 		e.answerEncoded(response, after)
 		return
 	}
-	change := e.options.Configuration.Since(after)
+	change := e.options.Configuration.ChangeSince(after)
 	if change == nil {
 		noneInForce(response)
 		return
@@ -135,13 +135,13 @@
 // acceptsCompressed reports whether the peer reads compressed answers. Nodes of the
 // version before do not ask for them.
 func acceptsCompressed(r *http.Request) bool {
-	return r.Header.Get(headerAccept) == encoded.Compression
+	return r.Header.Get(headerAccept) == encoded.ContentCoding
 }
 
 // answerEncoded answers what leads from a version to the one in force, compressed when it is
 // long.
 func (e *Exchanger) answerEncoded(response *restful.Response, after uint64) {
-	change, err := e.options.Configuration.EncodedSince(after)
+	change, err := e.options.Configuration.EncodedChangeSince(after)
 	switch {
 	case err != nil:
 		e.options.Logger.Error("configuration not sent", zap.Error(err))
@@ -158,7 +158,7 @@
 func answerBody(response *restful.Response, body *encoded.Body) {
 	header := response.Header()
 	header.Set("Content-Type", restful.MIME_JSON)
-	body.Mark(header)
+	body.SetContentEncoding(header)
 	header.Set("Content-Length", strconv.Itoa(len(body.Bytes)))
 	_, _ = response.Write(body.Bytes)
 }
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -113,13 +113,13 @@
 		connection, err := in.dial(ctx, network, address)
 		return &narrow{connection, over}, err
 	})
-	change, err := held[1].keeper.EncodedSince(7)
+	change, err := held[1].keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	alone := time.Duration(len(change.Bytes)) * time.Second / time.Duration(over.bytesPerSecond)
 	began := time.Now()
 	for late.keeper.Version() < 8 && time.Since(began) < time.Minute {
 		for _, peer := range held[1:] {
-			late.exchanger.Behind(peer.record, 8)
+			late.exchanger.HandlePeerVersion(peer.record, 8)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -134,17 +134,17 @@
 	for _, document := range []string{"7 800", "8 2200", "9 2201"} {
 		g.Expect(keeper.Offer([]byte(document), configuration.SourceWatch)).To(Succeed())
 	}
-	plain, err := json.Marshal(keeper.Since(7))
+	plain, err := json.Marshal(keeper.ChangeSince(7))
 	g.Expect(err).NotTo(HaveOccurred())
-	large, err := keeper.EncodedSince(7)
+	large, err := keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(large.Compressed).To(BeTrue())
 	g.Expect(len(plain)).To(BeNumerically(">", 250_000))
 	g.Expect(len(large.Bytes)).To(BeNumerically("<", len(plain)/10))
-	small, err := keeper.EncodedSince(8)
+	small, err := keeper.EncodedChangeSince(8)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(small.Compressed).To(BeFalse())
-	again, err := keeper.EncodedSince(7)
+	again, err := keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(BeIdenticalTo(large), "made once")
 }
@@ -157,9 +157,9 @@
 			_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 90\r\n\r\n{\"version\":"))
 		})
 		peer.offer(t, 8)
-		late.exchanger.Behind(&roster.Record{Node: "stops", Zone: "near", PeerAddress: "stops:1"}, 8)
+		late.exchanger.HandlePeerVersion(&roster.Record{Node: "stops", Zone: "near", PeerAddress: "stops:1"}, 8)
 		time.Sleep(10 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.HandlePeerVersion(peer.record, 8)
 		began := time.Now()
 		for late.keeper.Version() < 8 && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
@@ -206,13 +206,13 @@
 		plain, err := json.Marshal(records)
 		g.Expect(err).NotTo(HaveOccurred())
 		known := func(of *virtualMember) int { return of.exchanger.options.Roster.View().Count() }
-		g.Expect(asks.exchanger.With(t.Context(), knows.record)).To(Succeed())
+		g.Expect(asks.exchanger.ExchangeWith(t.Context(), knows.record)).To(Succeed())
 		time.Sleep(time.Second) // a large roster takes changes together
 		g.Expect(known(asks)).To(Equal(986))
 		g.Expect(passed.Load()).To(BeNumerically("<", len(plain)/10))
 		// The other way round the asking node's own records are long.
 		passed.Store(0)
-		g.Expect(asks.exchanger.With(t.Context(), late.record)).To(Succeed())
+		g.Expect(asks.exchanger.ExchangeWith(t.Context(), late.record)).To(Succeed())
 		time.Sleep(time.Second)
 		g.Expect(known(late)).To(Equal(987))
 		g.Expect(passed.Load()).To(BeNumerically("<", len(plain)/10))
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// BroadcastToOne is Broadcast, but returns when one peer has heard, or all were
+// BroadcastUntilFirst is Broadcast, but returns when one peer has heard, or all were
 // told in vain; the others are told meanwhile.
-func (e *Exchanger) BroadcastToOne(ctx context.Context) {
+func (e *Exchanger) BroadcastUntilFirst(ctx context.Context) {
 	heard := &listeners{first: make(chan struct{})}
 	done := make(chan struct{})
 	go func() {
@@ -150,8 +150,8 @@
 // appearPeers is how many nodes of its zone a node tells that it is there again, without news of it.
 const appearPeers = 8
 
-// Appear tells some peers of the zone that the node is there: who has lost it need not look for it.
-func (e *Exchanger) Appear(ctx context.Context) {
+// AnnouncePresence tells some peers of the zone that the node is there: who has lost it need not look for it.
+func (e *Exchanger) AnnouncePresence(ctx context.Context) {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -171,7 +171,7 @@
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
 	var group errgroup.Group
 	for _, peer := range peers[:min(len(peers), greetings)] {
-		group.Go(func() error { return e.With(ctx, peer) })
+		group.Go(func() error { return e.ExchangeWith(ctx, peer) })
 	}
 	if err := group.Wait(); err != nil {
 		e.options.Logger.Info("peer not greeted", zap.Error(err))
@@ -184,10 +184,10 @@
 	if notice.From == notice.Record.Node {
 		e.lost.remove(notice.From)
 	}
-	e.hearTold(&notice.Told)
+	e.hearTold(&notice.SharedState)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
-		e.Behind(sender, notice.Version)
+		e.HandlePeerVersion(sender, notice.Version)
 	}
 	if count := passedTo(notice); count > 0 && len(news) > 0 {
 		go e.passOn(notice.Record, count)
@@ -225,7 +225,7 @@
 // notice returns what is told of a record.
 func (e *Exchanger) notice(record *roster.Record) *Notice {
 	return &Notice{
-		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), Told: e.told(),
+		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.told(),
 	}
 }
 
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -186,8 +186,8 @@
 // CaughtUp implements exchange.Observer.
 func (m *metrics) CaughtUp(behind time.Duration) { m.behind.Observe(behind.Seconds()) }
 
-// Asked implements exchange.Observer.
-func (m *metrics) Asked(whom string, err error) {
+// FetchFinished implements exchange.Observer.
+func (m *metrics) FetchFinished(whom string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
@@ -195,8 +195,8 @@
 	m.asked.WithLabelValues(whom, result).Inc()
 }
 
-// LevelTold implements exchange.Observer.
-func (m *metrics) LevelTold(result string, age time.Duration) {
+// VersionRequestFinished implements exchange.Observer.
+func (m *metrics) VersionRequestFinished(result string, age time.Duration) {
 	m.levelTold.WithLabelValues(result).Inc()
 	if age >= 0 {
 		m.proofAges.Observe(age.Seconds())
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -51,13 +51,13 @@
 			if !usable(record) {
 				continue
 			}
-			if readers.Reads(view, record, usable) {
+			if readers.IsReader(view, record, usable) {
 				served[record.Node]++
-				g.Expect(readers.Teller(view, record, usable)).To(BeNil())
+				g.Expect(readers.AssignedReader(view, record, usable)).To(BeNil())
 			}
-			for _, told := range readers.Told(view, record, usable) {
+			for _, told := range readers.AssignedNodes(view, record, usable) {
 				served[told.Node]++
-				g.Expect(readers.Teller(view, told, usable)).To(BeIdenticalTo(record))
+				g.Expect(readers.AssignedReader(view, told, usable)).To(BeIdenticalTo(record))
 			}
 		}
 		g.Expect(served).To(HaveLen(20 - away))
@@ -85,8 +85,8 @@
 	g.Expect(reading).To(HaveLen(6))
 	g.Expect(others).To(HaveLen(12))
 	g.Expect([]string{reading[0].Node, reading[1].Node}).To(ConsistOf("node-3", "node-7"), "faster links first")
-	g.Expect(readers.Reads(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
-	g.Expect(readers.Told(view, view.Record("node-11"), all)).To(BeEmpty())
+	g.Expect(readers.IsReader(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
+	g.Expect(readers.AssignedNodes(view, view.Record("node-11"), all)).To(BeEmpty())
 	g.Expect(readers.All(view, all)).To(HaveLen(6))
 }
 
@@ -106,7 +106,7 @@
 	g := NewWithT(t)
 	view := zoneOf(5, func(_ int, record *roster.Record) { record.Leaving = true })
 	for _, record := range view.Zone("z") {
-		g.Expect(readers.Reads(view, record, all)).To(BeTrue())
+		g.Expect(readers.IsReader(view, record, all)).To(BeTrue())
 	}
 }
 
@@ -117,12 +117,12 @@
 	whole := zoneOf(nodes, nil)
 	for away := range nodes {
 		lacking := func(record *roster.Record) bool { return record.Node != fmt.Sprint("node-", away) }
-		if readers.Reads(whole, whole.Record(fmt.Sprint("node-", away)), all) {
+		if readers.IsReader(whole, whole.Record(fmt.Sprint("node-", away)), all) {
 			continue
 		}
 		for _, record := range whole.Zone("z") {
 			if lacking(record) {
-				g.Expect(readers.Teller(whole, record, lacking)).To(BeIdenticalTo(readers.Teller(whole, record, all)))
+				g.Expect(readers.AssignedReader(whole, record, lacking)).To(BeIdenticalTo(readers.AssignedReader(whole, record, all)))
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	reading, others := readers.Zone(view, "z", all)
 	least, most := len(others), 0
 	for _, reader := range reading {
-		told := len(readers.Told(view, reader, all))
+		told := len(readers.AssignedNodes(view, reader, all))
 		least, most = min(least, told), max(most, told)
 	}
 	g.Expect(most).To(BeNumerically("<=", 3*least))
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -40,7 +40,7 @@
 
 // reads reports whether this node reads the store.
 func (s *Sidecar) reads() bool {
-	return readers.Reads(s.members.View(), s.members.Own(), s.exchanger.Usable)
+	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Reachable)
 }
 
 // compactors is how many of the nodes that read the store keep the snapshot of all records, one
@@ -87,7 +87,7 @@
 	case joined != nil:
 		return s.reads()
 	}
-	return s.exchanger.Met() && s.reads()
+	return s.exchanger.HadContact() && s.reads()
 }
 
 // join tells the peers that were found in the store of this node, and asks some of
@@ -97,7 +97,7 @@
 	now := clock.Now()
 	s.joined.CompareAndSwap(nil, &now)
 	if resumed {
-		go s.exchanger.Appear(context.Background())
+		go s.exchanger.AnnouncePresence(context.Background())
 	} else {
 		go s.spread(context.Background())
 	}
@@ -109,7 +109,7 @@
 // all at the same moment, begin the order, and it is kept while there are none.
 func (s *Sidecar) WatchWait(first bool) time.Duration {
 	rank, count := s.readingRank()
-	spacing := exchange.FreshFor(s.options.Settings.applyBound())
+	spacing := exchange.ProofRefreshAge(s.options.Settings.applyBound())
 	period := min(time.Duration(max(count, watchersLeast))*spacing, watchLongest)
 	if first {
 		return watchShortest + min(time.Duration(rank)*spacing, period)
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -42,10 +42,10 @@
 }
 
 // place is where the store has what operators write.
-func (s *Sidecar) place() configuration.Place {
-	return configuration.Place{
+func (s *Sidecar) place() configuration.Keyspace {
+	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
-		Other: s.ordered, Removed: s.orderRemoved, Listed: s.ordersListed,
+		OnOther: s.ordered, OnRemoved: s.orderRemoved, OnListed: s.ordersListed,
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // reading returns the nodes of all zones that read the store.
 func (s *Sidecar) reading() []*roster.Record {
-	return readers.All(s.members.View(), s.exchanger.Usable)
+	return readers.All(s.members.View(), s.exchanger.Reachable)
 }
 
 // judge compares the back end's version with others by what the node sees of its
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -133,7 +133,7 @@
 
 // StoreDialer returns the dialer for connections to the store.
 func StoreDialer(network dial.Network) func(ctx context.Context, network, address string) (net.Conn, error) {
-	return network.Dialer(storeDial, dial.Silence{Unacknowledged: storeSilence, Idle: peerIdle})
+	return network.Dialer(storeDial, dial.PeerTimeouts{Unacknowledged: storeSilence, Idle: peerIdle})
 }
 
 // New returns a sidecar that serves nobody before its first configuration.
@@ -172,26 +172,26 @@
 	created.exchanger = exchange.New(exchange.Options{
 		Roster:        created.members,
 		Configuration: created.keeper,
-		Dial:          options.Network.Dialer(exchangeDial, dial.Silence{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Dial:          options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
 		Refresh: func(ctx context.Context) error {
 			return configuration.Refresh(ctx, options.Store, created.place(), created.keeper)
 		},
-		Bound:       settings.applyBound(),
-		Store:       options.Store,
-		Rollouts:    created.rollouts,
-		Evacuations: created.evacuations,
-		Quota:       created.quota,
-		Repeats:     created.repeats,
-		Contention:  created.contention,
-		Reads:       created.reads,
-		Observer:    observed,
-		Suspect:     created.egress.Suspect,
-		Logger:      options.Logger,
+		Bound:         settings.applyBound(),
+		Store:         options.Store,
+		Rollouts:      created.rollouts,
+		Evacuations:   created.evacuations,
+		Quota:         created.quota,
+		Repeats:       created.repeats,
+		Contention:    created.contention,
+		IsReader:      created.reads,
+		Observer:      observed,
+		OnUnreachable: created.egress.Suspect,
+		Logger:        options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		Joined: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
+		Joined: created.join, Met: created.exchanger.HadContact, Reads: created.reads, Logger: options.Logger,
 		CompactRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
@@ -225,7 +225,7 @@
 		RoutesTo:           s.serves,
 		Evacuated:          func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
 		DrainDelay:         s.drainAfter,
-		Dial:               s.options.Network.Dialer(0, dial.Silence{}),
+		Dial:               s.options.Network.Dialer(0, dial.PeerTimeouts{}),
 		Logger:             s.logger,
 		Observer:           observed,
 	})
@@ -252,7 +252,7 @@
 		Weights:    choice.DefaultWeights(),
 		Level:      (*level)(s),
 		DrainAfter: s.drainAfter,
-		Dial:       s.options.Network.Dialer(exchangeDial, dial.Silence{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Dial:       s.options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
 		Probe: func(ctx context.Context, record *roster.Record) error {
 			return s.exchanger.Ping(ctx, record)
 		},
@@ -281,7 +281,7 @@
 }
 
 // Unreachable implements egress.Observer.
-func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.Lost(node) }
+func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.MarkLost(node) }
 
 // Regained implements egress.Observer.
 func (o *callObserver) Regained(node string) {
@@ -290,7 +290,7 @@
 
 // Behind implements egress.Observer.
 func (o *callObserver) Behind(node string, version uint64) {
-	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
+	o.sidecar.exchanger.HandlePeerVersion(o.sidecar.members.View().Record(node), version)
 }
 
 // caller names the service beside this node.
@@ -339,10 +339,10 @@
 	s.contention.SetTenantsConfigured(len(table.Document().Tenants) > 0)
 	switch source {
 	case configuration.SourceWatch:
-		go s.exchanger.Announce()
+		go s.exchanger.AnnounceVersion()
 	case configuration.SourceRead:
 		go s.spread(context.Background())
-		go s.exchanger.Announce()
+		go s.exchanger.AnnounceVersion()
 	}
 }
 
