--- a/internal/sidecar/membership/firststart_test.go
+++ b/internal/sidecar/membership/firststart_test.go
@@ -74,7 +74,7 @@
 // newLife returns a life of a node at the very first start that is not run yet.
 func newLife(t *testing.T, target *countingStore, node string, heartbeats time.Duration) *life {
 	made := &life{t: t, store: target}
-	made.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", Life: rand.Uint64()})
+	made.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	made.node = membership.New(membership.Options{
 		Store: target, Members: made.members, FirstStart: true, HeartbeatInterval: heartbeats,
 		Joined: func(bool) { made.joined() }, Met: made.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -113,7 +113,7 @@
 func begin(t *testing.T, target *countingStore, node string, firstStart, met bool) *life {
 	begun := &life{t: t, store: target}
 	begun.met.Store(met)
-	begun.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", Life: rand.Uint64()})
+	begun.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	begun.node = membership.New(membership.Options{
 		Store: target, Members: begun.members, FirstStart: firstStart, HeartbeatInterval: heartbeat,
 		Joined: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
@@ -252,7 +252,7 @@
 		g.Expect(next.members.Own().Endpoint.ID).To(Equal("i-1"))
 		next.says("i-1", roster.Draining, 9)
 		g.Expect(next.members.Own().Newer(before.members.Own())).To(BeTrue())
-		g.Expect(next.members.Own().Life).NotTo(Equal(before.members.Own().Life))
+		g.Expect(next.members.Own().RunID).NotTo(Equal(before.members.Own().RunID))
 	})
 }
 
--- a/internal/sidecar/membership/snapshot_test.go
+++ b/internal/sidecar/membership/snapshot_test.go
@@ -20,7 +20,7 @@
 func fill(t *testing.T, target *countingStore, nodes int) {
 	for i := range nodes {
 		record := &roster.Record{
-			Node: fmt.Sprintf("node-%04d", i), Epoch: 3, Counter: 2, Life: uint64(i + 1), Zone: "z",
+			Node: fmt.Sprintf("node-%04d", i), Epoch: 3, Counter: 2, RunID: uint64(i + 1), Zone: "z",
 			Address: fmt.Sprintf("node-%04d:1", i), PeerAddress: fmt.Sprintf("node-%04d:2", i),
 			Endpoint: &roster.Endpoint{ID: fmt.Sprintf("i-%x", 0xfc2bf3ef*(i+1)), Service: "service", Version: "v1", Slots: 14, State: roster.Ready, Sequence: 7},
 		}
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -40,9 +40,9 @@
 	// change within it.
 	Epoch   uint64 `json:"epoch"`
 	Counter uint64 `json:"counter"`
-	// Life is drawn at random at each start. It tells apart records of two lives
+	// RunID is drawn at random at each start. It tells apart records of two lives
 	// that have come to the same epoch and counter, since neither knew of the other.
-	Life uint64 `json:"life,omitempty"`
+	RunID uint64 `json:"life,omitempty"`
 	// Address takes requests of other nodes, PeerAddress exchanges.
 	Address     string `json:"address"`
 	PeerAddress string `json:"peerAddress"`
@@ -87,13 +87,13 @@
 
 // Newer reports whether the record replaces the other one.
 func (r *Record) Newer(other *Record) bool {
-	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Counter, other.Counter), cmp.Compare(r.Life, other.Life)) > 0
+	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Counter, other.Counter), cmp.Compare(r.RunID, other.RunID)) > 0
 }
 
 // conflicts reports whether the other record, of another life, bears the same version
 // otherwise.
 func (r *Record) conflicts(other *Record) bool {
-	return r.Epoch == other.Epoch && r.Counter == other.Counter && r.Life != other.Life
+	return r.Epoch == other.Epoch && r.Counter == other.Counter && r.RunID != other.RunID
 }
 
 // Same reports whether the other record is of the same node.
--- a/internal/sidecar/roster/roster.go
+++ b/internal/sidecar/roster/roster.go
@@ -32,7 +32,7 @@
 
 // New returns a roster that holds the node's own first record.
 func New(own Record) *Roster {
-	created := &Roster{self: own.Node, life: own.Life, records: map[string]*Record{}, dirty: map[string]struct{}{}, gone: map[string]time.Time{}}
+	created := &Roster{self: own.Node, life: own.RunID, records: map[string]*Record{}, dirty: map[string]struct{}{}, gone: map[string]time.Time{}}
 	created.view.Store(newView(nil))
 	created.set(&own)
 	created.publish()
@@ -149,7 +149,7 @@
 	if !remembered.Newer(&own) && !remembered.conflicts(&own) {
 		return nil
 	}
-	own.Epoch, own.Life = remembered.Epoch+1, r.life
+	own.Epoch, own.RunID = remembered.Epoch+1, r.life
 	for _, ended := range remembered.Ended {
 		if !slices.Contains(own.Ended, ended) {
 			own.Ended = appendEnded(own.Ended, ended)
@@ -213,7 +213,7 @@
 	next, changed := change(*r.records[r.self])
 	if changed {
 		next.Counter++
-		next.Life = r.life
+		next.RunID = r.life
 	}
 	r.set(&next)
 	if changed {
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -300,7 +300,7 @@
 func TestTwoLivesOfTheSameVersion(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
-	before.Life, now.Life = 9, 5
+	before.RunID, now.RunID = 9, 5
 	before.Endpoint, before.Ended = endpoint("i-1", roster.Draining, 4), []string{"i-0"}
 	g.Expect(before.Newer(&now)).To(BeTrue())
 	g.Expect(now.Newer(&before)).To(BeFalse())
@@ -308,7 +308,7 @@
 	for _, order := range [][]*roster.Record{{&before, &now}, {&now, &before}} {
 		other := roster.New(record("other", 1, 1))
 		other.Merge(order)
-		g.Expect(other.View().Record("self").Life).To(BeEquivalentTo(9))
+		g.Expect(other.View().Record("self").RunID).To(BeEquivalentTo(9))
 	}
 	one, another := roster.New(record("other", 1, 1)), roster.New(record("other", 1, 1))
 	one.Merge([]*roster.Record{&before})
@@ -317,7 +317,7 @@
 
 	for _, lives := range [][2]uint64{{9, 5}, {5, 9}} {
 		remembered, own := before, now
-		remembered.Life, own.Life = lives[0], lives[1]
+		remembered.RunID, own.RunID = lives[0], lives[1]
 		held := roster.New(own)
 		held.Merge([]*roster.Record{&remembered})
 		g.Expect(held.Own().Epoch).To(BeEquivalentTo(3))
@@ -355,12 +355,12 @@
 		var left []*roster.Record
 		for i := range size {
 			left = append(left, &roster.Record{
-				Node: fmt.Sprint("n", i), Epoch: 4, Counter: 3, Life: uint64(i), Zone: "z", Address: "a:1", PeerAddress: "a:2",
+				Node: fmt.Sprint("n", i), Epoch: 4, Counter: 3, RunID: uint64(i), Zone: "z", Address: "a:1", PeerAddress: "a:2",
 				Endpoint: &roster.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Slots: 4, State: roster.Ready},
 			})
 		}
 		start := func(index int) *roster.Roster {
-			made := roster.New(roster.Record{Node: left[index].Node, Epoch: 1, Counter: 1, Life: 1 << 40, Zone: "z", Address: "a:1", PeerAddress: "a:2"})
+			made := roster.New(roster.Record{Node: left[index].Node, Epoch: 1, Counter: 1, RunID: 1 << 40, Zone: "z", Address: "a:1", PeerAddress: "a:2"})
 			made.Merge(slices.DeleteFunc(slices.Clone(left), made.Own().Same))
 			g.Expect(made.Resume([]*roster.Record{left[index]})).To(BeTrue())
 			return made
@@ -374,7 +374,7 @@
 		g.Expect(first.Merge([]*roster.Record{&unheard})).To(HaveLen(1))
 		g.Expect(first.Own().Newer(&unheard)).To(BeTrue())
 		g.Expect(first.Own().Endpoint.State).To(Equal(roster.Draining))
-		g.Expect(first.Own().Life).To(BeEquivalentTo(1 << 40))
+		g.Expect(first.Own().RunID).To(BeEquivalentTo(1 << 40))
 	}
 }
 
@@ -412,7 +412,7 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			endpoint := roster.Endpoint{ID: "i-1", Born: 7, Service: "s", Slots: 4, State: roster.Ready, Sequence: 20}
-			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, Life: 2})
+			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
 			if played.heard {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
 					said := endpoint
@@ -422,7 +422,7 @@
 				})
 			}
 			node.Update(func(record roster.Record) (roster.Record, bool) { return record.End(played.ended) })
-			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, Life: 1, Endpoint: &endpoint}})
+			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, RunID: 1, Endpoint: &endpoint}})
 			g.Expect(node.Own().Endpoint.State).To(Equal(roster.Gone))
 			g.Expect(node.Own().AcceptsWork()).To(BeFalse())
 		})
--- a/internal/sidecar/roster/view.go
+++ b/internal/sidecar/roster/view.go
@@ -208,9 +208,9 @@
 	binary.LittleEndian.PutUint64(versions[:8], r.Epoch)
 	binary.LittleEndian.PutUint64(versions[8:], r.Counter)
 	_, _ = digest.Write(versions[:])
-	if r.Life != 0 {
+	if r.RunID != 0 {
 		var life [8]byte
-		binary.LittleEndian.PutUint64(life[:], r.Life)
+		binary.LittleEndian.PutUint64(life[:], r.RunID)
 		_, _ = digest.Write(life[:])
 	}
 	return digest.Sum64()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -145,7 +145,7 @@
 		members: roster.New(roster.Record{
 			Node: settings.Node, Epoch: 1, Counter: 1, Zone: settings.Zone,
 			Address: settings.Listen.Inbound, PeerAddress: settings.Listen.Peer, Link: settings.LinkMbps,
-			Life: uint64(rand.Uint32()),
+			RunID: uint64(rand.Uint32()),
 		}),
 		started:    clock.Now(),
 		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
