--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -9,10 +9,10 @@
 	WarmupLeft time.Duration
 }
 
-// Claims decides which incarnation is the back end's when heartbeats bear several. A
+// IncarnationTracker decides which incarnation is the back end's when heartbeats bear several. A
 // heartbeat may come seconds late, from a back end that is no more: one alone
 // does not take the place of one that is heard from, unless it started later.
-type Claims struct {
+type IncarnationTracker struct {
 	// Interval is the usual time between two heartbeats.
 	Interval time.Duration
 	// heard is when the current incarnation was last heard in this life.
@@ -33,7 +33,7 @@
 // Beat returns the record after a heartbeat, and whether it changed. A final incarnation
 // stays final, and the highest sequence of one wins. One that says nothing of its start, while
 // the back end does, is not the back end's.
-func (c *Claims) Beat(record Record, beat Heartbeat, now time.Time) (next Record, changed bool) {
+func (c *IncarnationTracker) Beat(record Record, beat Heartbeat, now time.Time) (next Record, changed bool) {
 	if record.HasEnded(beat.Incarnation()) {
 		return record, false
 	}
@@ -63,13 +63,13 @@
 
 // silent reports whether the current incarnation has not been heard for too long, or not
 // at all in this life.
-func (c *Claims) silent(now time.Time) bool {
+func (c *IncarnationTracker) silent(now time.Time) bool {
 	return c.heard.IsZero() || now.Sub(c.heard) > silentIntervals*c.Interval
 }
 
 // prevails counts a rival's heartbeat and reports whether it was heard often
 // enough.
-func (c *Claims) prevails(rival Endpoint) bool {
+func (c *IncarnationTracker) prevails(rival Endpoint) bool {
 	if c.rival.Incarnation() != rival.Incarnation() {
 		c.rivalBeats = 0
 	}
@@ -78,7 +78,7 @@
 	return c.rivalBeats >= rivalBeatsNeeded
 }
 
-func (c *Claims) renew(record Record, fresh Endpoint, now time.Time) (next Record, changed bool) {
+func (c *IncarnationTracker) renew(record Record, fresh Endpoint, now time.Time) (next Record, changed bool) {
 	held := record.Endpoint
 	if held.State == Gone || fresh.Sequence < held.Sequence {
 		return record, false
@@ -93,7 +93,7 @@
 	return record, changed
 }
 
-func (c *Claims) install(record Record, fresh Endpoint, now time.Time) Record {
+func (c *IncarnationTracker) install(record Record, fresh Endpoint, now time.Time) Record {
 	c.heard, c.rivalBeats = now, 0
 	record.Endpoint = &fresh
 	return record
@@ -102,7 +102,7 @@
 // Lost takes in that the process of a back end has ended: the next one to be heard takes its
 // place at once. Back ends are back some seconds after an end and were refused, as another
 // one than was known, for 1.4 to 1.7 s more, until their second heartbeat.
-func (c *Claims) Lost(record Record, incarnation string) {
+func (c *IncarnationTracker) Lost(record Record, incarnation string) {
 	if record.Endpoint != nil && record.Endpoint.Incarnation().String() == incarnation {
 		c.heard = time.Time{}
 	}
@@ -110,7 +110,7 @@
 
 // Confirm takes in that the back end itself has given its id. A rival of that
 // id takes the place at once.
-func (c *Claims) Confirm(record Record, id string, now time.Time) (next Record, changed bool) {
+func (c *IncarnationTracker) Confirm(record Record, id string, now time.Time) (next Record, changed bool) {
 	held := record.Endpoint
 	if held == nil || held.ID == id || c.rival.ID != id || record.HasEnded(c.rival.Incarnation()) {
 		return record, false
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -48,7 +48,7 @@
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
-			claims := roster.Claims{Interval: interval}
+			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
 			for i, said := range played.words {
 				if said.state == "" {
--- a/internal/sidecar/roster/leave_test.go
+++ b/internal/sidecar/roster/leave_test.go
@@ -15,7 +15,7 @@
 	g := NewWithT(t)
 	ready := roster.Endpoint{ID: "i", Born: 100, Service: "s", Slots: 4, State: roster.Ready, Sequence: 1}
 	record := roster.Record{Node: "n", Epoch: 1, Counter: 1, Endpoint: &ready}
-	claims := &roster.Claims{Interval: time.Second}
+	claims := &roster.IncarnationTracker{Interval: time.Second}
 	left, changed := record.Leave(ready.Incarnation())
 	g.Expect(changed).To(BeTrue())
 	g.Expect(left.Endpoint.State).To(Equal(roster.Draining))
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -188,7 +188,7 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			start := time.Unix(1000, 0)
-			claims := roster.Claims{Interval: interval}
+			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
 			for _, beat := range played.beats {
 				now := start.Add(beat.at)
@@ -212,7 +212,7 @@
 func TestUnchangedHeartbeatsMakeNoNewRecord(t *testing.T) {
 	g := NewWithT(t)
 	held := roster.New(record("self", 1, 1))
-	claims := roster.Claims{Interval: time.Second}
+	claims := roster.IncarnationTracker{Interval: time.Second}
 	told := 0
 	held.Observe(func([]*roster.Record) { told++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
@@ -330,7 +330,7 @@
 // is told to the others.
 func TestANewVersionIsNews(t *testing.T) {
 	g := NewWithT(t)
-	claims := roster.Claims{Interval: time.Second}
+	claims := roster.IncarnationTracker{Interval: time.Second}
 	now := time.Unix(100, 0)
 	beat := roster.Heartbeat{Endpoint: *endpoint("i-1", roster.Ready, 1)}
 	beat.Version = "v1"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -128,7 +128,7 @@
 	// stalls are the times at which the node did not run, known while its answers are judged.
 	stalls stall.Watch
 	// claims is used under the roster's lock.
-	claims roster.Claims
+	claims roster.IncarnationTracker
 }
 
 // StoreDialer returns the dialer for connections to the store.
@@ -151,7 +151,7 @@
 		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
 		contention: contention.NewSwitch(settings.OverloadControl),
 		work:       &nested.Work{},
-		claims:     roster.Claims{Interval: settings.HeartbeatInterval},
+		claims:     roster.IncarnationTracker{Interval: settings.HeartbeatInterval},
 	}
 	observed := newMetrics(options.Registry)
 	options.Store = newCountedStore(options.Store, options.Registry)
