--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -32,7 +32,7 @@
 		s.ingress.WarmsUp(beat.WarmupLeft)
 	}
 	own, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) {
-		return s.claims.Beat(record, beat, clock.Now())
+		return s.claims.ApplyHeartbeat(record, beat, clock.Now())
 	})
 	switch {
 	case !changed:
--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -30,10 +30,10 @@
 	rivalBeatsNeeded = 2
 )
 
-// Beat returns the record after a heartbeat, and whether it changed. A final incarnation
+// ApplyHeartbeat returns the record after a heartbeat, and whether it changed. A final incarnation
 // stays final, and the highest sequence of one wins. One that says nothing of its start, while
 // the back end does, is not the back end's.
-func (c *IncarnationTracker) Beat(record Record, beat Heartbeat, now time.Time) (next Record, changed bool) {
+func (c *IncarnationTracker) ApplyHeartbeat(record Record, beat Heartbeat, now time.Time) (next Record, changed bool) {
 	if record.HasEnded(beat.Incarnation()) {
 		return record, false
 	}
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -57,7 +57,7 @@
 				}
 				beat := roster.Heartbeat{Endpoint: *endpoint(said.id, said.state, said.sequence)}
 				beat.Born = said.born
-				own, _ = claims.Beat(own, beat, time.Unix(1000, int64(i)))
+				own, _ = claims.ApplyHeartbeat(own, beat, time.Unix(1000, int64(i)))
 			}
 			g.Expect(own.Endpoint.Born).To(Equal(played.born))
 			g.Expect(own.Endpoint.State).To(Equal(played.state))
--- a/internal/sidecar/roster/leave_test.go
+++ b/internal/sidecar/roster/leave_test.go
@@ -23,12 +23,12 @@
 
 	late := ready
 	late.Sequence = 9
-	again, _ := claims.Beat(left, roster.Heartbeat{Endpoint: late}, time.Now())
+	again, _ := claims.ApplyHeartbeat(left, roster.Heartbeat{Endpoint: late}, time.Now())
 	g.Expect(again.Endpoint.State).To(Equal(roster.Draining))
 
 	next := ready
 	next.Born, next.Sequence = 200, 1
-	started, _ := claims.Beat(again, roster.Heartbeat{Endpoint: next}, time.Now())
+	started, _ := claims.ApplyHeartbeat(again, roster.Heartbeat{Endpoint: next}, time.Now())
 	g.Expect(started.Endpoint.State).To(Equal(roster.Ready))
 	_, changed = started.Leave(ready.Incarnation())
 	g.Expect(changed).To(BeFalse(), "a late answer of the incarnation before")
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -200,7 +200,7 @@
 				case beat.confirm:
 					own, _ = claims.Confirm(own, beat.id, now)
 				default:
-					own, _ = claims.Beat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
+					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
 				}
 			}
 			g.Expect(own.Endpoint.ID).To(Equal(played.id))
@@ -217,7 +217,7 @@
 	held.Observe(func([]*roster.Record) { told++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
 		held.Update(func(own roster.Record) (roster.Record, bool) {
-			return claims.Beat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
+			return claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
 		})
 	}
 	g.Expect(told).To(Equal(1))
@@ -334,15 +334,15 @@
 	now := time.Unix(100, 0)
 	beat := roster.Heartbeat{Endpoint: *endpoint("i-1", roster.Ready, 1)}
 	beat.Version = "v1"
-	held, changed := claims.Beat(record("self", 1, 1), beat, now)
+	held, changed := claims.ApplyHeartbeat(record("self", 1, 1), beat, now)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(held.Endpoint.Version).To(Equal("v1"))
 	beat.Sequence++
-	held, changed = claims.Beat(held, beat, now)
+	held, changed = claims.ApplyHeartbeat(held, beat, now)
 	g.Expect(changed).To(BeFalse())
 	beat.Version = "v2"
 	beat.Sequence++
-	held, changed = claims.Beat(held, beat, now)
+	held, changed = claims.ApplyHeartbeat(held, beat, now)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(held.Endpoint.Version).To(Equal("v2"))
 }
