--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -83,7 +83,7 @@
 func (g *guard) Ended(crash roster.Crash) {
 	g.Quarantine.Ended(crash)
 	g.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
-		g.sidecar.claims.Lost(record, crash.Endpoint)
+		g.sidecar.claims.MarkLost(record, crash.Endpoint)
 		return record, false
 	})
 }
--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -99,10 +99,10 @@
 	return record
 }
 
-// Lost takes in that the process of a back end has ended: the next one to be heard takes its
+// MarkLost takes in that the process of a back end has ended: the next one to be heard takes its
 // place at once. Back ends are back some seconds after an end and were refused, as another
 // one than was known, for 1.4 to 1.7 s more, until their second heartbeat.
-func (c *IncarnationTracker) Lost(record Record, incarnation string) {
+func (c *IncarnationTracker) MarkLost(record Record, incarnation string) {
 	if record.Endpoint != nil && record.Endpoint.Incarnation().String() == incarnation {
 		c.heard = time.Time{}
 	}
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -194,7 +194,7 @@
 				now := start.Add(beat.at)
 				switch {
 				case beat.state == "lost":
-					claims.Lost(own, beat.id)
+					claims.MarkLost(own, beat.id)
 				case beat.end:
 					own, _ = own.End(roster.Incarnation{ID: beat.id})
 				case beat.confirm:
