--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -211,15 +211,15 @@
 		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Print{{}}}}})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(1))
 		held := []roster.Held{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
-		knows(&roster.Evidence{Held: held})
+		knows(&roster.Evidence{Quarantined: held})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(2))
-		g.Expect(node.stored().Evidence.Held).To(Equal(held))
+		g.Expect(node.stored().Evidence.Quarantined).To(Equal(held))
 		node.end()
 		next := begin(t, target, "a", false, false)
 		defer next.end()
 		pass(10 * time.Second)
 		g.Expect(next.members.Own().Evidence).NotTo(BeNil())
-		g.Expect(next.members.Own().Evidence.Held).To(Equal(held))
+		g.Expect(next.members.Own().Evidence.Quarantined).To(Equal(held))
 	})
 }
 
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -297,7 +297,7 @@
 	defer q.mu.Unlock()
 	changed := q.lift()
 	for _, told := range q.evidence {
-		for _, held := range told.Held {
+		for _, held := range told.Quarantined {
 			fresh = q.learn(held, fresh)
 		}
 	}
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -15,9 +15,9 @@
 	if q.update(func(own *roster.Evidence) bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		before := len(own.Held)
-		own.Held = slices.DeleteFunc(own.Held, q.lifted)
-		changed := len(own.Held) != before
+		before := len(own.Quarantined)
+		own.Quarantined = slices.DeleteFunc(own.Quarantined, q.lifted)
+		changed := len(own.Quarantined) != before
 		changed = q.keepVerdicts(own) || changed
 		if heir {
 			changed = q.inherit(own) || changed
@@ -43,10 +43,10 @@
 }
 
 func keep(own *roster.Evidence, held roster.Held) bool {
-	if slices.ContainsFunc(own.Held, func(kept roster.Held) bool { return kept.Digest == held.Digest }) {
+	if slices.ContainsFunc(own.Quarantined, func(kept roster.Held) bool { return kept.Digest == held.Digest }) {
 		return false
 	}
-	own.Held = append(own.Held, held)
+	own.Quarantined = append(own.Quarantined, held)
 	return true
 }
 
@@ -65,7 +65,7 @@
 // inherit adds the verdicts of nodes that have gone.
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
-		for _, held := range q.evidence[node].Clone().Held {
+		for _, held := range q.evidence[node].Clone().Quarantined {
 			if !own.Full() && !q.lifted(held) && keep(own, held) {
 				added = true
 			}
@@ -104,7 +104,7 @@
 
 // size is how many entries the evidence has.
 func size(own *roster.Evidence) int {
-	total := len(own.Cleared) + len(own.Held) + len(own.Lifted) + len(own.Crashes)
+	total := len(own.Cleared) + len(own.Quarantined) + len(own.Lifted) + len(own.Crashes)
 	for _, crash := range own.Crashes {
 		total += len(crash.Running)
 	}
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -14,9 +14,9 @@
 	Crashes []Crash `json:"crashes,omitempty"`
 	// Cleared are requests that came to an end here though a back end had ended under them.
 	Cleared []Clearance `json:"cleared,omitempty"`
-	// Held are requests that no back end is to get, the newest last. The node saw a back
+	// Quarantined are requests that no back end is to get, the newest last. The node saw a back
 	// end end under each, or took it over from a node that has gone.
-	Held []Held `json:"held,omitempty"`
+	Quarantined []Held `json:"held,omitempty"`
 	// Lifted are requests whose verdicts an operator has lifted, the newest last.
 	Lifted []Lift `json:"lifted,omitempty"`
 }
@@ -74,13 +74,13 @@
 )
 
 // Full reports whether a further verdict would push out an earlier one.
-func (e *Evidence) Full() bool { return len(e.Held) >= heldRemembered }
+func (e *Evidence) Full() bool { return len(e.Quarantined) >= heldRemembered }
 
 // Bounded returns the evidence cut down to its newest parts, nil when there is none.
 func (e Evidence) Bounded() *Evidence {
 	e.Crashes = newest(e.Crashes, crashesRemembered)
 	e.Cleared = newest(e.Cleared, clearedRemembered)
-	e.Held = newest(e.Held, heldRemembered)
+	e.Quarantined = newest(e.Quarantined, heldRemembered)
 	e.Lifted = newest(e.Lifted, heldRemembered)
 	for i, crash := range e.Crashes {
 		if len(crash.Running) > runningRemembered {
@@ -88,7 +88,7 @@
 			e.Crashes[i].Running = crash.Running[:runningRemembered]
 		}
 	}
-	if len(e.Crashes)+len(e.Cleared)+len(e.Held)+len(e.Lifted) == 0 {
+	if len(e.Crashes)+len(e.Cleared)+len(e.Quarantined)+len(e.Lifted) == 0 {
 		return nil
 	}
 	return &e
@@ -103,13 +103,13 @@
 	}
 	return Evidence{
 		Crashes: slices.Clone(e.Crashes), Cleared: slices.Clone(e.Cleared),
-		Held: slices.Clone(e.Held), Lifted: slices.Clone(e.Lifted),
+		Quarantined: slices.Clone(e.Quarantined), Lifted: slices.Clone(e.Lifted),
 	}
 }
 
 // HoldsSame reports whether both hold back the same requests.
 func (e *Evidence) HoldsSame(other *Evidence) bool {
-	return slices.EqualFunc(e.Clone().Held, other.Clone().Held, sameDigest)
+	return slices.EqualFunc(e.Clone().Quarantined, other.Clone().Quarantined, sameDigest)
 }
 
 func sameDigest(a, b Held) bool { return a.Digest == b.Digest }
@@ -133,7 +133,7 @@
 	now := own.Clone()
 	merged.Crashes = union(merged.Crashes, now.Crashes, func(a, b Crash) bool { return a.Endpoint == b.Endpoint })
 	merged.Cleared = union(merged.Cleared, now.Cleared, func(a, b Clearance) bool { return a.Call == b.Call })
-	merged.Held = union(merged.Held, now.Held, sameDigest)
+	merged.Quarantined = union(merged.Quarantined, now.Quarantined, sameDigest)
 	merged.Lifted = union(merged.Lifted, now.Lifted, func(a, b Lift) bool { return a == b })
 	return merged.Bounded()
 }
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -93,17 +93,17 @@
 		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Print{{}}}
 	}
 	own := record("self", 1, 1)
-	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Held: []roster.Held{held('a')}}
+	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Held{held('a')}}
 	members := roster.New(own)
 	remembered := record("self", 4, 2)
 	remembered.Evidence = &roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1")}, Cleared: []roster.Clearance{{Endpoints: []string{"i-0"}}},
-		Held: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Held{held('b'), held('a')},
 	}
 	members.Merge([]*roster.Record{&remembered})
 	g.Expect(members.Own().Evidence).To(Equal(&roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: remembered.Evidence.Cleared,
-		Held: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Held{held('b'), held('a')},
 	}))
 }
 
@@ -115,7 +115,7 @@
 	for i := range 200 {
 		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Print, 200)})
 		much.Cleared = append(much.Cleared, roster.Clearance{Endpoints: []string{"i-0123456789", "i-0123456789"}})
-		much.Held = append(much.Held, roster.Held{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
+		much.Quarantined = append(much.Quarantined, roster.Held{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
 		much.Lifted = append(much.Lifted, roster.Lift{})
 	}
 	bounded := much.Bounded()
@@ -124,7 +124,7 @@
 	t.Logf("%d bytes", len(encoded))
 	g.Expect(len(encoded)).To(BeNumerically("<", 32<<10))
 	g.Expect(bounded.Crashes[len(bounded.Crashes)-1].Endpoint).To(Equal("199"))
-	g.Expect(bounded.Held[len(bounded.Held)-1].Service).To(Equal("199"))
+	g.Expect(bounded.Quarantined[len(bounded.Quarantined)-1].Service).To(Equal("199"))
 	g.Expect(bounded.Full()).To(BeTrue())
 }
 
