--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -62,7 +62,7 @@
 		Evidence: &roster.Evidence{
 			Crashes: []roster.Crash{{Endpoint: "i-0", Service: "alpha", Running: []fingerprint.Print{print}, Trial: &print}},
 			Cleared: []roster.Clearance{{Print: print, Endpoints: []string{"i-0"}}},
-			Quarantined:    []roster.Held{{Digest: print.Content, Service: "alpha", Endpoints: []string{"i-0"}}},
+			Quarantined:    []roster.Quarantined{{Digest: print.Content, Service: "alpha", Endpoints: []string{"i-0"}}},
 			Lifted:  []roster.Lift{{Digest: print.Call, Count: 1}},
 		},
 	}
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -210,7 +210,7 @@
 		}
 		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Print{{}}}}})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(1))
-		held := []roster.Held{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
+		held := []roster.Quarantined{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
 		knows(&roster.Evidence{Quarantined: held})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(2))
 		g.Expect(node.stored().Evidence.Quarantined).To(Equal(held))
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -61,12 +61,12 @@
 	// learnt is when the node heard of the ends that are told, by back end.
 	learnt map[string]time.Time
 	// known are the verdicts so far. A verdict stays when its evidence goes.
-	known map[fingerprint.Digest]roster.Held
+	known map[fingerprint.Digest]roster.Quarantined
 }
 
 // state is what requests are compared with. It is immutable.
 type state struct {
-	held map[fingerprint.Digest]roster.Held
+	held map[fingerprint.Digest]roster.Quarantined
 	// suspects are the requests at work at ends that no verdict explains.
 	suspects map[fingerprint.Digest]bool
 }
@@ -81,7 +81,7 @@
 	}
 	created := &Quarantine{
 		options: options, evidence: map[string]*roster.Evidence{}, gone: map[string]bool{},
-		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Held{},
+		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
 	if options.Tell == nil {
 		created.options.Tell = func() { created.options.After(0, options.Spread) }
@@ -125,12 +125,12 @@
 }
 
 // Held returns all verdicts, by digest.
-func (q *Quarantine) Held() []roster.Held {
-	var all []roster.Held
+func (q *Quarantine) Held() []roster.Quarantined {
+	var all []roster.Quarantined
 	for _, held := range q.state.Load().held {
 		all = append(all, held)
 	}
-	slices.SortFunc(all, func(a, b roster.Held) int { return a.Digest.Compare(b.Digest) })
+	slices.SortFunc(all, func(a, b roster.Quarantined) int { return a.Digest.Compare(b.Digest) })
 	return all
 }
 
@@ -292,7 +292,7 @@
 
 // judge comes to the verdicts that the evidence allows, publishes the state, and returns
 // the new ones.
-func (q *Quarantine) judge() (fresh []roster.Held) {
+func (q *Quarantine) judge() (fresh []roster.Quarantined) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	changed := q.lift()
@@ -304,7 +304,7 @@
 	for _, digestOf := range digestKinds {
 		open, services := q.open(digestOf)
 		for _, found := range blame(open) {
-			fresh = q.learn(roster.Held{
+			fresh = q.learn(roster.Quarantined{
 				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.lifts(found.digest),
 			}, fresh)
 		}
@@ -330,7 +330,7 @@
 }
 
 // lifted reports whether a verdict was lifted; the lock is held.
-func (q *Quarantine) lifted(held roster.Held) bool { return held.Lifts < q.lifts(held.Digest) }
+func (q *Quarantine) lifted(held roster.Quarantined) bool { return held.Lifts < q.lifts(held.Digest) }
 
 // lifts returns how often verdicts on a request were lifted, as some node tells; the lock is
 // held.
@@ -349,7 +349,7 @@
 func call(print fingerprint.Print) fingerprint.Digest    { return print.Call }
 
 // learn adds a verdict, unless it is known or there are too many.
-func (q *Quarantine) learn(held roster.Held, fresh []roster.Held) []roster.Held {
+func (q *Quarantine) learn(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
 	if _, known := q.known[held.Digest]; known || len(q.known) > mostKnown || q.lifted(held) {
 		return fresh
 	}
@@ -361,7 +361,7 @@
 func (q *Quarantine) publish(verdicts bool) {
 	next := &state{held: q.state.Load().held, suspects: map[fingerprint.Digest]bool{}}
 	if verdicts {
-		next.held = make(map[fingerprint.Digest]roster.Held, len(q.known))
+		next.held = make(map[fingerprint.Digest]roster.Quarantined, len(q.known))
 		for digest, held := range q.known {
 			next.held[digest] = held
 		}
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -183,7 +183,7 @@
 	sent := &roster.Evidence{
 		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Print{harmful}, Trial: &harmful}},
 		Cleared: []roster.Clearance{{Print: harmful, Endpoints: []string{"i-0"}}},
-		Quarantined:    []roster.Held{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
+		Quarantined:    []roster.Quarantined{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
 	}
 	encoded, err := json.Marshal(sent)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -42,8 +42,8 @@
 	return added
 }
 
-func keep(own *roster.Evidence, held roster.Held) bool {
-	if slices.ContainsFunc(own.Quarantined, func(kept roster.Held) bool { return kept.Digest == held.Digest }) {
+func keep(own *roster.Evidence, held roster.Quarantined) bool {
+	if slices.ContainsFunc(own.Quarantined, func(kept roster.Quarantined) bool { return kept.Digest == held.Digest }) {
 		return false
 	}
 	own.Quarantined = append(own.Quarantined, held)
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -16,7 +16,7 @@
 	Cleared []Clearance `json:"cleared,omitempty"`
 	// Quarantined are requests that no back end is to get, the newest last. The node saw a back
 	// end end under each, or took it over from a node that has gone.
-	Quarantined []Held `json:"held,omitempty"`
+	Quarantined []Quarantined `json:"held,omitempty"`
 	// Lifted are requests whose verdicts an operator has lifted, the newest last.
 	Lifted []Lift `json:"lifted,omitempty"`
 }
@@ -41,8 +41,8 @@
 	Endpoints []string `json:"endpoints"`
 }
 
-// Held is a request that no back end is to get.
-type Held struct {
+// Quarantined is a request that no back end is to get.
+type Quarantined struct {
 	Digest  fingerprint.Digest `json:"digest"`
 	Service string             `json:"service"`
 	// Endpoints are back ends that ended under it.
@@ -112,7 +112,7 @@
 	return slices.EqualFunc(e.Clone().Quarantined, other.Clone().Quarantined, sameDigest)
 }
 
-func sameDigest(a, b Held) bool { return a.Digest == b.Digest }
+func sameDigest(a, b Quarantined) bool { return a.Digest == b.Digest }
 
 // LiftsOf returns how often the node knows verdicts on a request to have been lifted.
 func (e *Evidence) LiftsOf(digest fingerprint.Digest) (count int) {
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -88,22 +88,22 @@
 // requests that end back ends, beside what it has seen itself.
 func TestEvidenceOutlivesItsNode(t *testing.T) {
 	g := NewWithT(t)
-	held := func(letter byte) roster.Held { return roster.Held{Digest: fingerprint.Digest{letter}} }
+	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
 	crash := func(endpoint string) roster.Crash {
 		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Print{{}}}
 	}
 	own := record("self", 1, 1)
-	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Held{held('a')}}
+	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Quarantined{held('a')}}
 	members := roster.New(own)
 	remembered := record("self", 4, 2)
 	remembered.Evidence = &roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1")}, Cleared: []roster.Clearance{{Endpoints: []string{"i-0"}}},
-		Quarantined: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}
 	members.Merge([]*roster.Record{&remembered})
 	g.Expect(members.Own().Evidence).To(Equal(&roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: remembered.Evidence.Cleared,
-		Quarantined: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}))
 }
 
@@ -115,7 +115,7 @@
 	for i := range 200 {
 		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Print, 200)})
 		much.Cleared = append(much.Cleared, roster.Clearance{Endpoints: []string{"i-0123456789", "i-0123456789"}})
-		much.Quarantined = append(much.Quarantined, roster.Held{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
+		much.Quarantined = append(much.Quarantined, roster.Quarantined{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
 		much.Lifted = append(much.Lifted, roster.Lift{})
 	}
 	bounded := much.Bounded()
