--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -118,7 +118,7 @@
 // lives share.
 func outdated(stored, own *roster.Record) bool {
 	if stored.Node != own.Node || stored.Address != own.Address || stored.PeerAddress != own.PeerAddress ||
-		stored.Zone != own.Zone || stored.Link != own.Link || !own.Evidence.HoldsSame(stored.Evidence) {
+		stored.Zone != own.Zone || stored.Link != own.Link || !own.Evidence.SameQuarantined(stored.Evidence) {
 		return true
 	}
 	held, now := stored.Endpoint, own.Endpoint
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// HoldsSame reports whether both hold back the same requests.
-func (e *Evidence) HoldsSame(other *Evidence) bool {
+// SameQuarantined reports whether both hold back the same requests.
+func (e *Evidence) SameQuarantined(other *Evidence) bool {
 	return slices.EqualFunc(e.Clone().Quarantined, other.Clone().Quarantined, sameDigest)
 }
 
