--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -336,7 +336,7 @@
 // held.
 func (q *Quarantine) lifts(digest fingerprint.Digest) (count int) {
 	for _, told := range q.evidence {
-		count = max(count, told.LiftsOf(digest))
+		count = max(count, told.LiftCount(digest))
 	}
 	return count
 }
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -114,8 +114,8 @@
 
 func sameDigest(a, b Quarantined) bool { return a.Digest == b.Digest }
 
-// LiftsOf returns how often the node knows verdicts on a request to have been lifted.
-func (e *Evidence) LiftsOf(digest fingerprint.Digest) (count int) {
+// LiftCount returns how often the node knows verdicts on a request to have been lifted.
+func (e *Evidence) LiftCount(digest fingerprint.Digest) (count int) {
 	for _, lifted := range e.Lifted {
 		if lifted.Digest == digest {
 			count = max(count, lifted.Count)
