--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -53,9 +53,9 @@
 	Leaving bool `json:"leaving,omitempty"`
 	// Endpoint is nil until a back end has made itself known.
 	Endpoint *Endpoint `json:"endpoint,omitempty"`
-	// Judged is what the node thinks of its back end while a version of its software is on
+	// LastAssessment is what the node thinks of its back end while a version of its software is on
 	// trial; nil otherwise.
-	Judged *Judgement `json:"judged,omitempty"`
+	LastAssessment *Judgement `json:"judged,omitempty"`
 	// Evidence is what the node knows of requests that end back ends; nil when it knows of
 	// none.
 	Evidence *Evidence `json:"evidence,omitempty"`
@@ -79,10 +79,10 @@
 // Judgement returns what the node thinks of the present back end, nil when it thinks
 // nothing.
 func (r *Record) Judgement() *Judgement {
-	if r.Judged == nil || r.Endpoint == nil || r.Judged.ID != r.Endpoint.Incarnation().String() {
+	if r.LastAssessment == nil || r.Endpoint == nil || r.LastAssessment.ID != r.Endpoint.Incarnation().String() {
 		return nil
 	}
-	return r.Judged
+	return r.LastAssessment
 }
 
 // Newer reports whether the record replaces the other one.
@@ -101,13 +101,13 @@
 
 // fresh reports whether the record says nothing but where its node is.
 func (r *Record) fresh() bool {
-	return r.Epoch == 1 && r.Counter == 1 && r.Endpoint == nil && r.Evidence == nil && r.Judged == nil && !r.Leaving
+	return r.Epoch == 1 && r.Counter == 1 && r.Endpoint == nil && r.Evidence == nil && r.LastAssessment == nil && !r.Leaving
 }
 
 // continuedBy reports whether the record, of an earlier life, says what the fresh record of a new
 // one would.
 func (r *Record) continuedBy(fresh *Record) bool {
-	return !r.Leaving && r.Judged == nil && !r.Gone() && r.Zone == fresh.Zone && r.Link == fresh.Link &&
+	return !r.Leaving && r.LastAssessment == nil && !r.Gone() && r.Zone == fresh.Zone && r.Link == fresh.Link &&
 		r.Address == fresh.Address && r.PeerAddress == fresh.PeerAddress
 }
 
