--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -82,7 +82,7 @@
 		zap.Int("answers", evidence.Answers), zap.Int("failed", evidence.Failed), zap.Int("slow", evidence.Slow),
 		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.Usual.Failing), zap.Float64("usualSlow", answer.Usual.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
-		record.LastAssessment = &roster.Judgement{
+		record.LastAssessment = &roster.Assessment{
 			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.Lean*leanUnits) / leanUnits,
 		}
 		return record, true
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -86,7 +86,7 @@
 	held := record("self", 1, 1)
 	held.Endpoint = endpoint("a", roster.Ready, 1)
 	held.Endpoint.Born = 100
-	held.LastAssessment = &roster.Judgement{ID: held.Endpoint.Incarnation().String(), Faulty: true}
+	held.LastAssessment = &roster.Assessment{ID: held.Endpoint.Incarnation().String(), Faulty: true}
 	g.Expect(held.Judgement()).NotTo(BeNil())
 	next := *held.Endpoint
 	next.Born = 200
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -55,7 +55,7 @@
 	Endpoint *Endpoint `json:"endpoint,omitempty"`
 	// LastAssessment is what the node thinks of its back end while a version of its software is on
 	// trial; nil otherwise.
-	LastAssessment *Judgement `json:"judged,omitempty"`
+	LastAssessment *Assessment `json:"judged,omitempty"`
 	// Evidence is what the node knows of requests that end back ends; nil when it knows of
 	// none.
 	Evidence *Evidence `json:"evidence,omitempty"`
@@ -63,8 +63,8 @@
 	Ended []string `json:"ended,omitempty"`
 }
 
-// Judgement is what a node that sees all answers of its back end thinks of them.
-type Judgement struct {
+// Assessment is what a node that sees all answers of its back end thinks of them.
+type Assessment struct {
 	// ID names the back end's incarnation.
 	ID string `json:"id"`
 	// Answers is how many were seen.
@@ -78,7 +78,7 @@
 
 // Judgement returns what the node thinks of the present back end, nil when it thinks
 // nothing.
-func (r *Record) Judgement() *Judgement {
+func (r *Record) Judgement() *Assessment {
 	if r.LastAssessment == nil || r.Endpoint == nil || r.LastAssessment.ID != r.Endpoint.Incarnation().String() {
 		return nil
 	}
