--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -350,7 +350,7 @@
 		case record.AcceptsWork():
 			tally.Present++
 		}
-		if judgement := record.Judgement(); judgement != nil {
+		if judgement := record.Assessment(); judgement != nil {
 			tally.Add(judgement.Answers, judgement.Faulty, judgement.Lean)
 		}
 	}
@@ -361,7 +361,7 @@
 // all nodes agree, and how many back ends of other versions there are.
 func (c *Controller) candidates(held *carried) (nodes []string, others int) {
 	for _, record := range c.options.Members.View().Service(held.Service) {
-		judgement := record.Judgement()
+		judgement := record.Assessment()
 		switch {
 		case !record.AcceptsWork():
 		case record.Endpoint.Version != held.Version:
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -87,9 +87,9 @@
 	held.Endpoint = endpoint("a", roster.Ready, 1)
 	held.Endpoint.Born = 100
 	held.LastAssessment = &roster.Assessment{ID: held.Endpoint.Incarnation().String(), Faulty: true}
-	g.Expect(held.Judgement()).NotTo(BeNil())
+	g.Expect(held.Assessment()).NotTo(BeNil())
 	next := *held.Endpoint
 	next.Born = 200
 	held.Endpoint = &next
-	g.Expect(held.Judgement()).To(BeNil())
+	g.Expect(held.Assessment()).To(BeNil())
 }
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -76,9 +76,9 @@
 	Lean float64 `json:"lean"`
 }
 
-// Judgement returns what the node thinks of the present back end, nil when it thinks
+// Assessment returns what the node thinks of the present back end, nil when it thinks
 // nothing.
-func (r *Record) Judgement() *Assessment {
+func (r *Record) Assessment() *Assessment {
 	if r.LastAssessment == nil || r.Endpoint == nil || r.LastAssessment.ID != r.Endpoint.Incarnation().String() {
 		return nil
 	}
