--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -203,7 +203,7 @@
 	var lentAt time.Time
 	for ctx.Err() == nil {
 		due := clock.Since(lentAt) >= lending.Renewal(c.members())
-		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).Same)) {
+		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).SameNode)) {
 			lentTo, lentAt = c.granters(), clock.Now()
 			_ = contain.Run(c.options.Name, c.options.Logger, c.lend)
 		}
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -274,7 +274,7 @@
 			m.options.Logger.Warn("snapshot of nodes cannot be read", zap.Error(err))
 			return
 		}
-		if own := slices.IndexFunc(records, m.options.Members.Own().Same); own >= 0 {
+		if own := slices.IndexFunc(records, m.options.Members.Own().SameNode); own >= 0 {
 			m.ownInSnapshot.Store(records[own])
 		}
 		m.options.Members.Merge(m.ofOthers(records...))
@@ -291,7 +291,7 @@
 // ofOthers leaves the own records out: what an earlier life has left is taken in as one.
 func (m *Membership) ofOthers(records ...*roster.Record) []*roster.Record {
 	own := m.options.Members.Own()
-	return slices.DeleteFunc(records, own.Same)
+	return slices.DeleteFunc(records, own.SameNode)
 }
 
 // readRecord reads the record that an item holds.
--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -78,19 +78,19 @@
 // there is none to read.
 func Reads(view *roster.View, own *roster.Record, usable Usable) bool {
 	reading, _ := Zone(view, own.Zone, usable)
-	return len(reading) == 0 || slices.ContainsFunc(reading, own.Same)
+	return len(reading) == 0 || slices.ContainsFunc(reading, own.SameNode)
 }
 
 // Told returns the nodes that the given one is to tell of what it has read: of
 // those in its zone that do not read, each is told by one reader.
 func Told(view *roster.View, own *roster.Record, usable Usable) []*roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
-	if !slices.ContainsFunc(reading, own.Same) {
+	if !slices.ContainsFunc(reading, own.SameNode) {
 		return nil
 	}
 	var told []*roster.Record
 	for _, other := range others {
-		if tellerOf(other, reading).Same(own) {
+		if tellerOf(other, reading).SameNode(own) {
 			told = append(told, other)
 		}
 	}
@@ -110,7 +110,7 @@
 // itself.
 func Teller(view *roster.View, own *roster.Record, usable Usable) *roster.Record {
 	reading, others := Zone(view, own.Zone, usable)
-	if slices.ContainsFunc(others, own.Same) && len(reading) > 0 {
+	if slices.ContainsFunc(others, own.SameNode) && len(reading) > 0 {
 		return tellerOf(own, reading)
 	}
 	return nil
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -95,7 +95,7 @@
 	g := NewWithT(t)
 	view := zoneOf(20, nil)
 	before, _ := readers.Zone(view, "z", all)
-	after, _ := readers.Zone(view, "z", func(record *roster.Record) bool { return !record.Same(before[1]) })
+	after, _ := readers.Zone(view, "z", func(record *roster.Record) bool { return !record.SameNode(before[1]) })
 	g.Expect(after).To(HaveLen(6))
 	g.Expect(after).To(ContainElements(before[0], before[2], before[3], before[4], before[5]))
 	g.Expect(after).NotTo(ContainElement(before[1]))
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -53,7 +53,7 @@
 	own := s.members.Own()
 	reading := s.reading()
 	slices.SortFunc(reading, func(a, b *roster.Record) int { return cmp.Compare(a.Node, b.Node) })
-	rank = slices.IndexFunc(reading, own.Same)
+	rank = slices.IndexFunc(reading, own.SameNode)
 	return rank, rank >= 0 && rank < compactors
 }
 
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -96,8 +96,8 @@
 	return r.Epoch == other.Epoch && r.Counter == other.Counter && r.RunID != other.RunID
 }
 
-// Same reports whether the other record is of the same node.
-func (r *Record) Same(other *Record) bool { return r.Node == other.Node }
+// SameNode reports whether the other record is of the same node.
+func (r *Record) SameNode(other *Record) bool { return r.Node == other.Node }
 
 // fresh reports whether the record says nothing but where its node is.
 func (r *Record) fresh() bool {
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -361,7 +361,7 @@
 		}
 		start := func(index int) *roster.Roster {
 			made := roster.New(roster.Record{Node: left[index].Node, Epoch: 1, Counter: 1, RunID: 1 << 40, Zone: "z", Address: "a:1", PeerAddress: "a:2"})
-			made.Merge(slices.DeleteFunc(slices.Clone(left), made.Own().Same))
+			made.Merge(slices.DeleteFunc(slices.Clone(left), made.Own().SameNode))
 			g.Expect(made.Resume([]*roster.Record{left[index]})).To(BeTrue())
 			return made
 		}
