--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -101,7 +101,7 @@
 func chooseSubset(records []*roster.Record, self string, from place) *subset {
 	var near, far []ranked
 	for _, record := range records {
-		if record.Departed() {
+		if record.BackendAbsent() {
 			continue
 		}
 		if candidate := rank(record, self, from); candidate.distance == 0 {
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -55,7 +55,7 @@
 func (q *Quarantine) isHeir() bool {
 	self := q.options.Members.Own().Node
 	for _, record := range q.options.Members.View().Records() {
-		if !record.Departed() && !record.Leaving {
+		if !record.BackendAbsent() && !record.Leaving {
 			return record.Node == self
 		}
 	}
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -111,8 +111,8 @@
 		r.Address == fresh.Address && r.PeerAddress == fresh.PeerAddress
 }
 
-// Departed reports whether the node's back end has ended for good.
-func (r *Record) Departed() bool { return r.Endpoint == nil || r.Endpoint.State == Gone }
+// BackendAbsent reports whether the node's back end has ended for good.
+func (r *Record) BackendAbsent() bool { return r.Endpoint == nil || r.Endpoint.State == Gone }
 
 // Gone reports whether the node's back end has ended: the node ends too.
 func (r *Record) Gone() bool { return r.Endpoint != nil && r.Endpoint.State == Gone }
