--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -199,7 +199,7 @@
 	switch {
 	case notice.Relay:
 		return relayPeers
-	case notice.Record.Ends():
+	case notice.Record.Stopping():
 		return leavingPeers
 	}
 	return 0
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -117,8 +117,8 @@
 // Gone reports whether the node's back end has ended: the node ends too.
 func (r *Record) Gone() bool { return r.Endpoint != nil && r.Endpoint.State == Gone }
 
-// Ends reports whether the node or its back end has said that it takes no work any more.
-func (r *Record) Ends() bool {
+// Stopping reports whether the node or its back end has said that it takes no work any more.
+func (r *Record) Stopping() bool {
 	return r.Leaving || (r.Endpoint != nil && r.Endpoint.State != Ready)
 }
 
