--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -128,7 +128,7 @@
 		f.nodes[1].tell("b", &harmful)
 		for i, node := range f.nodes[:2] {
 			node.members.Update(func(record roster.Record) (roster.Record, bool) {
-				return record.End(roster.Incarnation{ID: string(rune('a' + i))})
+				return record.MarkEnded(roster.Incarnation{ID: string(rune('a' + i))})
 			})
 			node.spread()
 		}
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -404,7 +404,7 @@
 func (f *fleet) lose() {
 	for index := range olds {
 		f.kill(index)
-		gone, _ := f.nodes[index].members.Own().End(roster.Incarnation{ID: "i-" + f.nodes[index].name})
+		gone, _ := f.nodes[index].members.Own().MarkEnded(roster.Incarnation{ID: "i-" + f.nodes[index].name})
 		gone.Counter++
 		for _, held := range f.nodes[olds:] {
 			held.members.Merge([]*roster.Record{&gone})
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -52,7 +52,7 @@
 			own := record("self", 1, 1)
 			for i, said := range played.words {
 				if said.state == "" {
-					own, _ = own.End(roster.Incarnation{ID: said.id, Born: said.born})
+					own, _ = own.MarkEnded(roster.Incarnation{ID: said.id, Born: said.born})
 					continue
 				}
 				beat := roster.Heartbeat{Endpoint: *endpoint(said.id, said.state, said.sequence)}
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -136,10 +136,10 @@
 	return slices.Contains(r.Ended, incarnation.String())
 }
 
-// End returns the record after a back end has said that it ends. Without its start the word
+// MarkEnded returns the record after a back end has said that it ends. Without its start the word
 // is taken for that of the present one. The word of a later start says that those before have
 // ended too.
-func (r Record) End(ended Incarnation) (next Record, changed bool) {
+func (r Record) MarkEnded(ended Incarnation) (next Record, changed bool) {
 	held := r.Endpoint
 	same := held != nil && held.ID == ended.ID
 	if same && ended.Born == 0 {
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -196,7 +196,7 @@
 				case beat.state == "lost":
 					claims.MarkLost(own, beat.id)
 				case beat.end:
-					own, _ = own.End(roster.Incarnation{ID: beat.id})
+					own, _ = own.MarkEnded(roster.Incarnation{ID: beat.id})
 				case beat.confirm:
 					own, _ = claims.Confirm(own, beat.id, now)
 				default:
@@ -228,7 +228,7 @@
 	g := NewWithT(t)
 	own := record("self", 1, 1)
 	for number := range 100 {
-		own, _ = own.End(roster.Incarnation{ID: string(rune('A' + number))})
+		own, _ = own.MarkEnded(roster.Incarnation{ID: string(rune('A' + number))})
 	}
 	g.Expect(len(own.Ended)).To(BeNumerically("<=", 16))
 	g.Expect(own.HasEnded(roster.Incarnation{ID: string(rune('A' + 99))})).To(BeTrue())
@@ -421,7 +421,7 @@
 					return record, true
 				})
 			}
-			node.Update(func(record roster.Record) (roster.Record, bool) { return record.End(played.ended) })
+			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(played.ended) })
 			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, RunID: 1, Endpoint: &endpoint}})
 			g.Expect(node.Own().Endpoint.State).To(Equal(roster.Gone))
 			g.Expect(node.Own().AcceptsWork()).To(BeFalse())
