--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -56,7 +56,7 @@
 
 // leaves takes in that the back end leaves by what an answer says, as if a heartbeat had said so.
 func (s *Sidecar) leaves(of roster.Incarnation) {
-	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.Leave(of) })
+	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkDraining(of) })
 	if changed {
 		go s.spread(context.Background())
 	}
--- a/internal/sidecar/roster/leave_test.go
+++ b/internal/sidecar/roster/leave_test.go
@@ -16,7 +16,7 @@
 	ready := roster.Endpoint{ID: "i", Born: 100, Service: "s", Slots: 4, State: roster.Ready, Sequence: 1}
 	record := roster.Record{Node: "n", Epoch: 1, Counter: 1, Endpoint: &ready}
 	claims := &roster.IncarnationTracker{Interval: time.Second}
-	left, changed := record.Leave(ready.Incarnation())
+	left, changed := record.MarkDraining(ready.Incarnation())
 	g.Expect(changed).To(BeTrue())
 	g.Expect(left.Endpoint.State).To(Equal(roster.Draining))
 	g.Expect(ready.State).To(Equal(roster.Ready), "what others hold is not changed")
@@ -30,7 +30,7 @@
 	next.Born, next.Sequence = 200, 1
 	started, _ := claims.ApplyHeartbeat(again, roster.Heartbeat{Endpoint: next}, time.Now())
 	g.Expect(started.Endpoint.State).To(Equal(roster.Ready))
-	_, changed = started.Leave(ready.Incarnation())
+	_, changed = started.MarkDraining(ready.Incarnation())
 	g.Expect(changed).To(BeFalse(), "a late answer of the incarnation before")
 
 	for _, words := range [][2]*roster.Endpoint{{left.Endpoint, &late}, {&late, left.Endpoint}} {
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -157,8 +157,8 @@
 	return r, true
 }
 
-// Leave returns the record after the back end has said with an answer that it is leaving.
-func (r Record) Leave(leaving Incarnation) (next Record, changed bool) {
+// MarkDraining returns the record after the back end has said with an answer that it is leaving.
+func (r Record) MarkDraining(leaving Incarnation) (next Record, changed bool) {
 	held := r.Endpoint
 	if held == nil || held.Incarnation() != leaving || held.State != Ready {
 		return r, false
