--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -251,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		m.options.Members.Together(func() {
+		m.options.Members.Batch(func() {
 			for _, item := range found {
 				// A record that sets off a panic is left out; the log names it.
 				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.take(item) })
--- a/internal/sidecar/roster/publish.go
+++ b/internal/sidecar/roster/publish.go
@@ -16,9 +16,9 @@
 	publishPause = 50 * time.Millisecond
 )
 
-// Together has the changes that the function makes replace the view once, at its end: a node that
+// Batch has the changes that the function makes replace the view once, at its end: a node that
 // reads 1,000 records one by one otherwise replaces views of up to as many for each.
-func (r *Roster) Together(change func()) {
+func (r *Roster) Batch(change func()) {
 	r.mutex.Lock()
 	r.together++
 	r.mutex.Unlock()
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -385,7 +385,7 @@
 	before := made.View()
 	told := 0
 	made.Observe(func(changed []*roster.Record) { told += len(changed) })
-	made.Together(func() {
+	made.Batch(func() {
 		for i := range 300 {
 			made.Merge([]*roster.Record{{Node: fmt.Sprint("n", i), Epoch: 1, Zone: "z"}})
 			g.Expect(made.View()).To(BeIdenticalTo(before))
