--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -306,7 +306,7 @@
 }
 
 // members is how many nodes own a share.
-func (c *Carrier) members() int { return max(c.options.View().Present(), 1) }
+func (c *Carrier) members() int { return max(c.options.View().LiveCount(), 1) }
 
 // granters returns the nodes that give out tokens. They change with the view, and when a node is
 // lost.
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -129,7 +129,7 @@
 	held := r.of(name)
 	terms, lent := r.Terms(name)
 	if !lent {
-		held.budget.first(limits, r.options.View().Present(), now)
+		held.budget.first(limits, r.options.View().LiveCount(), now)
 		return
 	}
 	r.carryOver(name, held, limits, terms, now)
@@ -146,7 +146,7 @@
 	held := r.of(name)
 	terms, lent := r.Terms(name)
 	if !lent {
-		if !held.budget.take(limits, r.options.View().Present(), now) {
+		if !held.budget.take(limits, r.options.View().LiveCount(), now) {
 			return r.counted("spent", false)
 		}
 		return r.counted("even", true)
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -249,7 +249,7 @@
 		members.Merge([]*roster.Record{&alive, &before})
 		members.Merge([]*roster.Record{&left})
 	}
-	g.Expect(held.View().Present()).To(Equal(2))
+	g.Expect(held.View().LiveCount()).To(Equal(2))
 	g.Expect(held.Forget(began)).To(BeEmpty())
 	g.Expect(held.Forget(began.Add(time.Minute))).To(BeEmpty())
 	g.Expect(held.View().Record("left")).NotTo(BeNil())
--- a/internal/sidecar/roster/view.go
+++ b/internal/sidecar/roster/view.go
@@ -142,9 +142,9 @@
 // Zones returns the names of the zones that have nodes, in order.
 func (v *View) Zones() []string { return slices.Sorted(maps.Keys(v.zones)) }
 
-// Present returns how many nodes are known whose back end has not ended for
+// LiveCount returns how many nodes are known whose back end has not ended for
 // good. A node whose back end has ended sends no requests for long.
-func (v *View) Present() int { return v.present }
+func (v *View) LiveCount() int { return v.present }
 
 // Count returns how many nodes are known.
 func (v *View) Count() int { return v.count }
