--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -138,7 +138,7 @@
 }
 
 // print identifies what the request asks for.
-func (c *call) print() fingerprint.Print {
+func (c *call) print() fingerprint.Fingerprint {
 	return fingerprint.Of(c.request, c.handler.options.Caller(), c.body)
 }
 
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -106,7 +106,7 @@
 	// Idle reports whether there is none, not even a suspected one.
 	Idle() bool
 	// Holds reports whether no back end is to get the request.
-	Holds(fingerprint.Print) bool
+	Holds(fingerprint.Fingerprint) bool
 }
 
 // Observer is told how calls went.
--- a/internal/sidecar/egress/quarantine_test.go
+++ b/internal/sidecar/egress/quarantine_test.go
@@ -81,9 +81,9 @@
 func (emptyBody) Held() ([]byte, int64) { return nil, 0 }
 
 // heldPrint holds one request back.
-type heldPrint struct{ fingerprint.Print }
+type heldPrint struct{ fingerprint.Fingerprint }
 
 func (heldPrint) Idle() bool                           { return false }
-func (h heldPrint) Holds(print fingerprint.Print) bool { return print == h.Print }
+func (h heldPrint) Holds(print fingerprint.Fingerprint) bool { return print == h.Fingerprint }
 
 var _ Quarantine = heldPrint{}
--- a/internal/sidecar/fingerprint/fingerprint.go
+++ b/internal/sidecar/fingerprint/fingerprint.go
@@ -20,8 +20,8 @@
 // them.
 type Digest [digestBytes]byte
 
-// Print is what is known of one request.
-type Print struct {
+// Fingerprint is what is known of one request.
+type Fingerprint struct {
 	// Content is that of method, host, path with query, and body.
 	Content Digest `json:"content"`
 	// Call is that of the content and the service of the caller.
@@ -37,7 +37,7 @@
 
 // Of returns the print of a request of a service. Of a body that streams through only its
 // length counts, since it is not held.
-func Of(r *http.Request, caller string, body Body) Print {
+func Of(r *http.Request, caller string, body Body) Fingerprint {
 	beginning, length := body.Held()
 	hash := sha256.New()
 	for _, part := range [...]string{r.Method, r.Host, r.URL.RequestURI(), strconv.FormatInt(length, 10)} {
@@ -45,7 +45,7 @@
 		_, _ = hash.Write([]byte{0})
 	}
 	_, _ = hash.Write(beginning)
-	made := Print{Content: truncated(hash.Sum(nil))}
+	made := Fingerprint{Content: truncated(hash.Sum(nil))}
 	call := sha256.New()
 	_, _ = call.Write(made.Content[:])
 	_, _ = io.WriteString(call, caller)
--- a/internal/sidecar/fingerprint/fingerprint_test.go
+++ b/internal/sidecar/fingerprint/fingerprint_test.go
@@ -19,13 +19,13 @@
 func (s streamed) Held() ([]byte, int64) { return nil, int64(s) }
 
 func TestOf(t *testing.T) {
-	of := func(method, target, caller string, body fingerprint.Body) fingerprint.Print {
+	of := func(method, target, caller string, body fingerprint.Body) fingerprint.Fingerprint {
 		return fingerprint.Of(httptest.NewRequest(method, target, nil), caller, body)
 	}
 	first := of("GET", "http://h/a/?b=1", "one", held("x"))
 	cases := []struct {
 		name    string
-		second  fingerprint.Print
+		second  fingerprint.Fingerprint
 		content bool // the same content
 		call    bool // the same content of the same caller
 	}{
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -55,13 +55,13 @@
 // FuzzPeerMessage: nothing that a peer says ends a node. What ends one would end all: what a
 // node takes in it tells its peers.
 func FuzzPeerMessage(f *testing.F) {
-	print := fingerprint.Print{Content: fingerprint.Digest{1}, Call: fingerprint.Digest{2}}
+	print := fingerprint.Fingerprint{Content: fingerprint.Digest{1}, Call: fingerprint.Digest{2}}
 	peer := &roster.Record{
 		Node: "p", Epoch: 1, Counter: 1, Zone: "z", Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:1",
 		Endpoint: &roster.Endpoint{ID: "i-1", Service: "alpha", Version: "v2", Slots: 4, State: roster.Ready, Sequence: 1},
 		Evidence: &roster.Evidence{
-			Crashes: []roster.Crash{{Endpoint: "i-0", Service: "alpha", Running: []fingerprint.Print{print}, Trial: &print}},
-			Cleared: []roster.Clearance{{Print: print, Endpoints: []string{"i-0"}}},
+			Crashes: []roster.Crash{{Endpoint: "i-0", Service: "alpha", Running: []fingerprint.Fingerprint{print}, Trial: &print}},
+			Cleared: []roster.Clearance{{Fingerprint: print, Endpoints: []string{"i-0"}}},
 			Quarantined:    []roster.Quarantined{{Digest: print.Content, Service: "alpha", Endpoints: []string{"i-0"}}},
 			Lifted:  []roster.Lift{{Digest: print.Call, Count: 1}},
 		},
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -55,7 +55,7 @@
 	body *forward.Body
 	sent time.Time
 	// identified is what the request asks for, nil until somebody wants to know.
-	identified atomic.Pointer[fingerprint.Print]
+	identified atomic.Pointer[fingerprint.Fingerprint]
 	// besideEnd: the back end's process ended, and another request has told so.
 	besideEnd bool
 	// counted: the request was offered to the queue, and counts against its tenant's share.
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -43,7 +43,7 @@
 // Running is one request at work.
 type Running struct {
 	RequestID string
-	Print     fingerprint.Print
+	Print     fingerprint.Fingerprint
 	// For is how long it had been there.
 	For time.Duration
 	// Trial: it was suspected of ending back ends before.
@@ -269,7 +269,7 @@
 
 // print identifies what the request asks for. The body is known by then. Who sees a back end
 // end asks for the others that were at work there.
-func (a *arrival) print() fingerprint.Print {
+func (a *arrival) print() fingerprint.Fingerprint {
 	if known := a.identified.Load(); known != nil {
 		return *known
 	}
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -97,13 +97,13 @@
 	// Idle reports whether there is none, not even a suspected one.
 	Idle() bool
 	// Holds reports whether no back end is to get the request.
-	Holds(fingerprint.Print) bool
+	Holds(fingerprint.Fingerprint) bool
 	// Suspects reports whether the request may have ended a back end.
-	Suspects(fingerprint.Print) bool
+	Suspects(fingerprint.Fingerprint) bool
 	// Ended takes in that the back end ended.
 	Ended(roster.Crash)
 	// Survived takes in that the back end has answered a request.
-	Survived(fingerprint.Print)
+	Survived(fingerprint.Fingerprint)
 }
 
 // Judge compares the version of the back end with others.
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -208,7 +208,7 @@
 			})
 			pass(time.Second)
 		}
-		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Print{{}}}}})
+		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Fingerprint{{}}}}})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(1))
 		held := []roster.Quarantined{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
 		knows(&roster.Evidence{Quarantined: held})
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -46,11 +46,11 @@
 	sent, heldHarmless int
 	// harmfulEnds counts the back ends that ended under each harmful request, marked those
 	// under all of them when mark was called.
-	harmfulEnds map[fingerprint.Print]int
+	harmfulEnds map[fingerprint.Fingerprint]int
 	marked      int
 	// thirdEnds is when the third back end ended under a harmful request; sentAfterwards
 	// counts what back ends got of it more than inTouchAfter later.
-	thirdEnds      map[fingerprint.Print]time.Time
+	thirdEnds      map[fingerprint.Fingerprint]time.Time
 	sentAfterwards int
 }
 
@@ -70,7 +70,7 @@
 // flight is a request on its way: held back, or sent to some nodes, once more after an end.
 type flight struct {
 	from    *fleetNode
-	print   fingerprint.Print
+	print   fingerprint.Fingerprint
 	harmful bool
 	// visits counts the nodes it was sent to, ends the back ends that ended under it.
 	visits, ends int
@@ -85,7 +85,7 @@
 func newFleet(size int, seed uint64, lost float64) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), lost: lost,
-		harmfulEnds: map[fingerprint.Print]int{}, thirdEnds: map[fingerprint.Print]time.Time{},
+		harmfulEnds: map[fingerprint.Fingerprint]int{}, thirdEnds: map[fingerprint.Fingerprint]time.Time{},
 	}
 	for i := range size {
 		node := &fleetNode{fleet: f}
@@ -197,7 +197,7 @@
 }
 
 // call carries a request through as nodes do.
-func (f *fleet) call(from *fleetNode, print fingerprint.Print, harmful bool, then func()) {
+func (f *fleet) call(from *fleetNode, print fingerprint.Fingerprint, harmful bool, then func()) {
 	f.sent++
 	f.carry(&flight{from: from, print: print, harmful: harmful, then: then})
 }
@@ -266,7 +266,7 @@
 }
 
 // printOf returns the print of a request by its number.
-func printOf(number uint64) (print fingerprint.Print) {
+func printOf(number uint64) (print fingerprint.Fingerprint) {
 	binary.LittleEndian.PutUint64(print.Content[:], number)
 	binary.LittleEndian.PutUint64(print.Call[:], number)
 	print.Call[len(print.Call)-1] = 1
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -110,7 +110,7 @@
 }
 
 // Holds reports whether a request is held back.
-func (q *Quarantine) Holds(print fingerprint.Print) bool {
+func (q *Quarantine) Holds(print fingerprint.Fingerprint) bool {
 	held := q.state.Load().held
 	_, content := held[print.Content]
 	_, call := held[print.Call]
@@ -119,7 +119,7 @@
 
 // Suspects reports whether a request was at work when a back end ended, and it is open
 // which one ended it.
-func (q *Quarantine) Suspects(print fingerprint.Print) bool {
+func (q *Quarantine) Suspects(print fingerprint.Fingerprint) bool {
 	suspects := q.state.Load().suspects
 	return suspects[print.Content] || suspects[print.Call]
 }
@@ -175,7 +175,7 @@
 
 // Survived takes in that the back end beside this node has answered a request. One that is
 // suspected did not make the ends that are known now.
-func (q *Quarantine) Survived(print fingerprint.Print) {
+func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
 	q.recent.add(print, clock.Now())
 	if !q.Suspects(print) {
 		return
@@ -187,7 +187,7 @@
 	if q.update(func(own *roster.Evidence) bool {
 		own.Cleared = append(slices.DeleteFunc(own.Cleared, func(held roster.Clearance) bool {
 			return held.Call == print.Call
-		}), roster.Clearance{Print: print, Endpoints: endpoints})
+		}), roster.Clearance{Fingerprint: print, Endpoints: endpoints})
 		return true
 	}) {
 		q.spreadSoon()
@@ -195,7 +195,7 @@
 }
 
 // endsUnder returns the back ends under whose end the request was at work.
-func (q *Quarantine) endsUnder(print fingerprint.Print) (endpoints []string) {
+func (q *Quarantine) endsUnder(print fingerprint.Fingerprint) (endpoints []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, told := range q.evidence {
@@ -209,8 +209,8 @@
 	return endpoints
 }
 
-func runs(crash roster.Crash, print fingerprint.Print) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+func runs(crash roster.Crash, print fingerprint.Fingerprint) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		return running.Content == print.Content
 	})
 }
@@ -343,10 +343,10 @@
 
 // digestKinds are the digests of a request that are judged, in this order: where all callers
 // of a content end back ends it is the content that does.
-var digestKinds = [...]func(fingerprint.Print) fingerprint.Digest{content, call}
+var digestKinds = [...]func(fingerprint.Fingerprint) fingerprint.Digest{content, call}
 
-func content(print fingerprint.Print) fingerprint.Digest { return print.Content }
-func call(print fingerprint.Print) fingerprint.Digest    { return print.Call }
+func content(print fingerprint.Fingerprint) fingerprint.Digest { return print.Content }
+func call(print fingerprint.Fingerprint) fingerprint.Digest    { return print.Call }
 
 // learn adds a verdict, unless it is known or there are too many.
 func (q *Quarantine) learn(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
@@ -380,7 +380,7 @@
 
 // open returns the ends that no verdict explains, with the requests that are not cleared,
 // and the services of the back ends. The lock is held.
-func (q *Quarantine) open(digestOf func(fingerprint.Print) fingerprint.Digest) (open []suspicion, services map[string]string) {
+func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []suspicion, services map[string]string) {
 	cleared := q.cleared(digestOf)
 	services = map[string]string{}
 	seen := map[string]bool{}
@@ -413,12 +413,12 @@
 	endpoint string
 }
 
-func (q *Quarantine) cleared(digestOf func(fingerprint.Print) fingerprint.Digest) map[clearing]bool {
+func (q *Quarantine) cleared(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) map[clearing]bool {
 	cleared := map[clearing]bool{}
 	for _, told := range q.evidence {
 		for _, clearance := range told.Cleared {
 			for _, endpoint := range clearance.Endpoints {
-				cleared[clearing{digestOf(clearance.Print), endpoint}] = true
+				cleared[clearing{digestOf(clearance.Fingerprint), endpoint}] = true
 			}
 		}
 	}
@@ -427,7 +427,7 @@
 
 // explained reports whether a request that is held back was at work at the end.
 func (q *Quarantine) explained(crash roster.Crash) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		_, byContent := q.known[running.Content]
 		_, byCall := q.known[running.Call]
 		return byContent || byCall
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -21,7 +21,7 @@
 func (f *fleet) pass() { f.events.runFor(100 * time.Millisecond) }
 
 // crash tells of an end at a node, under a request on trial and another one.
-func (n *fleetNode) tell(endpoint string, trial *fingerprint.Print, beside ...fingerprint.Print) {
+func (n *fleetNode) tell(endpoint string, trial *fingerprint.Fingerprint, beside ...fingerprint.Fingerprint) {
 	told := roster.Crash{Endpoint: endpoint, Service: "one", Running: beside, Trial: trial}
 	if trial != nil {
 		told.Running = append(told.Running, *trial)
@@ -31,7 +31,7 @@
 }
 
 // holders counts the nodes that hold a request back.
-func (f *fleet) holders(print fingerprint.Print) (count int) {
+func (f *fleet) holders(print fingerprint.Fingerprint) (count int) {
 	for _, node := range f.nodes {
 		if node.quarantine.Holds(print) {
 			count++
@@ -84,11 +84,11 @@
 		Members: members, Spread: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		Tell: func() { told = members.Own().Evidence.Crashes },
 	})
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Print{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
 	g.Expect(told).To(HaveLen(1))
 
 	told = nil
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Print{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
 	g.Expect(told).To(BeNil(), "it is no news")
 }
 
@@ -181,8 +181,8 @@
 	g := NewWithT(t)
 	harmful := printOf(1)
 	sent := &roster.Evidence{
-		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Print{harmful}, Trial: &harmful}},
-		Cleared: []roster.Clearance{{Print: harmful, Endpoints: []string{"i-0"}}},
+		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Fingerprint{harmful}, Trial: &harmful}},
+		Cleared: []roster.Clearance{{Fingerprint: harmful, Endpoints: []string{"i-0"}}},
 		Quarantined:    []roster.Quarantined{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
 	}
 	encoded, err := json.Marshal(sent)
--- a/internal/sidecar/quarantine/recent.go
+++ b/internal/sidecar/quarantine/recent.go
@@ -25,7 +25,7 @@
 }
 
 // add notes a good end.
-func (r *recent) add(print fingerprint.Print, now time.Time) {
+func (r *recent) add(print fingerprint.Fingerprint, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.turn(now)
@@ -36,7 +36,7 @@
 
 // withoutServed returns those of the requests that had no good end of late, and forgets the
 // others: a request that begins to end back ends is spoken for once.
-func (r *recent) withoutServed(running []fingerprint.Print, now time.Time) (left []fingerprint.Print) {
+func (r *recent) withoutServed(running []fingerprint.Fingerprint, now time.Time) (left []fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.turn(now)
@@ -52,7 +52,7 @@
 	return left
 }
 
-func (r *recent) holds(print fingerprint.Print) bool {
+func (r *recent) holds(print fingerprint.Fingerprint) bool {
 	_, present := r.present[print.Call]
 	_, past := r.past[print.Call]
 	return present || past
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -81,7 +81,7 @@
 	byContent, byCall := q.cleared(content), q.cleared(call)
 	own.Crashes = slices.DeleteFunc(own.Crashes, q.explained)
 	for i, crash := range own.Crashes {
-		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Print) bool {
+		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Fingerprint) bool {
 			return byContent[clearing{running.Content, crash.Endpoint}] && byCall[clearing{running.Call, crash.Endpoint}]
 		})
 	}
@@ -94,7 +94,7 @@
 func (q *Quarantine) needed(clearance roster.Clearance) bool {
 	for _, told := range q.evidence {
 		for _, crash := range told.Crashes {
-			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Print) {
+			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Fingerprint) {
 				return true
 			}
 		}
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -27,15 +27,15 @@
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	// Running is what was at work there.
-	Running []fingerprint.Print `json:"running"`
+	Running []fingerprint.Fingerprint `json:"running"`
 	// Trial is the one of them that was suspected before it began, nil for none: a back end
 	// runs one such request at a time.
-	Trial *fingerprint.Print `json:"trial,omitempty"`
+	Trial *fingerprint.Fingerprint `json:"trial,omitempty"`
 }
 
 // Clearance says that a request that was at work when back ends ended did not end them.
 type Clearance struct {
-	fingerprint.Print
+	fingerprint.Fingerprint
 	// Endpoints are the back ends whose ends were known when the request came to a good
 	// end.
 	Endpoints []string `json:"endpoints"`
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -90,7 +90,7 @@
 	g := NewWithT(t)
 	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
 	crash := func(endpoint string) roster.Crash {
-		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Print{{}}}
+		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Fingerprint{{}}}
 	}
 	own := record("self", 1, 1)
 	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Quarantined{held('a')}}
@@ -113,7 +113,7 @@
 	g.Expect(roster.Evidence{}.Bounded()).To(BeNil())
 	var much roster.Evidence
 	for i := range 200 {
-		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Print, 200)})
+		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Fingerprint, 200)})
 		much.Cleared = append(much.Cleared, roster.Clearance{Endpoints: []string{"i-0123456789", "i-0123456789"}})
 		much.Quarantined = append(much.Quarantined, roster.Quarantined{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
 		much.Lifted = append(much.Lifted, roster.Lift{})
