--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -43,7 +43,7 @@
 // Running is one request at work.
 type Running struct {
 	RequestID string
-	Print     fingerprint.Fingerprint
+	Fingerprint     fingerprint.Fingerprint
 	// For is how long it had been there.
 	For time.Duration
 	// Trial: it was suspected of ending back ends before.
@@ -53,8 +53,8 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (r Running) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("request", r.RequestID)
-	encoder.AddString("content", r.Print.Content.String())
-	encoder.AddString("call", r.Print.Call.String())
+	encoder.AddString("content", r.Fingerprint.Content.String())
+	encoder.AddString("call", r.Fingerprint.Call.String())
 	encoder.AddDuration("for", r.For)
 	if r.Trial {
 		encoder.AddBool("trial", true)
@@ -249,9 +249,9 @@
 func (e *Ending) crash() roster.Crash {
 	crash := roster.Crash{Endpoint: e.Endpoint.Incarnation().String(), Service: e.Endpoint.Service}
 	for _, running := range e.Running {
-		crash.Running = append(crash.Running, running.Print)
+		crash.Running = append(crash.Running, running.Fingerprint)
 		if running.Trial {
-			crash.Trial = &running.Print
+			crash.Trial = &running.Fingerprint
 		}
 	}
 	return crash
@@ -261,7 +261,7 @@
 func (a *arrival) running(now time.Time) Running {
 	return Running{
 		RequestID: a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
-		Print:     a.print(),
+		Fingerprint:     a.print(),
 		For:       now.Sub(a.sent),
 		Trial:     a.onTrial,
 	}
