--- a/internal/sidecar/fingerprint/fingerprint.go
+++ b/internal/sidecar/fingerprint/fingerprint.go
@@ -64,14 +64,14 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// ErrDigest says that a text is no digest.
-var ErrDigest = errors.New("fingerprint: no digest")
+// ErrInvalidDigest says that a text is no digest.
+var ErrInvalidDigest = errors.New("fingerprint: no digest")
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	read, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil || len(read) != digestBytes {
-		return ErrDigest
+		return ErrInvalidDigest
 	}
 	copy(d[:], read)
 	return nil
--- a/internal/sidecar/fingerprint/fingerprint_test.go
+++ b/internal/sidecar/fingerprint/fingerprint_test.go
@@ -57,6 +57,6 @@
 	g.Expect(json.Unmarshal(encoded, &read)).To(Succeed())
 	g.Expect(read).To(Equal(digest))
 	for _, wrong := range []string{`""`, `"short"`, `"AAAAAAAAAAAAAAAAA"`, `"================"`} {
-		g.Expect(json.Unmarshal([]byte(wrong), &read)).To(MatchError(fingerprint.ErrDigest), wrong)
+		g.Expect(json.Unmarshal([]byte(wrong), &read)).To(MatchError(fingerprint.ErrInvalidDigest), wrong)
 	}
 }
