--- a/internal/sidecar/membership/firststart_test.go
+++ b/internal/sidecar/membership/firststart_test.go
@@ -77,7 +77,7 @@
 	made.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	made.node = membership.New(membership.Options{
 		Store: target, Members: made.members, FirstStart: true, HeartbeatInterval: heartbeats,
-		Joined: func(bool) { made.joined() }, Met: made.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
+		OnDiscovery: func(bool) { made.joined() }, Met: made.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
 		CompactRank: func() (int, bool) { return 0, false },
 	})
 	return made
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -65,9 +65,9 @@
 	FirstStart bool
 	// HeartbeatInterval is the usual time between two heartbeats of a back end.
 	HeartbeatInterval time.Duration
-	// Joined is called after each read that looked for other nodes. resumed says that the node goes
+	// OnDiscovery is called after each read that looked for other nodes. resumed says that the node goes
 	// on with the record that an earlier life of it left: it has no news for others.
-	Joined func(resumed bool)
+	OnDiscovery func(resumed bool)
 	// Met reports whether another node was in touch with this one.
 	Met func() bool
 	// Reads reports whether the node reads the store for others.
@@ -173,7 +173,7 @@
 	}
 	own.snapshot = m.ownInSnapshot.Load()
 	resumed := m.options.Members.Resume(own.records())
-	m.options.Joined(resumed)
+	m.options.OnDiscovery(resumed)
 	return own, nil
 }
 
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -116,7 +116,7 @@
 	begun.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	begun.node = membership.New(membership.Options{
 		Store: target, Members: begun.members, FirstStart: firstStart, HeartbeatInterval: heartbeat,
-		Joined: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
+		OnDiscovery: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
 		CompactRank: func() (int, bool) { return 0, begun.compacts.Load() },
 	})
 	begun.run()
