--- a/internal/sidecar/membership/firststart_test.go
+++ b/internal/sidecar/membership/firststart_test.go
@@ -78,7 +78,7 @@
 	made.node = membership.New(membership.Options{
 		Store: target, Members: made.members, FirstStart: true, HeartbeatInterval: heartbeats,
 		OnDiscovery: func(bool) { made.joined() }, Met: made.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
-		CompactRank: func() (int, bool) { return 0, false },
+		CompactionRank: func() (int, bool) { return 0, false },
 	})
 	return made
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -72,9 +72,9 @@
 	Met func() bool
 	// Reads reports whether the node reads the store for others.
 	Reads func() bool
-	// CompactRank is the node's place among those that keep the snapshot of all records, from
+	// CompactionRank is the node's place among those that keep the snapshot of all records, from
 	// zero; false when it is none of them.
-	CompactRank func() (rank int, ranked bool)
+	CompactionRank func() (rank int, ranked bool)
 	Logger      *zap.Logger
 }
 
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -117,7 +117,7 @@
 	begun.node = membership.New(membership.Options{
 		Store: target, Members: begun.members, FirstStart: firstStart, HeartbeatInterval: heartbeat,
 		OnDiscovery: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
-		CompactRank: func() (int, bool) { return 0, begun.compacts.Load() },
+		CompactionRank: func() (int, bool) { return 0, begun.compacts.Load() },
 	})
 	begun.run()
 	return begun
--- a/internal/sidecar/membership/snapshot.go
+++ b/internal/sidecar/membership/snapshot.go
@@ -87,7 +87,7 @@
 	interval := compactInterval
 	for last := clock.Now(); ctx.Err() == nil; {
 		pause.Wait(ctx, compactInterval/2)
-		rank, ranked := m.options.CompactRank()
+		rank, ranked := m.options.CompactionRank()
 		few := m.options.Members.View().Count() < compactFrom
 		if few || !ranked || clock.Since(last) < interval+time.Duration(rank)*compactTurn {
 			continue
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -192,7 +192,7 @@
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
 		OnDiscovery: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
-		CompactRank: created.compactRank,
+		CompactionRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
 	created.keeper.Observe(created.apply)
