--- a/internal/sidecar/quarantine/admin.go
+++ b/internal/sidecar/quarantine/admin.go
@@ -9,8 +9,8 @@
 
 // Paths of the operators' pages.
 const (
-	// PathHeld lists the verdicts.
-	PathHeld = "/quarantine"
+	// PathList lists the verdicts.
+	PathList = "/quarantine"
 	// PathLift lifts the one whose digest the query names.
 	PathLift    = "/quarantine/lift"
 	queryDigest = "digest"
