--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -155,7 +155,7 @@
 		Logger:   zap.NewNop(),
 		Observer: observer,
 		Quarantine: quarantine.New(quarantine.Options{
-			Members: members, Spread: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+			Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		}),
 	})
 	// A process that stands still for a moment must not fail to connect.
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -91,7 +91,7 @@
 		node := &fleetNode{fleet: f}
 		node.members = roster.New(roster.Record{Node: fmt.Sprintf("n-%03d", i), Epoch: 1, Counter: 1})
 		node.quarantine = quarantine.New(quarantine.Options{
-			Members: node.members, Spread: node.spread, After: f.events.after, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+			Members: node.members, Broadcast: node.spread, After: f.events.after, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		})
 		node.members.Observe(node.quarantine.Follow)
 		f.nodes = append(f.nodes, node)
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -24,8 +24,8 @@
 // Options configure a quarantine.
 type Options struct {
 	Members *roster.Roster
-	// Spread tells the peers of the own record.
-	Spread func()
+	// Broadcast tells the peers of the own record.
+	Broadcast func()
 	// Tell is Spread, but returns when the peers have heard, or a short time later; nil to have
 	// Spread run beside.
 	Tell func()
@@ -84,7 +84,7 @@
 		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
 	if options.Tell == nil {
-		created.options.Tell = func() { created.options.After(0, options.Spread) }
+		created.options.Tell = func() { created.options.After(0, options.Broadcast) }
 	}
 	created.state.Store(&state{})
 	created.register(options.Registry)
@@ -148,7 +148,7 @@
 		own.Lifted = append(own.Lifted, roster.Lift{Digest: digest, Count: held.Lifts + 1})
 		return true
 	}) {
-		q.options.After(0, q.options.Spread)
+		q.options.After(0, q.options.Broadcast)
 	}
 	return nil
 }
@@ -235,7 +235,7 @@
 	}
 	q.options.After(clearanceDelay, func() {
 		q.spreading.Store(false)
-		q.options.Spread()
+		q.options.Broadcast()
 	})
 }
 
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -81,7 +81,7 @@
 	members := roster.New(roster.Record{Node: "n-1", Epoch: 1, Counter: 1})
 	var told []roster.Crash
 	held := quarantine.New(quarantine.Options{
-		Members: members, Spread: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		Tell: func() { told = members.Own().Evidence.Crashes },
 	})
 	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -159,7 +159,7 @@
 	created.settings.Store(settings)
 	created.quarantine = quarantine.New(quarantine.Options{
 		Members: created.members,
-		Spread:  func() { created.spread(context.Background()) },
+		Broadcast:  func() { created.spread(context.Background()) },
 		Tell:    created.tell,
 		Logger:  options.Logger, Registry: options.Registry,
 	})
