--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -26,9 +26,9 @@
 	Members *roster.Roster
 	// Broadcast tells the peers of the own record.
 	Broadcast func()
-	// Tell is Spread, but returns when the peers have heard, or a short time later; nil to have
+	// BroadcastAndWait is Spread, but returns when the peers have heard, or a short time later; nil to have
 	// Spread run beside.
-	Tell func()
+	BroadcastAndWait func()
 	// After runs something after a delay, in no goroutine that holds a lock; nil for the
 	// runtime's timers.
 	After    func(delay time.Duration, run func())
@@ -83,8 +83,8 @@
 		options: options, evidence: map[string]*roster.Evidence{}, gone: map[string]bool{},
 		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
-	if options.Tell == nil {
-		created.options.Tell = func() { created.options.After(0, options.Broadcast) }
+	if options.BroadcastAndWait == nil {
+		created.options.BroadcastAndWait = func() { created.options.After(0, options.Broadcast) }
 	}
 	created.state.Store(&state{})
 	created.register(options.Registry)
@@ -169,7 +169,7 @@
 		own.Crashes = append(own.Crashes, crash)
 		return true
 	}) {
-		q.options.Tell()
+		q.options.BroadcastAndWait()
 	}
 }
 
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 	var told []roster.Crash
 	held := quarantine.New(quarantine.Options{
 		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
-		Tell: func() { told = members.Own().Evidence.Crashes },
+		BroadcastAndWait: func() { told = members.Own().Evidence.Crashes },
 	})
 	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
 	g.Expect(told).To(HaveLen(1))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -160,7 +160,7 @@
 	created.quarantine = quarantine.New(quarantine.Options{
 		Members: created.members,
 		Broadcast:  func() { created.spread(context.Background()) },
-		Tell:    created.tell,
+		BroadcastAndWait:    created.tell,
 		Logger:  options.Logger, Registry: options.Registry,
 	})
 	created.addRollouts()
