--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -117,7 +117,7 @@
 	})
 	admin.AddPage(sidecar.PathBackend, "the back end beside the node, and what it asks for", func() any { return node.BackendStatus() })
 	held := node.Quarantine()
-	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return held.Held() })
+	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return held.Quarantined() })
 	admin.HandleCommand(quarantine.PathLift, http.HandlerFunc(held.ServeLift))
 	return admin
 }
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -124,8 +124,8 @@
 	return suspects[print.Content] || suspects[print.Call]
 }
 
-// Held returns all verdicts, by digest.
-func (q *Quarantine) Held() []roster.Quarantined {
+// Quarantined returns all verdicts, by digest.
+func (q *Quarantine) Quarantined() []roster.Quarantined {
 	var all []roster.Quarantined
 	for _, held := range q.state.Load().held {
 		all = append(all, held)
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -151,7 +151,7 @@
 		late := f.nodes[0].members.View().Records()
 		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
 
-		for _, held := range f.nodes[2].quarantine.Held() {
+		for _, held := range f.nodes[2].quarantine.Quarantined() {
 			g.Expect(f.nodes[2].lift(held.Digest.String())).To(Equal(http.StatusNoContent))
 		}
 		f.pass()
