--- a/internal/sidecar/quarantine/admin.go
+++ b/internal/sidecar/quarantine/admin.go
@@ -24,7 +24,7 @@
 		return
 	}
 	switch err := q.Lift(digest); {
-	case errors.Is(err, ErrNotHeld):
+	case errors.Is(err, ErrNotQuarantined):
 		http.Error(w, queryDigest+": no such request is held back", http.StatusNotFound)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -134,15 +134,15 @@
 	return all
 }
 
-// ErrNotHeld says that a request is not held back.
-var ErrNotHeld = errors.New("quarantine: no request with this digest is held back")
+// ErrNotQuarantined says that a request is not held back.
+var ErrNotQuarantined = errors.New("quarantine: no request with this digest is held back")
 
 // Lift ends a verdict at all nodes. Back ends get the request again; when two more end under
 // it, it is held back again.
 func (q *Quarantine) Lift(digest fingerprint.Digest) error {
 	held, known := q.state.Load().held[digest]
 	if !known {
-		return ErrNotHeld
+		return ErrNotQuarantined
 	}
 	if q.update(func(own *roster.Evidence) bool {
 		own.Lifted = append(own.Lifted, roster.Lift{Digest: digest, Count: held.Lifts + 1})
