--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -48,9 +48,9 @@
 
 // Options configure the orders.
 type Options struct {
-	// Known reports whether there is a zone of that name, for the log alone: an order for
+	// ZoneExists reports whether there is a zone of that name, for the log alone: an order for
 	// one that is not known yet is kept.
-	Known func(zone string) bool
+	ZoneExists func(zone string) bool
 	// Spread tells the peers of news that the store has brought.
 	Spread func()
 	// Changed is told of each zone that was emptied, or whose order was taken back. It must
@@ -178,6 +178,6 @@
 		message = "zone is taken back"
 	}
 	o.options.Logger.Info(message, zap.String("zone", order.Zone), zap.Uint64("revision", order.Revision),
-		zap.String("source", source), zap.Bool("knownZone", o.options.Known(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
+		zap.String("source", source), zap.Bool("knownZone", o.options.ZoneExists(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
 	o.options.Changed(order.Zone, order.Emptied)
 }
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -24,7 +24,7 @@
 func play() *played {
 	made := &played{}
 	made.Orders = evacuation.New(evacuation.Options{
-		Known:  func(string) bool { return true },
+		ZoneExists:  func(string) bool { return true },
 		Spread: func() { made.spreads++ },
 		Changed: func(zone string, emptied bool) {
 			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
