--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -51,8 +51,8 @@
 	// ZoneExists reports whether there is a zone of that name, for the log alone: an order for
 	// one that is not known yet is kept.
 	ZoneExists func(zone string) bool
-	// Spread tells the peers of news that the store has brought.
-	Spread func()
+	// Broadcast tells the peers of news that the store has brought.
+	Broadcast func()
 	// Changed is told of each zone that was emptied, or whose order was taken back. It must
 	// not block.
 	Changed func(zone string, emptied bool)
@@ -82,7 +82,7 @@
 // Ordered takes in a word of the store on one zone.
 func (o *Orders) Ordered(order Order) {
 	if o.learn([]Order{order}, "store") {
-		o.options.Spread()
+		o.options.Broadcast()
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	o.mu.Unlock()
 	if o.learn(lifted, "store") {
-		o.options.Spread()
+		o.options.Broadcast()
 	}
 	return again
 }
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -25,7 +25,7 @@
 	made := &played{}
 	made.Orders = evacuation.New(evacuation.Options{
 		ZoneExists:  func(string) bool { return true },
-		Spread: func() { made.spreads++ },
+		Broadcast: func() { made.spreads++ },
 		Changed: func(zone string, emptied bool) {
 			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
 		},
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -14,7 +14,7 @@
 func (s *Sidecar) addEvacuations() {
 	s.evacuations = evacuation.New(evacuation.Options{
 		ZoneExists:   func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
-		Spread:  func() { go s.spread(context.Background()) },
+		Broadcast:  func() { go s.spread(context.Background()) },
 		Changed: s.emptied,
 		Logger:  s.logger,
 	})
