--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -41,7 +41,7 @@
 			members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "a"})
 			members.Merge(serviceOf(9, "a", "b", "c"))
 			orders := evacuation.New(evacuation.Options{
-				ZoneExists: func(string) bool { return true }, Broadcast: func() {}, Changed: func(string, bool) {}, Logger: zap.NewNop(),
+				ZoneExists: func(string) bool { return true }, Broadcast: func() {}, OnChange: func(string, bool) {}, Logger: zap.NewNop(),
 			})
 			handler.options.Emptied = orders.Zones
 			before := handler.subset(members.View(), "s", rollout.Every(), regions{})
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -53,9 +53,9 @@
 	ZoneExists func(zone string) bool
 	// Broadcast tells the peers of news that the store has brought.
 	Broadcast func()
-	// Changed is told of each zone that was emptied, or whose order was taken back. It must
+	// OnChange is told of each zone that was emptied, or whose order was taken back. It must
 	// not block.
-	Changed func(zone string, emptied bool)
+	OnChange func(zone string, emptied bool)
 	Logger  *zap.Logger
 }
 
@@ -179,5 +179,5 @@
 	}
 	o.options.Logger.Info(message, zap.String("zone", order.Zone), zap.Uint64("revision", order.Revision),
 		zap.String("source", source), zap.Bool("knownZone", o.options.ZoneExists(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
-	o.options.Changed(order.Zone, order.Emptied)
+	o.options.OnChange(order.Zone, order.Emptied)
 }
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -26,7 +26,7 @@
 	made.Orders = evacuation.New(evacuation.Options{
 		ZoneExists:  func(string) bool { return true },
 		Broadcast: func() { made.spreads++ },
-		Changed: func(zone string, emptied bool) {
+		OnChange: func(zone string, emptied bool) {
 			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
 		},
 		Logger: zap.NewNop(),
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -15,7 +15,7 @@
 	s.evacuations = evacuation.New(evacuation.Options{
 		ZoneExists:   func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
 		Broadcast:  func() { go s.spread(context.Background()) },
-		Changed: s.emptied,
+		OnChange: s.emptied,
 		Logger:  s.logger,
 	})
 }
