--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -90,11 +90,11 @@
 // still kept: operators write it again.
 const RewritePatience = 10 * time.Second
 
-// Listed takes in that the store had orders for just these zones at a revision. One that it
+// Reconcile takes in that the store had orders for just these zones at a revision. One that it
 // does not have any more was taken back while nobody watched. One that it may have lost, since it
-// has come back from an older copy, is kept for RewritePatience; Listed then reports that the
+// has come back from an older copy, is kept for RewritePatience; Reconcile then reports that the
 // store is to be read again after that time.
-func (o *Orders) Listed(zones []string, revision uint64, now time.Time) (again bool) {
+func (o *Orders) Reconcile(zones []string, revision uint64, now time.Time) (again bool) {
 	o.mu.Lock()
 	var lifted []Order
 	for zone, held := range o.orders {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -65,11 +65,11 @@
 	made.Ordered(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
-	made.Listed([]string{"b"}, 10, time.Now())
+	made.Reconcile([]string{"b"}, 10, time.Now())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"b", "late"}))
 	g.Expect(made.changes).To(Equal([]string{"a true", "b true", "late true", "a false"}))
 	g.Expect(made.spreads).To(Equal(4))
-	made.Listed([]string{"b"}, 10, time.Now())
+	made.Reconcile([]string{"b"}, 10, time.Now())
 	g.Expect(made.spreads).To(Equal(4), "no news")
 }
 
@@ -80,14 +80,14 @@
 	made := play()
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
-	g.Expect(made.Listed(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
+	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a", "b"}))
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
-	g.Expect(made.Listed([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
-	g.Expect(made.Listed([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewritePatience))).To(BeFalse())
+	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
+	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewritePatience))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
 	// Within the new era what is not there was taken back.
-	g.Expect(made.Listed(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
+	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
 	g.Expect(made.Zones()).To(BeNil())
 }
 
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -44,7 +44,7 @@
 			zones = append(zones, zone)
 		}
 	}
-	if s.evacuations.Listed(zones, revision, clock.Now()) {
+	if s.evacuations.Reconcile(zones, revision, clock.Now()) {
 		time.AfterFunc(evacuation.RewritePatience, s.refresh)
 	}
 }
