--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// RewritePatience is how long an order that a store which came back from an older copy lacks is
+// RewriteGracePeriod is how long an order that a store which came back from an older copy lacks is
 // still kept: operators write it again.
-const RewritePatience = 10 * time.Second
+const RewriteGracePeriod = 10 * time.Second
 
 // Reconcile takes in that the store had orders for just these zones at a revision. One that it
 // does not have any more was taken back while nobody watched. One that it may have lost, since it
@@ -107,7 +107,7 @@
 			if !known {
 				o.missing[zone] = now
 			}
-			if !known || now.Sub(since) < RewritePatience {
+			if !known || now.Sub(since) < RewriteGracePeriod {
 				again = true
 				continue
 			}
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -84,7 +84,7 @@
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a", "b"}))
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
-	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewritePatience))).To(BeFalse())
+	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewriteGracePeriod))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
 	// Within the new era what is not there was taken back.
 	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -45,6 +45,6 @@
 		}
 	}
 	if s.evacuations.Reconcile(zones, revision, clock.Now()) {
-		time.AfterFunc(evacuation.RewritePatience, s.refresh)
+		time.AfterFunc(evacuation.RewriteGracePeriod, s.refresh)
 	}
 }
