--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -32,7 +32,7 @@
 		s.ingress.SetWarmupRemaining(beat.WarmupLeft)
 	}
 	own, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) {
-		return s.claims.Beat(record, beat, clock.Now())
+		return s.claims.ApplyHeartbeat(record, beat, clock.Now())
 	})
 	switch {
 	case !changed:
@@ -56,7 +56,7 @@
 
 // leaves takes in that the back end leaves by what an answer says, as if a heartbeat had said so.
 func (s *Sidecar) leaves(of roster.Incarnation) {
-	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.Leave(of) })
+	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkDraining(of) })
 	if changed {
 		go s.spread(context.Background())
 	}
@@ -83,14 +83,14 @@
 func (g *guard) Ended(crash roster.Crash) {
 	g.Quarantine.Ended(crash)
 	g.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
-		g.sidecar.claims.Lost(record, crash.Endpoint)
+		g.sidecar.claims.MarkLost(record, crash.Endpoint)
 		return record, false
 	})
 }
 
 // Ended takes in that a back end ends for good.
 func (s *Sidecar) Ended(ctx context.Context, ended roster.Incarnation) {
-	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.End(ended) })
+	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(ended) })
 	if changed {
 		s.spread(ctx)
 	}
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -48,14 +48,14 @@
 
 // Options configure the orders.
 type Options struct {
-	// Known reports whether there is a zone of that name, for the log alone: an order for
+	// ZoneExists reports whether there is a zone of that name, for the log alone: an order for
 	// one that is not known yet is kept.
-	Known func(zone string) bool
-	// Spread tells the peers of news that the store has brought.
-	Spread func()
-	// Changed is told of each zone that was emptied, or whose order was taken back. It must
+	ZoneExists func(zone string) bool
+	// Broadcast tells the peers of news that the store has brought.
+	Broadcast func()
+	// OnChange is told of each zone that was emptied, or whose order was taken back. It must
 	// not block.
-	Changed func(zone string, emptied bool)
+	OnChange func(zone string, emptied bool)
 	Logger  *zap.Logger
 }
 
@@ -82,19 +82,19 @@
 // Ordered takes in a word of the store on one zone.
 func (o *Orders) Ordered(order Order) {
 	if o.learn([]Order{order}, "store") {
-		o.options.Spread()
+		o.options.Broadcast()
 	}
 }
 
-// RewritePatience is how long an order that a store which came back from an older copy lacks is
+// RewriteGracePeriod is how long an order that a store which came back from an older copy lacks is
 // still kept: operators write it again.
-const RewritePatience = 10 * time.Second
+const RewriteGracePeriod = 10 * time.Second
 
-// Listed takes in that the store had orders for just these zones at a revision. One that it
+// Reconcile takes in that the store had orders for just these zones at a revision. One that it
 // does not have any more was taken back while nobody watched. One that it may have lost, since it
-// has come back from an older copy, is kept for RewritePatience; Listed then reports that the
+// has come back from an older copy, is kept for RewritePatience; Reconcile then reports that the
 // store is to be read again after that time.
-func (o *Orders) Listed(zones []string, revision uint64, now time.Time) (again bool) {
+func (o *Orders) Reconcile(zones []string, revision uint64, now time.Time) (again bool) {
 	o.mu.Lock()
 	var lifted []Order
 	for zone, held := range o.orders {
@@ -107,7 +107,7 @@
 			if !known {
 				o.missing[zone] = now
 			}
-			if !known || now.Sub(since) < RewritePatience {
+			if !known || now.Sub(since) < RewriteGracePeriod {
 				again = true
 				continue
 			}
@@ -117,7 +117,7 @@
 	}
 	o.mu.Unlock()
 	if o.learn(lifted, "store") {
-		o.options.Spread()
+		o.options.Broadcast()
 	}
 	return again
 }
@@ -178,6 +178,6 @@
 		message = "zone is taken back"
 	}
 	o.options.Logger.Info(message, zap.String("zone", order.Zone), zap.Uint64("revision", order.Revision),
-		zap.String("source", source), zap.Bool("knownZone", o.options.Known(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
-	o.options.Changed(order.Zone, order.Emptied)
+		zap.String("source", source), zap.Bool("knownZone", o.options.ZoneExists(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
+	o.options.OnChange(order.Zone, order.Emptied)
 }
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -13,10 +13,10 @@
 
 func (s *Sidecar) addEvacuations() {
 	s.evacuations = evacuation.New(evacuation.Options{
-		Known:   func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
-		Spread:  func() { go s.spread(context.Background()) },
-		Changed: s.emptied,
-		Logger:  s.logger,
+		ZoneExists: func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
+		Broadcast:  func() { go s.spread(context.Background()) },
+		OnChange:   s.emptied,
+		Logger:     s.logger,
 	})
 }
 
@@ -44,7 +44,7 @@
 			zones = append(zones, zone)
 		}
 	}
-	if s.evacuations.Listed(zones, revision, clock.Now()) {
-		time.AfterFunc(evacuation.RewritePatience, s.refresh)
+	if s.evacuations.Reconcile(zones, revision, clock.Now()) {
+		time.AfterFunc(evacuation.RewriteGracePeriod, s.refresh)
 	}
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -65,17 +65,17 @@
 	FirstStart bool
 	// HeartbeatInterval is the usual time between two heartbeats of a back end.
 	HeartbeatInterval time.Duration
-	// Joined is called after each read that looked for other nodes. resumed says that the node goes
+	// OnDiscovery is called after each read that looked for other nodes. resumed says that the node goes
 	// on with the record that an earlier life of it left: it has no news for others.
-	Joined func(resumed bool)
+	OnDiscovery func(resumed bool)
 	// Met reports whether another node was in touch with this one.
 	Met func() bool
 	// Reads reports whether the node reads the store for others.
 	Reads func() bool
-	// CompactRank is the node's place among those that keep the snapshot of all records, from
+	// CompactionRank is the node's place among those that keep the snapshot of all records, from
 	// zero; false when it is none of them.
-	CompactRank func() (rank int, ranked bool)
-	Logger      *zap.Logger
+	CompactionRank func() (rank int, ranked bool)
+	Logger         *zap.Logger
 }
 
 // Membership keeps the node's key and finds the other nodes.
@@ -173,7 +173,7 @@
 	}
 	own.snapshot = m.ownInSnapshot.Load()
 	resumed := m.options.Members.Resume(own.records())
-	m.options.Joined(resumed)
+	m.options.OnDiscovery(resumed)
 	return own, nil
 }
 
@@ -251,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		m.options.Members.Together(func() {
+		m.options.Members.Batch(func() {
 			for _, item := range found {
 				// A record that sets off a panic is left out; the log names it.
 				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.take(item) })
@@ -274,7 +274,7 @@
 			m.options.Logger.Warn("snapshot of nodes cannot be read", zap.Error(err))
 			return
 		}
-		if own := slices.IndexFunc(records, m.options.Members.Own().Same); own >= 0 {
+		if own := slices.IndexFunc(records, m.options.Members.Own().SameNode); own >= 0 {
 			m.ownInSnapshot.Store(records[own])
 		}
 		m.options.Members.Merge(m.ofOthers(records...))
@@ -291,7 +291,7 @@
 // ofOthers leaves the own records out: what an earlier life has left is taken in as one.
 func (m *Membership) ofOthers(records ...*roster.Record) []*roster.Record {
 	own := m.options.Members.Own()
-	return slices.DeleteFunc(records, own.Same)
+	return slices.DeleteFunc(records, own.SameNode)
 }
 
 // readRecord reads the record that an item holds.
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -113,11 +113,11 @@
 func begin(t *testing.T, target *countingStore, node string, firstStart, met bool) *life {
 	begun := &life{t: t, store: target}
 	begun.met.Store(met)
-	begun.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", Life: rand.Uint64()})
+	begun.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	begun.node = membership.New(membership.Options{
 		Store: target, Members: begun.members, FirstStart: firstStart, HeartbeatInterval: heartbeat,
-		Joined: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
-		CompactRank: func() (int, bool) { return 0, begun.compacts.Load() },
+		OnDiscovery: func(bool) {}, Met: begun.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
+		CompactionRank: func() (int, bool) { return 0, begun.compacts.Load() },
 	})
 	begun.run()
 	return begun
@@ -208,18 +208,18 @@
 			})
 			pass(time.Second)
 		}
-		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Print{{}}}}})
+		knows(&roster.Evidence{Crashes: []roster.Crash{{Endpoint: "i-0", Running: []fingerprint.Fingerprint{{}}}}})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(1))
-		held := []roster.Held{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
-		knows(&roster.Evidence{Held: held})
+		held := []roster.Quarantined{{Digest: fingerprint.Digest{1}, Service: "s", Endpoints: []string{"i-0", "i-1"}}}
+		knows(&roster.Evidence{Quarantined: held})
 		g.Expect(target.writes.Load()).To(BeEquivalentTo(2))
-		g.Expect(node.stored().Evidence.Held).To(Equal(held))
+		g.Expect(node.stored().Evidence.Quarantined).To(Equal(held))
 		node.end()
 		next := begin(t, target, "a", false, false)
 		defer next.end()
 		pass(10 * time.Second)
 		g.Expect(next.members.Own().Evidence).NotTo(BeNil())
-		g.Expect(next.members.Own().Evidence.Held).To(Equal(held))
+		g.Expect(next.members.Own().Evidence.Quarantined).To(Equal(held))
 	})
 }
 
@@ -252,7 +252,7 @@
 		g.Expect(next.members.Own().Endpoint.ID).To(Equal("i-1"))
 		next.says("i-1", roster.Draining, 9)
 		g.Expect(next.members.Own().Newer(before.members.Own())).To(BeTrue())
-		g.Expect(next.members.Own().Life).NotTo(Equal(before.members.Own().Life))
+		g.Expect(next.members.Own().RunID).NotTo(Equal(before.members.Own().RunID))
 	})
 }
 
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -24,11 +24,11 @@
 // Options configure a quarantine.
 type Options struct {
 	Members *roster.Roster
-	// Spread tells the peers of the own record.
-	Spread func()
-	// Tell is Spread, but returns when the peers have heard, or a short time later; nil to have
+	// Broadcast tells the peers of the own record.
+	Broadcast func()
+	// BroadcastAndWait is Spread, but returns when the peers have heard, or a short time later; nil to have
 	// Spread run beside.
-	Tell func()
+	BroadcastAndWait func()
 	// After runs something after a delay, in no goroutine that holds a lock; nil for the
 	// runtime's timers.
 	After    func(delay time.Duration, run func())
@@ -61,12 +61,12 @@
 	// learnt is when the node heard of the ends that are told, by back end.
 	learnt map[string]time.Time
 	// known are the verdicts so far. A verdict stays when its evidence goes.
-	known map[fingerprint.Digest]roster.Held
+	known map[fingerprint.Digest]roster.Quarantined
 }
 
 // state is what requests are compared with. It is immutable.
 type state struct {
-	held map[fingerprint.Digest]roster.Held
+	held map[fingerprint.Digest]roster.Quarantined
 	// suspects are the requests at work at ends that no verdict explains.
 	suspects map[fingerprint.Digest]bool
 }
@@ -81,10 +81,10 @@
 	}
 	created := &Quarantine{
 		options: options, evidence: map[string]*roster.Evidence{}, gone: map[string]bool{},
-		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Held{},
+		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
-	if options.Tell == nil {
-		created.options.Tell = func() { created.options.After(0, options.Spread) }
+	if options.BroadcastAndWait == nil {
+		created.options.BroadcastAndWait = func() { created.options.After(0, options.Broadcast) }
 	}
 	created.state.Store(&state{})
 	created.register(options.Registry)
@@ -110,7 +110,7 @@
 }
 
 // Holds reports whether a request is held back.
-func (q *Quarantine) Holds(print fingerprint.Print) bool {
+func (q *Quarantine) Holds(print fingerprint.Fingerprint) bool {
 	held := q.state.Load().held
 	_, content := held[print.Content]
 	_, call := held[print.Call]
@@ -119,36 +119,36 @@
 
 // Suspects reports whether a request was at work when a back end ended, and it is open
 // which one ended it.
-func (q *Quarantine) Suspects(print fingerprint.Print) bool {
+func (q *Quarantine) Suspects(print fingerprint.Fingerprint) bool {
 	suspects := q.state.Load().suspects
 	return suspects[print.Content] || suspects[print.Call]
 }
 
-// Held returns all verdicts, by digest.
-func (q *Quarantine) Held() []roster.Held {
-	var all []roster.Held
+// Quarantined returns all verdicts, by digest.
+func (q *Quarantine) Quarantined() []roster.Quarantined {
+	var all []roster.Quarantined
 	for _, held := range q.state.Load().held {
 		all = append(all, held)
 	}
-	slices.SortFunc(all, func(a, b roster.Held) int { return a.Digest.Compare(b.Digest) })
+	slices.SortFunc(all, func(a, b roster.Quarantined) int { return a.Digest.Compare(b.Digest) })
 	return all
 }
 
-// ErrNotHeld says that a request is not held back.
-var ErrNotHeld = errors.New("quarantine: no request with this digest is held back")
+// ErrNotQuarantined says that a request is not held back.
+var ErrNotQuarantined = errors.New("quarantine: no request with this digest is held back")
 
 // Lift ends a verdict at all nodes. Back ends get the request again; when two more end under
 // it, it is held back again.
 func (q *Quarantine) Lift(digest fingerprint.Digest) error {
 	held, known := q.state.Load().held[digest]
 	if !known {
-		return ErrNotHeld
+		return ErrNotQuarantined
 	}
 	if q.update(func(own *roster.Evidence) bool {
 		own.Lifted = append(own.Lifted, roster.Lift{Digest: digest, Count: held.Lifts + 1})
 		return true
 	}) {
-		q.options.After(0, q.options.Spread)
+		q.options.After(0, q.options.Broadcast)
 	}
 	return nil
 }
@@ -169,13 +169,13 @@
 		own.Crashes = append(own.Crashes, crash)
 		return true
 	}) {
-		q.options.Tell()
+		q.options.BroadcastAndWait()
 	}
 }
 
 // Survived takes in that the back end beside this node has answered a request. One that is
 // suspected did not make the ends that are known now.
-func (q *Quarantine) Survived(print fingerprint.Print) {
+func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
 	q.recent.add(print, clock.Now())
 	if !q.Suspects(print) {
 		return
@@ -187,7 +187,7 @@
 	if q.update(func(own *roster.Evidence) bool {
 		own.Cleared = append(slices.DeleteFunc(own.Cleared, func(held roster.Clearance) bool {
 			return held.Call == print.Call
-		}), roster.Clearance{Print: print, Endpoints: endpoints})
+		}), roster.Clearance{Fingerprint: print, Endpoints: endpoints})
 		return true
 	}) {
 		q.spreadSoon()
@@ -195,7 +195,7 @@
 }
 
 // endsUnder returns the back ends under whose end the request was at work.
-func (q *Quarantine) endsUnder(print fingerprint.Print) (endpoints []string) {
+func (q *Quarantine) endsUnder(print fingerprint.Fingerprint) (endpoints []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, told := range q.evidence {
@@ -209,8 +209,8 @@
 	return endpoints
 }
 
-func runs(crash roster.Crash, print fingerprint.Print) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+func runs(crash roster.Crash, print fingerprint.Fingerprint) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		return running.Content == print.Content
 	})
 }
@@ -235,7 +235,7 @@
 	}
 	q.options.After(clearanceDelay, func() {
 		q.spreading.Store(false)
-		q.options.Spread()
+		q.options.Broadcast()
 	})
 }
 
@@ -292,19 +292,19 @@
 
 // judge comes to the verdicts that the evidence allows, publishes the state, and returns
 // the new ones.
-func (q *Quarantine) judge() (fresh []roster.Held) {
+func (q *Quarantine) judge() (fresh []roster.Quarantined) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	changed := q.lift()
 	for _, told := range q.evidence {
-		for _, held := range told.Held {
+		for _, held := range told.Quarantined {
 			fresh = q.learn(held, fresh)
 		}
 	}
 	for _, digestOf := range digestKinds {
 		open, services := q.open(digestOf)
 		for _, found := range blame(open) {
-			fresh = q.learn(roster.Held{
+			fresh = q.learn(roster.Quarantined{
 				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.lifts(found.digest),
 			}, fresh)
 		}
@@ -330,26 +330,26 @@
 }
 
 // lifted reports whether a verdict was lifted; the lock is held.
-func (q *Quarantine) lifted(held roster.Held) bool { return held.Lifts < q.lifts(held.Digest) }
+func (q *Quarantine) lifted(held roster.Quarantined) bool { return held.Lifts < q.lifts(held.Digest) }
 
 // lifts returns how often verdicts on a request were lifted, as some node tells; the lock is
 // held.
 func (q *Quarantine) lifts(digest fingerprint.Digest) (count int) {
 	for _, told := range q.evidence {
-		count = max(count, told.LiftsOf(digest))
+		count = max(count, told.LiftCount(digest))
 	}
 	return count
 }
 
 // digestKinds are the digests of a request that are judged, in this order: where all callers
 // of a content end back ends it is the content that does.
-var digestKinds = [...]func(fingerprint.Print) fingerprint.Digest{content, call}
+var digestKinds = [...]func(fingerprint.Fingerprint) fingerprint.Digest{content, call}
 
-func content(print fingerprint.Print) fingerprint.Digest { return print.Content }
-func call(print fingerprint.Print) fingerprint.Digest    { return print.Call }
+func content(print fingerprint.Fingerprint) fingerprint.Digest { return print.Content }
+func call(print fingerprint.Fingerprint) fingerprint.Digest    { return print.Call }
 
 // learn adds a verdict, unless it is known or there are too many.
-func (q *Quarantine) learn(held roster.Held, fresh []roster.Held) []roster.Held {
+func (q *Quarantine) learn(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
 	if _, known := q.known[held.Digest]; known || len(q.known) > mostKnown || q.lifted(held) {
 		return fresh
 	}
@@ -361,7 +361,7 @@
 func (q *Quarantine) publish(verdicts bool) {
 	next := &state{held: q.state.Load().held, suspects: map[fingerprint.Digest]bool{}}
 	if verdicts {
-		next.held = make(map[fingerprint.Digest]roster.Held, len(q.known))
+		next.held = make(map[fingerprint.Digest]roster.Quarantined, len(q.known))
 		for digest, held := range q.known {
 			next.held[digest] = held
 		}
@@ -380,7 +380,7 @@
 
 // open returns the ends that no verdict explains, with the requests that are not cleared,
 // and the services of the back ends. The lock is held.
-func (q *Quarantine) open(digestOf func(fingerprint.Print) fingerprint.Digest) (open []suspicion, services map[string]string) {
+func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []suspicion, services map[string]string) {
 	cleared := q.cleared(digestOf)
 	services = map[string]string{}
 	seen := map[string]bool{}
@@ -413,12 +413,12 @@
 	endpoint string
 }
 
-func (q *Quarantine) cleared(digestOf func(fingerprint.Print) fingerprint.Digest) map[clearing]bool {
+func (q *Quarantine) cleared(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) map[clearing]bool {
 	cleared := map[clearing]bool{}
 	for _, told := range q.evidence {
 		for _, clearance := range told.Cleared {
 			for _, endpoint := range clearance.Endpoints {
-				cleared[clearing{digestOf(clearance.Print), endpoint}] = true
+				cleared[clearing{digestOf(clearance.Fingerprint), endpoint}] = true
 			}
 		}
 	}
@@ -427,7 +427,7 @@
 
 // explained reports whether a request that is held back was at work at the end.
 func (q *Quarantine) explained(crash roster.Crash) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		_, byContent := q.known[running.Content]
 		_, byCall := q.known[running.Call]
 		return byContent || byCall
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -21,7 +21,7 @@
 func (f *fleet) pass() { f.events.runFor(100 * time.Millisecond) }
 
 // crash tells of an end at a node, under a request on trial and another one.
-func (n *fleetNode) tell(endpoint string, trial *fingerprint.Print, beside ...fingerprint.Print) {
+func (n *fleetNode) tell(endpoint string, trial *fingerprint.Fingerprint, beside ...fingerprint.Fingerprint) {
 	told := roster.Crash{Endpoint: endpoint, Service: "one", Running: beside, Trial: trial}
 	if trial != nil {
 		told.Running = append(told.Running, *trial)
@@ -31,7 +31,7 @@
 }
 
 // holders counts the nodes that hold a request back.
-func (f *fleet) holders(print fingerprint.Print) (count int) {
+func (f *fleet) holders(print fingerprint.Fingerprint) (count int) {
 	for _, node := range f.nodes {
 		if node.quarantine.Holds(print) {
 			count++
@@ -68,7 +68,7 @@
 			}
 			g.Expect(evidence.Crashes).To(BeEmpty())
 			// Of the content and of the call.
-			g.Expect(evidence.Held).NotTo(BeEmpty())
+			g.Expect(evidence.Quarantined).NotTo(BeEmpty())
 		}
 	})
 }
@@ -81,14 +81,14 @@
 	members := roster.New(roster.Record{Node: "n-1", Epoch: 1, Counter: 1})
 	var told []roster.Crash
 	held := quarantine.New(quarantine.Options{
-		Members: members, Spread: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
-		Tell: func() { told = members.Own().Evidence.Crashes },
+		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+		BroadcastAndWait: func() { told = members.Own().Evidence.Crashes },
 	})
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Print{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
 	g.Expect(told).To(HaveLen(1))
 
 	told = nil
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Print{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
 	g.Expect(told).To(BeNil(), "it is no news")
 }
 
@@ -128,7 +128,7 @@
 		f.nodes[1].tell("b", &harmful)
 		for i, node := range f.nodes[:2] {
 			node.members.Update(func(record roster.Record) (roster.Record, bool) {
-				return record.End(roster.Incarnation{ID: string(rune('a' + i))})
+				return record.MarkEnded(roster.Incarnation{ID: string(rune('a' + i))})
 			})
 			node.spread()
 		}
@@ -151,7 +151,7 @@
 		late := f.nodes[0].members.View().Records()
 		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
 
-		for _, held := range f.nodes[2].quarantine.Held() {
+		for _, held := range f.nodes[2].quarantine.Quarantined() {
 			g.Expect(f.nodes[2].lift(held.Digest.String())).To(Equal(http.StatusNoContent))
 		}
 		f.pass()
@@ -181,9 +181,9 @@
 	g := NewWithT(t)
 	harmful := printOf(1)
 	sent := &roster.Evidence{
-		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Print{harmful}, Trial: &harmful}},
-		Cleared: []roster.Clearance{{Print: harmful, Endpoints: []string{"i-0"}}},
-		Held:    []roster.Held{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
+		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Fingerprint{harmful}, Trial: &harmful}},
+		Cleared: []roster.Clearance{{Fingerprint: harmful, Endpoints: []string{"i-0"}}},
+		Quarantined:    []roster.Quarantined{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
 	}
 	encoded, err := json.Marshal(sent)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -15,9 +15,9 @@
 	if q.update(func(own *roster.Evidence) bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		before := len(own.Held)
-		own.Held = slices.DeleteFunc(own.Held, q.lifted)
-		changed := len(own.Held) != before
+		before := len(own.Quarantined)
+		own.Quarantined = slices.DeleteFunc(own.Quarantined, q.lifted)
+		changed := len(own.Quarantined) != before
 		changed = q.keepVerdicts(own) || changed
 		if heir {
 			changed = q.inherit(own) || changed
@@ -42,11 +42,11 @@
 	return added
 }
 
-func keep(own *roster.Evidence, held roster.Held) bool {
-	if slices.ContainsFunc(own.Held, func(kept roster.Held) bool { return kept.Digest == held.Digest }) {
+func keep(own *roster.Evidence, held roster.Quarantined) bool {
+	if slices.ContainsFunc(own.Quarantined, func(kept roster.Quarantined) bool { return kept.Digest == held.Digest }) {
 		return false
 	}
-	own.Held = append(own.Held, held)
+	own.Quarantined = append(own.Quarantined, held)
 	return true
 }
 
@@ -55,7 +55,7 @@
 func (q *Quarantine) isHeir() bool {
 	self := q.options.Members.Own().Node
 	for _, record := range q.options.Members.View().Records() {
-		if !record.Departed() && !record.Leaving {
+		if !record.BackendAbsent() && !record.Leaving {
 			return record.Node == self
 		}
 	}
@@ -65,7 +65,7 @@
 // inherit adds the verdicts of nodes that have gone.
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
-		for _, held := range q.evidence[node].Clone().Held {
+		for _, held := range q.evidence[node].Clone().Quarantined {
 			if !own.Full() && !q.lifted(held) && keep(own, held) {
 				added = true
 			}
@@ -81,7 +81,7 @@
 	byContent, byCall := q.cleared(content), q.cleared(call)
 	own.Crashes = slices.DeleteFunc(own.Crashes, q.explained)
 	for i, crash := range own.Crashes {
-		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Print) bool {
+		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Fingerprint) bool {
 			return byContent[clearing{running.Content, crash.Endpoint}] && byCall[clearing{running.Call, crash.Endpoint}]
 		})
 	}
@@ -94,7 +94,7 @@
 func (q *Quarantine) needed(clearance roster.Clearance) bool {
 	for _, told := range q.evidence {
 		for _, crash := range told.Crashes {
-			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Print) {
+			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Fingerprint) {
 				return true
 			}
 		}
@@ -104,7 +104,7 @@
 
 // size is how many entries the evidence has.
 func size(own *roster.Evidence) int {
-	total := len(own.Cleared) + len(own.Held) + len(own.Lifted) + len(own.Crashes)
+	total := len(own.Cleared) + len(own.Quarantined) + len(own.Lifted) + len(own.Crashes)
 	for _, crash := range own.Crashes {
 		total += len(crash.Running)
 	}
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -48,16 +48,16 @@
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
-			claims := roster.Claims{Interval: interval}
+			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
 			for i, said := range played.words {
 				if said.state == "" {
-					own, _ = own.End(roster.Incarnation{ID: said.id, Born: said.born})
+					own, _ = own.MarkEnded(roster.Incarnation{ID: said.id, Born: said.born})
 					continue
 				}
 				beat := roster.Heartbeat{Endpoint: *endpoint(said.id, said.state, said.sequence)}
 				beat.Born = said.born
-				own, _ = claims.Beat(own, beat, time.Unix(1000, int64(i)))
+				own, _ = claims.ApplyHeartbeat(own, beat, time.Unix(1000, int64(i)))
 			}
 			g.Expect(own.Endpoint.Born).To(Equal(played.born))
 			g.Expect(own.Endpoint.State).To(Equal(played.state))
@@ -86,10 +86,10 @@
 	held := record("self", 1, 1)
 	held.Endpoint = endpoint("a", roster.Ready, 1)
 	held.Endpoint.Born = 100
-	held.Judged = &roster.Judgement{ID: held.Endpoint.Incarnation().String(), Faulty: true}
-	g.Expect(held.Judgement()).NotTo(BeNil())
+	held.LastAssessment = &roster.Assessment{ID: held.Endpoint.Incarnation().String(), Faulty: true}
+	g.Expect(held.Assessment()).NotTo(BeNil())
 	next := *held.Endpoint
 	next.Born = 200
 	held.Endpoint = &next
-	g.Expect(held.Judgement()).To(BeNil())
+	g.Expect(held.Assessment()).To(BeNil())
 }
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -40,9 +40,9 @@
 	// change within it.
 	Epoch   uint64 `json:"epoch"`
 	Counter uint64 `json:"counter"`
-	// Life is drawn at random at each start. It tells apart records of two lives
+	// RunID is drawn at random at each start. It tells apart records of two lives
 	// that have come to the same epoch and counter, since neither knew of the other.
-	Life uint64 `json:"life,omitempty"`
+	RunID uint64 `json:"life,omitempty"`
 	// Address takes requests of other nodes, PeerAddress exchanges.
 	Address     string `json:"address"`
 	PeerAddress string `json:"peerAddress"`
@@ -53,9 +53,9 @@
 	Leaving bool `json:"leaving,omitempty"`
 	// Endpoint is nil until a back end has made itself known.
 	Endpoint *Endpoint `json:"endpoint,omitempty"`
-	// Judged is what the node thinks of its back end while a version of its software is on
+	// LastAssessment is what the node thinks of its back end while a version of its software is on
 	// trial; nil otherwise.
-	Judged *Judgement `json:"judged,omitempty"`
+	LastAssessment *Assessment `json:"judged,omitempty"`
 	// Evidence is what the node knows of requests that end back ends; nil when it knows of
 	// none.
 	Evidence *Evidence `json:"evidence,omitempty"`
@@ -63,8 +63,8 @@
 	Ended []string `json:"ended,omitempty"`
 }
 
-// Judgement is what a node that sees all answers of its back end thinks of them.
-type Judgement struct {
+// Assessment is what a node that sees all answers of its back end thinks of them.
+type Assessment struct {
 	// ID names the back end's incarnation.
 	ID string `json:"id"`
 	// Answers is how many were seen.
@@ -76,49 +76,49 @@
 	Lean float64 `json:"lean"`
 }
 
-// Judgement returns what the node thinks of the present back end, nil when it thinks
+// Assessment returns what the node thinks of the present back end, nil when it thinks
 // nothing.
-func (r *Record) Judgement() *Judgement {
-	if r.Judged == nil || r.Endpoint == nil || r.Judged.ID != r.Endpoint.Incarnation().String() {
+func (r *Record) Assessment() *Assessment {
+	if r.LastAssessment == nil || r.Endpoint == nil || r.LastAssessment.ID != r.Endpoint.Incarnation().String() {
 		return nil
 	}
-	return r.Judged
+	return r.LastAssessment
 }
 
 // Newer reports whether the record replaces the other one.
 func (r *Record) Newer(other *Record) bool {
-	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Counter, other.Counter), cmp.Compare(r.Life, other.Life)) > 0
+	return cmp.Or(cmp.Compare(r.Epoch, other.Epoch), cmp.Compare(r.Counter, other.Counter), cmp.Compare(r.RunID, other.RunID)) > 0
 }
 
 // conflicts reports whether the other record, of another life, bears the same version
 // otherwise.
 func (r *Record) conflicts(other *Record) bool {
-	return r.Epoch == other.Epoch && r.Counter == other.Counter && r.Life != other.Life
+	return r.Epoch == other.Epoch && r.Counter == other.Counter && r.RunID != other.RunID
 }
 
-// Same reports whether the other record is of the same node.
-func (r *Record) Same(other *Record) bool { return r.Node == other.Node }
+// SameNode reports whether the other record is of the same node.
+func (r *Record) SameNode(other *Record) bool { return r.Node == other.Node }
 
 // fresh reports whether the record says nothing but where its node is.
 func (r *Record) fresh() bool {
-	return r.Epoch == 1 && r.Counter == 1 && r.Endpoint == nil && r.Evidence == nil && r.Judged == nil && !r.Leaving
+	return r.Epoch == 1 && r.Counter == 1 && r.Endpoint == nil && r.Evidence == nil && r.LastAssessment == nil && !r.Leaving
 }
 
 // continuedBy reports whether the record, of an earlier life, says what the fresh record of a new
 // one would.
 func (r *Record) continuedBy(fresh *Record) bool {
-	return !r.Leaving && r.Judged == nil && !r.Gone() && r.Zone == fresh.Zone && r.Link == fresh.Link &&
+	return !r.Leaving && r.LastAssessment == nil && !r.Gone() && r.Zone == fresh.Zone && r.Link == fresh.Link &&
 		r.Address == fresh.Address && r.PeerAddress == fresh.PeerAddress
 }
 
-// Departed reports whether the node's back end has ended for good.
-func (r *Record) Departed() bool { return r.Endpoint == nil || r.Endpoint.State == Gone }
+// BackendAbsent reports whether the node's back end has ended for good.
+func (r *Record) BackendAbsent() bool { return r.Endpoint == nil || r.Endpoint.State == Gone }
 
 // Gone reports whether the node's back end has ended: the node ends too.
 func (r *Record) Gone() bool { return r.Endpoint != nil && r.Endpoint.State == Gone }
 
-// Ends reports whether the node or its back end has said that it takes no work any more.
-func (r *Record) Ends() bool {
+// Stopping reports whether the node or its back end has said that it takes no work any more.
+func (r *Record) Stopping() bool {
 	return r.Leaving || (r.Endpoint != nil && r.Endpoint.State != Ready)
 }
 
@@ -136,10 +136,10 @@
 	return slices.Contains(r.Ended, incarnation.String())
 }
 
-// End returns the record after a back end has said that it ends. Without its start the word
+// MarkEnded returns the record after a back end has said that it ends. Without its start the word
 // is taken for that of the present one. The word of a later start says that those before have
 // ended too.
-func (r Record) End(ended Incarnation) (next Record, changed bool) {
+func (r Record) MarkEnded(ended Incarnation) (next Record, changed bool) {
 	held := r.Endpoint
 	same := held != nil && held.ID == ended.ID
 	if same && ended.Born == 0 {
@@ -157,8 +157,8 @@
 	return r, true
 }
 
-// Leave returns the record after the back end has said with an answer that it is leaving.
-func (r Record) Leave(leaving Incarnation) (next Record, changed bool) {
+// MarkDraining returns the record after the back end has said with an answer that it is leaving.
+func (r Record) MarkDraining(leaving Incarnation) (next Record, changed bool) {
 	held := r.Endpoint
 	if held == nil || held.Incarnation() != leaving || held.State != Ready {
 		return r, false
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -88,22 +88,22 @@
 // requests that end back ends, beside what it has seen itself.
 func TestEvidenceOutlivesItsNode(t *testing.T) {
 	g := NewWithT(t)
-	held := func(letter byte) roster.Held { return roster.Held{Digest: fingerprint.Digest{letter}} }
+	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
 	crash := func(endpoint string) roster.Crash {
-		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Print{{}}}
+		return roster.Crash{Endpoint: endpoint, Running: []fingerprint.Fingerprint{{}}}
 	}
 	own := record("self", 1, 1)
-	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Held: []roster.Held{held('a')}}
+	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Quarantined{held('a')}}
 	members := roster.New(own)
 	remembered := record("self", 4, 2)
 	remembered.Evidence = &roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1")}, Cleared: []roster.Clearance{{Endpoints: []string{"i-0"}}},
-		Held: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}
 	members.Merge([]*roster.Record{&remembered})
 	g.Expect(members.Own().Evidence).To(Equal(&roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: remembered.Evidence.Cleared,
-		Held: []roster.Held{held('b'), held('a')},
+		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}))
 }
 
@@ -113,9 +113,9 @@
 	g.Expect(roster.Evidence{}.Bounded()).To(BeNil())
 	var much roster.Evidence
 	for i := range 200 {
-		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Print, 200)})
+		much.Crashes = append(much.Crashes, roster.Crash{Endpoint: fmt.Sprint(i), Running: make([]fingerprint.Fingerprint, 200)})
 		much.Cleared = append(much.Cleared, roster.Clearance{Endpoints: []string{"i-0123456789", "i-0123456789"}})
-		much.Held = append(much.Held, roster.Held{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
+		much.Quarantined = append(much.Quarantined, roster.Quarantined{Service: fmt.Sprint(i), Endpoints: []string{"i-0123456789", "i-0123456789"}})
 		much.Lifted = append(much.Lifted, roster.Lift{})
 	}
 	bounded := much.Bounded()
@@ -124,7 +124,7 @@
 	t.Logf("%d bytes", len(encoded))
 	g.Expect(len(encoded)).To(BeNumerically("<", 32<<10))
 	g.Expect(bounded.Crashes[len(bounded.Crashes)-1].Endpoint).To(Equal("199"))
-	g.Expect(bounded.Held[len(bounded.Held)-1].Service).To(Equal("199"))
+	g.Expect(bounded.Quarantined[len(bounded.Quarantined)-1].Service).To(Equal("199"))
 	g.Expect(bounded.Full()).To(BeTrue())
 }
 
@@ -188,19 +188,19 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			start := time.Unix(1000, 0)
-			claims := roster.Claims{Interval: interval}
+			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
 			for _, beat := range played.beats {
 				now := start.Add(beat.at)
 				switch {
 				case beat.state == "lost":
-					claims.Lost(own, beat.id)
+					claims.MarkLost(own, beat.id)
 				case beat.end:
-					own, _ = own.End(roster.Incarnation{ID: beat.id})
+					own, _ = own.MarkEnded(roster.Incarnation{ID: beat.id})
 				case beat.confirm:
 					own, _ = claims.Confirm(own, beat.id, now)
 				default:
-					own, _ = claims.Beat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
+					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
 				}
 			}
 			g.Expect(own.Endpoint.ID).To(Equal(played.id))
@@ -212,12 +212,12 @@
 func TestUnchangedHeartbeatsMakeNoNewRecord(t *testing.T) {
 	g := NewWithT(t)
 	held := roster.New(record("self", 1, 1))
-	claims := roster.Claims{Interval: time.Second}
+	claims := roster.IncarnationTracker{Interval: time.Second}
 	told := 0
 	held.Observe(func([]*roster.Record) { told++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
 		held.Update(func(own roster.Record) (roster.Record, bool) {
-			return claims.Beat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
+			return claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
 		})
 	}
 	g.Expect(told).To(Equal(1))
@@ -228,7 +228,7 @@
 	g := NewWithT(t)
 	own := record("self", 1, 1)
 	for number := range 100 {
-		own, _ = own.End(roster.Incarnation{ID: string(rune('A' + number))})
+		own, _ = own.MarkEnded(roster.Incarnation{ID: string(rune('A' + number))})
 	}
 	g.Expect(len(own.Ended)).To(BeNumerically("<=", 16))
 	g.Expect(own.HasEnded(roster.Incarnation{ID: string(rune('A' + 99))})).To(BeTrue())
@@ -249,7 +249,7 @@
 		members.Merge([]*roster.Record{&alive, &before})
 		members.Merge([]*roster.Record{&left})
 	}
-	g.Expect(held.View().Present()).To(Equal(2))
+	g.Expect(held.View().LiveCount()).To(Equal(2))
 	g.Expect(held.Forget(began)).To(BeEmpty())
 	g.Expect(held.Forget(began.Add(time.Minute))).To(BeEmpty())
 	g.Expect(held.View().Record("left")).NotTo(BeNil())
@@ -300,7 +300,7 @@
 func TestTwoLivesOfTheSameVersion(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
-	before.Life, now.Life = 9, 5
+	before.RunID, now.RunID = 9, 5
 	before.Endpoint, before.Ended = endpoint("i-1", roster.Draining, 4), []string{"i-0"}
 	g.Expect(before.Newer(&now)).To(BeTrue())
 	g.Expect(now.Newer(&before)).To(BeFalse())
@@ -308,7 +308,7 @@
 	for _, order := range [][]*roster.Record{{&before, &now}, {&now, &before}} {
 		other := roster.New(record("other", 1, 1))
 		other.Merge(order)
-		g.Expect(other.View().Record("self").Life).To(BeEquivalentTo(9))
+		g.Expect(other.View().Record("self").RunID).To(BeEquivalentTo(9))
 	}
 	one, another := roster.New(record("other", 1, 1)), roster.New(record("other", 1, 1))
 	one.Merge([]*roster.Record{&before})
@@ -317,7 +317,7 @@
 
 	for _, lives := range [][2]uint64{{9, 5}, {5, 9}} {
 		remembered, own := before, now
-		remembered.Life, own.Life = lives[0], lives[1]
+		remembered.RunID, own.RunID = lives[0], lives[1]
 		held := roster.New(own)
 		held.Merge([]*roster.Record{&remembered})
 		g.Expect(held.Own().Epoch).To(BeEquivalentTo(3))
@@ -330,19 +330,19 @@
 // is told to the others.
 func TestANewVersionIsNews(t *testing.T) {
 	g := NewWithT(t)
-	claims := roster.Claims{Interval: time.Second}
+	claims := roster.IncarnationTracker{Interval: time.Second}
 	now := time.Unix(100, 0)
 	beat := roster.Heartbeat{Endpoint: *endpoint("i-1", roster.Ready, 1)}
 	beat.Version = "v1"
-	held, changed := claims.Beat(record("self", 1, 1), beat, now)
+	held, changed := claims.ApplyHeartbeat(record("self", 1, 1), beat, now)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(held.Endpoint.Version).To(Equal("v1"))
 	beat.Sequence++
-	held, changed = claims.Beat(held, beat, now)
+	held, changed = claims.ApplyHeartbeat(held, beat, now)
 	g.Expect(changed).To(BeFalse())
 	beat.Version = "v2"
 	beat.Sequence++
-	held, changed = claims.Beat(held, beat, now)
+	held, changed = claims.ApplyHeartbeat(held, beat, now)
 	g.Expect(changed).To(BeTrue())
 	g.Expect(held.Endpoint.Version).To(Equal("v2"))
 }
@@ -355,13 +355,13 @@
 		var left []*roster.Record
 		for i := range size {
 			left = append(left, &roster.Record{
-				Node: fmt.Sprint("n", i), Epoch: 4, Counter: 3, Life: uint64(i), Zone: "z", Address: "a:1", PeerAddress: "a:2",
+				Node: fmt.Sprint("n", i), Epoch: 4, Counter: 3, RunID: uint64(i), Zone: "z", Address: "a:1", PeerAddress: "a:2",
 				Endpoint: &roster.Endpoint{ID: fmt.Sprint("i-", i), Service: "s", Slots: 4, State: roster.Ready},
 			})
 		}
 		start := func(index int) *roster.Roster {
-			made := roster.New(roster.Record{Node: left[index].Node, Epoch: 1, Counter: 1, Life: 1 << 40, Zone: "z", Address: "a:1", PeerAddress: "a:2"})
-			made.Merge(slices.DeleteFunc(slices.Clone(left), made.Own().Same))
+			made := roster.New(roster.Record{Node: left[index].Node, Epoch: 1, Counter: 1, RunID: 1 << 40, Zone: "z", Address: "a:1", PeerAddress: "a:2"})
+			made.Merge(slices.DeleteFunc(slices.Clone(left), made.Own().SameNode))
 			g.Expect(made.Resume([]*roster.Record{left[index]})).To(BeTrue())
 			return made
 		}
@@ -374,7 +374,7 @@
 		g.Expect(first.Merge([]*roster.Record{&unheard})).To(HaveLen(1))
 		g.Expect(first.Own().Newer(&unheard)).To(BeTrue())
 		g.Expect(first.Own().Endpoint.State).To(Equal(roster.Draining))
-		g.Expect(first.Own().Life).To(BeEquivalentTo(1 << 40))
+		g.Expect(first.Own().RunID).To(BeEquivalentTo(1 << 40))
 	}
 }
 
@@ -385,7 +385,7 @@
 	before := made.View()
 	told := 0
 	made.Observe(func(changed []*roster.Record) { told += len(changed) })
-	made.Together(func() {
+	made.Batch(func() {
 		for i := range 300 {
 			made.Merge([]*roster.Record{{Node: fmt.Sprint("n", i), Epoch: 1, Zone: "z"}})
 			g.Expect(made.View()).To(BeIdenticalTo(before))
@@ -412,7 +412,7 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			endpoint := roster.Endpoint{ID: "i-1", Born: 7, Service: "s", Slots: 4, State: roster.Ready, Sequence: 20}
-			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, Life: 2})
+			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
 			if played.heard {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
 					said := endpoint
@@ -421,8 +421,8 @@
 					return record, true
 				})
 			}
-			node.Update(func(record roster.Record) (roster.Record, bool) { return record.End(played.ended) })
-			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, Life: 1, Endpoint: &endpoint}})
+			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(played.ended) })
+			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, RunID: 1, Endpoint: &endpoint}})
 			g.Expect(node.Own().Endpoint.State).To(Equal(roster.Gone))
 			g.Expect(node.Own().AcceptsWork()).To(BeFalse())
 		})
--- a/internal/sidecar/roster/view.go
+++ b/internal/sidecar/roster/view.go
@@ -142,9 +142,9 @@
 // Zones returns the names of the zones that have nodes, in order.
 func (v *View) Zones() []string { return slices.Sorted(maps.Keys(v.zones)) }
 
-// Present returns how many nodes are known whose back end has not ended for
+// LiveCount returns how many nodes are known whose back end has not ended for
 // good. A node whose back end has ended sends no requests for long.
-func (v *View) Present() int { return v.present }
+func (v *View) LiveCount() int { return v.present }
 
 // Count returns how many nodes are known.
 func (v *View) Count() int { return v.count }
@@ -208,9 +208,9 @@
 	binary.LittleEndian.PutUint64(versions[:8], r.Epoch)
 	binary.LittleEndian.PutUint64(versions[8:], r.Counter)
 	_, _ = digest.Write(versions[:])
-	if r.Life != 0 {
+	if r.RunID != 0 {
 		var life [8]byte
-		binary.LittleEndian.PutUint64(life[:], r.Life)
+		binary.LittleEndian.PutUint64(life[:], r.RunID)
 		_, _ = digest.Write(life[:])
 	}
 	return digest.Sum64()
