--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -62,9 +62,9 @@
 	// Contended reports whether requests compete for room: back ends are chosen by what is there
 	// already, and tenants have their shares; nil for never.
 	Contended func() bool
-	// Marks: where requests compete, those above their tenant's share of a service are marked. Off in
+	// MarkOverShare: where requests compete, those above their tenant's share of a service are marked. Off in
 	// the program: nothing refuses by the marks, and the queues share without them (design 0019).
-	Marks bool
+	MarkOverShare bool
 	// DrainAfter is how long after its word that it is leaving a back end still gets new work.
 	DrainAfter func() time.Duration
 	// Weights price the choice of back ends.
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -15,7 +15,7 @@
 
 // shared reports whether the request counts against its tenant's share of the service's room.
 func (c *call) shared() bool {
-	return c.handler.options.Marks && c.tenant != nil && !c.nested && c.handler.contended()
+	return c.handler.options.MarkOverShare && c.tenant != nil && !c.nested && c.handler.contended()
 }
 
 // subject is whose share the request counts against.
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -31,7 +31,7 @@
 			g := NewWithT(t)
 			at := newArriving(t)
 			handler := keyedHandler(t, &lagging{table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), may: true}, at)
-			handler.options.Marks = true
+			handler.options.MarkOverShare = true
 			handler.draw = rand.New(rand.NewPCG(1, 0)).Float64
 			handler.options.Contended = func() bool { return played.contended }
 			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
