--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -55,7 +55,7 @@
 	Repeats Repeats
 	// Level makes sure that the configuration in force is the newest; nil when there is
 	// nobody to ask.
-	Level Level
+	Level Freshness
 	// Nested tells which requests are calls of what the back end beside the node works on; nil
 	// where nobody asks.
 	Nested Nested
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -9,8 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// Level makes sure that the configuration in force is the newest.
-type Level interface {
+// Freshness makes sure that the configuration in force is the newest.
+type Freshness interface {
 	// Confirm reports whether it is, as others say, after the node has caught up when it was
 	// not. It takes a short time at most.
 	Confirm(ctx context.Context) bool
