--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -190,7 +190,7 @@
 // since the request was sent counts against it.
 func (a *attempt) hearProof(header http.Header, version uint64) {
 	if age, told := hop.Milliseconds(header.Get(hop.HeaderProof)); told {
-		a.call.handler.options.Level.Proven(version, a.sent.Add(-age))
+		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
 	}
 }
 
--- a/internal/sidecar/egress/calllog.go
+++ b/internal/sidecar/egress/calllog.go
@@ -69,7 +69,7 @@
 		zap.String("peer", c.failure.Peer), zap.Bool("callerGone", c.request.Context().Err() != nil),
 		zap.NamedError("cause", c.failure.Cause),
 	)
-	if age, proven := options.Level.ProofAge(); proven {
+	if age, proven := options.Freshness.ProofAge(); proven {
 		fields = append(fields, zap.Duration("proofAge", age))
 	}
 	if c.service != "" {
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -53,9 +53,9 @@
 	Quota Quota
 	// Repeats bound sends after one that reached a back end.
 	Repeats Repeats
-	// Level makes sure that the configuration in force is the newest; nil when there is
+	// Freshness makes sure that the configuration in force is the newest; nil when there is
 	// nobody to ask.
-	Level Freshness
+	Freshness Freshness
 	// Nested tells which requests are calls of what the back end beside the node works on; nil
 	// where nobody asks.
 	Nested Nested
@@ -190,8 +190,8 @@
 		ReplyHeaderBytes: replyHeaderBytes,
 		ConsentTimeout:   consentTimeout,
 	}
-	if options.Level == nil {
-		options.Level = alone{}
+	if options.Freshness == nil {
+		options.Freshness = alone{}
 	}
 	if options.Quota == nil {
 		options.Quota = unlimited{}
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -52,7 +52,7 @@
 	if c.match() == nil {
 		return nil
 	}
-	level := c.handler.options.Level.Confirm(c.request.Context())
+	level := c.handler.options.Freshness.Confirm(c.request.Context())
 	c.table = c.handler.options.Table()
 	failure := c.match()
 	if failure == nil || level {
@@ -85,7 +85,7 @@
 	if c.moves > mostMoves || c.behind > 0 || c.runs > 0 || c.body.Spent() {
 		return false, nil
 	}
-	if !c.handler.options.Level.CatchUp(c.context, last.target.node, last.version) {
+	if !c.handler.options.Freshness.CatchUp(c.context, last.target.node, last.version) {
 		return false, nil
 	}
 	c.table = c.handler.options.Table()
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -85,7 +85,7 @@
 	}
 	handler.options.View = members.View
 	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Level = held
+	handler.options.Freshness = held
 	return handler
 }
 
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -73,7 +73,7 @@
 	handler.options.View = members.View
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
 	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Level = held
+	handler.options.Freshness = held
 	return handler
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -250,7 +250,7 @@
 		Repeats:    s.repeats,
 		Contended:  s.contention.On,
 		Weights:    choice.DefaultWeights(),
-		Level:      (*level)(s),
+		Freshness:      (*level)(s),
 		DrainAfter: s.drainAfter,
 		Dial:       s.options.Network.Dialer(exchangeDial, dial.Silence{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
 		Probe: func(ctx context.Context, record *roster.Record) error {
