--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -52,7 +52,7 @@
 	// Quota keeps tenants within their limits; nil keeps none.
 	Quota Quota
 	// Repeats bound sends after one that reached a back end.
-	Repeats Repeats
+	Repeats RetryBudget
 	// Freshness makes sure that the configuration in force is the newest; nil when there is
 	// nobody to ask.
 	Freshness Freshness
@@ -87,8 +87,8 @@
 	Repeated(deadline time.Time) float64
 }
 
-// Repeats bound how often requests are sent again after they have reached a back end.
-type Repeats interface {
+// RetryBudget bound how often requests are sent again after they have reached a back end.
+type RetryBudget interface {
 	// On reports whether the bound is lent between nodes.
 	On() bool
 	// First notes a request. repeated is how likely it is that a repeated run makes it.
