--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -145,7 +145,7 @@
 		Node:       "self",
 		Zone:       "z",
 		Caller:     func() string { return "caller" },
-		Repeats: repeats.New(repeats.Options{
+		RetryBudget: repeats.New(repeats.Options{
 			Node: "self", View: members.View, On: func() bool { return false },
 			Limits: func() repeats.Limits { return repeats.Limits{Ratio: 1, Slack: 100, Window: time.Second} },
 			Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -51,8 +51,8 @@
 	Quarantine Quarantine
 	// Quota keeps tenants within their limits; nil keeps none.
 	Quota Quota
-	// Repeats bound sends after one that reached a back end.
-	Repeats RetryBudget
+	// RetryBudget bound sends after one that reached a back end.
+	RetryBudget RetryBudget
 	// Freshness makes sure that the configuration in force is the newest; nil when there is
 	// nobody to ask.
 	Freshness Freshness
--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -75,7 +75,7 @@
 				}})
 			}
 			handler.options.View = members.View
-			handler.options.Repeats = repeats.New(repeats.Options{
+			handler.options.RetryBudget = repeats.New(repeats.Options{
 				Node: "self", View: members.View, On: func() bool { return false },
 				Limits: func() repeats.Limits { return repeats.Limits{Slack: 1e6, Window: time.Second} },
 				Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -90,7 +90,7 @@
 // took notes the result of a send.
 func (c *call) took(ended *attempt) result {
 	if ended.response != nil {
-		c.handler.options.Repeats.Reached(c.service, true)
+		c.handler.options.RetryBudget.Reached(c.service, true)
 		c.handler.options.Observer.Carried(ended.elapsed, ended.worked)
 	}
 	c.note(ended)
@@ -200,7 +200,7 @@
 		return len(c.visits) < c.refusals() && c.considered(clock.Now(), c.selected()).worthwhile()
 	}
 	c.runs++
-	c.handler.options.Repeats.Reached(c.service, last.failure.Step != outcome.StepShed)
+	c.handler.options.RetryBudget.Reached(c.service, last.failure.Step != outcome.StepShed)
 	if last.failure.Outcome != outcome.NotRun {
 		c.mayHaveRun = true
 		if !c.route.Repeatable {
@@ -215,7 +215,7 @@
 		last.failure.Cause = errors.Join(err, last.failure.Cause)
 		return false
 	}
-	if !c.handler.options.Repeats.Take(c.service, repeats.Request{Nested: c.nested, Returning: c.returning}) {
+	if !c.handler.options.RetryBudget.Take(c.service, repeats.Request{Nested: c.nested, Returning: c.returning}) {
 		last.failure.Cause = errors.Join(errBudget, last.failure.Cause)
 		return false
 	}
@@ -270,7 +270,7 @@
 // repeat reports whether the next run of the request is a repeat, the calls of which are repeats
 // too.
 func (c *call) repeat() bool {
-	return (c.runs > 0 || c.repeated >= likelyRepeated) && c.handler.options.Repeats.On()
+	return (c.runs > 0 || c.repeated >= likelyRepeated) && c.handler.options.RetryBudget.On()
 }
 
 // large reports whether the body is one that the arriving node receives before it has a slot.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -247,7 +247,7 @@
 		Quarantine: s.quarantine,
 		Quota:      s.quota,
 		Nested:     &nestedCalls{contention: s.contention, recognizer: nested.NewRecognizer(s.work, s.started)},
-		Repeats:    s.repeats,
+		RetryBudget:    s.repeats,
 		Contended:  s.contention.On,
 		Weights:    choice.DefaultWeights(),
 		Freshness:      (*level)(s),
