--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -160,7 +160,7 @@
 	})
 	// A process that stands still for a moment must not fail to connect.
 	created.targets.options.DialTimeout = testDialTimeout
-	t.Cleanup(created.Cut)
+	t.Cleanup(created.CancelCalls)
 	return created
 }
 
--- a/internal/sidecar/egress/stop.go
+++ b/internal/sidecar/egress/stop.go
@@ -29,8 +29,8 @@
 	return from != nil && !came.Before(*from)
 }
 
-// Cut ends what is still under way with an answer.
-func (h *Handler) Cut() { h.cut(errStopping) }
+// CancelCalls ends what is still under way with an answer.
+func (h *Handler) CancelCalls() { h.cut(errStopping) }
 
 // InFlight returns how many calls are under way.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -48,7 +48,7 @@
 	defer announcement.Stop()
 	s.logger.Info("stop begins", zap.Int("callsInFlight", s.egress.InFlight()), zap.Int("running", s.ingress.Load().Running))
 	plan.await(started, s)
-	s.egress.Cut()
+	s.egress.CancelCalls()
 	s.withdraw()
 	s.logger.Info("stop ends", zap.Int("callsInFlight", s.egress.InFlight()),
 		zap.Int("running", s.ingress.Load().Running), zap.Duration("elapsed", clock.Since(started)))
