--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -22,19 +22,19 @@
 	return matched != nil && matched.Leads(service)
 }
 
-// level makes sure that the node is level, for its egress.
+// level implements egress.Freshness: it confirms that the configuration in force is the newest.
 type level Sidecar
 
-// Confirm implements egress.Level.
+// Confirm implements egress.Freshness.
 func (l *level) Confirm(ctx context.Context) bool { return l.exchanger.Confirm(ctx) }
 
-// CatchUp implements egress.Level.
+// CatchUp implements egress.Freshness.
 func (l *level) CatchUp(ctx context.Context, node string, version uint64) bool {
 	return l.exchanger.CatchUp(ctx, l.members.View().Record(node), version)
 }
 
-// ProofAge implements egress.Level.
+// ProofAge implements egress.Freshness.
 func (l *level) ProofAge() (time.Duration, bool) { return l.keeper.ProofAge() }
 
-// Proven implements egress.Level.
+// Proven implements egress.Freshness.
 func (l *level) Proven(version uint64, at time.Time) { l.keeper.Proven(version, at) }
