--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -51,20 +51,20 @@
 	Quarantine Quarantine
 	// Quota keeps tenants within their limits; nil keeps none.
 	Quota Quota
-	// Repeats bound sends after one that reached a back end.
-	Repeats Repeats
-	// Level makes sure that the configuration in force is the newest; nil when there is
+	// RetryBudget bound sends after one that reached a back end.
+	RetryBudget RetryBudget
+	// Freshness makes sure that the configuration in force is the newest; nil when there is
 	// nobody to ask.
-	Level Level
+	Freshness Freshness
 	// Nested tells which requests are calls of what the back end beside the node works on; nil
 	// where nobody asks.
 	Nested Nested
 	// Contended reports whether requests compete for room: back ends are chosen by what is there
 	// already, and tenants have their shares; nil for never.
 	Contended func() bool
-	// Marks: where requests compete, those above their tenant's share of a service are marked. Off in
+	// MarkOverShare: where requests compete, those above their tenant's share of a service are marked. Off in
 	// the program: nothing refuses by the marks, and the queues share without them (design 0019).
-	Marks bool
+	MarkOverShare bool
 	// DrainAfter is how long after its word that it is leaving a back end still gets new work.
 	DrainAfter func() time.Duration
 	// Weights price the choice of back ends.
@@ -87,8 +87,8 @@
 	Repeated(deadline time.Time) float64
 }
 
-// Repeats bound how often requests are sent again after they have reached a back end.
-type Repeats interface {
+// RetryBudget bound how often requests are sent again after they have reached a back end.
+type RetryBudget interface {
 	// On reports whether the bound is lent between nodes.
 	On() bool
 	// First notes a request. repeated is how likely it is that a repeated run makes it.
@@ -190,8 +190,8 @@
 		ReplyHeaderBytes: replyHeaderBytes,
 		ConsentTimeout:   consentTimeout,
 	}
-	if options.Level == nil {
-		options.Level = alone{}
+	if options.Freshness == nil {
+		options.Freshness = alone{}
 	}
 	if options.Quota == nil {
 		options.Quota = unlimited{}
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -9,8 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// Level makes sure that the configuration in force is the newest.
-type Level interface {
+// Freshness makes sure that the configuration in force is the newest.
+type Freshness interface {
 	// Confirm reports whether it is, as others say, after the node has caught up when it was
 	// not. It takes a short time at most.
 	Confirm(ctx context.Context) bool
@@ -52,7 +52,7 @@
 	if c.match() == nil {
 		return nil
 	}
-	level := c.handler.options.Level.Confirm(c.request.Context())
+	level := c.handler.options.Freshness.Confirm(c.request.Context())
 	c.table = c.handler.options.Table()
 	failure := c.match()
 	if failure == nil || level {
@@ -85,7 +85,7 @@
 	if c.moves > mostMoves || c.behind > 0 || c.runs > 0 || c.body.Spent() {
 		return false, nil
 	}
-	if !c.handler.options.Level.CatchUp(c.context, last.target.node, last.version) {
+	if !c.handler.options.Freshness.CatchUp(c.context, last.target.node, last.version) {
 		return false, nil
 	}
 	c.table = c.handler.options.Table()
@@ -94,6 +94,6 @@
 	}
 	c.service = c.route.NextService()
 	c.drawShare()
-	c.handler.options.Repeats.First(c.service, c.repeated)
+	c.handler.options.RetryBudget.First(c.service, c.repeated)
 	return true, nil
 }
