--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -39,20 +39,20 @@
 	// suspected is closed when the node did not answer a probe.
 	suspected chan struct{}
 	// consented: the node has a slot, or room for a large body, and gets the body.
-	consented atomic.Bool
+	got100Continue atomic.Bool
 
 	// sends is how many nodes the request was sent to before, candidates how many back
 	// ends might have taken it, those included.
 	sends, candidates int
 	// compared: the back end is of a version that is compared with others. What it does
 	// says nothing of how long requests usually take.
-	compared bool
+	canary bool
 	// repeated: the run is a repeat. crashed: a back end ended under an earlier send.
 	repeated, crashed bool
 
 	// noted is the send's number among the call's visits once it was left behind,
 	// zero before; the call's goroutine alone uses it.
-	noted int
+	recordNumber int
 
 	// response or failure is the result, worked how long the back end says that
 	// it worked.
@@ -63,7 +63,7 @@
 	// version is that of the configuration in force at the node, zero when it did not say.
 	version uint64
 	// room: the back end had slots free when the node answered.
-	room bool
+	hasFreeSlots bool
 }
 
 // run sends the request and delivers the result.
@@ -71,7 +71,7 @@
 	defer a.target.inFlight.Add(-1)
 	// Outside the server's goroutine nothing else keeps a request that sets off a panic
 	// here from ending one node after the other.
-	if err := contain.Run("request", a.call.handler.options.Logger, a.exchange); err != nil {
+	if err := contain.Run("request", a.call.handler.options.Logger, a.roundTrip); err != nil {
 		if a.response != nil {
 			_ = a.response.Body.Close()
 			a.response = nil
@@ -85,15 +85,15 @@
 }
 
 // exchange sends the request and judges what comes of it.
-func (a *attempt) exchange() {
+func (a *attempt) roundTrip() {
 	entry := a.call.handler.register(a)
 	defer a.target.outstanding.answered(entry, false, a.sent)
 	response, err := a.target.pool.RoundTrip(a.call.outgoing(a))
 	a.interim.Stop()
 	now := clock.Now()
 	a.target.outstanding.answered(entry, err == nil, now)
-	a.judge(response, err, now)
-	a.compare(now)
+	a.setResult(response, err, now)
+	a.observeBaseline(now)
 	a.elapsed = clock.Since(a.sent)
 }
 
@@ -101,7 +101,7 @@
 func (a *attempt) deliver() {
 	select {
 	case a.call.results <- a:
-	case <-a.call.over:
+	case <-a.call.done:
 		if a.response != nil {
 			_ = a.response.Body.Close()
 		}
@@ -110,10 +110,10 @@
 
 // suspect tells that the node did not answer a probe. Without consent the body
 // was never sent: the send is given up at once, provably not run.
-func (a *attempt) suspect() {
+func (a *attempt) markSuspected() {
 	close(a.suspected)
-	if !a.call.route.Repeatable && !a.consented.Load() && a.call.consentAsked() {
-		a.lose()
+	if !a.call.route.Repeatable && !a.got100Continue.Load() && a.call.expects100Continue() {
+		a.abandon()
 	}
 }
 
@@ -121,37 +121,37 @@
 // stops gives up nothing: a busy peer looks like a lost one, and a request at which
 // a back end is at work must not be broken off by a planned stop. An end of the
 // connection or the deadline ends the send all the same.
-func (a *attempt) lost() {
+func (a *attempt) abandonUnlessStopping() {
 	if !a.call.handler.stopping.Load() {
-		a.lose()
+		a.abandon()
 	}
 }
 
 // lose gives the send up.
-func (a *attempt) lose() { a.cancel(errSilent) }
+func (a *attempt) abandon() { a.cancel(errSilent) }
 
 // traced is the context of the exchange; it notes consent where that counts.
-func (a *attempt) traced() context.Context {
+func (a *attempt) traceContext() context.Context {
 	if a.call.route.Repeatable {
 		return a.context
 	}
 	return httptrace.WithClientTrace(a.context, &httptrace.ClientTrace{
-		Got100Continue: func() { a.consented.Store(true) },
+		Got100Continue: func() { a.got100Continue.Store(true) },
 	})
 }
 
 // judge makes the result of what the exchange brought.
-func (a *attempt) judge(response *http.Response, err error, now time.Time) {
+func (a *attempt) setResult(response *http.Response, err error, now time.Time) {
 	if err != nil {
 		if errors.Is(context.Cause(a.context), errSilent) {
 			err = errors.Join(errSilent, err)
 		}
-		a.failure = a.exchangeFailed(err, now)
+		a.failure = a.roundTripFailure(err, now)
 		return
 	}
-	a.learn(response, now)
-	if said := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); said != "" {
-		a.failure = a.refused(response, said, now)
+	a.observe(response, now)
+	if reported := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); reported != "" {
+		a.failure = a.parseRefusal(response, reported, now)
 		return
 	}
 	if err := body.Gather(response); err != nil {
@@ -164,31 +164,31 @@
 }
 
 // learn takes in what the reply says of the node itself.
-func (a *attempt) learn(response *http.Response, now time.Time) {
+func (a *attempt) observe(response *http.Response, now time.Time) {
 	reply, err := hop.ParseReply(response.Header.Get(hop.HeaderReply))
 	if err != nil {
 		return
 	}
-	others := a.target.learn(reply, a.record, now)
+	others := a.target.observe(reply, a.record, now)
 	if a.call.handler.contended() {
-		a.learnZone(others, now)
+		a.observeZone(others, now)
 	}
-	a.call.hearShare(response.Header)
-	a.hearNotices(response.Header, now)
+	a.call.observeShare(response.Header)
+	a.observeNotices(response.Header, now)
 	a.worked, a.version = reply.Worked, reply.Version
-	a.room = reply.Running+reply.Waiting < reply.Slots
-	if reply.Worked > 0 && response.StatusCode < http.StatusMultipleChoices && !a.compared {
+	a.hasFreeSlots = reply.Running+reply.Waiting < reply.Slots
+	if reply.Worked > 0 && response.StatusCode < http.StatusMultipleChoices && !a.canary {
 		a.call.work().Observe(reply.Worked)
 	}
 	if reply.Version > a.call.table.Version() {
 		a.call.handler.options.Observer.Behind(a.target.node, reply.Version)
 	}
-	a.hearProof(response.Header, reply.Version)
+	a.observeProof(response.Header, reply.Version)
 }
 
 // hearProof takes in how old the node's proof is that it holds the newest configuration. The time
 // since the request was sent counts against it.
-func (a *attempt) hearProof(header http.Header, version uint64) {
+func (a *attempt) observeProof(header http.Header, version uint64) {
 	if age, told := hop.Milliseconds(header.Get(hop.HeaderProof)); told {
 		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
 	}
@@ -203,20 +203,20 @@
 	case a.failure.Step == outcome.StepCrash:
 		return 1
 	case a.failure.Step == outcome.StepQuarantine:
-		return mostCrashes
+		return maxCrashes
 	}
 	return 0
 }
 
 // rejectedWithRoom reports whether the back end itself rejected the request though it had slots free:
 // it does so by chance, and not for what waits there.
-func (a *attempt) rejectedWithRoom() bool {
-	return a.failure != nil && a.failure.Step == outcome.StepShed && a.room
+func (a *attempt) rejectedWithFreeSlots() bool {
+	return a.failure != nil && a.failure.Step == outcome.StepShed && a.hasFreeSlots
 }
 
 // visit describes the send for the log.
-func (a *attempt) visit() visit {
-	seen := visit{target: a.target, seen: a.seen, reportAge: a.reportAge, elapsed: a.elapsed}
+func (a *attempt) attemptRecord() attemptRecord {
+	seen := attemptRecord{target: a.target, seen: a.seen, reportAge: a.reportAge, elapsed: a.elapsed}
 	if a.failure != nil {
 		seen.outcome, seen.step = a.failure.Outcome, a.failure.Step
 	}
--- a/internal/sidecar/egress/bench_test.go
+++ b/internal/sidecar/egress/bench_test.go
@@ -17,12 +17,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	var peers []*peer
-	for range refusalsPerCall {
+	for range maxRefusals {
 		server := httptest.NewServer(refusing)
 		defer server.Close()
 		peers = append(peers, &peer{address: server.Listener.Addr().String()})
 	}
-	handler := newHandler(b, &quiet{}, present, peers...)
+	handler := newHandler(b, &fakeObserver{}, probeOK, peers...)
 	b.ReportAllocs()
 	for b.Loop() {
 		request := httptest.NewRequest(http.MethodGet, "/safe/1", nil)
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -17,17 +17,17 @@
 
 // Causes of failures.
 var (
-	errNoTable    = errors.New("no configuration is in force yet")
-	errNoRoute    = errors.New("no route for this host and path")
-	errStopping   = errors.New("the node is leaving")
-	errNoEndpoint = errors.New("no back end of the service is known")
-	errLate       = errors.New("the deadline passed before work began")
-	errUpgrade    = errors.New("upgrades are not carried")
-	errHeader     = errors.New("the header is longer than limits.headerBytes")
-	errBudget     = errors.New("the budget of repeats is spent")
-	errAttempts   = errors.New("the route's attempts are spent")
-	errHeld       = errors.New("the request ends the back ends that run it")
-	errCrashes    = errors.New("back ends ended under the request")
+	errNoTable        = errors.New("no configuration is in force yet")
+	errNoRoute        = errors.New("no route for this host and path")
+	errStopping       = errors.New("the node is leaving")
+	errNoEndpoint     = errors.New("no back end of the service is known")
+	errDeadlinePassed = errors.New("the deadline passed before work began")
+	errUpgrade        = errors.New("upgrades are not carried")
+	errHeader         = errors.New("the header is longer than limits.headerBytes")
+	errRetryBudget    = errors.New("the budget of repeats is spent")
+	errAttempts       = errors.New("the route's attempts are spent")
+	errQuarantined    = errors.New("the request ends the back ends that run it")
+	errCrashes        = errors.New("back ends ended under the request")
 )
 
 const (
@@ -56,38 +56,38 @@
 	// those that end first in front.
 	tokens []lending.Token
 	// boughtAgain is how many more runs were paid for with tokens that the node held.
-	boughtAgain int
-	service     string
-	context     context.Context
-	deadline    time.Time
+	heldTokenRuns int
+	service       string
+	context       context.Context
+	deadline      time.Time
 	// callerTime is how long the caller itself waits; the route's time-out does not
 	// shorten it.
 	callerTime time.Duration
 	body       *forward.Body
 	// visits are the nodes that the request was sent to.
-	visits visits
+	attempts attempts
 	// runs counts the sends that may have reached a back end, crashes those under which
 	// one ended.
 	runs, crashes int
 	// results delivers the sends that ended; over is closed when nobody takes
 	// them any more.
 	results chan *attempt
-	over    chan struct{}
+	done    chan struct{}
 	// moves counts how often a node gave the request back since it is to go elsewhere.
-	moves int
+	reroutes int
 	// behind counts the sends whose node seems silent, which go on.
-	behind int
+	detached int
 	// returning: the caller was refused before and has come back.
 	returning bool
 	// nested: the back end beside the node makes the call while it works on another one.
 	nested bool
 	// repeated is how likely it is that the run which makes the call is a repeat.
-	repeated float64
+	retryProbability float64
 	// part is which part of the tenant's requests is within its share, overShare: this one is not.
-	part      float64
-	overShare bool
+	shareFraction float64
+	overShare     bool
 	// rejectedWithRoom: the last send was rejected by a back end that had slots free.
-	rejectedWithRoom bool
+	rejectedWithFreeSlots bool
 	// mayHaveRun: a send ended with an unknown outcome.
 	mayHaveRun bool
 
@@ -114,27 +114,27 @@
 	if failure := c.findRoute(); failure != nil {
 		return failure
 	}
-	if failure := c.bound(); failure != nil {
+	if failure := c.setDeadline(); failure != nil {
 		return failure
 	}
 	var cancel context.CancelFunc
 	c.context, cancel = clock.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	defer context.AfterFunc(c.handler.cutting, cancel)()
+	defer context.AfterFunc(c.handler.callsContext, cancel)()
 	return c.send()
 }
 
 // heldRetryAfter is told a caller whose request is held back: nothing that it could wait
 // for will change that.
-const heldRetryAfter = time.Minute
+const quarantineRetryAfter = time.Minute
 
 // heldBack refuses a request that ends the back ends that run it, or returns nil.
-func (c *call) heldBack() *outcome.Failure {
+func (c *call) checkQuarantine() *outcome.Failure {
 	quarantine := c.handler.options.Quarantine
 	if quarantine.Idle() || !quarantine.Holds(c.print()) {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errHeld)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 }
 
 // print identifies what the request asks for.
@@ -160,7 +160,7 @@
 }
 
 // bound sets the deadline: the caller's, at most the route's time-out.
-func (c *call) bound() *outcome.Failure {
+func (c *call) setDeadline() *outcome.Failure {
 	limit := defaultDeadline
 	c.callerTime = defaultDeadline
 	if c.route.Timeout > 0 {
@@ -168,18 +168,18 @@
 	}
 	text := c.request.Header.Get(c.handler.options.Vocabulary.Deadline)
 	if asked, valid := hop.Milliseconds(text); valid {
-		c.returning = c.handler.patience(c.route.Name).returns(asked)
+		c.returning = c.handler.callerTimeout(c.route.Name).isReturning(asked)
 		limit = min(limit, asked)
 		c.callerTime = asked
 		if known := c.handler.options.Nested; known != nil {
 			c.nested = known.Nested(c.route.Name, c.started.Add(asked), c.tenant != nil, c.started)
 			if c.nested {
-				c.repeated = known.Repeated(c.started.Add(asked))
+				c.retryProbability = known.Repeated(c.started.Add(asked))
 			}
 		}
 	}
 	if limit <= 0 {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDeadline, minimumRetryAfter, errLate)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDeadline, minimumRetryAfter, errDeadlinePassed)
 	}
 	c.deadline = c.started.Add(limit)
 	return nil
@@ -198,37 +198,37 @@
 	c.body = body
 	defer body.UnblockOnDone(c.context, c.writer)()
 	c.service = c.route.NextService()
-	if failure := c.heldBack(); failure != nil {
+	if failure := c.checkQuarantine(); failure != nil {
 		return failure
 	}
-	if failure := c.spend(); failure != nil {
+	if failure := c.takeToken(); failure != nil {
 		return failure
 	}
-	defer c.returnUnused()
-	c.drawShare()
-	c.results, c.over = make(chan *attempt), make(chan struct{})
-	defer close(c.over)
-	c.handler.options.RetryBudget.First(c.service, c.repeated)
+	defer c.returnUnusedTokens()
+	c.sampleOverShare()
+	c.results, c.done = make(chan *attempt), make(chan struct{})
+	defer close(c.done)
+	c.handler.options.RetryBudget.First(c.service, c.retryProbability)
 	for {
-		result := c.visit()
+		result := c.sendOnce()
 		if result.response != nil {
-			return c.pass(result)
+			return c.writeResponse(result)
 		}
-		if result.moved() {
-			again, failure := c.routeAnew(result)
-			if again {
+		if result.misrouted() {
+			retry, failure := c.reroute(result)
+			if retry {
 				continue
 			}
 			if failure != nil {
 				return failure
 			}
-		} else if c.again(result) {
+		} else if c.retry(result) {
 			continue
 		}
-		if late, answered := c.awaitBehind(); answered {
-			return c.pass(late)
+		if late, answered := c.awaitDetached(); answered {
+			return c.writeResponse(late)
 		}
-		return c.giveUp(result.failure)
+		return c.finalFailure(result.failure)
 	}
 }
 
@@ -244,7 +244,7 @@
 }
 
 // pass sends the answer of a back end on.
-func (c *call) pass(result result) *outcome.Failure {
+func (c *call) writeResponse(result result) *outcome.Failure {
 	response := result.response
 	c.status = response.StatusCode
 	forward.RemoveHopByHop(response.Header)
@@ -252,19 +252,19 @@
 	c.body.CloseUnlessRead(c.writer.Header())
 	if err := forward.WriteReply(c.context, c.writer, response, ""); err != nil {
 		c.failure = &outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: result.target.address, Cause: err}
-		c.ended()
+		c.reportEnd()
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
 // giveUp makes the final failure of the last one.
-func (c *call) giveUp(last *outcome.Failure) *outcome.Failure {
+func (c *call) finalFailure(last *outcome.Failure) *outcome.Failure {
 	failure := *last
 	if c.mayHaveRun {
 		failure.Outcome = outcome.Unknown
 	}
-	c.unspent(&failure)
+	c.refundIfNotRun(&failure)
 	if failure.Outcome == outcome.NotRun {
 		failure.Status = http.StatusServiceUnavailable
 		return &failure
@@ -278,11 +278,11 @@
 }
 
 // reply sends a failure that the node answers itself.
-func (c *call) reply(failure *outcome.Failure) {
+func (c *call) writeFailure(failure *outcome.Failure) {
 	c.status, c.failure = failure.Status, failure
 	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
 	header := c.writer.Header()
-	if wait := c.comeBackAfter(failure); wait > 0 {
+	if wait := c.retryAfterFor(failure); wait > 0 {
 		header["Retry-After"] = []string{hop.FormatSeconds(wait)}
 	}
 	if names := &c.handler.options.Vocabulary; c.request.Header.Get(names.RequestID) != "" {
@@ -299,27 +299,27 @@
 // who was rejected by a back end with slots free: no queue gets shorter while it waits. Where back ends
 // reject 0.55 of what they get, a third attempt after 1.8 s of 6 s comes 0.8 s too late for a target
 // latency of 1 s, and 0.12 of the requests came so (TestWhoIsRejectedByChance has the load).
-const returningShare = 0.3
+const returningWaitFraction = 0.3
 
 // comeBackAfter is how long the caller is told to wait, zero for nothing.
-func (c *call) comeBackAfter(failure *outcome.Failure) time.Duration {
+func (c *call) retryAfterFor(failure *outcome.Failure) time.Duration {
 	switch {
 	case failure.Step == outcome.StepQuarantine && failure.Outcome == outcome.NotRun:
-		return heldRetryAfter
+		return quarantineRetryAfter
 	case failure.Step == outcome.StepQuota || failure.Step == outcome.StepLimit && failure.Outcome == outcome.NotRun:
 		return failure.RetryAfter // sooner there is no room
 	case failure.RetryAfter > 0:
-		return c.retryAfter(failure.RetryAfter)
+		return c.clampRetryAfter(failure.RetryAfter)
 	}
 	return 0
 }
 
 // retryAfter keeps the wait within what the caller still has.
-func (c *call) retryAfter(wanted time.Duration) time.Duration {
+func (c *call) clampRetryAfter(wanted time.Duration) time.Duration {
 	wait := max(wanted, minimumRetryAfter)
-	if c.returning && !c.rejectedWithRoom {
+	if c.returning && !c.rejectedWithFreeSlots {
 		left := c.callerTime - clock.Since(c.started)
-		return max(wait, time.Duration(float64(left)*returningShare))
+		return max(wait, time.Duration(float64(left)*returningWaitFraction))
 	}
 	if !c.deadline.IsZero() {
 		const useful = 4
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -27,17 +27,17 @@
 )
 
 // quiet is an observer that remembers silent nodes only.
-type quiet struct{ silent atomic.Int64 }
-
-func (q *quiet) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
-func (q *quiet) Sent(string, int)                                                    {}
-func (q *quiet) Diverted(string, bool)                                               {}
-func (q *quiet) Overtook()                                                           {}
-func (q *quiet) Carried(time.Duration, time.Duration)                                {}
-func (q *quiet) Silent(string, bool)                                                 { q.silent.Add(1) }
-func (q *quiet) Regained(string)                                                     {}
-func (q *quiet) Unreachable(string)                                                  {}
-func (q *quiet) Behind(string, uint64)                                               {}
+type fakeObserver struct{ silent atomic.Int64 }
+
+func (q *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
+func (q *fakeObserver) Sent(string, int)                                                    {}
+func (q *fakeObserver) Diverted(string, bool)                                               {}
+func (q *fakeObserver) Overtook()                                                           {}
+func (q *fakeObserver) Carried(time.Duration, time.Duration)                                {}
+func (q *fakeObserver) Silent(string, bool)                                                 { q.silent.Add(1) }
+func (q *fakeObserver) Regained(string)                                                     {}
+func (q *fakeObserver) Unreachable(string)                                                  {}
+func (q *fakeObserver) Behind(string, uint64)                                               {}
 
 // peer is a node that scripts what it does with each connection.
 type peer struct {
@@ -84,10 +84,10 @@
 const replyOK = "HTTP/1.1 200 OK\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nContent-Length: 2\r\n\r\nok"
 
 // dies ends the connection before it consents.
-func dies(*peer, net.Conn, *bufio.Reader) {}
+func closeConnection(*peer, net.Conn, *bufio.Reader) {}
 
 // consentsAndDies takes the body and ends the connection without an answer.
-func consentsAndDies(p *peer, connection net.Conn, reader *bufio.Reader) {
+func continueAndClose(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
 		p.bodies.Add(1)
@@ -95,7 +95,7 @@
 }
 
 // serves consents and answers.
-func serves(p *peer, connection net.Conn, reader *bufio.Reader) {
+func continueAndAnswer(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
 		p.bodies.Add(1)
@@ -104,12 +104,12 @@
 }
 
 // answers answers a request without a body.
-func answers(_ *peer, connection net.Conn, _ *bufio.Reader) {
+func answerOK(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, replyOK)
 }
 
 // hangs says nothing until the caller goes.
-func hangs(_ *peer, _ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() }
+func hang(_ *peer, _ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() }
 
 func newHandler(t testing.TB, observer Observer, probe Probe, peers ...*peer) *Handler {
 	table, err := route.Compile(&route.Document{
@@ -167,11 +167,11 @@
 // testDialTimeout is beyond the deadline of every call of these tests.
 const testDialTimeout = 20 * time.Second
 
-func present(context.Context, *roster.Record) error { return nil }
+func probeOK(context.Context, *roster.Record) error { return nil }
 
 var errNoAnswer = errors.New("no answer")
 
-func absent(context.Context, *roster.Record) error { return errNoAnswer }
+func probeFailed(context.Context, *roster.Record) error { return errNoAnswer }
 
 // call sends a request over a real server and returns status and Retry-After.
 func callThrough(t *testing.T, handler *Handler, method, path, body string) (int, string) {
@@ -202,19 +202,19 @@
 		status        int
 		bodies        [2]int64
 	}{
-		{"dies before consent, then served", dies, serves, "body\n", 200, [2]int64{0, 1}},
-		{"both die before consent", dies, dies, "body\n", 503, [2]int64{0, 0}},
-		{"dies after consent", consentsAndDies, serves, "body\n", 502, [2]int64{1, 0}},
-		{"no body, dies before consent", dies, serves, "", 200, [2]int64{0, 1}},
+		{"dies before consent, then served", closeConnection, continueAndAnswer, "body\n", 200, [2]int64{0, 1}},
+		{"both die before consent", closeConnection, closeConnection, "body\n", 503, [2]int64{0, 0}},
+		{"dies after consent", continueAndClose, continueAndAnswer, "body\n", 502, [2]int64{1, 0}},
+		{"no body, dies before consent", closeConnection, continueAndAnswer, "", 200, [2]int64{0, 1}},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			first, second := newPeer(t, played.first), newPeer(t, played.second)
-			status, retryAfter := callThrough(t, newHandler(t, &quiet{}, present, first, second), http.MethodPost, "/once/1", played.body)
-			g.Expect(status).To(Equal(played.status))
+			first, second := newPeer(t, test.first), newPeer(t, test.second)
+			status, retryAfter := callThrough(t, newHandler(t, &fakeObserver{}, probeOK, first, second), http.MethodPost, "/once/1", test.body)
+			g.Expect(status).To(Equal(test.status))
 			g.Expect(retryAfter != "").To(Equal(status == http.StatusServiceUnavailable))
-			g.Expect([2]int64{first.bodies.Load(), second.bodies.Load()}).To(Equal(played.bodies))
+			g.Expect([2]int64{first.bodies.Load(), second.bodies.Load()}).To(Equal(test.bodies))
 		})
 	}
 }
@@ -225,12 +225,12 @@
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			g := NewWithT(t)
-			second, path, body := answers, "/safe/1", ""
+			second, path, body := answerOK, "/safe/1", ""
 			if method == http.MethodPost {
-				second, path, body = serves, "/once/1", "body\n"
+				second, path, body = continueAndAnswer, "/once/1", "body\n"
 			}
-			observer := &quiet{}
-			status, _ := callThrough(t, newHandler(t, observer, absent, newPeer(t, hangs), newPeer(t, second)), method, path, body)
+			observer := &fakeObserver{}
+			status, _ := callThrough(t, newHandler(t, observer, probeFailed, newPeer(t, hang), newPeer(t, second)), method, path, body)
 			g.Expect(status).To(Equal(http.StatusOK))
 			g.Expect(observer.silent.Load()).To(BeNumerically(">", 0))
 		})
@@ -238,13 +238,13 @@
 }
 
 // refuses answers that it has not run the request.
-func refuses(_ *peer, connection net.Conn, _ *bufio.Reader) {
+func refuse(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\n"+
 		outcome.HeaderOutcome+": not-run\r\n"+outcome.HeaderError+": step=admit\r\nContent-Length: 0\r\n\r\n")
 }
 
 // once does the same as the script when the condition holds.
-func once(condition func() bool, script func(*peer, net.Conn, *bufio.Reader)) func(*peer, net.Conn, *bufio.Reader) {
+func after(condition func() bool, script func(*peer, net.Conn, *bufio.Reader)) func(*peer, net.Conn, *bufio.Reader) {
 	return func(p *peer, connection net.Conn, reader *bufio.Reader) {
 		const look, most = time.Millisecond, 20 * time.Second
 		for began := time.Now(); !condition() && time.Since(began) < most; time.Sleep(look) {
@@ -254,20 +254,20 @@
 }
 
 // probes of a node that does not answer the first ones.
-type probes struct {
+type scriptedProbe struct {
 	missed int64
 	asked  atomic.Int64
 }
 
-func (p *probes) probe(ctx context.Context, record *roster.Record) error {
+func (p *scriptedProbe) probe(ctx context.Context, record *roster.Record) error {
 	if record.Node == "a" && p.asked.Add(1) <= p.missed {
-		return absent(ctx, record)
+		return probeFailed(ctx, record)
 	}
 	return nil
 }
 
 // over reports whether the node has answered one: all that it missed were acted upon.
-func (p *probes) over() bool { return p.asked.Load() > p.missed }
+func (p *scriptedProbe) recovered() bool { return p.asked.Load() > p.missed }
 
 // TestANodeThatSeemedSilent keeps what it works on: the node that asked may have
 // been the slow one. What may be repeated is tried elsewhere meanwhile.
@@ -284,44 +284,44 @@
 		status        int
 		asked         int64
 	}{
-		{"repeatable, refused elsewhere", http.MethodGet, "/safe/1", "", nothing, refuses, 1, 200, 1},
-		{"repeatable, served elsewhere", http.MethodGet, "/safe/1", "", nothing, answers, 1, 200, 1},
-		{"repeatable with a body, refused elsewhere", http.MethodPost, "/safe/1", "body\n", nothing, refuses, 1, 200, 1},
-		{"not repeatable, at work", http.MethodPost, "/once/1", "body\n", consents, serves, 1, 200, 0},
-		{"lost after all, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuses, lostProbes, 502, 1},
+		{"repeatable, refused elsewhere", http.MethodGet, "/safe/1", "", noop, refuse, 1, 200, 1},
+		{"repeatable, served elsewhere", http.MethodGet, "/safe/1", "", noop, answerOK, 1, 200, 1},
+		{"repeatable with a body, refused elsewhere", http.MethodPost, "/safe/1", "body\n", noop, refuse, 1, 200, 1},
+		{"not repeatable, at work", http.MethodPost, "/once/1", "body\n", consents, continueAndAnswer, 1, 200, 0},
+		{"lost after all, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuse, abandonAfterProbes, 502, 1},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			asked := &probes{missed: played.missed}
-			second := newPeer(t, played.second)
-			acted := func() bool { return asked.over() && second.requests.Load() >= played.asked }
+			asked := &scriptedProbe{missed: test.missed}
+			second := newPeer(t, test.second)
+			acted := func() bool { return asked.recovered() && second.requests.Load() >= test.asked }
 			first := newPeer(t, func(p *peer, connection net.Conn, reader *bufio.Reader) {
-				if played.first == nil {
-					hangs(p, connection, reader)
+				if test.first == nil {
+					hang(p, connection, reader)
 					return
 				}
-				played.first(p, connection, reader)
-				once(acted, answers)(p, connection, reader)
+				test.first(p, connection, reader)
+				after(acted, answerOK)(p, connection, reader)
 			})
-			handler := newHandler(t, &quiet{}, asked.probe, first, second)
-			status, _ := callThrough(t, handler, played.method, played.path, played.body)
-			g.Expect(status).To(Equal(played.status))
-			g.Expect(second.requests.Load()).To(Equal(played.asked))
+			handler := newHandler(t, &fakeObserver{}, asked.probe, first, second)
+			status, _ := callThrough(t, handler, test.method, test.path, test.body)
+			g.Expect(status).To(Equal(test.status))
+			g.Expect(second.requests.Load()).To(Equal(test.asked))
 		})
 	}
 }
 
 // nothing does nothing.
-func nothing(*peer, net.Conn, *bufio.Reader) {}
+func noop(*peer, net.Conn, *bufio.Reader) {}
 
 // TestAStoppingNodeGivesNothingUp: once its planned stop has begun, a node waits for
 // the answer of a peer that does not answer probes.
 func TestAStoppingNodeGivesNothingUp(t *testing.T) {
 	for stopping, want := range map[bool]int{true: http.StatusOK, false: http.StatusBadGateway} {
 		g := NewWithT(t)
-		asked := &probes{missed: lostProbes}
-		handler := newHandler(t, &quiet{}, asked.probe, newPeer(t, once(asked.over, answers)), newPeer(t, refuses))
+		asked := &scriptedProbe{missed: abandonAfterProbes}
+		handler := newHandler(t, &fakeObserver{}, asked.probe, newPeer(t, after(asked.recovered, answerOK)), newPeer(t, refuse))
 		if stopping {
 			handler.Stop()
 		}
@@ -337,9 +337,9 @@
 		time.Sleep(600 * time.Millisecond)
 		_, _ = io.WriteString(connection, replyOK)
 	})
-	other := newPeer(t, answers)
-	observer := &quiet{}
-	status, _ := callThrough(t, newHandler(t, observer, present, slow, other), http.MethodGet, "/safe/1", "")
+	other := newPeer(t, answerOK)
+	observer := &fakeObserver{}
+	status, _ := callThrough(t, newHandler(t, observer, probeOK, slow, other), http.MethodGet, "/safe/1", "")
 	g.Expect(status).To(Equal(http.StatusOK))
 	g.Expect(other.requests.Load()).To(BeZero())
 	g.Expect(observer.silent.Load()).To(BeZero())
@@ -357,7 +357,7 @@
 	for _, refused := range cases {
 		t.Run(refused.name, func(t *testing.T) {
 			g := NewWithT(t)
-			status, retryAfter := callThrough(t, newHandler(t, &quiet{}, present), refused.method, refused.path, refused.body)
+			status, retryAfter := callThrough(t, newHandler(t, &fakeObserver{}, probeOK), refused.method, refused.path, refused.body)
 			g.Expect(status).To(Equal(refused.status))
 			g.Expect(retryAfter != "").To(Equal(status == http.StatusServiceUnavailable))
 		})
@@ -381,7 +381,7 @@
 func TestALongHeaderIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	server := newPeer(t, func(_ *peer, connection net.Conn, _ *bufio.Reader) { _, _ = io.WriteString(connection, replyOK) })
-	handler := newHandler(t, &quiet{}, present, server)
+	handler := newHandler(t, &fakeObserver{}, probeOK, server)
 	for length, want := range map[int]int{100: http.StatusOK, 5000: http.StatusRequestHeaderFieldsTooLarge} {
 		request := httptest.NewRequest(http.MethodGet, "/safe/", nil)
 		request.Host = "h"
--- a/internal/sidecar/egress/calllog.go
+++ b/internal/sidecar/egress/calllog.go
@@ -10,7 +10,7 @@
 )
 
 // ended tells the observer and the log how the call went.
-func (c *call) ended() {
+func (c *call) reportEnd() {
 	name := ""
 	if c.route != nil {
 		name = c.route.Name
@@ -36,7 +36,7 @@
 	case c.status >= http.StatusInternalServerError:
 		return logger.Check(zap.InfoLevel, "back end failed the call")
 	}
-	return c.handler.served.Check(zap.InfoLevel, "call served")
+	return c.handler.servedLogger.Check(zap.InfoLevel, "call served")
 }
 
 // logFields are the inputs of the decisions on the call, and the outcome.
@@ -52,7 +52,7 @@
 		zap.String("route", name), zap.Int("priority", priority), zap.String("tenant", c.tenantName()),
 		zap.Uint64("version", c.table.Version()), zap.Duration("versionAge", options.TableAge()),
 		zap.Bool("returning", c.returning), zap.Bool("nested", c.nested), zap.Bool("overShare", c.overShare), zap.Int("status", c.status),
-		zap.Array("visits", c.visits), zap.Duration("elapsed", elapsed),
+		zap.Array("visits", c.attempts), zap.Duration("elapsed", elapsed),
 	}
 	if !c.deadline.IsZero() {
 		fields = append(fields, zap.Duration("left", clock.Until(c.deadline)))
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -16,58 +16,58 @@
 // choose returns a send, not begun yet, to the node whose back end is to take the
 // request, or why there is none.
 func (c *call) choose() (*attempt, *outcome.Failure) {
-	considered := c.considered(clock.Now(), c.selected())
-	index, seen := considered.draw()
+	candidateSet := c.candidateSet(clock.Now(), c.selection())
+	index, seen := candidateSet.draw()
 	if plan := c.handler.plan(c.service); seen.Closed && plan != nil && !plan.Moves() {
 		// That back ends on trial have no room is no reason to refuse a request.
-		considered = c.considered(considered.now, plan.Otherwise())
-		index, seen = considered.draw()
+		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
+		index, seen = candidateSet.draw()
 	}
-	if considered.full {
+	if candidateSet.limitExceeded {
 		c.handler.options.Observer.Diverted(c.service, index >= 0 && !seen.Closed)
 	}
 	switch {
 	case index < 0:
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, defaultRetryAfter, errNoEndpoint)
 	case seen.Closed:
-		return nil, considered.closed()
+		return nil, candidateSet.closedFailure()
 	}
-	record := considered.records[index]
-	chosen := c.handler.targets.of(record)
+	record := candidateSet.records[index]
+	chosen := c.handler.targets.forRecord(record)
 	if limit := chosen.limitOf(record); limit != nil {
-		limit.Sent(c.class(), considered.now)
+		limit.Sent(c.class(), candidateSet.now)
 	}
-	if considered.competes {
-		c.handler.zoneLoads.of(record).sent.Add(1)
+	if candidateSet.contention {
+		c.handler.zoneLoads.forRecord(record).sent.Add(1)
 	}
 	return &attempt{
 		call: c, record: record, target: chosen, service: c.service,
-		seen: seen, reportAge: chosen.reportAge(considered.now),
-		sends: len(c.visits), candidates: considered.ready,
-		compared: c.handler.compares(c.service, record),
-		repeated: c.repeat(), crashed: c.crashes > 0,
+		seen: seen, reportAge: chosen.reportAge(candidateSet.now),
+		sends: len(c.attempts), candidates: candidateSet.ready,
+		canary:   c.handler.isCanary(c.service, record),
+		repeated: c.isRetry(), crashed: c.crashes > 0,
 	}, nil
 }
 
 // considered are the back ends that may take a call, as they are seen at one
 // moment.
-type considered struct {
+type candidateSet struct {
 	*subset
-	call *call
-	near place
+	call   *call
+	origin location
 	// usual is how long back ends of the service work on such a request.
-	usual time.Duration
-	now   time.Time
+	expectedWork time.Duration
+	now          time.Time
 	// competes: requests compete for room.
-	competes bool
+	contention bool
 	// full: a back end that was described has a limit without room for the call in time.
-	full bool
+	limitExceeded bool
 }
 
 // draw returns the index of the back end that is to take the request, and what is known of it.
-func (s *considered) draw() (index int, seen choice.Candidate) {
+func (s *candidateSet) draw() (index int, seen choice.Candidate) {
 	draw := choice.Draw
-	if s.competes {
+	if s.contention {
 		draw = choice.DrawBalanced
 	}
 	return draw(s.pool(), s.call.route.TargetLatency, rand.IntN, s.call.handler.options.Weights)
@@ -75,50 +75,50 @@
 
 // selected returns which back ends may take the next send. A send beyond the first is
 // not for a trial.
-func (c *call) selected() rollout.Selection {
+func (c *call) selection() rollout.Selection {
 	plan := c.handler.plan(c.service)
 	if plan == nil {
 		return rollout.Every()
 	}
-	selected := plan.Select(len(c.visits) > 0)
-	if !c.handler.serves(c.service, selected, c.regions()) {
+	selection := plan.Select(len(c.attempts) > 0)
+	if !c.handler.hasAvailable(c.service, selection, c.regions()) {
 		return plan.Otherwise()
 	}
-	return selected
+	return selection
 }
 
 // considered returns those back ends of the request's service that are selected.
-func (c *call) considered(now time.Time, selected rollout.Selection) *considered {
+func (c *call) candidateSet(now time.Time, selection rollout.Selection) *candidateSet {
 	options := &c.handler.options
-	return &considered{
-		subset: c.handler.subset(options.View(), c.service, selected, c.regions()),
-		call:   c,
-		near:   place{zone: options.Zone, regions: options.Regions},
-		usual:  c.work().Mean(c.assumedWork()),
-		now:    now,
-
-		competes: c.handler.contended(),
+	return &candidateSet{
+		subset:       c.handler.subset(options.View(), c.service, selection, c.regions()),
+		call:         c,
+		origin:       location{zone: options.Zone, regions: options.Regions},
+		expectedWork: c.work().Mean(c.assumedWork()),
+		now:          now,
+
+		contention: c.handler.contended(),
 	}
 }
 
 // describe returns what is known of one of them.
-func (s *considered) describe(index int) choice.Candidate {
+func (s *candidateSet) describe(index int) choice.Candidate {
 	record := s.records[index]
-	found := s.call.handler.targets.of(record)
-	described := found.candidate(record, s.near, s.usual, s.now)
-	if s.competes {
-		described.RoundTrip += s.call.transfer(record)
-		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * found.unheard(record, s.now)
+	found := s.call.handler.targets.forRecord(record)
+	described := found.candidate(record, s.origin, s.expectedWork, s.now)
+	if s.contention {
+		described.RoundTrip += s.call.transferTime(record)
+		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * found.unreportedWeight(record, s.now)
 	}
-	s.judgeNotices(&described, found, record)
-	described.Tried = s.call.visited(found)
+	s.applyNotices(&described, found, record)
+	described.Tried = s.call.attempted(found)
 	return described
 }
 
 // transfer is how long the link of the record's machine works on the request's body, where it is one
 // that the arriving node receives before it has a slot; at most as long as the request may take.
-func (c *call) transfer(record *roster.Record) time.Duration {
-	if !c.large() {
+func (c *call) transferTime(record *roster.Record) time.Duration {
+	if !c.hasLargeBody() {
 		return 0
 	}
 	const (
@@ -130,17 +130,17 @@
 		link = assumedMbps
 	}
 	seconds := float64(c.request.ContentLength) / (float64(link) * bytesPerMegabit)
-	return time.Duration(min(seconds, mostTransfer.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxTransferTime.Seconds()) * float64(time.Second))
 }
 
 // pool returns them for the choice.
-func (s *considered) pool() choice.Pool {
+func (s *candidateSet) pool() choice.Pool {
 	return choice.Pool{Near: s.subset.near, Far: len(s.records) - s.subset.near, Describe: s.describe}
 }
 
 // worthwhile reports whether another back end is left for a request that was
 // refused.
-func (s *considered) worthwhile() bool {
+func (s *candidateSet) hasAlternative() bool {
 	for index := range s.records {
 		if s.describe(index).Worthwhile() {
 			return true
@@ -150,29 +150,29 @@
 }
 
 // mostTransfer bounds what is expected of a transfer: beyond it no answer comes in time.
-const mostTransfer = 10 * time.Second
+const maxTransferTime = 10 * time.Second
 
 // work returns the estimate of how long requests of the route are worked on.
 func (c *call) work() *choice.Work {
 	key := c.route.Name
-	if held, found := c.handler.work.Load(key); found {
-		return held.(*choice.Work)
+	if value, found := c.handler.work.Load(key); found {
+		return value.(*choice.Work)
 	}
-	held, _ := c.handler.work.LoadOrStore(key, &choice.Work{})
-	return held.(*choice.Work)
+	value, _ := c.handler.work.LoadOrStore(key, &choice.Work{})
+	return value.(*choice.Work)
 }
 
 // assumedWork stands in for the time a route's requests take before any was
 // measured.
 func (c *call) assumedWork() time.Duration {
-	const aimShare = 0.35
+	const targetFraction = 0.35
 	if c.route.TargetLatency > 0 {
-		return time.Duration(float64(c.route.TargetLatency) * aimShare)
+		return time.Duration(float64(c.route.TargetLatency) * targetFraction)
 	}
 	const unknown = 50 * time.Millisecond
 	return unknown
 }
 
-func (c *call) visited(candidate *target) bool {
-	return slices.ContainsFunc(c.visits, func(seen visit) bool { return seen.target == candidate })
+func (c *call) attempted(candidate *target) bool {
+	return slices.ContainsFunc(c.attempts, func(seen attemptRecord) bool { return seen.target == candidate })
 }
--- a/internal/sidecar/egress/choose_test.go
+++ b/internal/sidecar/egress/choose_test.go
@@ -16,7 +16,7 @@
 // refused as not run, and not moved to the route's other services.
 func TestAPartWithoutBackEnds(t *testing.T) {
 	g := NewWithT(t)
-	handler := newHandler(t, &quiet{}, present, newPeer(t, answers))
+	handler := newHandler(t, &fakeObserver{}, probeOK, newPeer(t, answerOK))
 	table, err := route.Compile(&route.Document{
 		Version: 2,
 		Routes: []route.Route{{
@@ -44,7 +44,7 @@
 func TestZonesAreLearnedWhereRequestsCompete(t *testing.T) {
 	for _, competes := range []bool{false, true} {
 		g := NewWithT(t)
-		handler := newHandler(t, &quiet{}, present, newPeer(t, answers))
+		handler := newHandler(t, &fakeObserver{}, probeOK, newPeer(t, answerOK))
 		handler.options.Contended = func() bool { return competes }
 		for range 5 {
 			request := httptest.NewRequest(http.MethodGet, "/safe/1", nil)
@@ -74,16 +74,16 @@
 		{"a narrow link", 62500, 10, 50 * time.Millisecond},
 		{"a wide link", 62500, 200, 2500 * time.Microsecond},
 		{"a link of unknown speed counts as a wide one", 62500, 0, 500 * time.Microsecond},
-		{"a length that nobody can mean", 1 << 62, 10, mostTransfer},
+		{"a length that nobody can mean", 1 << 62, 10, maxTransferTime},
 		{"a speed that nobody can mean", 62500, 1 << 60, 0},
 		{"a short body", 4000, 10, 0},
 		{"a body of unknown length", -1, 10, 0},
 	}
-	for _, sent := range cases {
-		t.Run(sent.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			sending := &call{request: &http.Request{ContentLength: sent.length}}
-			g.Expect(sending.transfer(&roster.Record{Link: sent.link})).To(Equal(sent.want))
+			sending := &call{request: &http.Request{ContentLength: test.length}}
+			g.Expect(sending.transferTime(&roster.Record{Link: test.link})).To(Equal(test.want))
 		})
 	}
 }
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -30,20 +30,20 @@
 		{"a short deadline, no time-out", "1000", 0, true},
 		{"no deadline", "", 3 * aim, false},
 	}
-	for _, asked := range cases {
-		t.Run(asked.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := httptest.NewRequest(http.MethodGet, "/safe/", nil)
-			if asked.deadline != "" {
-				request.Header.Set("Deadline-Ms", asked.deadline)
+			if test.deadline != "" {
+				request.Header.Set("Deadline-Ms", test.deadline)
 			}
 			made := &call{
-				handler: newHandler(t, &quiet{}, present), request: request, started: time.Now(),
-				route: &route.Matched{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: asked.timeout}},
+				handler: newHandler(t, &fakeObserver{}, probeOK), request: request, started: time.Now(),
+				route: &route.Matched{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: test.timeout}},
 			}
-			g.Expect(made.bound()).To(BeNil())
-			described := made.described(time.Until(made.deadline), aim/4)
-			g.Expect(described.Hurried()).To(Equal(asked.hurried))
+			g.Expect(made.setDeadline()).To(BeNil())
+			choiceRequest := made.choiceRequest(time.Until(made.deadline), aim/4)
+			g.Expect(choiceRequest.Hurried()).To(Equal(test.hurried))
 		})
 	}
 }
@@ -55,15 +55,15 @@
 		const queue, left = 120 * time.Millisecond, 3 * time.Second
 		made := &call{started: clock.Now(), deadline: clock.Now().Add(2 * time.Second), callerTime: left}
 		g := NewWithT(t)
-		g.Expect(made.retryAfter(queue)).To(Equal(queue))
-		g.Expect(made.retryAfter(time.Millisecond)).To(Equal(minimumRetryAfter))
-		g.Expect(made.retryAfter(2*heldRetryAfter)).To(Equal(500*time.Millisecond), "a quarter of the time left")
+		g.Expect(made.clampRetryAfter(queue)).To(Equal(queue))
+		g.Expect(made.clampRetryAfter(time.Millisecond)).To(Equal(minimumRetryAfter))
+		g.Expect(made.clampRetryAfter(2*quarantineRetryAfter)).To(Equal(500*time.Millisecond), "a quarter of the time left")
 		made.returning = true
-		g.Expect(made.retryAfter(queue)).To(And(Equal(900*time.Millisecond), BeNumerically("<", left/3)))
+		g.Expect(made.clampRetryAfter(queue)).To(And(Equal(900*time.Millisecond), BeNumerically("<", left/3)))
 		time.Sleep(time.Second)
-		g.Expect(made.retryAfter(queue)).To(Equal(600 * time.Millisecond))
+		g.Expect(made.clampRetryAfter(queue)).To(Equal(600 * time.Millisecond))
 		time.Sleep(2 * time.Second)
-		g.Expect(made.retryAfter(queue)).To(Equal(queue), "nothing is left to share")
+		g.Expect(made.clampRetryAfter(queue)).To(Equal(queue), "nothing is left to share")
 	})
 }
 
@@ -79,14 +79,14 @@
 			g := NewWithT(t)
 			made := &call{request: &http.Request{ContentLength: body.length}}
 			request := choice.Request{Aim: time.Second, Remaining: 6 * time.Second, CallerTime: 6 * time.Second, Expected: 250 * time.Millisecond}
-			wait := made.mostWait(request, &attempt{candidates: 22})
+			wait := made.maxAttemptWait(request, &attempt{candidates: 22})
 			if body.large {
 				g.Expect(wait).To(Equal(choice.Patience(request)))
-				g.Expect(made.refusals()).To(Equal(largeRefusals))
+				g.Expect(made.refusalLimit()).To(Equal(maxLargeBodyRefusals))
 				return
 			}
 			g.Expect(wait).To(BeNumerically("<", choice.Patience(request)/2))
-			g.Expect(made.refusals()).To(Equal(refusalsPerCall))
+			g.Expect(made.refusalLimit()).To(Equal(maxRefusals))
 		})
 	}
 }
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -134,16 +134,16 @@
 
 const (
 	// peerConnections bounds the connections to one node.
-	peerConnections = 256
-	peerIdleTimeout = 45 * time.Second
-	peerDialTimeout = 500 * time.Millisecond
+	maxPeerConnections = 256
+	peerIdleTimeout    = 45 * time.Second
+	peerDialTimeout    = 500 * time.Millisecond
 	// consentTimeout is beyond every deadline: without consent no body is sent.
-	consentTimeout   = time.Hour
-	replyHeaderBytes = 96 << 10
+	continueTimeout     = time.Hour
+	maxReplyHeaderBytes = 96 << 10
 	// zoneCrossing is assumed for the way to another zone of the region and back,
 	// regionCrossing for that to another region.
-	zoneCrossing   = 3 * time.Millisecond
-	regionCrossing = 50 * time.Millisecond
+	crossZoneRTT   = 3 * time.Millisecond
+	crossRegionRTT = 50 * time.Millisecond
 )
 
 // Handler serves callers. It is safe for concurrent use.
@@ -157,10 +157,10 @@
 	lastCall   atomic.Int64
 
 	// served logs a sample of the calls that went well.
-	served *zap.Logger
+	servedLogger *zap.Logger
 	// cutting ends when calls under way are to be given up.
-	cutting context.Context
-	cut     context.CancelCauseFunc
+	callsContext context.Context
+	cancelCalls  context.CancelCauseFunc
 
 	// subsets holds the back ends that are considered, by subsetKey; subsetCount is how often one was
 	// chosen since it was last emptied.
@@ -169,12 +169,12 @@
 	// zoneLoads holds how full the zones are.
 	zoneLoads zoneLoads
 	// work and patiences hold what is learned by route name.
-	work, patiences sync.Map
+	work, callerTimeouts sync.Map
 
 	// draw returns a random number from 0 to below 1.
-	draw func() float64
+	randomFloat func() float64
 	// heard is what replies told of tenants' shares.
-	heard shares.Heard
+	tenantShares shares.Heard
 
 	// baselines hold what the answers of versions in use are like, by service, while another
 	// version is compared with them.
@@ -184,17 +184,17 @@
 // New returns a handler that refuses everything until there is a table.
 func New(options Options) *Handler {
 	limits := forward.Limits{
-		Connections:      peerConnections,
+		Connections:      maxPeerConnections,
 		IdleTimeout:      peerIdleTimeout,
 		DialTimeout:      peerDialTimeout,
-		ReplyHeaderBytes: replyHeaderBytes,
-		ConsentTimeout:   consentTimeout,
+		ReplyHeaderBytes: maxReplyHeaderBytes,
+		ConsentTimeout:   continueTimeout,
 	}
 	if options.Freshness == nil {
-		options.Freshness = alone{}
+		options.Freshness = standalone{}
 	}
 	if options.Quota == nil {
-		options.Quota = unlimited{}
+		options.Quota = noQuota{}
 	}
 	if options.DrainAfter == nil {
 		options.DrainAfter = func() time.Duration { return 0 }
@@ -202,14 +202,14 @@
 	if options.Emptied == nil {
 		options.Emptied = func() *evacuation.Zones { return nil }
 	}
-	cutting, cut := context.WithCancelCause(context.Background())
+	callsContext, cancelCalls := context.WithCancelCause(context.Background())
 	return &Handler{
-		options: options,
-		draw:    rand.Float64,
-		targets: &targets{options: limits, dial: options.Dial, byNode: map[string]*target{}},
-		served:  sampled(options.Logger),
-		cutting: cutting,
-		cut:     cut,
+		options:      options,
+		randomFloat:  rand.Float64,
+		targets:      &targets{options: limits, dial: options.Dial, byNode: map[string]*target{}},
+		servedLogger: newSampledLogger(options.Logger),
+		callsContext: callsContext,
+		cancelCalls:  cancelCalls,
 	}
 }
 
@@ -221,7 +221,7 @@
 		case record.Leaving:
 			continue
 		case record.AcceptsWork():
-			if held := h.targets.of(record); held.failures.Load() > 0 {
+			if held := h.targets.forRecord(record); held.failures.Load() > 0 {
 				held.succeeded()
 			}
 		}
@@ -233,7 +233,7 @@
 
 // Suspect has a node avoided that did not answer another question.
 func (h *Handler) Suspect(record *roster.Record) {
-	h.targets.of(record).failed(clock.Now())
+	h.targets.forRecord(record).failed(clock.Now())
 }
 
 // CloseIdle closes idle connections to other nodes: they may have closed them while the
@@ -290,7 +290,7 @@
 	call := &call{handler: h, writer: w, request: r, started: clock.Received()}
 	h.lastCall.Store(clock.Stamp(call.started))
 	if failure := call.serve(); failure != nil {
-		call.reply(failure)
+		call.writeFailure(failure)
 	}
-	call.ended()
+	call.reportEnd()
 }
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -25,25 +25,25 @@
 }
 
 // alone is the Level of a node that has nobody to ask.
-type alone struct{}
+type standalone struct{}
 
 // Confirm implements Level.
-func (alone) Confirm(context.Context) bool { return true }
+func (standalone) Confirm(context.Context) bool { return true }
 
 // CatchUp implements Level.
-func (alone) CatchUp(context.Context, string, uint64) bool { return false }
+func (standalone) CatchUp(context.Context, string, uint64) bool { return false }
 
 // Proven implements Level.
-func (alone) Proven(uint64, time.Time) {}
+func (standalone) Proven(uint64, time.Time) {}
 
 // ProofAge implements Level.
-func (alone) ProofAge() (time.Duration, bool) { return 0, false }
+func (standalone) ProofAge() (time.Duration, bool) { return 0, false }
 
 var errUnconfirmed = errors.New("no route for this host and path, or no tenant with this key, and nobody says whether there is a newer configuration")
 
 // mostMoves bounds how often one request is routed anew: changes come in quick succession, and
 // it has not run in between.
-const mostMoves = 3
+const maxReroutes = 3
 
 // findRoute finds the request's route and its tenant. That there is none is final for the
 // caller, so the node first makes sure that it is level: one that is behind would refuse what
@@ -72,7 +72,7 @@
 
 // moved reports whether a node has given the request back since a newer configuration leads it
 // elsewhere. It has not run.
-func (r *result) moved() bool {
+func (r *result) misrouted() bool {
 	return r.failure != nil && r.failure.Outcome == outcome.NotRun && r.failure.Step == outcome.StepMoved
 }
 
@@ -80,9 +80,9 @@
 // routes the request by it. It reports whether the request can be sent on; otherwise the
 // failure, which may be nil, replaces that of the node. Sends that were left behind use what
 // would change: with one of them the request is not routed anew.
-func (c *call) routeAnew(last result) (again bool, failure *outcome.Failure) {
-	c.moves++
-	if c.moves > mostMoves || c.behind > 0 || c.runs > 0 || c.body.Spent() {
+func (c *call) reroute(last result) (retry bool, failure *outcome.Failure) {
+	c.reroutes++
+	if c.reroutes > maxReroutes || c.detached > 0 || c.runs > 0 || c.body.Spent() {
 		return false, nil
 	}
 	if !c.handler.options.Freshness.CatchUp(c.context, last.target.node, last.version) {
@@ -93,7 +93,7 @@
 		return false, failure
 	}
 	c.service = c.route.NextService()
-	c.drawShare()
-	c.handler.options.RetryBudget.First(c.service, c.repeated)
+	c.sampleOverShare()
+	c.handler.options.RetryBudget.First(c.service, c.retryProbability)
 	return true, nil
 }
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -18,43 +18,43 @@
 )
 
 // lagging is a node whose configuration is older than that of others.
-type lagging struct {
+type fakeFreshness struct {
 	table *route.Table
 	// next is the newest configuration; the node gets it when it may.
-	next *route.Table
-	may  bool
+	next       *route.Table
+	canAdvance bool
 	// unconfirmed: nobody has proof that the configuration is the newest.
 	unconfirmed bool
 	// proof is the moment of the last proof that was heard.
 	proof time.Time
 	// confirms and catches count the questions.
-	confirms, catches int
+	confirms, catchUps int
 }
 
-func (l *lagging) Confirm(context.Context) bool {
+func (l *fakeFreshness) Confirm(context.Context) bool {
 	l.confirms++
 	return l.advance() && !l.unconfirmed
 }
 
-func (l *lagging) CatchUp(context.Context, string, uint64) bool {
-	l.catches++
+func (l *fakeFreshness) CatchUp(context.Context, string, uint64) bool {
+	l.catchUps++
 	return l.advance()
 }
 
-func (l *lagging) Proven(_ uint64, at time.Time) { l.proof = at }
+func (l *fakeFreshness) Proven(_ uint64, at time.Time) { l.proof = at }
 
-func (l *lagging) ProofAge() (time.Duration, bool) { return 0, false }
+func (l *fakeFreshness) ProofAge() (time.Duration, bool) { return 0, false }
 
-func (l *lagging) advance() bool {
-	if l.may && l.next != nil {
+func (l *fakeFreshness) advance() bool {
+	if l.canAdvance && l.next != nil {
 		l.table = l.next
 	}
-	return l.may
+	return l.canAdvance
 }
 
 // leading returns a configuration with one route, which leads to the service; without a service
 // there is none.
-func leading(t *testing.T, version uint64, service string) *route.Table {
+func tableWithRoute(t *testing.T, version uint64, service string) *route.Table {
 	document := &route.Document{Version: version, Services: []route.Service{{Name: "s"}, {Name: "s2"}}}
 	if service != "" {
 		document.Routes = []route.Route{{
@@ -68,14 +68,14 @@
 }
 
 // givesBack refuses a request since a newer configuration leads it elsewhere.
-func givesBack(_ *peer, connection net.Conn, _ *bufio.Reader) {
+func answerMoved(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 503 X\r\nKestrel-Reply: 2 0 0 8 50000 1000 1000\r\n%s: %s\r\n%s: step=%s\r\nRetry-After: 0.1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		outcome.HeaderOutcome, outcome.NotRun, outcome.HeaderError, outcome.StepMoved)
 }
 
 // playLate returns a handler of a late node with a peer of each of two services.
-func playLate(t *testing.T, held *lagging, first, second *peer) *Handler {
-	handler := newHandler(t, &quiet{}, present)
+func outdatedHandler(t *testing.T, held *fakeFreshness, first, second *peer) *Handler {
+	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for service, at := range map[string]*peer{"s": first, "s2": second} {
 		members.Merge([]*roster.Record{{
@@ -95,7 +95,7 @@
 	cases := []struct {
 		name              string
 		before, after     string // the service of the route, empty for no route
-		may               bool
+		canAdvance        bool
 		status            int
 		atFirst, atSecond int64
 	}{
@@ -106,16 +106,16 @@
 		{"a moved route, and no way to catch up", "s2", "s", false, 503, 0, 1},
 		{"a dropped route", "s2", "", true, 404, 0, 1},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			served, given := newPeer(t, answers), newPeer(t, givesBack)
-			held := &lagging{table: leading(t, 1, played.before), next: leading(t, 2, played.after), may: played.may}
-			status, wait := callThrough(t, playLate(t, held, served, given), "GET", "/r/x", "")
-			g.Expect(status).To(Equal(played.status))
-			g.Expect(served.requests.Load()).To(Equal(played.atFirst))
-			g.Expect(given.requests.Load()).To(Equal(played.atSecond))
-			g.Expect(wait != "").To(Equal(played.status == 503), "who is refused unrun is told when to come back")
+			served, given := newPeer(t, answerOK), newPeer(t, answerMoved)
+			held := &fakeFreshness{table: tableWithRoute(t, 1, test.before), next: tableWithRoute(t, 2, test.after), canAdvance: test.canAdvance}
+			status, wait := callThrough(t, outdatedHandler(t, held, served, given), "GET", "/r/x", "")
+			g.Expect(status).To(Equal(test.status))
+			g.Expect(served.requests.Load()).To(Equal(test.atFirst))
+			g.Expect(given.requests.Load()).To(Equal(test.atSecond))
+			g.Expect(wait != "").To(Equal(test.status == 503), "who is refused unrun is told when to come back")
 		})
 	}
 }
@@ -124,11 +124,11 @@
 // after a few times.
 func TestARequestIsNotRoutedAnewForEver(t *testing.T) {
 	g := NewWithT(t)
-	first, second := newPeer(t, givesBack), newPeer(t, givesBack)
-	held := &lagging{table: leading(t, 1, "s"), next: leading(t, 2, "s"), may: true}
-	status, _ := callThrough(t, playLate(t, held, first, second), "GET", "/r/x", "")
+	first, second := newPeer(t, answerMoved), newPeer(t, answerMoved)
+	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, held, first, second), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
-	g.Expect(held.catches).To(BeNumerically("<=", mostMoves))
+	g.Expect(held.catchUps).To(BeNumerically("<=", maxReroutes))
 }
 
 // TestTheVersionIsToldWithARequest, by which the arriving node knows whether the sender is behind.
@@ -155,8 +155,8 @@
 		}
 		_, _ = io.WriteString(connection, replyOK)
 	}()
-	held := &lagging{table: leading(t, 7, "s"), may: true}
-	status, _ := callThrough(t, playLate(t, held, &peer{address: listener.Addr().String()}, newPeer(t, answers)), "GET", "/r/x", "")
+	held := &fakeFreshness{table: tableWithRoute(t, 7, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, held, &peer{address: listener.Addr().String()}, newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
 	g.Expect(<-seen).To(Equal("7"))
 }
@@ -173,23 +173,23 @@
 // route for it says nothing about later versions.
 func TestADroppedRouteIsNotRefusedForGoodWithoutProof(t *testing.T) {
 	g := NewWithT(t)
-	held := &lagging{table: leading(t, 1, "s"), next: leading(t, 2, ""), may: true, unconfirmed: true}
-	status, wait := callThrough(t, playLate(t, held, newPeer(t, givesBack), newPeer(t, answers)), "GET", "/r/x", "")
+	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, ""), canAdvance: true, unconfirmed: true}
+	status, wait := callThrough(t, outdatedHandler(t, held, newPeer(t, answerMoved), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
 	g.Expect(wait).NotTo(BeEmpty())
 }
 
 // provesLevel answers with proof that the configuration in force is the newest.
-func provesLevel(_ *peer, connection net.Conn, _ *bufio.Reader) {
+func answerWithProof(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 X\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nKestrel-Proof: 300\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
 // TestProofComesWithReplies: its age and the time since the request was sent count.
 func TestProofComesWithReplies(t *testing.T) {
 	g := NewWithT(t)
-	held := &lagging{table: leading(t, 1, "s"), may: true}
+	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}
 	sent := clock.Now()
-	status, _ := callThrough(t, playLate(t, held, newPeer(t, provesLevel), newPeer(t, answers)), "GET", "/r/x", "")
+	status, _ := callThrough(t, outdatedHandler(t, held, newPeer(t, answerWithProof), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
 	g.Expect(held.proof).To(BeTemporally("~", sent.Add(-300*time.Millisecond), clock.Since(sent)))
 }
--- a/internal/sidecar/egress/notice_test.go
+++ b/internal/sidecar/egress/notice_test.go
@@ -19,7 +19,7 @@
 )
 
 // askFor sends one request through the handler.
-func askFor(handler *Handler) *httptest.ResponseRecorder {
+func sendRequest(handler *Handler) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodGet, "/safe/1", nil)
 	request.Host = "h"
 	request.Header.Set("Deadline-Ms", "3000")
@@ -29,7 +29,7 @@
 }
 
 // answersWith answers with further headers.
-func answersWith(headers string) func(*peer, net.Conn, *bufio.Reader) {
+func answerWith(headers string) func(*peer, net.Conn, *bufio.Reader) {
 	return func(_ *peer, connection net.Conn, _ *bufio.Reader) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nConnection: close\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\n"+headers+"Content-Length: 2\r\n\r\nok")
 	}
@@ -38,10 +38,10 @@
 // TestACallerThatNobodyHasRoomForHearsSoAtOnce, without a send, and when to come back.
 func TestACallerThatNobodyHasRoomForHearsSoAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	full := newPeer(t, answersWith("Kestrel-Limit: 500 -3000\r\n"))
-	handler := newHandler(t, &quiet{}, present, full)
-	g.Expect(askFor(handler).Code).To(Equal(http.StatusOK))
-	refused := askFor(handler)
+	full := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n"))
+	handler := newHandler(t, &fakeObserver{}, probeOK, full)
+	g.Expect(sendRequest(handler).Code).To(Equal(http.StatusOK))
+	refused := sendRequest(handler)
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Header().Get("Retry-After")).To(HavePrefix("8.0"), "four requests at one in two seconds")
 	g.Expect(full.requests.Load()).To(BeEquivalentTo(1))
@@ -50,10 +50,10 @@
 // TestABackEndWithoutRoomIsPassedOver while another one of the service has room.
 func TestABackEndWithoutRoomIsPassedOver(t *testing.T) {
 	g := NewWithT(t)
-	full, free := newPeer(t, answersWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answersWith(""))
-	handler := newHandler(t, &quiet{}, present, full, free)
+	full, free := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answerWith(""))
+	handler := newHandler(t, &fakeObserver{}, probeOK, full, free)
 	for range 20 {
-		g.Expect(askFor(handler).Code).To(Equal(http.StatusOK))
+		g.Expect(sendRequest(handler).Code).To(Equal(http.StatusOK))
 	}
 	g.Expect(full.requests.Load()).To(BeNumerically("<=", 1))
 }
@@ -79,28 +79,28 @@
 		}
 	}))
 	defer server.Close()
-	handler := newHandler(t, &quiet{}, present, &peer{address: server.Listener.Addr().String()})
-	askFor(handler)
+	handler := newHandler(t, &fakeObserver{}, probeOK, &peer{address: server.Listener.Addr().String()})
+	sendRequest(handler)
 	g.Expect(*told.Load()).To(BeEmpty())
 	refuses = true
-	askFor(handler)
+	sendRequest(handler)
 	g.Expect(*told.Load()).To(Equal("12800 0"))
 	refuses, reply = false, ""
-	askFor(handler)
+	sendRequest(handler)
 	g.Expect(*told.Load()).To(Equal("12800 0"), "a refusal by the node itself says nothing")
-	askFor(handler)
+	sendRequest(handler)
 	g.Expect(*told.Load()).To(BeEmpty())
 }
 
 // TestABackEndThatLeavesByWordOfAnAnswerIsNotSentTo by the node that passed it on, whatever others say.
 func TestABackEndThatLeavesByWordOfAnAnswerIsNotSentTo(t *testing.T) {
 	g := NewWithT(t)
-	leaving := newPeer(t, answersWith("Kestrel-Leaving: i\r\n"))
-	handler := newHandler(t, &quiet{}, present, leaving)
+	leaving := newPeer(t, answerWith("Kestrel-Leaving: i\r\n"))
+	handler := newHandler(t, &fakeObserver{}, probeOK, leaving)
 	handler.options.DrainAfter = func() time.Duration { return 0 }
-	g.Expect(askFor(handler).Code).To(Equal(http.StatusOK))
+	g.Expect(sendRequest(handler).Code).To(Equal(http.StatusOK))
 	for range 3 {
-		refused := askFor(handler)
+		refused := sendRequest(handler)
 		g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(refused.Header().Get("Retry-After")).NotTo(BeEmpty())
 	}
@@ -110,8 +110,8 @@
 // TestABackEndOnTrialWithoutRoomRefusesNobody: its requests go to the versions in use.
 func TestABackEndOnTrialWithoutRoomRefusesNobody(t *testing.T) {
 	g := NewWithT(t)
-	onTrial, inUse := newPeer(t, answersWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answersWith(""))
-	handler := newHandler(t, &quiet{}, present, onTrial, inUse)
+	onTrial, inUse := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answerWith(""))
+	handler := newHandler(t, &fakeObserver{}, probeOK, onTrial, inUse)
 	records := handler.options.View().Records()
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for _, record := range records {
@@ -127,7 +127,7 @@
 	plan := rollout.NewPlan(rollout.Move{Order: rollout.Order{Version: "v2"}, Phase: rollout.Trial}, rollout.Stint{BackEnds: []string{"a"}, Share: 1}, nil, false, rollout.NewSplit())
 	handler.options.Plan = func(string) *rollout.Plan { return plan }
 	for range 10 {
-		g.Expect(askFor(handler).Code).To(Equal(http.StatusOK))
+		g.Expect(sendRequest(handler).Code).To(Equal(http.StatusOK))
 	}
 	g.Expect(onTrial.requests.Load()).To(BeEquivalentTo(1))
 	g.Expect(inUse.requests.Load()).To(BeEquivalentTo(9))
--- a/internal/sidecar/egress/patience.go
+++ b/internal/sidecar/egress/patience.go
@@ -7,20 +7,20 @@
 
 // patience is how long callers of one route wait when they come for the first
 // time. One with notably less time has come back.
-type patience struct {
+type callerTimeout struct {
 	longest atomic.Int64
 }
 
 // returnShare is the part of the full time below which a caller has come back.
-const returnShare = 0.97
+const returningThreshold = 0.97
 
 // returns takes in one caller's remaining time and tells whether it has come
 // back.
-func (p *patience) returns(remaining time.Duration) bool {
+func (p *callerTimeout) isReturning(remaining time.Duration) bool {
 	for {
 		longest := p.longest.Load()
 		if int64(remaining) <= longest {
-			return float64(remaining) < returnShare*float64(longest)
+			return float64(remaining) < returningThreshold*float64(longest)
 		}
 		if p.longest.CompareAndSwap(longest, int64(remaining)) {
 			return false
@@ -29,10 +29,10 @@
 }
 
 // patience returns what is known of the callers of a route.
-func (h *Handler) patience(route string) *patience {
-	if held, found := h.patiences.Load(route); found {
-		return held.(*patience)
+func (h *Handler) callerTimeout(route string) *callerTimeout {
+	if value, found := h.callerTimeouts.Load(route); found {
+		return value.(*callerTimeout)
 	}
-	held, _ := h.patiences.LoadOrStore(route, &patience{})
-	return held.(*patience)
+	value, _ := h.callerTimeouts.LoadOrStore(route, &callerTimeout{})
+	return value.(*callerTimeout)
 }
--- a/internal/sidecar/egress/patience_test.go
+++ b/internal/sidecar/egress/patience_test.go
@@ -9,10 +9,10 @@
 
 func TestPatienceOfCallers(t *testing.T) {
 	g := NewWithT(t)
-	known := &patience{}
-	g.Expect(known.returns(1200 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(1200 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(1199 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(900 * time.Millisecond)).To(BeTrue())
-	g.Expect(known.returns(1500 * time.Millisecond)).To(BeFalse())
+	known := &callerTimeout{}
+	g.Expect(known.isReturning(1200 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(1200 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(1199 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(900 * time.Millisecond)).To(BeTrue())
+	g.Expect(known.isReturning(1500 * time.Millisecond)).To(BeFalse())
 }
--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -24,20 +24,20 @@
 }
 
 // unlimited is the Quota of a node that keeps no limits.
-type unlimited struct{}
+type noQuota struct{}
 
 // Take implements Quota.
-func (unlimited) Take(context.Context, string) (lending.Token, error) { return lending.Token{}, nil }
+func (noQuota) Take(context.Context, string) (lending.Token, error) { return lending.Token{}, nil }
 
 // Again implements Quota.
-func (unlimited) Again(string) bool { return true }
+func (noQuota) Again(string) bool { return true }
 
 // Return implements Quota.
-func (unlimited) Return(lending.Token) {}
+func (noQuota) Return(lending.Token) {}
 
 // spend takes the request's place within its tenant's limit, or refuses it: as one too many when
 // the limit is reached, otherwise as one that cannot be served now.
-func (c *call) spend() *outcome.Failure {
+func (c *call) takeToken() *outcome.Failure {
 	if !c.tenant.Limited() {
 		return nil
 	}
@@ -69,47 +69,47 @@
 // spendAgain makes sure that the request has a token for one more run; the error says why it has none. A
 // send that provably did not run has left it one. Otherwise the granter is asked where requests compete
 // for room; elsewhere, and while a send that was left behind may answer, what the node holds has to do.
-func (c *call) spendAgain() error {
+func (c *call) takeRetryToken() error {
 	switch {
-	case !c.tenant.Limited() || c.holdsToken():
+	case !c.tenant.Limited() || c.hasValidToken():
 		return nil
-	case c.handler.contended() && c.behind == 0:
-		if refused := c.spend(); refused != nil {
+	case c.handler.contended() && c.detached == 0:
+		if refused := c.takeToken(); refused != nil {
 			return refused.Cause
 		}
 		return nil
 	case !c.handler.options.Quota.Again(c.tenant.Name):
 		return quota.ErrSpent
 	}
-	c.boughtAgain++
+	c.heldTokenRuns++
 	return nil
 }
 
 // holdsToken reports whether a token is left that may still be spent.
-func (c *call) holdsToken() bool {
-	unused := c.unused()
-	return c.handler.contended() && len(unused) > 0 && unused[len(unused)-1].Valid(clock.Now())
+func (c *call) hasValidToken() bool {
+	unusedTokens := c.unusedTokens()
+	return c.handler.contended() && len(unusedTokens) > 0 && unusedTokens[len(unusedTokens)-1].Valid(clock.Now())
 }
 
 // unused returns the request's tokens that no send has used, those that end first in front.
-func (c *call) unused() []lending.Token {
-	used := max(c.visits.mayHaveRun()-c.boughtAgain, 0)
+func (c *call) unusedTokens() []lending.Token {
+	used := max(c.attempts.possibleRuns()-c.heldTokenRuns, 0)
 	return c.tokens[:max(len(c.tokens)-used, 0)]
 }
 
 // unspent gives the token back when the request provably did not run.
-func (c *call) unspent(failure *outcome.Failure) {
+func (c *call) refundIfNotRun(failure *outcome.Failure) {
 	if c.tenant.Limited() && !c.handler.contended() && failure.Outcome == outcome.NotRun && c.runs == 0 && len(c.tokens) > 0 {
 		c.handler.options.Quota.Return(c.tokens[0])
 	}
 }
 
 // returnUnused gives the tokens back that no run has used, where requests compete for room.
-func (c *call) returnUnused() {
+func (c *call) returnUnusedTokens() {
 	if !c.handler.contended() {
 		return
 	}
-	for _, token := range c.unused() {
+	for _, token := range c.unusedTokens() {
 		c.handler.options.Quota.Return(token)
 	}
 	c.tokens = nil
--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -59,21 +59,21 @@
 		{"no limit", unlimited, "/closed/", scriptedQuota{err: quota.ErrSpent}, true, 200, "", 0, 0},
 		{"nobody runs it", limited, "/closed/", scriptedQuota{}, false, 503, "0.15", 1, 1},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newArriving(t)
-			handler := keyedHandler(t, &lagging{table: keyed(t, 1, played.tenant), may: true}, at)
-			handler.options.Quota = &played.quota
-			if !played.served {
-				handler.options.View = newHandler(t, &quiet{}, present).options.View
+			at := newRecordingNode(t)
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, test.tenant), canAdvance: true}, at)
+			handler.options.Quota = &test.quota
+			if !test.served {
+				handler.options.View = newHandler(t, &fakeObserver{}, probeOK).options.View
 			}
-			answer := request(t, handler, played.path, http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"k"}})
-			g.Expect(answer.Code).To(Equal(played.status))
-			g.Expect(answer.Header().Get("Retry-After")).To(Equal(played.wait))
-			g.Expect(at.hops).To(HaveLen(map[bool]int{true: 1}[played.status == 200]))
-			g.Expect(played.quota.taken).To(HaveLen(played.taken))
-			g.Expect(played.quota.returned).To(HaveLen(played.returned))
+			answer := request(t, handler, test.path, http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"k"}})
+			g.Expect(answer.Code).To(Equal(test.status))
+			g.Expect(answer.Header().Get("Retry-After")).To(Equal(test.wait))
+			g.Expect(at.hops).To(HaveLen(map[bool]int{true: 1}[test.status == 200]))
+			g.Expect(test.quota.taken).To(HaveLen(test.taken))
+			g.Expect(test.quota.returned).To(HaveLen(test.returned))
 		})
 	}
 }
--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -32,29 +32,29 @@
 		{"a region that is not there", nil, []string{"west"}, nil, nil},
 		{"the region's last zone is emptied", []string{"c"}, []string{"south"}, nil, nil},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			handler := newHandler(t, &quiet{}, present)
+			handler := newHandler(t, &fakeObserver{}, probeOK)
 			handler.options.Zone = "a"
 			handler.options.Regions = map[string]string{"a": "north", "b": "north", "c": "south"}
 			members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "a"})
-			members.Merge(serviceOf(9, "a", "b", "c"))
+			members.Merge(serviceRecords(9, "a", "b", "c"))
 			orders := evacuation.New(evacuation.Options{
 				Known: func(string) bool { return true }, Spread: func() {}, Changed: func(string, bool) {}, Logger: zap.NewNop(),
 			})
 			handler.options.Emptied = orders.Zones
 			before := handler.subset(members.View(), "s", rollout.Every(), regions{})
 			g.Expect(before.records).To(HaveLen(9))
-			for i, zone := range played.emptied {
+			for i, zone := range test.emptied {
 				orders.Ordered(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Emptied: true})
 			}
 			found := map[string]bool{}
-			for _, record := range handler.subset(members.View(), "s", rollout.Every(), regionsOf(played.route, played.tenant)).records {
+			for _, record := range handler.subset(members.View(), "s", rollout.Every(), regionsOf(test.route, test.tenant)).records {
 				found[record.Zone] = true
 			}
-			g.Expect(found).To(HaveLen(len(played.expected)))
-			for _, zone := range played.expected {
+			g.Expect(found).To(HaveLen(len(test.expected)))
+			for _, zone := range test.expected {
 				g.Expect(found).To(HaveKey(zone))
 			}
 		})
--- a/internal/sidecar/egress/rejected_test.go
+++ b/internal/sidecar/egress/rejected_test.go
@@ -41,9 +41,9 @@
 				left := patience - clock.Since(began)
 				refused := &call{
 					started: clock.Now(), deadline: clock.Now().Add(left), callerTime: left,
-					returning: attempt > 0, rejectedWithRoom: room,
+					returning: attempt > 0, rejectedWithFreeSlots: room,
 				}
-				time.Sleep(min(refused.retryAfter(minimumRetryAfter), left/3))
+				time.Sleep(min(refused.clampRetryAfter(minimumRetryAfter), left/3))
 			}
 		}
 		return inTime / callers, late / callers
--- a/internal/sidecar/egress/sample.go
+++ b/internal/sidecar/egress/sample.go
@@ -8,13 +8,13 @@
 )
 
 // servedPerSecond is how many of the calls that went well are logged.
-const servedPerSecond = 3
+const loggedCallsPerSecond = 3
 
 // sampled returns a logger that writes the first lines of each second. It is for one message: the
 // library's sampler holds counters for thousands of them, which is much of what an idle node holds.
-func sampled(logger *zap.Logger) *zap.Logger {
+func newSampledLogger(logger *zap.Logger) *zap.Logger {
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return &sampledCore{Core: core, passed: &atomic.Uint64{}}
+		return &sampledCore{Core: core, window: &atomic.Uint64{}}
 	}))
 }
 
@@ -23,7 +23,7 @@
 	zapcore.Core
 	// passed is the second of the last line that was passed on, and in the lowest bits how many
 	// were in it.
-	passed *atomic.Uint64
+	window *atomic.Uint64
 }
 
 // countBits is how many bits count the lines of a second.
@@ -31,30 +31,30 @@
 
 // With implements zapcore.Core.
 func (s *sampledCore) With(fields []zapcore.Field) zapcore.Core {
-	return &sampledCore{Core: s.Core.With(fields), passed: s.passed}
+	return &sampledCore{Core: s.Core.With(fields), window: s.window}
 }
 
 // Check implements zapcore.Core.
 func (s *sampledCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if !s.Enabled(entry.Level) || !s.passes(uint64(entry.Time.Unix())) {
+	if !s.Enabled(entry.Level) || !s.allow(uint64(entry.Time.Unix())) {
 		return checked
 	}
 	return s.Core.Check(entry, checked)
 }
 
 // passes reports whether a line of that second is passed on, and counts it.
-func (s *sampledCore) passes(second uint64) bool {
+func (s *sampledCore) allow(second uint64) bool {
 	for {
-		before := s.passed.Load()
+		before := s.window.Load()
 		second := max(second, before>>countBits) // lines come a little out of order
 		next := second<<countBits + 1
 		if before>>countBits == second {
 			next = before + 1
 		}
-		if next-second<<countBits > servedPerSecond {
+		if next-second<<countBits > loggedCallsPerSecond {
 			return false
 		}
-		if s.passed.CompareAndSwap(before, next) {
+		if s.window.CompareAndSwap(before, next) {
 			return true
 		}
 	}
--- a/internal/sidecar/egress/sample_test.go
+++ b/internal/sidecar/egress/sample_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		core, written := observer.New(zapcore.InfoLevel)
-		logger := sampled(zap.New(core))
+		logger := newSampledLogger(zap.New(core))
 		time.Sleep(time.Second - time.Duration(time.Now().Nanosecond()))
 		var writing sync.WaitGroup
 		for range 8 {
@@ -31,16 +31,16 @@
 			})
 		}
 		writing.Wait()
-		g.Expect(written.Len()).To(Equal(servedPerSecond))
+		g.Expect(written.Len()).To(Equal(loggedCallsPerSecond))
 		for range 3 {
 			time.Sleep(time.Second)
 			for range 20 {
 				logger.Info("call served")
 			}
 		}
-		g.Expect(written.Len()).To(Equal(4 * servedPerSecond))
+		g.Expect(written.Len()).To(Equal(4 * loggedCallsPerSecond))
 		time.Sleep(time.Second)
 		logger.Info("call served")
-		g.Expect(written.Len()).To(Equal(4*servedPerSecond + 1))
+		g.Expect(written.Len()).To(Equal(4*loggedCallsPerSecond + 1))
 	})
 }
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -14,7 +14,7 @@
 }
 
 // shared reports whether the request counts against its tenant's share of the service's room.
-func (c *call) shared() bool {
+func (c *call) countsAgainstShare() bool {
 	return c.handler.options.MarkOverShare && c.tenant != nil && !c.nested && c.handler.contended()
 }
 
@@ -24,28 +24,28 @@
 }
 
 // drawShare decides whether the request is above its tenant's share, once for all sends to a service.
-func (c *call) drawShare() {
-	c.part, c.overShare = shares.Whole, false
-	if !c.shared() {
+func (c *call) sampleOverShare() {
+	c.shareFraction, c.overShare = shares.Whole, false
+	if !c.countsAgainstShare() {
 		return
 	}
-	c.part = c.handler.heard.Part(c.subject(), clock.Now())
-	c.overShare = c.part < shares.Whole && c.handler.draw() >= c.part
+	c.shareFraction = c.handler.tenantShares.Part(c.subject(), clock.Now())
+	c.overShare = c.shareFraction < shares.Whole && c.handler.randomFloat() >= c.shareFraction
 }
 
 // tellPart tells the node beside the back end for which part of the tenant's requests this one stands.
-func (c *call) tellPart(header http.Header) {
+func (c *call) setShareHeader(header http.Header) {
 	if c.overShare {
 		return
 	}
-	if part := shares.FormatPart(c.part); part != "" {
-		header[hop.HeaderShare] = []string{part}
+	if shareFraction := shares.FormatPart(c.shareFraction); shareFraction != "" {
+		header[hop.HeaderShare] = []string{shareFraction}
 	}
 }
 
 // hearShare takes in what a reply tells of the tenant's share; replies to what no queue saw tell nothing.
-func (c *call) hearShare(header http.Header) {
-	if told := header.Get(hop.HeaderShare); told != "" && c.shared() {
-		c.handler.heard.Take(c.subject(), shares.ParseStanding(told), clock.Now())
+func (c *call) observeShare(header http.Header) {
+	if told := header.Get(hop.HeaderShare); told != "" && c.countsAgainstShare() {
+		c.handler.tenantShares.Take(c.subject(), shares.ParseStanding(told), clock.Now())
 	}
 }
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -26,20 +26,20 @@
 		{"another tenant", "of-another", true, 0, 0},
 		{"where requests do not compete", "k", false, 0, 0},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newArriving(t)
-			handler := keyedHandler(t, &lagging{table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), may: true}, at)
+			at := newRecordingNode(t)
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), canAdvance: true}, at)
 			handler.options.MarkOverShare = true
-			handler.draw = rand.New(rand.NewPCG(1, 0)).Float64
-			handler.options.Contended = func() bool { return played.contended }
+			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
+			handler.options.Contended = func() bool { return test.contended }
 			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
 			marked, told := 0, 0
 			for range 100 {
 				// The node that is played tells nothing itself.
-				handler.heard.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
-				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {played.key}})
+				handler.tenantShares.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
+				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
 			}
 			for i, arrived := range at.hops {
@@ -50,8 +50,8 @@
 					told++
 				}
 			}
-			g.Expect(marked).To(And(BeNumerically(">=", played.least), BeNumerically("<=", played.most)))
-			if played.least > 0 {
+			g.Expect(marked).To(And(BeNumerically(">=", test.least), BeNumerically("<=", test.most)))
+			if test.least > 0 {
 				g.Expect(told).To(Equal(100 - marked))
 			} else {
 				g.Expect(told).To(BeZero())
--- a/internal/sidecar/egress/stop.go
+++ b/internal/sidecar/egress/stop.go
@@ -30,7 +30,7 @@
 }
 
 // CancelCalls ends what is still under way with an answer.
-func (h *Handler) CancelCalls() { h.cut(errStopping) }
+func (h *Handler) CancelCalls() { h.cancelCalls(errStopping) }
 
 // InFlight returns how many calls are under way.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
--- a/internal/sidecar/egress/stop_test.go
+++ b/internal/sidecar/egress/stop_test.go
@@ -11,7 +11,7 @@
 // later moment is named.
 func TestTheEarliestMomentHolds(t *testing.T) {
 	g := NewWithT(t)
-	handler := newHandler(t, &quiet{}, present)
+	handler := newHandler(t, &fakeObserver{}, probeOK)
 	start := time.Unix(1_700_000_000, 0)
 	g.Expect(handler.refuses(start)).To(BeFalse())
 	handler.RefuseFrom(start.Add(time.Second))
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -30,39 +30,39 @@
 	// near is how many are in the node's zone, ready how many of all take work.
 	near, ready int
 	// of are the service's records that it was chosen from, emptied the zones left out.
-	of      []*roster.Record
-	emptied *evacuation.Zones
+	source    []*roster.Record
+	evacuated *evacuation.Zones
 }
 
 // chosenFrom reports whether the subset was chosen from that list, and not one like it.
-func (s *subset) chosenFrom(list []*roster.Record, emptied *evacuation.Zones) bool {
-	if s.emptied != emptied || len(s.of) != len(list) {
+func (s *subset) chosenFrom(list []*roster.Record, evacuated *evacuation.Zones) bool {
+	if s.evacuated != evacuated || len(s.source) != len(list) {
 		return false
 	}
-	return len(list) == 0 || &s.of[0] == &list[0]
+	return len(list) == 0 || &s.source[0] == &list[0]
 }
 
 // mostSubsets bounds the subsets that are kept: selections and regions come and go.
-const mostSubsets = 512
+const maxSubsets = 512
 
 // subset returns the back ends of the service that the node considers, of those that
 // are selected and in the regions. It is chosen anew when a record of the service, or an emptied zone,
 // has changed: a change of another service's record costs nothing.
 func (h *Handler) subset(view *roster.View, service string, selected rollout.Selection, allowed regions) *subset {
-	of, emptied := view.Service(service), h.options.Emptied()
+	source, evacuated := view.Service(service), h.options.Emptied()
 	key := subsetKey{service: service, selection: selected.Key, regions: allowed.key}
-	if found, known := h.subsets.Load(key); known && found.(*subset).chosenFrom(of, emptied) {
+	if found, known := h.subsets.Load(key); known && found.(*subset).chosenFrom(source, evacuated) {
 		return found.(*subset)
 	}
-	records := admitted(of, selected)
-	if emptied != nil || !allowed.all() {
+	records := admitted(source, selected)
+	if evacuated != nil || !allowed.all() {
 		records = slices.DeleteFunc(slices.Clone(records), func(record *roster.Record) bool {
-			return emptied.Contains(record.Zone) || !allowed.contains(h.options.Regions[record.Zone])
+			return evacuated.Contains(record.Zone) || !allowed.contains(h.options.Regions[record.Zone])
 		})
 	}
-	chosen := chooseSubset(records, h.options.Node, place{zone: h.options.Zone, regions: h.options.Regions})
-	chosen.of, chosen.emptied = of, emptied
-	if h.subsetCount.Add(1) > mostSubsets {
+	chosen := chooseSubset(records, h.options.Node, location{zone: h.options.Zone, regions: h.options.Regions})
+	chosen.source, chosen.evacuated = source, evacuated
+	if h.subsetCount.Add(1) > maxSubsets {
 		h.subsets.Clear()
 		h.subsetCount.Store(0)
 	}
@@ -71,13 +71,13 @@
 }
 
 // admitted returns the records that are selected.
-func admitted(records []*roster.Record, selected rollout.Selection) []*roster.Record {
-	if selected.Admits == nil {
+func admitted(records []*roster.Record, selection rollout.Selection) []*roster.Record {
+	if selection.Admits == nil {
 		return records
 	}
 	var found []*roster.Record
 	for _, record := range records {
-		if selected.Admits(record) {
+		if selection.Admits(record) {
 			found = append(found, record)
 		}
 	}
@@ -90,31 +90,31 @@
 	// waits: it takes no new work now. distance is 0 in the zone, 1 in the region, 2
 	// beyond. hash is of the pair of nodes, so that each node has a choice of its
 	// own that hardly changes when others come and go.
-	waits    bool
-	distance int
-	hash     uint64
+	unavailable bool
+	distance    int
+	hash        uint64
 }
 
 // chooseSubset returns at most nearSubset records of the zone and farSubset of
 // others, those of the region first. Those that take no work come after all
 // others, and nodes whose back end is gone not at all.
-func chooseSubset(records []*roster.Record, self string, from place) *subset {
+func chooseSubset(records []*roster.Record, self string, origin location) *subset {
 	var near, far []ranked
 	for _, record := range records {
 		if record.Departed() {
 			continue
 		}
-		if candidate := rank(record, self, from); candidate.distance == 0 {
+		if candidate := rank(record, self, origin); candidate.distance == 0 {
 			near = append(near, candidate)
 		} else {
 			far = append(far, candidate)
 		}
 	}
-	near, far = first(near, nearSubset), first(far, farSubset)
+	near, far = topRanked(near, nearSubset), topRanked(far, farSubset)
 	chosen := &subset{near: len(near), records: make([]*roster.Record, 0, len(near)+len(far))}
 	for _, candidate := range append(near, far...) {
 		chosen.records = append(chosen.records, candidate.record)
-		if !candidate.waits {
+		if !candidate.unavailable {
 			chosen.ready++
 		}
 	}
@@ -122,16 +122,16 @@
 }
 
 // first returns the best ranked, at most that many.
-func first(all []ranked, most int) []ranked {
+func topRanked(all []ranked, limit int) []ranked {
 	slices.SortFunc(all, compareRanks)
-	return all[:min(len(all), most)]
+	return all[:min(len(all), limit)]
 }
 
-func rank(record *roster.Record, self string, near place) ranked {
-	made := ranked{record: record, waits: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
+func rank(record *roster.Record, self string, origin location) ranked {
+	made := ranked{record: record, unavailable: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
 	switch {
-	case record.Zone == near.zone:
-	case near.leaves(record.Zone):
+	case record.Zone == origin.zone:
+	case origin.crossesRegion(record.Zone):
 		made.distance = 2
 	default:
 		made.distance = 1
@@ -140,8 +140,8 @@
 }
 
 func compareRanks(a, b ranked) int {
-	if a.waits != b.waits {
-		if a.waits {
+	if a.unavailable != b.unavailable {
+		if a.unavailable {
 			return 1
 		}
 		return -1
--- a/internal/sidecar/egress/subset_test.go
+++ b/internal/sidecar/egress/subset_test.go
@@ -12,7 +12,7 @@
 )
 
 // serviceOf returns the records of a service, by turns in the zones.
-func serviceOf(count int, zones ...string) []*roster.Record {
+func serviceRecords(count int, zones ...string) []*roster.Record {
 	records := make([]*roster.Record, count)
 	for i := range records {
 		records[i] = &roster.Record{
@@ -24,23 +24,23 @@
 }
 
 func TestTheSizeOfASubset(t *testing.T) {
-	near := place{zone: "a"}
+	near := location{zone: "a"}
 	cases := []struct {
 		name    string
 		records []*roster.Record
 		want    int
 	}{
 		{"none", nil, 0},
-		{"few: all", serviceOf(12, "a", "b", "c"), 12},
-		{"many in the zone", serviceOf(500, "a"), nearSubset},
-		{"many elsewhere", serviceOf(500, "b", "c"), farSubset},
-		{"many everywhere", serviceOf(900, "a", "b", "c"), nearSubset + farSubset},
+		{"few: all", serviceRecords(12, "a", "b", "c"), 12},
+		{"many in the zone", serviceRecords(500, "a"), nearSubset},
+		{"many elsewhere", serviceRecords(500, "b", "c"), farSubset},
+		{"many everywhere", serviceRecords(900, "a", "b", "c"), nearSubset + farSubset},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			chosen := chooseSubset(held.records, "self", near)
-			g.Expect(chosen.records).To(HaveLen(held.want))
+			chosen := chooseSubset(test.records, "self", near)
+			g.Expect(chosen.records).To(HaveLen(test.want))
 			for i, record := range chosen.records {
 				g.Expect(record.Zone == near.zone).To(Equal(i < chosen.near))
 			}
@@ -51,8 +51,8 @@
 // TestASubsetPrefers who takes work, then the region.
 func TestASubsetPrefers(t *testing.T) {
 	g := NewWithT(t)
-	records := serviceOf(400, "a", "b", "c", "d")
-	near := place{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south", "d": "north"}}
+	records := serviceRecords(400, "a", "b", "c", "d")
+	origin := location{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south", "d": "north"}}
 	for i, record := range records {
 		switch {
 		case i < 200:
@@ -61,22 +61,22 @@
 			record.Endpoint.State = roster.Gone
 		}
 	}
-	for _, record := range chooseSubset(records, "self", near).records {
+	for _, record := range chooseSubset(records, "self", origin).records {
 		g.Expect(record.AcceptsWork()).To(BeTrue())
 		g.Expect(record.Zone).NotTo(Equal("c"), "another region, and there are enough")
 	}
 	for _, record := range records {
 		record.Leaving = true
 	}
-	g.Expect(chooseSubset(records, "self", near).records).To(HaveLen(nearSubset+farSubset), "rather than none")
+	g.Expect(chooseSubset(records, "self", origin).records).To(HaveLen(nearSubset+farSubset), "rather than none")
 }
 
 // TestSubsetsSpreadAndStay: the callers' nodes do not all consider the same back
 // ends, and one more back end changes little.
 func TestSubsetsSpreadAndStay(t *testing.T) {
 	g := NewWithT(t)
-	records := serviceOf(200, "a")
-	near := place{zone: "a"}
+	records := serviceRecords(200, "a")
+	near := location{zone: "a"}
 	considered := map[string]int{}
 	for caller := range 200 {
 		self := fmt.Sprint("caller-", caller)
@@ -84,7 +84,7 @@
 		for _, record := range before {
 			considered[record.Node]++
 		}
-		after := chooseSubset(serviceOf(201, "a"), self, near).records
+		after := chooseSubset(serviceRecords(201, "a"), self, near).records
 		kept := 0
 		for _, record := range before {
 			for _, other := range after {
@@ -108,7 +108,7 @@
 func TestSubsetsOfUnequalBackEnds(t *testing.T) {
 	g := NewWithT(t)
 	zones := []string{"a", "b", "c", "d"}
-	records := serviceOf(44, zones...)
+	records := serviceRecords(44, zones...)
 	room := func(record *roster.Record) float64 {
 		if len(record.Node)%2 == 0 { // node-0 to node-9
 			return 1
@@ -120,7 +120,7 @@
 	mean := 0.0
 	const nodes = 88
 	for i := range nodes {
-		chosen := chooseSubset(records, fmt.Sprint("caller-", i), place{zone: zones[i%len(zones)]})
+		chosen := chooseSubset(records, fmt.Sprint("caller-", i), location{zone: zones[i%len(zones)]})
 		g.Expect(chosen.near).To(Equal(11))
 		g.Expect(chosen.records).To(HaveLen(11 + farSubset))
 		sum := 0.0
--- a/internal/sidecar/egress/suspension_test.go
+++ b/internal/sidecar/egress/suspension_test.go
@@ -16,7 +16,7 @@
 
 // tellingPeer is a node that tells how much time each request has left, and answers what the
 // function returns: whether it was run to a good end.
-func tellingPeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
+func remainingTimePeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
@@ -48,7 +48,7 @@
 		suspend(slept)
 		return false
 	}
-	handler := newHandler(t, &quiet{}, present, tellingPeer(t, left, served), tellingPeer(t, left, served))
+	handler := newHandler(t, &fakeObserver{}, probeOK, remainingTimePeer(t, left, served), remainingTimePeer(t, left, served))
 	g.Expect(callWithin(handler, given)).To(Equal(http.StatusOK))
 	g.Expect(<-left).To(BeNumerically("~", given, slept/2))
 	g.Expect(<-left).To(BeNumerically("<=", given-slept))
@@ -60,7 +60,7 @@
 	suspend := clocktest.Suspendable(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
 	left := make(chan time.Duration, 1)
-	handler := newHandler(t, &quiet{}, present, tellingPeer(t, left, func() bool { return true }))
+	handler := newHandler(t, &fakeObserver{}, probeOK, remainingTimePeer(t, left, func() bool { return true }))
 	suspend(slept)
 	g.Expect(callWithin(handler, given)).To(Equal(http.StatusOK))
 	g.Expect(<-left).To(BeNumerically("<=", given-slept))
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -41,34 +41,34 @@
 	epoch    uint64
 	endpoint roster.Incarnation
 	// others estimates how many requests there are not this node's.
-	others occupancy.Estimate
-	taken  time.Time
+	others     occupancy.Estimate
+	receivedAt time.Time
 }
 
 const (
 	// avoidBase is how long a target is avoided after its first failure; each
 	// further one doubles it, up to avoidMost.
-	avoidBase = 200 * time.Millisecond
-	avoidMost = 2 * time.Second
+	baseAvoidance = 200 * time.Millisecond
+	maxAvoidance  = 2 * time.Second
 	// coldAvoid is how long a target is avoided whose back end is cold and has got what it bears.
 	// It bears a few requests a second: a look some times a second finds its room.
-	coldAvoid = 250 * time.Millisecond
+	coldAvoidance = 250 * time.Millisecond
 )
 
 // of reports whether the report is of the back end and the life of the node that
 // the record tells of. After either has changed it says nothing any more.
-func (r *loadReport) of(record *roster.Record) bool {
+func (r *loadReport) matches(record *roster.Record) bool {
 	return r.epoch == record.Epoch && r.endpoint == record.Endpoint.Incarnation()
 }
 
 // learn takes in the load that a reply carries, and returns how many requests of others are
 // there. The record is the one that the request was sent by.
-func (t *target) learn(load hop.Reply, record *roster.Record, now time.Time) (others float64) {
+func (t *target) observe(load hop.Reply, record *roster.Record, now time.Time) (others float64) {
 	others = float64(load.Running+load.Waiting) - float64(t.inFlight.Load())
 	for {
 		before := t.report.Load()
-		next := &loadReport{Reply: load, epoch: record.Epoch, endpoint: record.Endpoint.Incarnation(), taken: now}
-		if before != nil && before.of(record) {
+		next := &loadReport{Reply: load, epoch: record.Epoch, endpoint: record.Endpoint.Incarnation(), receivedAt: now}
+		if before != nil && before.matches(record) {
 			next.others = before.others
 		}
 		next.others = next.others.After(others, record.Endpoint.Slots, load.Held, now)
@@ -81,9 +81,9 @@
 // failed has the target avoided for a while.
 func (t *target) failed(now time.Time) {
 	count := t.failures.Add(1)
-	wait := avoidMost
+	wait := maxAvoidance
 	if shift := count - 1; shift < 4 {
-		wait = min(avoidBase<<shift, avoidMost)
+		wait = min(baseAvoidance<<shift, maxAvoidance)
 	}
 	t.avoid(now, wait)
 }
@@ -108,41 +108,41 @@
 }
 
 // place is where a node is.
-type place struct {
+type location struct {
 	zone string
 	// regions holds the region of each zone, as far as known.
 	regions map[string]string
 }
 
 // leaves reports whether a zone is known to be in another region.
-func (p place) leaves(zone string) bool {
+func (p location) crossesRegion(zone string) bool {
 	own, other := p.regions[p.zone], p.regions[zone]
 	return own != "" && other != "" && own != other
 }
 
 // candidate describes the target for the choice. usual is how long back ends of
 // the service work on such a request.
-func (t *target) candidate(record *roster.Record, near place, usual time.Duration, now time.Time) choice.Candidate {
+func (t *target) candidate(record *roster.Record, origin location, expectedWork time.Duration, now time.Time) choice.Candidate {
 	described := choice.Candidate{
-		SameZone: record.Zone == near.zone, OtherRegion: near.leaves(record.Zone),
+		SameZone: record.Zone == origin.zone, OtherRegion: origin.crossesRegion(record.Zone),
 		Busy:    float64(t.inFlight.Load()),
 		Slots:   record.Endpoint.Slots,
-		Work:    usual,
-		Held:    usual,
+		Work:    expectedWork,
+		Held:    expectedWork,
 		Avoid:   t.avoided(now),
 		Leaving: !record.AcceptsWork(),
 		Silent:  t.silent.Load(),
 	}
 	switch {
 	case described.OtherRegion:
-		described.RoundTrip = regionCrossing
+		described.RoundTrip = crossRegionRTT
 	case !described.SameZone:
-		described.RoundTrip = zoneCrossing
+		described.RoundTrip = crossZoneRTT
 	}
-	if report := t.report.Load(); report != nil && report.of(record) {
-		age := now.Sub(report.taken)
+	if report := t.report.Load(); report != nil && report.matches(record) {
+		age := now.Sub(report.receivedAt)
 		described.Busy += report.others.Others(now)
-		described.Work = time.Duration(float64(usual) * choice.Faded(report.Factor, age, report.others.HalfLife()))
+		described.Work = time.Duration(float64(expectedWork) * choice.Faded(report.Factor, age, report.others.HalfLife()))
 		described.Held = report.Held
 		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
 	}
@@ -151,9 +151,9 @@
 
 // unheard is the part of what is there that no report tells of any more: one without any report,
 // little after a fresh one.
-func (t *target) unheard(record *roster.Record, now time.Time) float64 {
+func (t *target) unreportedWeight(record *roster.Record, now time.Time) float64 {
 	report := t.report.Load()
-	if report == nil || !report.of(record) {
+	if report == nil || !report.matches(record) {
 		return 1
 	}
 	return 1 - report.others.Weight(now)
@@ -163,7 +163,7 @@
 // there is none.
 func (t *target) reportAge(now time.Time) time.Duration {
 	if report := t.report.Load(); report != nil {
-		return now.Sub(report.taken)
+		return now.Sub(report.receivedAt)
 	}
 	return -1
 }
@@ -178,21 +178,21 @@
 }
 
 // of returns the target of a record, a new one when the node has moved.
-func (t *targets) of(record *roster.Record) *target {
+func (t *targets) forRecord(record *roster.Record) *target {
 	t.mutex.RLock()
-	held := t.byNode[record.Node]
+	existing := t.byNode[record.Node]
 	t.mutex.RUnlock()
-	if held != nil && held.address == record.Address {
-		return held
+	if existing != nil && existing.address == record.Address {
+		return existing
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	held = t.byNode[record.Node]
-	if held != nil && held.address == record.Address {
-		return held
+	existing = t.byNode[record.Node]
+	if existing != nil && existing.address == record.Address {
+		return existing
 	}
-	if held != nil {
-		held.pool.Close()
+	if existing != nil {
+		existing.pool.Close()
 	}
 	created := &target{node: record.Node, address: record.Address, pool: forward.NewPool(record.Address, t.options, t.dial)}
 	t.byNode[record.Node] = created
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -14,25 +14,25 @@
 // TestTheWayToABackEnd: what is believed of the way by zone and region. A zone
 // whose region is not known counts as one of the own region.
 func TestTheWayToABackEnd(t *testing.T) {
-	near := place{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south"}}
+	origin := location{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south"}}
 	cases := []struct {
 		zone                  string
 		sameZone, otherRegion bool
 		roundTrip             time.Duration
 	}{
 		{"a", true, false, 0},
-		{"b", false, false, zoneCrossing},
-		{"c", false, true, regionCrossing},
-		{"unknown", false, false, zoneCrossing},
+		{"b", false, false, crossZoneRTT},
+		{"c", false, true, crossRegionRTT},
+		{"unknown", false, false, crossZoneRTT},
 	}
-	for _, way := range cases {
-		t.Run(way.zone, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.zone, func(t *testing.T) {
 			g := NewWithT(t)
-			record := &roster.Record{Node: "n", Zone: way.zone, Endpoint: &roster.Endpoint{Slots: 4, State: roster.Ready}}
-			described := (&target{}).candidate(record, near, time.Second, time.Now())
-			g.Expect(described.SameZone).To(Equal(way.sameZone))
-			g.Expect(described.OtherRegion).To(Equal(way.otherRegion))
-			g.Expect(described.RoundTrip).To(Equal(way.roundTrip))
+			record := &roster.Record{Node: "n", Zone: test.zone, Endpoint: &roster.Endpoint{Slots: 4, State: roster.Ready}}
+			described := (&target{}).candidate(record, origin, time.Second, time.Now())
+			g.Expect(described.SameZone).To(Equal(test.sameZone))
+			g.Expect(described.OtherRegion).To(Equal(test.otherRegion))
+			g.Expect(described.RoundTrip).To(Equal(test.roundTrip))
 		})
 	}
 }
@@ -46,8 +46,8 @@
 	}
 	now := time.Now()
 	held := &target{}
-	held.learn(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
-	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, place{}, time.Second, now) }
+	held.observe(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
+	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, location{}, time.Second, now) }
 	g.Expect(described(record(1, "a")).Busy).To(Equal(5.0))
 	g.Expect(described(record(1, "a")).Work).To(Equal(7 * time.Second))
 	for _, later := range []*roster.Record{record(2, "a"), record(1, "b")} {
@@ -64,7 +64,7 @@
 	now := time.Now()
 	held := &target{}
 	held.inFlight.Store(2)
-	held.learn(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
+	held.observe(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
 	held.inFlight.Store(4)
-	g.Expect(held.candidate(record, place{}, time.Second, now).Busy).To(Equal(5.0))
+	g.Expect(held.candidate(record, location{}, time.Second, now).Busy).To(Equal(5.0))
 }
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -24,7 +24,7 @@
 
 // keyed returns a configuration of one tenant with the keys, with a route that asks for a key
 // and one that does not.
-func keyed(t *testing.T, version uint64, tenant route.Tenant) *route.Table {
+func tenantTable(t *testing.T, version uint64, tenant route.Tenant) *route.Table {
 	document := &route.Document{
 		Version: version, Services: []route.Service{{Name: "s"}},
 		Tenants: []route.Tenant{tenant, {Name: "another", Keys: []route.Key{"of-another"}}},
@@ -41,14 +41,14 @@
 }
 
 // arriving is a node that notes what arrives there.
-type arriving struct {
+type recordingNode struct {
 	*httptest.Server
 	headers []http.Header
 	hops    []hop.Request
 }
 
-func newArriving(t *testing.T) *arriving {
-	created := &arriving{}
+func newRecordingNode(t *testing.T) *recordingNode {
+	created := &recordingNode{}
 	created.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
@@ -63,8 +63,8 @@
 }
 
 // keyedHandler returns a handler whose one back end is beside the arriving node.
-func keyedHandler(t *testing.T, held *lagging, at *arriving) *Handler {
-	handler := newHandler(t, &quiet{}, present)
+func tenantHandler(t *testing.T, held *fakeFreshness, at *recordingNode) *Handler {
+	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	members.Merge([]*roster.Record{{
 		Node: "a", Epoch: 1, Address: at.Listener.Addr().String(), Zone: "z",
@@ -92,7 +92,7 @@
 	cases := []struct {
 		name, path, key string
 		before, after   route.Key // the tenant's key in the version in force, and in the newest
-		may             bool      // the node can catch up
+		canAdvance      bool      // the node can catch up
 		status          int
 		tenant          string
 	}{
@@ -107,30 +107,30 @@
 		{"an open route with a key", "/open/", "k", "k", "k", true, 200, "acme"},
 		{"no route", "/none/", "k", "k", "k", true, 404, ""},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newArriving(t)
+			at := newRecordingNode(t)
 			rank := 1
-			tenant := route.Tenant{Name: "acme", Keys: []route.Key{played.before}, Priority: &rank}
-			held := &lagging{table: keyed(t, 1, tenant), may: played.may}
-			tenant.Keys = []route.Key{played.after}
-			held.next = keyed(t, 2, tenant)
+			tenant := route.Tenant{Name: "acme", Keys: []route.Key{test.before}, Priority: &rank}
+			held := &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: test.canAdvance}
+			tenant.Keys = []route.Key{test.after}
+			held.next = tenantTable(t, 2, tenant)
 			header := http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}
-			if played.key != "" {
-				header[keyHeader] = []string{played.key}
+			if test.key != "" {
+				header[keyHeader] = []string{test.key}
 			}
-			handler := keyedHandler(t, held, at)
-			g.Expect(request(t, handler, played.path, header).Code).To(Equal(played.status))
-			if played.status != http.StatusOK {
+			handler := tenantHandler(t, held, at)
+			g.Expect(request(t, handler, test.path, header).Code).To(Equal(test.status))
+			if test.status != http.StatusOK {
 				g.Expect(at.headers).To(BeEmpty())
 				return
 			}
 			g.Expect(at.headers).To(HaveLen(1))
 			g.Expect(at.headers[0]).NotTo(HaveKey(keyHeader))
-			g.Expect(at.headers[0].Get(tenantHeader)).To(Equal(played.tenant))
+			g.Expect(at.headers[0].Get(tenantHeader)).To(Equal(test.tenant))
 			priority := 5
-			if played.tenant == "acme" {
+			if test.tenant == "acme" {
 				priority = rank
 			}
 			g.Expect(at.hops[0].Priority).To(Equal(priority), "a tenant's priority goes before the route's")
@@ -141,8 +141,8 @@
 // TestWithoutTenants nobody needs a key.
 func TestWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
-	at := newArriving(t)
-	handler := keyedHandler(t, &lagging{table: leading(t, 1, "s"), may: true}, at)
+	at := newRecordingNode(t)
+	handler := tenantHandler(t, &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}, at)
 	g.Expect(request(t, handler, "/r/", http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}).Code).To(Equal(http.StatusOK))
 	g.Expect(at.headers[0]).NotTo(HaveKey(tenantHeader))
 }
@@ -151,12 +151,12 @@
 // the newer configuration, and refused.
 func TestAKeyThatWasTakenAway(t *testing.T) {
 	g := NewWithT(t)
-	given := newPeer(t, givesBack)
-	held := &lagging{
-		table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"old"}}),
-		next:  keyed(t, 2, route.Tenant{Name: "acme", Keys: []route.Key{"new"}}), may: true,
+	given := newPeer(t, answerMoved)
+	held := &fakeFreshness{
+		table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"old"}}),
+		next:  tenantTable(t, 2, route.Tenant{Name: "acme", Keys: []route.Key{"new"}}), canAdvance: true,
 	}
-	handler := playLate(t, held, given, given)
+	handler := outdatedHandler(t, held, given, given)
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
 	header := http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"old"}}
 	g.Expect(request(t, handler, "/closed/", header).Code).To(Equal(http.StatusUnauthorized))
@@ -167,10 +167,10 @@
 func TestNoKeyInTheLog(t *testing.T) {
 	g := NewWithT(t)
 	core, logged := observer.New(zapcore.DebugLevel)
-	at := newArriving(t)
+	at := newRecordingNode(t)
 	tenant := route.Tenant{Name: "acme", Keys: []route.Key{"secret-known"}}
-	handler := keyedHandler(t, &lagging{table: keyed(t, 1, tenant), may: true}, at)
-	handler.options.Logger, handler.served = zap.New(core), zap.New(core)
+	handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: true}, at)
+	handler.options.Logger, handler.servedLogger = zap.New(core), zap.New(core)
 	for _, key := range []string{"secret-known", "secret-unknown"} {
 		request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {key}})
 	}
--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -21,15 +21,15 @@
 )
 
 // said is what a scripted node answers.
-type said struct {
+type scriptedReply struct {
 	outcome outcome.Outcome
 	step    outcome.Step
 }
 
 var (
-	rejected = said{outcome.NotRun, outcome.StepShed}
-	spoiled  = said{outcome.Unknown, outcome.StepAwait}
-	served   = said{}
+	rejectedReply = scriptedReply{outcome.NotRun, outcome.StepShed}
+	unknownResult = scriptedReply{outcome.Unknown, outcome.StepAwait}
+	servedReply   = scriptedReply{}
 )
 
 // TestTokensOfRepeatedSends: a send that provably did not run leaves the request its token, also for the
@@ -38,25 +38,25 @@
 func TestTokensOfRepeatedSends(t *testing.T) {
 	cases := []struct {
 		name                    string
-		answers                 []said
+		answers                 []scriptedReply
 		again                   error
 		contended               bool
 		status, taken, returned int
 	}{
-		{"rejected, then served", []said{rejected, served}, nil, true, 200, 1, 0},
-		{"rejected twice", []said{rejected, rejected}, nil, true, 503, 1, 1},
-		{"spoiled, then served", []said{spoiled, served}, nil, true, 200, 2, 0},
-		{"spoiled, with the limit reached", []said{spoiled, served}, quota.ErrSpent, true, 502, 2, 0},
-		{"spoiled, then rejected", []said{spoiled, rejected}, nil, true, 502, 2, 1},
-		{"rejected twice, elsewhere", []said{rejected, rejected}, nil, false, 503, 1, 0},
-		{"spoiled, then served, elsewhere", []said{spoiled, served}, nil, false, 200, 1, 0},
+		{"rejected, then served", []scriptedReply{rejectedReply, servedReply}, nil, true, 200, 1, 0},
+		{"rejected twice", []scriptedReply{rejectedReply, rejectedReply}, nil, true, 503, 1, 1},
+		{"spoiled, then served", []scriptedReply{unknownResult, servedReply}, nil, true, 200, 2, 0},
+		{"spoiled, with the limit reached", []scriptedReply{unknownResult, servedReply}, quota.ErrSpent, true, 502, 2, 0},
+		{"spoiled, then rejected", []scriptedReply{unknownResult, rejectedReply}, nil, true, 502, 2, 1},
+		{"rejected twice, elsewhere", []scriptedReply{rejectedReply, rejectedReply}, nil, false, 503, 1, 0},
+		{"spoiled, then served, without overload control", []scriptedReply{unknownResult, servedReply}, nil, false, 200, 1, 0},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var sends atomic.Int64
 			node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				answer := played.answers[min(int(sends.Add(1)), len(played.answers))-1]
+				answer := test.answers[min(int(sends.Add(1)), len(test.answers))-1]
 				w.Header().Set(hop.HeaderReply, "1 0 0 8 50000 1000 1000")
 				w.Header().Set("Connection", "close")
 				if answer.outcome != "" {
@@ -66,7 +66,7 @@
 				}
 			}))
 			t.Cleanup(node.Close)
-			handler := keyedHandler(t, &lagging{table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}, Rate: 3}), may: true}, &arriving{Server: node})
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}, Rate: 3}), canAdvance: true}, &recordingNode{Server: node})
 			members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 			for _, name := range []string{"a", "b"} {
 				members.Merge([]*roster.Record{{
@@ -80,19 +80,19 @@
 				Limits: func() repeats.Limits { return repeats.Limits{Slack: 1e6, Window: time.Second} },
 				Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 			})
-			handler.options.Contended = func() bool { return played.contended }
-			tokens := &scriptedQuota{again: played.again, token: liveToken()}
+			handler.options.Contended = func() bool { return test.contended }
+			tokens := &scriptedQuota{again: test.again, token: validToken()}
 			handler.options.Quota = tokens
 			answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"k"}})
-			g.Expect(answer.Code).To(Equal(played.status))
-			g.Expect(tokens.taken).To(HaveLen(played.taken))
-			g.Expect(tokens.returned).To(HaveLen(played.returned))
+			g.Expect(answer.Code).To(Equal(test.status))
+			g.Expect(tokens.taken).To(HaveLen(test.taken))
+			g.Expect(tokens.returned).To(HaveLen(test.returned))
 		})
 	}
 }
 
 // liveToken returns a token that may still be spent whenever the test comes to it.
-func liveToken() lending.Token {
+func validToken() lending.Token {
 	now := time.Now().Add(time.Hour) // the test does not depend on how long it takes
 	holder := lending.NewHolder("n")
 	holder.Granted("acme", lending.Grant{Tokens: 1}, now, now)
@@ -102,22 +102,22 @@
 
 // TestTokensThatNoRunUsed, also when the request is served in the end.
 func TestTokensThatNoRunUsed(t *testing.T) {
-	ran, notRun, answered := visit{outcome: outcome.Unknown}, visit{outcome: outcome.NotRun}, visit{}
+	ran, notRun, answered := attemptRecord{outcome: outcome.Unknown}, attemptRecord{outcome: outcome.NotRun}, attemptRecord{}
 	cases := []struct {
-		name   string
-		visits visits
-		bought int
-		unused int // of two
+		name         string
+		attempts     attempts
+		bought       int
+		unusedTokens int // of two
 	}{
 		{"nothing sent", nil, 0, 2},
-		{"refused", visits{notRun, notRun}, 0, 2},
-		{"rejected, then served", visits{notRun, answered}, 0, 1},
-		{"ran twice", visits{ran, answered}, 0, 0},
-		{"the second run paid for by the node", visits{ran, answered}, 1, 1},
-		{"more runs than tokens", visits{ran, ran, ran}, 0, 0},
+		{"refused", attempts{notRun, notRun}, 0, 2},
+		{"rejected, then served", attempts{notRun, answered}, 0, 1},
+		{"ran twice", attempts{ran, answered}, 0, 0},
+		{"the second run paid for by the node", attempts{ran, answered}, 1, 1},
+		{"more runs than tokens", attempts{ran, ran, ran}, 0, 0},
 	}
-	for _, played := range cases {
-		made := &call{visits: played.visits, tokens: make([]lending.Token, 2), boughtAgain: played.bought}
-		NewWithT(t).Expect(made.unused()).To(HaveLen(played.unused), played.name)
+	for _, test := range cases {
+		made := &call{attempts: test.attempts, tokens: make([]lending.Token, 2), heldTokenRuns: test.bought}
+		NewWithT(t).Expect(made.unusedTokens()).To(HaveLen(test.unusedTokens), test.name)
 	}
 }
--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -20,9 +20,9 @@
 }
 
 // serves reports whether one of the selected back ends is there to take requests.
-func (h *Handler) serves(service string, selected rollout.Selection, allowed regions) bool {
-	for _, record := range h.subset(h.options.View(), service, selected, allowed).records {
-		if record.AcceptsWork() && !h.targets.of(record).silent.Load() {
+func (h *Handler) hasAvailable(service string, selection rollout.Selection, allowed regions) bool {
+	for _, record := range h.subset(h.options.View(), service, selection, allowed).records {
+		if record.AcceptsWork() && !h.targets.forRecord(record).silent.Load() {
 			return true
 		}
 	}
@@ -31,35 +31,35 @@
 
 // compares reports whether the record's back end is of a version that is compared with
 // those in use.
-func (h *Handler) compares(service string, record *roster.Record) bool {
+func (h *Handler) isCanary(service string, record *roster.Record) bool {
 	plan := h.plan(service)
 	return plan != nil && plan.Compares() && record.Endpoint.Version == plan.Version
 }
 
 // usualOf returns what is told with a request to a back end whose version is compared;
 // nil for all others.
-func (h *Handler) usualOf(service, route string, record *roster.Record) *rollout.Usual {
-	if !h.compares(service, record) {
+func (h *Handler) baselineStats(service, route string, record *roster.Record) *rollout.Usual {
+	if !h.isCanary(service, record) {
 		return nil
 	}
-	usual := h.baselineOf(service).Usual(route, clock.Now())
-	return &usual
+	stats := h.baseline(service).Usual(route, clock.Now())
+	return &stats
 }
 
 // baselineOf returns how the answers of a service's versions in use are.
-func (h *Handler) baselineOf(service string) *rollout.Baseline {
-	if held, found := h.baselines.Load(service); found {
-		return held.(*rollout.Baseline)
+func (h *Handler) baseline(service string) *rollout.Baseline {
+	if value, found := h.baselines.Load(service); found {
+		return value.(*rollout.Baseline)
 	}
-	held, _ := h.baselines.LoadOrStore(service, &rollout.Baseline{})
-	return held.(*rollout.Baseline)
+	value, _ := h.baselines.LoadOrStore(service, &rollout.Baseline{})
+	return value.(*rollout.Baseline)
 }
 
 // compare takes in what the send shows of a version in use, while another one is
 // compared with it. Refusals and what the caller gave up show nothing.
-func (a *attempt) compare(now time.Time) {
+func (a *attempt) observeBaseline(now time.Time) {
 	plan := a.call.handler.plan(a.service)
-	if plan == nil || !plan.Compares() || a.compared || a.call.context.Err() != nil {
+	if plan == nil || !plan.Compares() || a.canary || a.call.context.Err() != nil {
 		return
 	}
 	failed := a.response != nil && a.response.StatusCode >= http.StatusInternalServerError
@@ -70,22 +70,22 @@
 		failed = true
 	}
 	slow := a.worked > rollout.SlowFactor*a.call.work().Mean(a.call.assumedWork())
-	a.call.handler.baselineOf(a.service).Observe(a.call.route.Name, failed, slow, now)
+	a.call.handler.baseline(a.service).Observe(a.call.route.Name, failed, slow, now)
 }
 
 // Load returns what part of the slots of a service's back ends is taken, those of one
 // version aside, by what their nodes last told; above one where requests wait, and one
 // where nothing is known.
-func (h *Handler) Load(service, asideVersion string) float64 {
+func (h *Handler) Load(service, excludedVersion string) float64 {
 	now := clock.Now()
-	near := place{zone: h.options.Zone, regions: h.options.Regions}
+	origin := location{zone: h.options.Zone, regions: h.options.Regions}
 	busy, slots := 0.0, 0
-	for _, record := range h.subset(h.options.View(), service, rollout.Without(asideVersion), regions{}).records {
-		found := h.targets.of(record)
+	for _, record := range h.subset(h.options.View(), service, rollout.Without(excludedVersion), regions{}).records {
+		found := h.targets.forRecord(record)
 		if !record.AcceptsWork() || found.reportAge(now) < 0 {
 			continue
 		}
-		seen := found.candidate(record, near, 0, now)
+		seen := found.candidate(record, origin, 0, now)
 		busy += seen.Busy
 		slots += seen.Slots
 	}
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -11,7 +11,7 @@
 
 // visit is one send of a request: what was believed of the node when it was
 // chosen, and what came of it.
-type visit struct {
+type attemptRecord struct {
 	target *target
 	// seen is what the choice was made by, reportAge how old the node's own
 	// account of its load was then; below zero when there was none.
@@ -23,16 +23,16 @@
 }
 
 // loggedFailing is the least share of failures that is worth a word in the log.
-const loggedFailing = 0.05
+const minLoggedFailing = 0.05
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (v *visit) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
+func (v *attemptRecord) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("node", v.target.node)
 	encoder.AddFloat64("busy", v.seen.Busy)
 	encoder.AddInt("slots", v.seen.Slots)
 	encoder.AddDuration("work", v.seen.Work)
 	encoder.AddDuration("reportAge", v.reportAge)
-	if v.seen.Failing >= loggedFailing {
+	if v.seen.Failing >= minLoggedFailing {
 		encoder.AddFloat64("failing", v.seen.Failing)
 	}
 	if v.seen.Wait > 0 {
@@ -51,10 +51,10 @@
 }
 
 // visits are the sends of one request, in order.
-type visits []visit
+type attempts []attemptRecord
 
 // mayHaveRun is how many of the sends a back end may have run.
-func (v visits) mayHaveRun() int {
+func (v attempts) possibleRuns() int {
 	count := 0
 	for index := range v {
 		if v[index].outcome != outcome.NotRun {
@@ -65,7 +65,7 @@
 }
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
-func (v visits) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
+func (v attempts) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
 	for index := range v {
 		if err := encoder.AppendObject(&v[index]); err != nil {
 			return err
--- a/internal/sidecar/egress/zoneload.go
+++ b/internal/sidecar/egress/zoneload.go
@@ -46,14 +46,14 @@
 const (
 	// fullFrom is from how many requests for each slot on a zone is logged as full, roomFrom up to
 	// how many as having room again. They lie apart so that the log doesn't tell of every swing.
-	fullFrom = 1.5
-	roomFrom = 0.8
+	fullThreshold = 1.5
+	roomThreshold = 0.8
 	// zoneKept is how long a zone is kept of which no reply tells.
-	zoneKept = 5 * time.Minute
+	zoneRetention = 5 * time.Minute
 )
 
 // of returns what is known of back ends like that of the record.
-func (z *zoneLoads) of(record *roster.Record) *zoneLoad {
+func (z *zoneLoads) forRecord(record *roster.Record) *zoneLoad {
 	key := zoneKey{service: record.Endpoint.Service, zone: record.Zone}
 	if found, known := z.byZone.Load(key); known {
 		return found.(*zoneLoad)
@@ -64,8 +64,8 @@
 
 // learn takes in how many requests of others the back end of the record has, and reports whether
 // its zone became full, or got room.
-func (z *zoneLoads) learn(record *roster.Record, others float64, now time.Time) (full, changed bool) {
-	held := z.of(record)
+func (z *zoneLoads) observe(record *roster.Record, others float64, now time.Time) (full, changed bool) {
+	held := z.forRecord(record)
 	for {
 		before := held.average.Load()
 		var average occupancy.Average
@@ -74,17 +74,17 @@
 		}
 		average = average.After(others, record.Endpoint.Slots, now)
 		if held.average.CompareAndSwap(before, &average) {
-			return held.judge(average.PerSlot(now))
+			return held.updateFull(average.PerSlot(now))
 		}
 	}
 }
 
 // judge reports whether the zone became full, or got room.
-func (l *zoneLoad) judge(perSlot float64) (full, changed bool) {
+func (l *zoneLoad) updateFull(perSlot float64) (full, changed bool) {
 	switch {
-	case perSlot >= fullFrom:
+	case perSlot >= fullThreshold:
 		return true, l.full.CompareAndSwap(false, true)
-	case perSlot <= roomFrom:
+	case perSlot <= roomThreshold:
 		return false, l.full.CompareAndSwap(true, false)
 	}
 	return false, false
@@ -92,7 +92,7 @@
 
 // others returns how many requests of others a back end like that of the record has on average.
 func (z *zoneLoads) others(record *roster.Record, now time.Time) float64 {
-	average := z.of(record).average.Load()
+	average := z.forRecord(record).average.Load()
 	if average == nil {
 		return 0
 	}
@@ -103,7 +103,7 @@
 func (z *zoneLoads) sweep(now time.Time) {
 	z.byZone.Range(func(key, value any) bool {
 		average := value.(*zoneLoad).average.Load()
-		if average == nil || average.Age(now) > zoneKept {
+		if average == nil || average.Age(now) > zoneRetention {
 			z.byZone.Delete(key)
 		}
 		return true
@@ -115,10 +115,10 @@
 func (h *Handler) ZoneLoads(now time.Time) []ZoneLoad {
 	var list []ZoneLoad
 	h.zoneLoads.byZone.Range(func(key, value any) bool {
-		of, held := key.(zoneKey), value.(*zoneLoad)
+		id, held := key.(zoneKey), value.(*zoneLoad)
 		if average := held.average.Load(); average != nil {
 			list = append(list, ZoneLoad{
-				Service: of.service, Zone: of.zone, PerSlot: average.PerSlot(now), Age: average.Age(now), Sent: held.sent.Load(),
+				Service: id.service, Zone: id.zone, PerSlot: average.PerSlot(now), Age: average.Age(now), Sent: held.sent.Load(),
 			})
 		}
 		return true
@@ -127,9 +127,9 @@
 }
 
 // learnZone takes in how many requests of others the back end of a send has.
-func (a *attempt) learnZone(others float64, now time.Time) {
+func (a *attempt) observeZone(others float64, now time.Time) {
 	h := a.call.handler
-	full, changed := h.zoneLoads.learn(a.record, others, now)
+	full, changed := h.zoneLoads.observe(a.record, others, now)
 	if !changed {
 		return
 	}
--- a/internal/sidecar/egress/zoneload_test.go
+++ b/internal/sidecar/egress/zoneload_test.go
@@ -22,7 +22,7 @@
 	g := NewWithT(t)
 	now := time.Now()
 	var loads zoneLoads
-	loads.learn(loadRecord("n1", "a", "s"), 9, now)
+	loads.observe(loadRecord("n1", "a", "s"), 9, now)
 	g.Expect(loads.others(loadRecord("n2", "a", "s"), now)).To(Equal(9.0))
 	g.Expect(loads.others(loadRecord("n3", "b", "s"), now)).To(BeZero(), "another zone")
 	g.Expect(loads.others(loadRecord("n4", "a", "t"), now)).To(BeZero(), "another service")
@@ -31,7 +31,7 @@
 	for i := range 16 {
 		running.Go(func() {
 			for range 100 {
-				loads.learn(loadRecord(fmt.Sprint("n", i), "c", "s"), 3, now)
+				loads.observe(loadRecord(fmt.Sprint("n", i), "c", "s"), 3, now)
 			}
 		})
 	}
@@ -44,11 +44,11 @@
 	g := NewWithT(t)
 	now := time.Now()
 	handler := &Handler{targets: &targets{}}
-	handler.zoneLoads.learn(loadRecord("n", "old", "s"), 3, now)
-	handler.zoneLoads.of(loadRecord("n", "never", "s"))
-	handler.zoneLoads.learn(loadRecord("n", "fresh", "s"), 3, now.Add(zoneKept))
-	handler.Sweep(now.Add(zoneKept + time.Second))
-	loads := handler.ZoneLoads(now.Add(zoneKept))
+	handler.zoneLoads.observe(loadRecord("n", "old", "s"), 3, now)
+	handler.zoneLoads.forRecord(loadRecord("n", "never", "s"))
+	handler.zoneLoads.observe(loadRecord("n", "fresh", "s"), 3, now.Add(zoneRetention))
+	handler.Sweep(now.Add(zoneRetention + time.Second))
+	loads := handler.ZoneLoads(now.Add(zoneRetention))
 	g.Expect(loads).To(HaveLen(1))
 	g.Expect(loads[0].Zone).To(Equal("fresh"))
 	_, kept := handler.zoneLoads.byZone.Load(zoneKey{service: "s", zone: "never"})
@@ -62,7 +62,7 @@
 	var loads zoneLoads
 	changes := func(others float64) (count int, last bool) {
 		for range 60 {
-			if full, changed := loads.learn(record, others, now); changed {
+			if full, changed := loads.observe(record, others, now); changed {
 				count, last = count+1, full
 			}
 		}
@@ -86,14 +86,14 @@
 	g := NewWithT(t)
 	now := time.Now()
 	held, record := &target{}, loadRecord("n", "a", "s")
-	g.Expect(held.unheard(record, now)).To(Equal(1.0))
-	held.learn(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now)
-	held.learn(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now.Add(time.Millisecond))
+	g.Expect(held.unreportedWeight(record, now)).To(Equal(1.0))
+	held.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now)
+	held.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now.Add(time.Millisecond))
 	now = now.Add(time.Millisecond)
-	g.Expect(held.unheard(record, now)).To(BeZero())
-	g.Expect(held.unheard(record, now.Add(time.Second))).To(BeNumerically("~", 0.5, 0.001))
-	g.Expect(held.unheard(record, now.Add(time.Hour))).To(BeNumerically("~", 1, 0.001))
+	g.Expect(held.unreportedWeight(record, now)).To(BeZero())
+	g.Expect(held.unreportedWeight(record, now.Add(time.Second))).To(BeNumerically("~", 0.5, 0.001))
+	g.Expect(held.unreportedWeight(record, now.Add(time.Hour))).To(BeNumerically("~", 1, 0.001))
 	replaced := loadRecord("n", "a", "s")
 	replaced.Endpoint.ID = "other"
-	g.Expect(held.unheard(replaced, now)).To(Equal(1.0))
+	g.Expect(held.unreportedWeight(replaced, now)).To(Equal(1.0))
 }
