--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -18,17 +18,17 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// attempt is one send of a request to a node. It runs in a goroutine of its own,
-// so that the call can look elsewhere while a node that seems silent may still
-// answer. The call reads the result only after it was delivered.
+// attempt sends a call's request to one peer. It runs in its own goroutine, so that the call can
+// try another peer while one that does not answer probes may still respond. The call reads the
+// result only after it has been delivered.
 type attempt struct {
 	call   *call
 	record *roster.Record
 	target *target
-	// service is the one that was chosen for this send.
+	// service is the service that was chosen for this attempt.
 	service string
-	// seen is what the choice was made by, reportAge how old the node's own
-	// account of its load was then.
+	// seen is the candidate as it was described when it was chosen, reportAge the age of the peer's
+	// load report at that time; below zero without a report.
 	seen      choice.Candidate
 	reportAge time.Duration
 
@@ -36,41 +36,40 @@
 	context context.Context
 	cancel  context.CancelCauseFunc
 	interim *forward.Interim
-	// suspected is closed when the node did not answer a probe.
+	// suspected is closed when the peer did not answer a probe.
 	suspected chan struct{}
-	// consented: the node has a slot, or room for a large body, and gets the body.
+	// got100Continue: the peer has a slot, or room for a large body, and receives the body.
 	got100Continue atomic.Bool
 
-	// sends is how many nodes the request was sent to before, candidates how many back
-	// ends might have taken it, those included.
+	// sends is the number of peers that the request was sent to before, candidates the number of
+	// back ends that accept work, those included.
 	sends, candidates int
-	// compared: the back end is of a version that is compared with others. What it does
-	// says nothing of how long requests usually take.
+	// canary: the back end runs a version that is being compared with others. Its work times do not
+	// count toward the route's estimate.
 	canary bool
-	// repeated: the run is a repeat. crashed: a back end ended under an earlier send.
+	// repeated: the run is a retry. crashed: a back end crashed during an earlier attempt.
 	repeated, crashed bool
 
-	// noted is the send's number among the call's visits once it was left behind,
-	// zero before; the call's goroutine alone uses it.
+	// recordNumber is the number, from one, of the attempt's record in call.attempts once the call
+	// has detached it; zero before. Only the call's goroutine uses it.
 	recordNumber int
 
-	// response or failure is the result, worked how long the back end says that
-	// it worked.
+	// response or failure is the result; worked is the processing time that the back end reported.
 	response *http.Response
 	failure  *outcome.Failure
 	worked   time.Duration
 	elapsed  time.Duration
-	// version is that of the configuration in force at the node, zero when it did not say.
+	// version is the configuration version in force at the peer, zero when it did not report one.
 	version uint64
-	// room: the back end had slots free when the node answered.
+	// hasFreeSlots: the back end had free slots when the peer answered.
 	hasFreeSlots bool
 }
 
 // run sends the request and delivers the result.
 func (a *attempt) run() {
 	defer a.target.inFlight.Add(-1)
-	// Outside the server's goroutine nothing else keeps a request that sets off a panic
-	// here from ending one node after the other.
+	// The HTTP server recovers panics only in its own goroutine. Without this a request that causes
+	// a panic here would terminate one node after another.
 	if err := contain.Run("request", a.call.handler.options.Logger, a.roundTrip); err != nil {
 		if a.response != nil {
 			_ = a.response.Body.Close()
@@ -84,7 +83,7 @@
 	a.deliver()
 }
 
-// exchange sends the request and judges what comes of it.
+// roundTrip sends the request and records the result.
 func (a *attempt) roundTrip() {
 	entry := a.call.handler.register(a)
 	defer a.target.outstanding.answered(entry, false, a.sent)
@@ -108,8 +107,8 @@
 	}
 }
 
-// suspect tells that the node did not answer a probe. Without consent the body
-// was never sent: the send is given up at once, provably not run.
+// markSuspected records that the peer did not answer a probe. If the body still waits for 100
+// Continue it was never sent: the attempt is abandoned at once and counts as not run.
 func (a *attempt) markSuspected() {
 	close(a.suspected)
 	if !a.call.route.Repeatable && !a.got100Continue.Load() && a.call.expects100Continue() {
@@ -117,20 +116,21 @@
 	}
 }
 
-// lost gives the send up since its node did not answer several probes. A node that
-// stops gives up nothing: a busy peer looks like a lost one, and a request at which
-// a back end is at work must not be broken off by a planned stop. An end of the
-// connection or the deadline ends the send all the same.
+// abandonUnlessStopping abandons the attempt after several unanswered probes. A stopping node
+// abandons nothing: a busy peer looks like a lost one, and a planned stop must not break off a
+// request that a back end is processing. The end of the connection or the deadline still ends the
+// attempt.
 func (a *attempt) abandonUnlessStopping() {
 	if !a.call.handler.stopping.Load() {
 		a.abandon()
 	}
 }
 
-// lose gives the send up.
+// abandon cancels the attempt because its peer does not answer.
 func (a *attempt) abandon() { a.cancel(errSilent) }
 
-// traced is the context of the exchange; it notes consent where that counts.
+// traceContext returns the context of the round trip, which records 100 Continue for requests that
+// may not be retried.
 func (a *attempt) traceContext() context.Context {
 	if a.call.route.Repeatable {
 		return a.context
@@ -140,7 +140,7 @@
 	})
 }
 
-// judge makes the result of what the exchange brought.
+// setResult sets the response or the failure from the outcome of the round trip.
 func (a *attempt) setResult(response *http.Response, err error, now time.Time) {
 	if err != nil {
 		if errors.Is(context.Cause(a.context), errSilent) {
@@ -163,7 +163,7 @@
 	a.response = response
 }
 
-// learn takes in what the reply says of the node itself.
+// observe records what the response headers say about the peer and its back end.
 func (a *attempt) observe(response *http.Response, now time.Time) {
 	reply, err := hop.ParseReply(response.Header.Get(hop.HeaderReply))
 	if err != nil {
@@ -186,7 +186,7 @@
 	a.observeProof(response.Header, reply.Version)
 }
 
-// hearProof takes in how old the node's proof is that it holds the newest configuration. The time
+// observeProof records the age of the peer's proof that it holds the newest configuration. The time
 // since the request was sent counts against it.
 func (a *attempt) observeProof(header http.Header, version uint64) {
 	if age, told := hop.Milliseconds(header.Get(hop.HeaderProof)); told {
@@ -194,8 +194,8 @@
 	}
 }
 
-// crashes is how many ends of back ends the send counts for: all of them when a node holds
-// the request back.
+// crashes returns how many crashes of back ends the attempt counts for: the maximum when a peer
+// quarantines the request.
 func (a *attempt) crashes() int {
 	switch {
 	case a.failure == nil:
@@ -208,13 +208,13 @@
 	return 0
 }
 
-// rejectedWithRoom reports whether the back end itself rejected the request though it had slots free:
-// it does so by chance, and not for what waits there.
+// rejectedWithFreeSlots reports whether the back end itself rejected the request although it had
+// free slots, so that the rejection does not depend on its queue.
 func (a *attempt) rejectedWithFreeSlots() bool {
 	return a.failure != nil && a.failure.Step == outcome.StepShed && a.hasFreeSlots
 }
 
-// visit describes the send for the log.
+// attemptRecord returns the record of the attempt for the call's log line.
 func (a *attempt) attemptRecord() attemptRecord {
 	seen := attemptRecord{target: a.target, seen: a.seen, reportAge: a.reportAge, elapsed: a.elapsed}
 	if a.failure != nil {
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -19,29 +19,29 @@
 var (
 	errNoTable        = errors.New("no configuration is in force yet")
 	errNoRoute        = errors.New("no route for this host and path")
-	errStopping       = errors.New("the node is leaving")
+	errStopping       = errors.New("the node is shutting down")
 	errNoEndpoint     = errors.New("no back end of the service is known")
 	errDeadlinePassed = errors.New("the deadline passed before work began")
-	errUpgrade        = errors.New("upgrades are not carried")
+	errUpgrade        = errors.New("protocol upgrades are not supported")
 	errHeader         = errors.New("the header is longer than limits.headerBytes")
 	errRetryBudget    = errors.New("the budget of repeats is spent")
-	errAttempts       = errors.New("the route's attempts are spent")
+	errAttempts       = errors.New("the route's attempts are exhausted")
 	errQuarantined    = errors.New("the request ends the back ends that run it")
-	errCrashes        = errors.New("back ends ended under the request")
+	errCrashes        = errors.New("back ends crashed while they processed the request")
 )
 
 const (
-	// defaultDeadline bounds a request when neither caller nor route does.
+	// defaultDeadline applies when neither the caller nor the route sets a deadline.
 	defaultDeadline = 30 * time.Second
-	// minimumRetryAfter is the shortest wait that a refused caller is told.
+	// minimumRetryAfter is the shortest Retry-After that is sent.
 	minimumRetryAfter = 50 * time.Millisecond
-	// defaultRetryAfter is told when nothing is known of the load.
+	// defaultRetryAfter is sent when the load is unknown.
 	defaultRetryAfter = 150 * time.Millisecond
-	// unlimitedBody stands for a configuration without a bound.
+	// unlimitedBody stands for a configuration without a limit.
 	unlimitedBody = int64(1) << 40
 )
 
-// call is one request of a caller. It is used by one goroutine.
+// call handles one request of a caller. Only one goroutine uses it.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -50,53 +50,52 @@
 
 	table *route.Table
 	route *route.Matched
-	// tenant is the one whose key the caller has; nil without one.
+	// tenant is the tenant that the caller's API key belongs to; nil without one.
 	tenant *route.Tenant
-	// tokens are the request's places within its tenant's limit, one for each run that it may need,
-	// those that end first in front.
+	// tokens are the request's tokens of its tenant's rate limit, one for each run that it may
+	// need, ordered by expiry.
 	tokens []lending.Token
-	// boughtAgain is how many more runs were paid for with tokens that the node held.
+	// heldTokenRuns is the number of further runs paid for with tokens that the node already held.
 	heldTokenRuns int
 	service       string
 	context       context.Context
 	deadline      time.Time
-	// callerTime is how long the caller itself waits; the route's time-out does not
-	// shorten it.
+	// callerTime is the time that the caller itself waits. The route's timeout does not shorten it.
 	callerTime time.Duration
 	body       *forward.Body
-	// visits are the nodes that the request was sent to.
+	// attempts records the attempts, one for each peer that the request was sent to.
 	attempts attempts
-	// runs counts the sends that may have reached a back end, crashes those under which
-	// one ended.
+	// runs counts the attempts that may have reached a back end, crashes those during which a back
+	// end crashed.
 	runs, crashes int
-	// results delivers the sends that ended; over is closed when nobody takes
-	// them any more.
+	// results delivers finished attempts; done is closed when nothing receives them any more.
 	results chan *attempt
 	done    chan struct{}
-	// moves counts how often a node gave the request back since it is to go elsewhere.
+	// reroutes counts how often a peer returned the request because its route has moved.
 	reroutes int
-	// behind counts the sends whose node seems silent, which go on.
+	// detached counts the attempts that continue although their peer does not answer probes.
 	detached int
 	// returning: the caller was refused before and has come back.
 	returning bool
-	// nested: the back end beside the node makes the call while it works on another one.
+	// nested: the local back end makes the call while it processes another request.
 	nested bool
-	// repeated is how likely it is that the run which makes the call is a repeat.
+	// retryProbability is the probability that the run which makes this call is itself a retry.
 	retryProbability float64
-	// part is which part of the tenant's requests is within its share, overShare: this one is not.
+	// shareFraction is the fraction of the tenant's requests that are within its share; overShare:
+	// this one is above it.
 	shareFraction float64
 	overShare     bool
-	// rejectedWithRoom: the last send was rejected by a back end that had slots free.
+	// rejectedWithFreeSlots: the last attempt was rejected by a back end that had free slots.
 	rejectedWithFreeSlots bool
-	// mayHaveRun: a send ended with an unknown outcome.
+	// mayHaveRun: the outcome of an attempt is unknown.
 	mayHaveRun bool
 
 	status  int
 	failure *outcome.Failure
 }
 
-// serve carries the request through. A nil result means that the caller has
-// its answer; a failure is still to be sent.
+// serve handles the request. It returns nil when the response has been written; otherwise the
+// failure that is still to be sent.
 func (c *call) serve() *outcome.Failure {
 	c.table = c.handler.options.Table()
 	if c.table == nil {
@@ -124,11 +123,12 @@
 	return c.send()
 }
 
-// heldRetryAfter is told a caller whose request is held back: nothing that it could wait
-// for will change that.
+// quarantineRetryAfter is the Retry-After of a quarantined request: nothing that the caller could
+// wait for changes the decision soon.
 const quarantineRetryAfter = time.Minute
 
-// heldBack refuses a request that ends the back ends that run it, or returns nil.
+// checkQuarantine refuses a quarantined request, one that crashes the back ends that run it.
+// Otherwise it returns nil.
 func (c *call) checkQuarantine() *outcome.Failure {
 	quarantine := c.handler.options.Quarantine
 	if quarantine.Idle() || !quarantine.Holds(c.print()) {
@@ -137,13 +137,12 @@
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 }
 
-// print identifies what the request asks for.
+// print returns the fingerprint of the request.
 func (c *call) print() fingerprint.Print {
 	return fingerprint.Of(c.request, c.handler.options.Caller(), c.body)
 }
 
-// headerBytes is the length of the request's header as it was sent, line ends
-// included.
+// headerBytes returns the length of the request's header as it was sent, line ends included.
 func headerBytes(r *http.Request) int {
 	const (
 		lineEnd   = len("\r\n")
@@ -159,7 +158,7 @@
 	return total + lineEnd
 }
 
-// bound sets the deadline: the caller's, at most the route's time-out.
+// setDeadline sets the call's deadline: the caller's, bounded by the route's timeout.
 func (c *call) setDeadline() *outcome.Failure {
 	limit := defaultDeadline
 	c.callerTime = defaultDeadline
@@ -185,7 +184,7 @@
 	return nil
 }
 
-// send reads the body and sends the request until it is answered or given up.
+// send reads the body and sends the request until it is answered or no attempt is left.
 func (c *call) send() *outcome.Failure {
 	maximum := c.table.Document().Limits.BodyBytes
 	if maximum == 0 {
@@ -243,7 +242,7 @@
 	return outcome.Refusal(status, outcome.StepRequest, 0, err)
 }
 
-// pass sends the answer of a back end on.
+// writeResponse writes a back end's response to the caller.
 func (c *call) writeResponse(result result) *outcome.Failure {
 	response := result.response
 	c.status = response.StatusCode
@@ -258,7 +257,7 @@
 	return nil
 }
 
-// giveUp makes the final failure of the last one.
+// finalFailure returns the failure of the call, derived from that of the last attempt.
 func (c *call) finalFailure(last *outcome.Failure) *outcome.Failure {
 	failure := *last
 	if c.mayHaveRun {
@@ -277,7 +276,7 @@
 	return &failure
 }
 
-// reply sends a failure that the node answers itself.
+// writeFailure sends a failure as the node's own response.
 func (c *call) writeFailure(failure *outcome.Failure) {
 	c.status, c.failure = failure.Status, failure
 	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
@@ -292,29 +291,30 @@
 	c.writer.WriteHeader(failure.Status)
 }
 
-// returningShare is the part of its remaining time after which a caller that was refused
-// again comes back: by the queue's time it came back to the queue that had just refused it
-// twice. Callers heed a third at most. With demand near capacity a tenth fewer were refused
-// again, and as many were served in time (docs/design/0010-the-shifted-work.md). It does not hold for
-// who was rejected by a back end with slots free: no queue gets shorter while it waits. Where back ends
-// reject 0.55 of what they get, a third attempt after 1.8 s of 6 s comes 0.8 s too late for a target
-// latency of 1 s, and 0.12 of the requests came so (TestWhoIsRejectedByChance has the load).
+// returningWaitFraction is the fraction of its remaining time after which a caller that was refused
+// again is told to come back. With a Retry-After from the queue's length it came back to the same
+// queue that had just refused it twice. Callers heed a third of their remaining time at most. With
+// demand near capacity a tenth fewer were refused again, and as many were served in time
+// (docs/design/0010-the-shifted-work.md). It does not apply to a caller that was rejected by a back
+// end with free slots: no queue gets shorter while it waits. Where back ends reject 0.55 of their
+// requests, a third attempt after 1.8 s of 6 s comes 0.8 s too late for a target latency of 1 s,
+// and 0.12 of the requests came so late (TestRetryAfterRandomRejection reproduces the load).
 const returningWaitFraction = 0.3
 
-// comeBackAfter is how long the caller is told to wait, zero for nothing.
+// retryAfterFor returns the Retry-After of a failure, zero for none.
 func (c *call) retryAfterFor(failure *outcome.Failure) time.Duration {
 	switch {
 	case failure.Step == outcome.StepQuarantine && failure.Outcome == outcome.NotRun:
 		return quarantineRetryAfter
 	case failure.Step == outcome.StepQuota || failure.Step == outcome.StepLimit && failure.Outcome == outcome.NotRun:
-		return failure.RetryAfter // sooner there is no room
+		return failure.RetryAfter // there is no capacity before
 	case failure.RetryAfter > 0:
 		return c.clampRetryAfter(failure.RetryAfter)
 	}
 	return 0
 }
 
-// retryAfter keeps the wait within what the caller still has.
+// clampRetryAfter bounds the wait by the time that the caller has left.
 func (c *call) clampRetryAfter(wanted time.Duration) time.Duration {
 	wait := max(wanted, minimumRetryAfter)
 	if c.returning && !c.rejectedWithFreeSlots {
--- a/internal/sidecar/egress/calllog.go
+++ b/internal/sidecar/egress/calllog.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ended tells the observer and the log how the call went.
+// reportEnd reports the result of the call to the observer and the log.
 func (c *call) reportEnd() {
 	name := ""
 	if c.route != nil {
@@ -26,8 +26,8 @@
 	}
 }
 
-// logEntry returns the line for the call, nil when it is not to be logged: of
-// those that went well a sample is.
+// logEntry returns the log entry of the call, or nil when it is not logged: successful calls are
+// sampled.
 func (c *call) logEntry() *zapcore.CheckedEntry {
 	logger := c.handler.options.Logger
 	switch {
@@ -39,7 +39,7 @@
 	return c.handler.servedLogger.Check(zap.InfoLevel, "call served")
 }
 
-// logFields are the inputs of the decisions on the call, and the outcome.
+// logFields returns the inputs of the decisions on the call, and its outcome.
 func (c *call) logFields(name string, elapsed time.Duration) []zap.Field {
 	options := &c.handler.options
 	priority := -1
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	// markerCount is how many headers the node adds at most.
+	// maxAddedHeaders is the number of headers that the node adds at most.
 	maxAddedHeaders = 5
-	// refusalsPerCall bounds how many nodes may refuse one request. A refusal
-	// costs no back end anything. The first sends are brief; with three sends in all the
-	// last one alone waits for its whole time, and 0.862 of the worth was served in place of
-	// 0.879 with five (docs/design/0010-the-shifted-work.md).
+	// maxRefusals limits how many nodes may refuse one request. A refusal costs no back end
+	// anything. The first attempts wait only briefly; with three attempts in all only the last one
+	// waits for its full time, and 0.862 of the worth was served instead of 0.879 with five
+	// (docs/design/0010-the-shifted-work.md).
 	maxRefusals = 5
-	// mostCrashes is under how many ends of back ends one request is repeated: its own node
-	// knows before the others that it may be what ends them.
+	// maxCrashes limits how many crashes of back ends one request may cause: its own node knows
+	// before the others that the request may be the cause.
 	maxCrashes = 2
-	// likelyRepeated is from what likelihood on a call is taken for one of a repeated run.
+	// retryThreshold is the probability from which a call counts as made by a retry.
 	retryThreshold = 0.5
-	// largeRefusals is that bound for large bodies, each refusal of which may have cost
-	// the links a transfer.
+	// maxLargeBodyRefusals is maxRefusals for large bodies: each refusal may have cost a transfer
+	// over the links.
 	maxLargeBodyRefusals = 3
 )
 
-// result is what one visit brought: an answer of the back end or a failure.
+// result is the result of one attempt: a response of the back end or a failure.
 type result struct {
 	target   *target
 	response *http.Response
 	failure  *outcome.Failure
-	// version is that of the configuration in force at the node, zero when it did not say.
+	// version is the configuration version in force at the node, zero when it did not report one.
 	version uint64
 }
 
-// visit chooses a node, sends the request there once and waits for what comes of
-// it. An earlier send that was left behind may answer first.
+// sendOnce chooses a node, sends the request there once and waits for the result. A detached
+// attempt may answer first.
 func (c *call) sendOnce() result {
 	if forward.CallerLeft(c.context) {
 		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerLeft)}
@@ -65,8 +65,8 @@
 	return c.await(chosen)
 }
 
-// await returns the result of a send, or of an earlier one that answers first. A
-// send of a repeatable request whose node seems silent is left behind.
+// await returns the result of an attempt, or of a detached one that answers first. If the route may
+// be retried, an attempt whose node does not answer probes is detached.
 func (c *call) await(current *attempt) result {
 	var suspected chan struct{}
 	if c.route.Repeatable && c.body.Replayable() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// took notes the result of a send.
+// recordResult records a finished attempt and returns its result.
 func (c *call) recordResult(ended *attempt) result {
 	if ended.response != nil {
 		c.handler.options.RetryBudget.Reached(c.service, true)
@@ -97,7 +97,7 @@
 	return result{target: ended.target, response: ended.response, failure: ended.failure, version: ended.version}
 }
 
-// leaveBehind turns away from a send that goes on.
+// detach stops waiting for an attempt, which continues in the background.
 func (c *call) detach(current *attempt) result {
 	c.detached++
 	current.recordNumber = len(c.attempts) + 1
@@ -109,13 +109,14 @@
 	return result{target: current.target, failure: failure}
 }
 
-// tookLate notes that a send that was left behind has failed.
+// recordDetachedFailure records that a detached attempt has failed.
 func (c *call) recordDetachedFailure(ended *attempt) {
 	c.detached--
 	c.recordAttempt(ended)
 }
 
-// note adds a send that ended to the visits, or replaces what was noted of it.
+// recordAttempt adds the record of a finished attempt, or replaces the one from when it was
+// detached.
 func (c *call) recordAttempt(ended *attempt) {
 	c.crashes += ended.crashes()
 	c.rejectedWithFreeSlots = ended.rejectedWithFreeSlots()
@@ -126,8 +127,8 @@
 	c.attempts = append(c.attempts, ended.attemptRecord())
 }
 
-// awaitBehind waits for the sends that were left behind, once nothing else is
-// left to try. Each ends by its answer, the loss of its node or the deadline.
+// awaitDetached waits for the detached attempts once nothing else is left to try. Each ends with
+// its response, the loss of its node or the deadline.
 func (c *call) awaitDetached() (result, bool) {
 	for c.detached > 0 {
 		ended := <-c.results
@@ -139,8 +140,8 @@
 	return result{}, false
 }
 
-// exchangeFailed judges an exchange that brought no reply. Without consent the
-// body was never sent, and nothing runs without its body.
+// roundTripFailure classifies a round trip without a response. Without 100 Continue the body was
+// never sent, and nothing runs without its body.
 func (a *attempt) roundTripFailure(err error, now time.Time) *outcome.Failure {
 	c := a.call
 	failure := &outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepAwait, Cause: err}
@@ -163,7 +164,7 @@
 	return failure
 }
 
-// refused reads what the node itself says of the request.
+// parseRefusal returns the failure that the node itself reports for the request.
 func (a *attempt) parseRefusal(response *http.Response, reported outcome.Outcome, now time.Time) *outcome.Failure {
 	defer func() {
 		_, _ = io.CopyN(io.Discard, response.Body, 1)
@@ -186,7 +187,7 @@
 	return failure
 }
 
-// again decides whether another visit follows a failed one.
+// retry decides whether another attempt follows a failed one.
 func (c *call) retry(last result) bool {
 	if last.target == nil || c.context.Err() != nil || c.body.Spent() {
 		return false
@@ -222,8 +223,8 @@
 	return true
 }
 
-// consentAsked reports whether the request's body waits for the node's consent.
-// The library asks only where the method usually has a body.
+// expects100Continue reports whether the request's body waits for 100 Continue. net/http waits for
+// it only with methods that usually have a body.
 func (c *call) expects100Continue() bool {
 	switch c.request.Method {
 	case http.MethodPost, http.MethodPut, http.MethodPatch:
@@ -260,24 +261,24 @@
 	if !c.route.Repeatable && c.expects100Continue() {
 		header["Expect"] = []string{"100-continue"}
 		if outgoing.Body == nil {
-			// Chunks make room for consent where there is no body.
+			// Without a body, a chunked empty one makes the transport wait for 100 Continue.
 			outgoing.Body, outgoing.ContentLength = io.NopCloser(strings.NewReader("")), -1
 		}
 	}
 	return outgoing
 }
 
-// repeat reports whether the next run of the request is a repeat, the calls of which are repeats
-// too.
+// isRetry reports whether the next run of the request is a retry, so that the calls it makes count
+// as retries too.
 func (c *call) isRetry() bool {
 	return (c.runs > 0 || c.retryProbability >= retryThreshold) && c.handler.options.RetryBudget.On()
 }
 
-// large reports whether the body is one that the arriving node receives before it has a slot.
-// One whose length is not known waits at this node until there is one.
+// hasLargeBody reports whether the receiving node reads the body before it has a slot. A body of
+// unknown length waits at this node until there is one.
 func (c *call) hasLargeBody() bool { return c.request.ContentLength > hop.LargeBody }
 
-// refusals is how many nodes may refuse the request.
+// refusalLimit returns how many nodes may refuse the request.
 func (c *call) refusalLimit() int {
 	if c.hasLargeBody() {
 		return maxLargeBodyRefusals
@@ -285,16 +286,16 @@
 	return maxRefusals
 }
 
-// mostWait is how long the request may wait at the node of the send. Sends of large bodies
-// are never brief: the body would have passed the link for nothing. With brief ones seven
-// times the bytes passed between zones where a tenth of the requests are uploads, and
-// these got 0.37 of their worth for 0.61.
+// maxAttemptWait returns how long the request may wait at the attempt's node. Attempts with large
+// bodies always wait for their full time: a refusal after a brief wait would waste the transfer.
+// With brief waits seven times the bytes passed between zones where a tenth of the requests are
+// uploads, and these got 0.37 of their worth instead of 0.61.
 func (c *call) maxAttemptWait(request choice.Request, a *attempt) time.Duration {
 	return c.maxWait(request, a.sends, a.candidates)
 }
 
-// patienceOf is how long the request may wait at the node of a send, after so many others and with so
-// many back ends that might take it.
+// maxWait returns how long the request may wait at a node, given the number of earlier attempts and
+// of back ends that might take it.
 func (c *call) maxWait(request choice.Request, sends, candidates int) time.Duration {
 	if !c.hasLargeBody() {
 		request.Sends, request.Candidates = sends, candidates
@@ -302,7 +303,7 @@
 	return choice.Patience(request)
 }
 
-// described is what the choice needs to know of the request.
+// choiceRequest describes the request for the choice.
 func (c *call) choiceRequest(remaining, expected time.Duration) choice.Request {
 	return choice.Request{
 		Aim:        c.route.TargetLatency,
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -9,12 +9,12 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/choice"
 )
 
-// visit is one send of a request: what was believed of the node when it was
-// chosen, and what came of it.
+// attemptRecord records one attempt of a request: the state of the node when it was chosen, and the
+// result.
 type attemptRecord struct {
 	target *target
-	// seen is what the choice was made by, reportAge how old the node's own
-	// account of its load was then; below zero when there was none.
+	// seen is the candidate as it was described when it was chosen, reportAge the age of the node's
+	// load report at that time; below zero without a report.
 	seen      choice.Candidate
 	reportAge time.Duration
 	outcome   outcome.Outcome
@@ -22,7 +22,7 @@
 	elapsed   time.Duration
 }
 
-// loggedFailing is the least share of failures that is worth a word in the log.
+// minLoggedFailing is the smallest share of failures that is logged.
 const minLoggedFailing = 0.05
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// visits are the sends of one request, in order.
+// attempts holds the attempts of one request, in order.
 type attempts []attemptRecord
 
-// mayHaveRun is how many of the sends a back end may have run.
+// possibleRuns returns how many of the attempts a back end may have run.
 func (v attempts) possibleRuns() int {
 	count := 0
 	for index := range v {
