--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -1,6 +1,5 @@
-// Package egress is the side of a sidecar that callers on its machine use. It
-// matches a request to a route, chooses the back end and passes the request to
-// the node beside it.
+// Package egress implements the outbound side of a sidecar: it matches a local caller's request to
+// a route, chooses a back end and forwards the request to the sidecar next to it.
 package egress
 
 import (
@@ -32,156 +31,160 @@
 	Vocabulary hop.Vocabulary
 	// Table returns the configuration in force, nil before the first.
 	Table func() *route.Table
-	// TableAge is how long the configuration has been in force.
+	// TableAge returns how long the configuration has been in force.
 	TableAge func() time.Duration
-	// View returns what is known of the other nodes.
+	// View returns the known records of the other nodes.
 	View func() *roster.View
-	// Node is the node's own name, Zone its zone.
+	// Node is this node's name, Zone its zone.
 	Node, Zone string
-	// Regions holds the region of each zone, as far as known.
+	// Regions maps each zone to its region, as far as known.
 	Regions map[string]string
-	// Caller names the service beside this node.
+	// Caller returns the service of the local back end.
 	Caller func() string
-	// Plan returns how a service's requests are divided between versions of its
-	// software, nil when they are not.
+	// Plan returns how a service's requests are split between software versions, nil when they are
+	// not.
 	Plan func(service string) *rollout.Plan
-	// Emptied returns the zones whose back ends are to get nothing, nil when there are none.
+	// Emptied returns the evacuated zones, whose back ends get no requests; nil for none.
 	Emptied func() *evacuation.Zones
-	// Quarantine knows which requests end back ends.
+	// Quarantine decides which requests are refused because they crash back ends.
 	Quarantine Quarantine
-	// Quota keeps tenants within their limits; nil keeps none.
+	// Quota enforces the tenants' rate limits; nil enforces none.
 	Quota Quota
-	// RetryBudget bound sends after one that reached a back end.
+	// RetryBudget limits attempts that follow one which reached a back end.
 	RetryBudget RetryBudget
-	// Freshness makes sure that the configuration in force is the newest; nil when there is
-	// nobody to ask.
+	// Freshness confirms that the configuration in force is the newest; nil when there are no peers
+	// to ask.
 	Freshness Freshness
-	// Nested tells which requests are calls of what the back end beside the node works on; nil
-	// where nobody asks.
+	// Nested recognizes calls that the local back end makes while it processes a request; nil where
+	// they are not told apart.
 	Nested Nested
-	// Contended reports whether requests compete for room: back ends are chosen by what is there
-	// already, and tenants have their shares; nil for never.
+	// Contended reports whether overload control is active: back ends are chosen by their load, and
+	// tenants have shares; nil for never.
 	Contended func() bool
-	// MarkOverShare: where requests compete, those above their tenant's share of a service are marked. Off in
-	// the program: nothing refuses by the marks, and the queues share without them (design 0019).
+	// MarkOverShare marks requests above their tenant's share of a service while overload control
+	// is active. The program leaves it off: nothing refuses requests by the marks, and the queues
+	// share without them (design 0019).
 	MarkOverShare bool
-	// DrainAfter is how long after its word that it is leaving a back end still gets new work.
+	// DrainAfter returns how long a back end still gets new work after it has announced that it is
+	// leaving.
 	DrainAfter func() time.Duration
-	// Weights price the choice of back ends.
+	// Weights are the weights of the cost function that chooses back ends.
 	Weights choice.Weights
 	// Dial opens connections to other nodes.
 	Dial forward.Dialer
-	// Probe asks a node whether it is there.
+	// Probe checks whether a node responds.
 	Probe    Probe
 	Logger   *zap.Logger
 	Observer Observer
 }
 
-// Nested tells calls that the back end beside the node makes while it works.
+// Nested recognizes calls that the local back end makes while it processes a request.
 type Nested interface {
-	// Nested takes in a request that begins here and reports whether it is one. identified says
-	// that its caller has a tenant's key.
+	// Nested records a request that begins here and reports whether it is a nested call.
+	// identified: its caller has a tenant's API key.
 	Nested(route string, deadline time.Time, identified bool, now time.Time) bool
-	// Repeated returns how likely it is that the run which makes a call with that deadline is a
-	// repeat.
+	// Repeated returns the probability that the run which makes a call with that deadline is a
+	// retry.
 	Repeated(deadline time.Time) float64
 }
 
-// RetryBudget bound how often requests are sent again after they have reached a back end.
+// RetryBudget limits how often requests are sent again after they have reached a back end.
 type RetryBudget interface {
-	// On reports whether the bound is lent between nodes.
+	// On reports whether the budget is shared between nodes.
 	On() bool
-	// First notes a request. repeated is how likely it is that a repeated run makes it.
+	// First records a request. repeated is the probability that a retry made it.
 	First(service string, repeated float64)
-	// Take spends one repeat and reports whether there was one.
+	// Take spends one retry and reports whether one was left.
 	Take(service string, request repeats.Request) bool
-	// Reached takes in whether a back end accepted a request that reached it.
+	// Reached records whether a back end accepted a request that reached it.
 	Reached(service string, accepted bool)
-	// LeftOf returns how many repeats the node holds.
+	// LeftOf returns how many retries the node holds for the service.
 	LeftOf(service string) float64
 }
 
-// Quarantine knows which requests end the back ends that run them.
+// Quarantine decides which requests are refused because they crash the back ends that run them.
 type Quarantine interface {
-	// Idle reports whether there is none, not even a suspected one.
+	// Idle reports whether no request is quarantined or suspected.
 	Idle() bool
-	// Holds reports whether no back end is to get the request.
+	// Holds reports whether the request is quarantined.
 	Holds(fingerprint.Print) bool
 }
 
-// Observer is told how calls went.
+// Observer receives the events of calls.
 type Observer interface {
-	// CallEnded: the caller has its answer, or is gone.
+	// CallEnded: the response was written, or the caller is gone.
 	CallEnded(route string, status int, result outcome.Outcome, step outcome.Step, elapsed time.Duration)
-	// Sent: a request went to another node, for that often.
+	// Sent: a request is sent to another node; attempt counts from one.
 	Sent(service string, attempt int)
-	// Diverted: a request goes elsewhere, or nowhere, since a back end's limit has no room for it in time.
+	// Diverted: a back end's rate limit has no capacity for a request in time; elsewhere: another
+	// back end takes it.
 	Diverted(service string, elsewhere bool)
-	// Overtook: a request was begun before its turn on the caller's connection.
+	// Overtook: a pipelined request was started before its turn on the caller's connection.
 	Overtook()
-	// Carried: a visit brought an answer after that time, of which the back end
-	// worked so long.
+	// Carried: an attempt returned a response after elapsed, of which the back end worked for
+	// worked.
 	Carried(elapsed, worked time.Duration)
-	// Silent: a node does not answer; first says that it did before.
+	// Silent: a node did not answer a probe; first: it had answered before.
 	Silent(node string, first bool)
-	// Regained: a silent node answers again.
+	// Regained: a node that did not answer probes answers again.
 	Regained(node string)
 	// Unreachable: no connection to a node could be opened.
 	Unreachable(node string)
-	// Behind: a peer has a newer configuration than this node.
+	// Behind: a peer holds a newer configuration than this node.
 	Behind(node string, version uint64)
 }
 
 const (
-	// peerConnections bounds the connections to one node.
+	// maxPeerConnections limits the connections to one node.
 	maxPeerConnections = 256
 	peerIdleTimeout    = 45 * time.Second
 	peerDialTimeout    = 500 * time.Millisecond
-	// consentTimeout is beyond every deadline: without consent no body is sent.
+	// continueTimeout is longer than every deadline, so that no body is ever sent without 100
+	// Continue.
 	continueTimeout     = time.Hour
 	maxReplyHeaderBytes = 96 << 10
-	// zoneCrossing is assumed for the way to another zone of the region and back,
-	// regionCrossing for that to another region.
+	// crossZoneRTT is the round-trip time assumed to another zone of the region, crossRegionRTT
+	// that to another region.
 	crossZoneRTT   = 3 * time.Millisecond
 	crossRegionRTT = 50 * time.Millisecond
 )
 
-// Handler serves callers. It is safe for concurrent use.
+// Handler serves local callers. It is safe for concurrent use.
 type Handler struct {
 	options  Options
 	targets  *targets
 	stopping atomic.Bool
-	// refuseFrom is the moment from which new calls are refused, nil for never.
+	// refuseFrom is the time from which new calls are refused, nil for never.
 	refuseFrom atomic.Pointer[time.Time]
 	inFlight   atomic.Int64
 	lastCall   atomic.Int64
 
-	// served logs a sample of the calls that went well.
+	// servedLogger logs a sample of the successful calls.
 	servedLogger *zap.Logger
-	// cutting ends when calls under way are to be given up.
+	// callsContext is cancelled when the calls in flight are to be aborted.
 	callsContext context.Context
 	cancelCalls  context.CancelCauseFunc
 
-	// subsets holds the back ends that are considered, by subsetKey; subsetCount is how often one was
-	// chosen since it was last emptied.
+	// subsets caches the subset of back ends by subsetKey; subsetCount counts the entries stored
+	// since it was last cleared.
 	subsets     sync.Map
 	subsetCount atomic.Int64
-	// zoneLoads holds how full the zones are.
+	// zoneLoads holds the average load of each service and zone.
 	zoneLoads zoneLoads
-	// work and patiences hold what is learned by route name.
+	// work and callerTimeouts hold estimates by route name.
 	work, callerTimeouts sync.Map
 
-	// draw returns a random number from 0 to below 1.
+	// randomFloat returns a random number in [0, 1).
 	randomFloat func() float64
-	// heard is what replies told of tenants' shares.
+	// tenantShares holds the tenants' shares that responses reported.
 	tenantShares shares.Heard
 
-	// baselines hold what the answers of versions in use are like, by service, while another
-	// version is compared with them.
+	// baselines hold the failure and latency statistics of the versions in use, by service, while a
+	// canary is compared with them.
 	baselines sync.Map
 }
 
-// New returns a handler that refuses everything until there is a table.
+// New returns a handler that refuses every request until there is a table.
 func New(options Options) *Handler {
 	limits := forward.Limits{
 		Connections:      maxPeerConnections,
@@ -213,8 +216,8 @@
 	}
 }
 
-// Follow takes in changed records: nodes that leave are dropped once idle, and
-// one that comes back is used at once.
+// Follow handles changed records: a node that accepts work again is used at once. A leaving node is
+// kept until Drop.
 func (h *Handler) Follow(changed []*roster.Record) {
 	for _, record := range changed {
 		switch {
@@ -231,12 +234,12 @@
 // Drop forgets a node that has withdrawn.
 func (h *Handler) Drop(node string) { h.targets.drop(node) }
 
-// Suspect has a node avoided that did not answer another question.
+// Suspect makes the handler avoid a node that did not answer another component.
 func (h *Handler) Suspect(record *roster.Record) {
 	h.targets.forRecord(record).failed(clock.Now())
 }
 
-// CloseIdle closes idle connections to other nodes: they may have closed them while the
+// CloseIdle closes idle connections to other nodes: the peers may have closed them while the
 // machine was suspended.
 func (h *Handler) CloseIdle() {
 	for _, held := range h.targets.all() {
@@ -244,8 +247,8 @@
 	}
 }
 
-// Sweep closes idle connections that are too old or broken, and forgets zones of which nothing was
-// heard for long.
+// Sweep closes idle connections that are too old or broken, and forgets zones without recent
+// reports.
 func (h *Handler) Sweep(now time.Time) {
 	for _, held := range h.targets.all() {
 		held.pool.Sweep(now)
@@ -253,9 +256,9 @@
 	h.zoneLoads.sweep(now)
 }
 
-// Ahead reports whether a request may be begun before its turn on the caller's
-// connection: one that may be repeated, while the node does not stop. A stopping
-// node closes connections behind its answers.
+// Ahead reports whether a pipelined request may be started before its turn on the caller's
+// connection: it must be safe to retry, and the node must not be stopping, as a stopping node
+// closes connections after its responses.
 func (h *Handler) Ahead(r *http.Request) bool {
 	if h.stopping.Load() {
 		return false
@@ -264,15 +267,14 @@
 	return matched != nil && matched.Repeatable
 }
 
-// Begun notes a request that was begun before its turn: it is under way until its
-// answer was given.
+// Begun records a request that was started before its turn: it is in flight until ended is called.
 func (h *Handler) Begun() (ended func()) {
 	h.options.Observer.Overtook()
 	h.inFlight.Add(1)
 	return func() { h.inFlight.Add(-1) }
 }
 
-// match finds the route of a request; nil without a table or a route.
+// match returns the route of a request; nil without a table or a route.
 func match(table *route.Table, r *http.Request) *route.Matched {
 	if table == nil {
 		return nil
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -9,45 +9,45 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// Freshness makes sure that the configuration in force is the newest.
+// Freshness confirms that the configuration in force is the newest.
 type Freshness interface {
-	// Confirm reports whether it is, as others say, after the node has caught up when it was
-	// not. It takes a short time at most.
+	// Confirm asks peers whether it is, catches up when it was not, and reports whether it is now.
+	// It takes a short time at most.
 	Confirm(ctx context.Context) bool
-	// CatchUp has the node catch up with a version that another one holds, and reports whether
-	// it did in a short time.
+	// CatchUp fetches a version that the named node holds, and reports whether that succeeded
+	// within a short time.
 	CatchUp(ctx context.Context, node string, version uint64) bool
-	// Proven takes in another node's proof that there was no version above the given one at a moment.
+	// Proven records another node's proof that at that time no version above the given one existed.
 	Proven(version uint64, at time.Time)
 	// ProofAge returns how long ago the configuration in force is known to have been the newest;
 	// false when that was never known.
 	ProofAge() (age time.Duration, proven bool)
 }
 
-// alone is the Level of a node that has nobody to ask.
+// standalone is the Freshness of a node without peers.
 type standalone struct{}
 
-// Confirm implements Level.
+// Confirm implements Freshness.
 func (standalone) Confirm(context.Context) bool { return true }
 
-// CatchUp implements Level.
+// CatchUp implements Freshness.
 func (standalone) CatchUp(context.Context, string, uint64) bool { return false }
 
-// Proven implements Level.
+// Proven implements Freshness.
 func (standalone) Proven(uint64, time.Time) {}
 
-// ProofAge implements Level.
+// ProofAge implements Freshness.
 func (standalone) ProofAge() (time.Duration, bool) { return 0, false }
 
-var errUnconfirmed = errors.New("no route for this host and path, or no tenant with this key, and nobody says whether there is a newer configuration")
+var errUnconfirmed = errors.New("no route for this host and path, or no tenant with this key, and no peer confirms that the configuration is the newest")
 
-// mostMoves bounds how often one request is routed anew: changes come in quick succession, and
-// it has not run in between.
+// maxReroutes limits how often one request is rerouted: changes may come in quick succession, and
+// the request has not run in between.
 const maxReroutes = 3
 
-// findRoute finds the request's route and its tenant. That there is none is final for the
-// caller, so the node first makes sure that it is level: one that is behind would refuse what
-// others serve.
+// findRoute sets the request's route and tenant. A refusal for want of either is final for the
+// caller, so the node first confirms that its configuration is the newest: an outdated one would
+// refuse what others serve.
 func (c *call) findRoute() *outcome.Failure {
 	if c.match() == nil {
 		return nil
@@ -61,7 +61,7 @@
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepMatch, defaultRetryAfter, errUnconfirmed)
 }
 
-// match finds the route and the tenant by the call's table.
+// match sets the route and the tenant from the call's table.
 func (c *call) match() *outcome.Failure {
 	c.tenant = nil
 	if c.route = match(c.table, c.request); c.route == nil {
@@ -70,16 +70,16 @@
 	return c.identify()
 }
 
-// moved reports whether a node has given the request back since a newer configuration leads it
-// elsewhere. It has not run.
+// misrouted reports whether a peer returned the request, without running it, because a newer
+// configuration routes it elsewhere.
 func (r *result) misrouted() bool {
 	return r.failure != nil && r.failure.Outcome == outcome.NotRun && r.failure.Step == outcome.StepMoved
 }
 
-// routeAnew catches up with the configuration of the node that gave the request back and
-// routes the request by it. It reports whether the request can be sent on; otherwise the
-// failure, which may be nil, replaces that of the node. Sends that were left behind use what
-// would change: with one of them the request is not routed anew.
+// reroute fetches the configuration of the peer that returned the request and routes the request by
+// it. It reports whether the request can be sent again; otherwise failure, unless nil, replaces
+// that of the peer. Detached attempts use the fields that would change, so a call with any is not
+// rerouted.
 func (c *call) reroute(last result) (retry bool, failure *outcome.Failure) {
 	c.reroutes++
 	if c.reroutes > maxReroutes || c.detached > 0 || c.runs > 0 || c.body.Spent() {
--- a/internal/sidecar/egress/patience.go
+++ b/internal/sidecar/egress/patience.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// patience is how long callers of one route wait when they come for the first
-// time. One with notably less time has come back.
+// callerTimeout tracks how long callers of one route wait on their first attempt. A caller with
+// notably less time is a returning one.
 type callerTimeout struct {
 	longest atomic.Int64
 }
 
-// returnShare is the part of the full time below which a caller has come back.
+// returningThreshold is the fraction of the longest timeout below which a caller counts as
+// returning.
 const returningThreshold = 0.97
 
-// returns takes in one caller's remaining time and tells whether it has come
-// back.
+// isReturning records one caller's remaining time and reports whether it is returning.
 func (p *callerTimeout) isReturning(remaining time.Duration) bool {
 	for {
 		longest := p.longest.Load()
@@ -28,7 +28,7 @@
 	}
 }
 
-// patience returns what is known of the callers of a route.
+// callerTimeout returns the tracker of a route.
 func (h *Handler) callerTimeout(route string) *callerTimeout {
 	if value, found := h.callerTimeouts.Load(route); found {
 		return value.(*callerTimeout)
--- a/internal/sidecar/egress/stop.go
+++ b/internal/sidecar/egress/stop.go
@@ -6,11 +6,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// Stop has answers close their connections from now on.
+// Stop makes responses close their connections from now on.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// RefuseFrom has calls refused that come at that moment or later. Of several
-// moments the earliest holds.
+// RefuseFrom refuses calls that arrive at that time or later. Of several times the earliest
+// applies.
 func (h *Handler) RefuseFrom(moment time.Time) {
 	for {
 		held := h.refuseFrom.Load()
@@ -23,17 +23,17 @@
 	}
 }
 
-// refuses reports whether a call that came at that moment is refused.
+// refuses reports whether a call that arrived at that time is refused.
 func (h *Handler) refuses(came time.Time) bool {
 	from := h.refuseFrom.Load()
 	return from != nil && !came.Before(*from)
 }
 
-// CancelCalls ends what is still under way with an answer.
+// CancelCalls aborts the calls in flight; their callers get a response.
 func (h *Handler) CancelCalls() { h.cancelCalls(errStopping) }
 
-// InFlight returns how many calls are under way.
+// InFlight returns the number of calls in flight.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
-// LastCall returns when the last call came in.
+// LastCall returns when the last call arrived.
 func (h *Handler) LastCall() time.Time { return clock.At(h.lastCall.Load()) }
