--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -13,13 +13,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// choose returns a send, not begun yet, to the node whose back end is to take the
-// request, or why there is none.
+// choose selects the back end and returns an attempt that is not started yet, or the reason why
+// there is none.
 func (c *call) choose() (*attempt, *outcome.Failure) {
 	candidateSet := c.candidateSet(clock.Now(), c.selection())
 	index, seen := candidateSet.draw()
 	if plan := c.handler.plan(c.service); seen.Closed && plan != nil && !plan.Moves() {
-		// That back ends on trial have no room is no reason to refuse a request.
+		// The canary back ends have no capacity. That is no reason to refuse the request: fall back
+		// to the versions in use.
 		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
 		index, seen = candidateSet.draw()
 	}
@@ -49,22 +50,21 @@
 	}, nil
 }
 
-// considered are the back ends that may take a call, as they are seen at one
-// moment.
+// candidateSet holds the back ends that may take a call, as seen at one moment.
 type candidateSet struct {
 	*subset
 	call   *call
 	origin location
-	// usual is how long back ends of the service work on such a request.
+	// expectedWork is how long back ends of the service take to process such a request.
 	expectedWork time.Duration
 	now          time.Time
-	// competes: requests compete for room.
+	// contention: overload control is active.
 	contention bool
-	// full: a back end that was described has a limit without room for the call in time.
+	// limitExceeded: the rate limit of a described back end has no capacity for the call in time.
 	limitExceeded bool
 }
 
-// draw returns the index of the back end that is to take the request, and what is known of it.
+// draw returns the index of the chosen back end and its description.
 func (s *candidateSet) draw() (index int, seen choice.Candidate) {
 	draw := choice.Draw
 	if s.contention {
@@ -73,8 +73,8 @@
 	return draw(s.pool(), s.call.route.TargetLatency, rand.IntN, s.call.handler.options.Weights)
 }
 
-// selected returns which back ends may take the next send. A send beyond the first is
-// not for a trial.
+// selection returns which back ends may take the next attempt. Only first attempts go to the canary
+// of a trial.
 func (c *call) selection() rollout.Selection {
 	plan := c.handler.plan(c.service)
 	if plan == nil {
@@ -87,7 +87,7 @@
 	return selection
 }
 
-// considered returns those back ends of the request's service that are selected.
+// candidateSet returns the selected back ends of the request's service.
 func (c *call) candidateSet(now time.Time, selection rollout.Selection) *candidateSet {
 	options := &c.handler.options
 	return &candidateSet{
@@ -101,7 +101,7 @@
 	}
 }
 
-// describe returns what is known of one of them.
+// describe returns the candidate with that index.
 func (s *candidateSet) describe(index int) choice.Candidate {
 	record := s.records[index]
 	found := s.call.handler.targets.forRecord(record)
@@ -115,8 +115,8 @@
 	return described
 }
 
-// transfer is how long the link of the record's machine works on the request's body, where it is one
-// that the arriving node receives before it has a slot; at most as long as the request may take.
+// transferTime returns how long the link of the record's machine needs for the request's body, if
+// it is one that the peer receives before it has a slot; at most maxTransferTime.
 func (c *call) transferTime(record *roster.Record) time.Duration {
 	if !c.hasLargeBody() {
 		return 0
@@ -133,13 +133,12 @@
 	return time.Duration(min(seconds, maxTransferTime.Seconds()) * float64(time.Second))
 }
 
-// pool returns them for the choice.
+// pool returns the candidates for the choice.
 func (s *candidateSet) pool() choice.Pool {
 	return choice.Pool{Near: s.subset.near, Far: len(s.records) - s.subset.near, Describe: s.describe}
 }
 
-// worthwhile reports whether another back end is left for a request that was
-// refused.
+// hasAlternative reports whether another back end is left for a request that was refused.
 func (s *candidateSet) hasAlternative() bool {
 	for index := range s.records {
 		if s.describe(index).Worthwhile() {
@@ -149,10 +148,10 @@
 	return false
 }
 
-// mostTransfer bounds what is expected of a transfer: beyond it no answer comes in time.
+// maxTransferTime bounds the estimate of a transfer: beyond it no response comes in time.
 const maxTransferTime = 10 * time.Second
 
-// work returns the estimate of how long requests of the route are worked on.
+// work returns the estimate of the processing time of the route's requests.
 func (c *call) work() *choice.Work {
 	key := c.route.Name
 	if value, found := c.handler.work.Load(key); found {
@@ -162,8 +161,7 @@
 	return value.(*choice.Work)
 }
 
-// assumedWork stands in for the time a route's requests take before any was
-// measured.
+// assumedWork is the estimate of a route's processing time before anything was measured.
 func (c *call) assumedWork() time.Duration {
 	const targetFraction = 0.35
 	if c.route.TargetLatency > 0 {
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -16,35 +16,37 @@
 )
 
 var (
-	errLimited = errors.New("no back end's limit has room for the request in time")
-	errLeaving = errors.New("the back ends of the service are leaving")
+	errLimited = errors.New("no back end's rate limit has capacity for the request in time")
+	errLeaving = errors.New("all back ends of the service are leaving")
 )
 
-// limitReport is what replies said of the limit of a back end. It is immutable but for the estimate.
+// limitReport holds what responses said about the rate limit of a back end. It is immutable except
+// for the estimate.
 type limitReport struct {
 	*ratelimit.Estimate
-	// endpoint is the back end that the replies came from.
+	// endpoint is the back end that the responses came from.
 	endpoint roster.Incarnation
-	// perSecond is the rate that was told last.
+	// perSecond is the rate that was reported last.
 	perSecond float64
 }
 
-// of reports whether the report is of the back end that the record tells of. Another life of the node beside
-// it changes nothing: that node has to learn of the limit.
+// matches reports whether the report is about the record's back end. A restart of the sidecar next
+// to it changes nothing: that sidecar has to learn the limit.
 func (r *limitReport) matches(record *roster.Record) bool {
 	return r.endpoint == record.Endpoint.Incarnation()
 }
 
-// leavingReport says since when an incarnation is known to leave by what an answer says.
+// leavingReport holds the incarnation of a back end that announced in a response that it is
+// leaving, and since when that is known.
 type leavingReport struct {
 	incarnation string
 	since       time.Time
 }
 
-// class is the request's among those that a limit tells apart.
+// class returns the request's class in the rate limit estimate.
 func (c *call) class() ratelimit.Class { return ratelimit.ClassOf(c.nested, c.priority()) }
 
-// hearNotices takes in what a reply says that the back end asks for.
+// observeNotices records the leaving notice and the rate limit that a response carries.
 func (a *attempt) observeNotices(header http.Header, now time.Time) {
 	if leaving := header.Get(hop.HeaderLeaving); leaving != "" {
 		a.target.markLeaving(leaving, now)
@@ -58,20 +60,20 @@
 	}
 	told, err := hop.ParseLimit(line)
 	if err != nil {
-		a.call.handler.options.Logger.Warn("limit told by a node not read", zap.String("peer", a.target.node), zap.Error(err))
+		a.call.handler.options.Logger.Warn("invalid rate limit in a response", zap.String("peer", a.target.node), zap.Error(err))
 		return
 	}
 	a.target.setLimit(told, a.record, a.call.class(), now)
 }
 
-// leaves takes in that an incarnation leaves.
+// markLeaving records that an incarnation is leaving.
 func (t *target) markLeaving(incarnation string, now time.Time) {
 	if held := t.leaving.Load(); held == nil || held.incarnation != incarnation {
 		t.leaving.Store(&leavingReport{incarnation: incarnation, since: now})
 	}
 }
 
-// left reports whether the record's back end is known to leave, and for how long.
+// leavingFor reports whether the record's back end is known to be leaving, and for how long.
 func (t *target) leavingFor(record *roster.Record, now time.Time) (age time.Duration, leaves bool) {
 	held := t.leaving.Load()
 	if held == nil || held.incarnation != record.Endpoint.Incarnation().String() {
@@ -80,15 +82,15 @@
 	return now.Sub(held.since), true
 }
 
-// unlimited takes in that an answer of the back end came without a limit. A refusal by its node says nothing:
-// that may have just started.
+// clearLimit records that a response of the back end carried no limit. A refusal by its sidecar
+// says nothing: that may have just started.
 func (t *target) clearLimit() {
 	if t.limit.Load() != nil {
 		t.limit.Store(nil)
 	}
 }
 
-// limited takes in what a reply told of the limit.
+// setLimit records the limit that a response reported.
 func (t *target) setLimit(told hop.Limit, record *roster.Record, class ratelimit.Class, now time.Time) {
 	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: told.PerSecond}
 	if held := t.limitOf(record); held != nil {
@@ -100,7 +102,7 @@
 	t.limit.Store(next)
 }
 
-// limitOf returns what is known of the limit of the record's back end, nil for none.
+// limitOf returns the known limit of the record's back end, nil for none.
 func (t *target) limitOf(record *roster.Record) *limitReport {
 	if held := t.limit.Load(); held != nil && held.matches(record) {
 		return held
@@ -108,16 +110,16 @@
 	return nil
 }
 
-// tellLimit adds to a request the limit that is known of its back end: the node beside it may have started
-// since.
+// setLimitHeader adds the known limit of the back end to a request, for the case that the sidecar
+// next to it has restarted.
 func (a *attempt) setLimitHeader(header http.Header) {
 	if limit := a.target.limitOf(a.record); limit != nil {
 		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: limit.perSecond}.Format()}
 	}
 }
 
-// judgeNotices adds to a description what the back end asks for: one whose limit has no room in time, or
-// that has left, is not sent to.
+// applyNotices adds the back end's notices to its description: a candidate is closed when its limit
+// has no capacity in time or it has left.
 func (s *candidateSet) applyNotices(described *choice.Candidate, found *target, record *roster.Record) {
 	if age, leaves := found.leavingFor(record, s.now); leaves {
 		described.Leaving = true
@@ -134,14 +136,14 @@
 	}
 }
 
-// patience is how long the request may wait at the next node.
+// nextMaxWait returns how long the request may wait at the next node.
 func (s *candidateSet) nextMaxWait(work time.Duration) time.Duration {
 	request := s.call.choiceRequest(clock.Until(s.call.deadline), work)
 	return s.call.maxWait(request, len(s.call.attempts), s.ready)
 }
 
-// closed returns the failure of a call whose candidates are all closed to it. Where limits are the
-// reason it is told when there will be room.
+// closedFailure returns the failure of a call whose candidates are all closed. If rate limits are
+// the reason, its Retry-After is the time until one has capacity.
 func (s *candidateSet) closedFailure() *outcome.Failure {
 	wait, limited := s.shortestWait()
 	if !limited {
@@ -150,8 +152,8 @@
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepLimit, wait, errLimited)
 }
 
-// turn returns the shortest time in which a back end's limit will have room for the caller, false when
-// none has a limit.
+// shortestWait returns the shortest time until a back end's limit has capacity for the caller,
+// false when none has a limit.
 func (s *candidateSet) shortestWait() (wait time.Duration, limited bool) {
 	class := s.call.class()
 	var soonest *limitReport
--- a/internal/sidecar/egress/regions.go
+++ b/internal/sidecar/egress/regions.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// regions are those in which a request may be served. The zero value allows all. It is
+// regions is the set of regions in which a request may be served. The zero value allows all. It is
 // immutable.
 type regions struct {
-	// key tells sets apart; empty for all regions.
+	// key identifies the set; empty for all regions.
 	key   string
 	names []string
 }
 
-// regionsOf returns the regions that all of the lists allow, an empty one any. Where lists have
-// none in common no region is left.
+// regionsOf returns the intersection of the lists; an empty list allows every region. Lists without
+// a common region allow none.
 func regionsOf(lists ...[]string) (allowed regions) {
 	bounded := false
 	for _, list := range lists {
@@ -35,10 +35,10 @@
 // all reports whether every region is allowed.
 func (r regions) all() bool { return r.key == "" }
 
-// contains reports whether the region is allowed. One that is not known is not, unless all are.
+// contains reports whether the region is allowed. An unknown region is allowed only if all are.
 func (r regions) contains(region string) bool { return r.all() || slices.Contains(r.names, region) }
 
-// regions returns those in which the request may be served.
+// regions returns the regions in which the request may be served.
 func (c *call) regions() regions {
 	if c.tenant == nil {
 		return regionsOf(c.route.AllowedRegions)
--- a/internal/sidecar/egress/silence.go
+++ b/internal/sidecar/egress/silence.go
@@ -10,52 +10,50 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// errSilent is the cause by which visits to a silent node end.
-var errSilent = errors.New("the node is silent")
+// errSilent is the cause that cancels attempts at a node which does not answer probes.
+var errSilent = errors.New("the node does not answer probes")
 
 const (
-	// suspicionFactor and suspicionLeast say how long after a request was sent,
-	// in units of the expected time and at least, the node is asked whether it
-	// is there.
+	// A node is probed when a request has waited for probeDelayFactor times its expected processing
+	// time, but at least minProbeDelay.
 	probeDelayFactor = 2.5
 	minProbeDelay    = 120 * time.Millisecond
-	// probeInterval is the time between two probes of a silent node.
+	// probeInterval is the time between two probes of a node that does not answer.
 	probeInterval = 150 * time.Millisecond
-	// silentAvoid is how long a silent node is avoided after each probe.
+	// silentAvoidance is how long a node is avoided after each unanswered probe.
 	silentAvoidance = 1500 * time.Millisecond
-	// silentProbes bounds how often a silent node is probed in a row.
+	// maxSilentProbes limits how often such a node is probed in a row.
 	maxSilentProbes = 40
-	// lostProbes is after how many probes without an answer a send is given up.
-	// After the first it is only suspected: this node may be the slow one, and a
-	// request at which a back end is at work is not to be broken off for that. In a
-	// planned stop nothing is given up for it.
+	// abandonAfterProbes is the number of unanswered probes after which an attempt is abandoned.
+	// After the first the node is only suspected: this node may be the slow one, and a request that
+	// a back end is processing must not be broken off for that. During a planned stop no attempt is
+	// abandoned because of probes.
 	abandonAfterProbes = 3
 )
 
-// Probe asks a node whether it is there; an error means that it did not answer
-// in time.
+// Probe checks whether a node responds; an error means that it did not answer in time.
 type Probe func(ctx context.Context, record *roster.Record) error
 
-// outstanding are the visits to one node that wait for its answer.
+// outstanding holds the attempts at one node that wait for its response.
 type outstanding struct {
-	mutex   sync.Mutex // guards all below
+	mutex   sync.Mutex // guards the fields below
 	entries map[*pending]struct{}
-	// probing: a probe is going on, or the node is silent and watched.
+	// probing: a probe is in progress, or the node did not answer and is probed repeatedly.
 	probing bool
-	// heard is when the node last answered anything.
+	// alive is when the node last answered anything.
 	alive time.Time
 }
 
-// pending is one visit that waits for an answer.
+// pending is one attempt that waits for a response.
 type pending struct {
 	attempt *attempt
 	timer   *time.Timer
-	// missed counts the probes without an answer.
+	// missed counts the unanswered probes.
 	missed int
 }
 
-// register notes a send: it is suspected when its node does not answer a probe,
-// and given up when it does not answer several.
+// register adds an attempt: it is suspected when its node does not answer a probe, and abandoned
+// when it does not answer several.
 func (h *Handler) register(a *attempt) *pending {
 	record, peer := a.record, a.target
 	entry := &pending{attempt: a}
@@ -72,7 +70,7 @@
 	return entry
 }
 
-// answered takes a visit out; heard says that the node itself said something.
+// answered removes an attempt; alive: the node itself has responded.
 func (o *outstanding) answered(entry *pending, alive bool, now time.Time) {
 	o.mutex.Lock()
 	delete(o.entries, entry)
@@ -83,8 +81,8 @@
 	entry.timer.Stop()
 }
 
-// suspect probes a node from which a request has waited long for an answer,
-// unless it has answered anything else since.
+// probeIfSilent probes a node whose response is overdue, unless the node has answered anything else
+// since.
 func (h *Handler) probeIfSilent(record *roster.Record, peer *target, entry *pending, since time.Time, probeDelay time.Duration) {
 	waiting := &peer.outstanding
 	waiting.mutex.Lock()
@@ -104,8 +102,8 @@
 	}
 }
 
-// watchSilence probes a node until it answers. When it does not, it is avoided
-// and what waits for it is told.
+// probeUntilAnswered probes a node until it answers or maxSilentProbes is reached. Meanwhile the
+// node is avoided, and the attempts that wait for it are notified of each unanswered probe.
 func (h *Handler) probeUntilAnswered(record *roster.Record, peer *target) {
 	defer func() {
 		peer.silent.Store(false)
@@ -126,7 +124,7 @@
 	}
 }
 
-// regained ends the avoidance of a node that was silent.
+// markRecovered ends the avoidance of a node that did not answer probes.
 func (h *Handler) markRecovered(peer *target, wasSilent bool) {
 	peer.outstanding.mutex.Lock()
 	peer.outstanding.alive = clock.Now()
@@ -138,7 +136,7 @@
 	}
 }
 
-// miss tells every send that waits of a probe without an answer.
+// recordMissedProbe notifies every waiting attempt of an unanswered probe.
 func (o *outstanding) recordMissedProbe() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// nearSubset and farSubset are how many back ends of a service a node considers
-	// in its own zone and in others. Without a bound a choice would take time, and
-	// a back end connections, in proportion to the size of the mesh.
+	// nearSubset and farSubset limit how many back ends of a service a node considers in its own
+	// zone and in other zones. Without a limit the time of a choice and the connections of a back
+	// end would grow with the size of the mesh.
 	nearSubset = 24
 	farSubset  = 16
 )
 
-// subsetKey is a service with a selection of its back ends and the regions in which they may be.
+// subsetKey identifies a subset by service, version selection and allowed regions.
 type subsetKey struct{ service, selection, regions string }
 
-// subset holds the back ends of one service that a node considers. It is
-// immutable.
+// subset holds the back ends of one service that a node considers. It is immutable.
 type subset struct {
-	// records are those of the node's zone first.
+	// records holds those of the node's zone first.
 	records []*roster.Record
-	// near is how many are in the node's zone, ready how many of all take work.
+	// near is the number in the node's zone, ready the number of all that accept work.
 	near, ready int
-	// of are the service's records that it was chosen from, emptied the zones left out.
+	// source is the list of the service's records that it was chosen from, evacuated the zones that
+	// were excluded.
 	source    []*roster.Record
 	evacuated *evacuation.Zones
 }
 
-// chosenFrom reports whether the subset was chosen from that list, and not one like it.
+// chosenFrom reports whether the subset was chosen from this very list, not an equal one, and the
+// same evacuated zones.
 func (s *subset) chosenFrom(list []*roster.Record, evacuated *evacuation.Zones) bool {
 	if s.evacuated != evacuated || len(s.source) != len(list) {
 		return false
@@ -42,12 +43,12 @@
 	return len(list) == 0 || &s.source[0] == &list[0]
 }
 
-// mostSubsets bounds the subsets that are kept: selections and regions come and go.
+// maxSubsets limits the cached subsets: selections and regions come and go.
 const maxSubsets = 512
 
-// subset returns the back ends of the service that the node considers, of those that
-// are selected and in the regions. It is chosen anew when a record of the service, or an emptied zone,
-// has changed: a change of another service's record costs nothing.
+// subset returns the back ends of the service that the node considers, of those that are selected
+// and in the allowed regions. It is recomputed when a record of the service or the evacuated zones
+// have changed; changed records of other services cost nothing.
 func (h *Handler) subset(view *roster.View, service string, selected rollout.Selection, allowed regions) *subset {
 	source, evacuated := view.Service(service), h.options.Emptied()
 	key := subsetKey{service: service, selection: selected.Key, regions: allowed.key}
@@ -84,20 +85,20 @@
 	return found
 }
 
-// ranked is a record with what its rank goes by.
+// ranked is a record with its sort key.
 type ranked struct {
 	record *roster.Record
-	// waits: it takes no new work now. distance is 0 in the zone, 1 in the region, 2
-	// beyond. hash is of the pair of nodes, so that each node has a choice of its
-	// own that hardly changes when others come and go.
+	// unavailable: it accepts no new work now. distance is 0 in the zone, 1 in the region, 2
+	// beyond. hash is of the pair of nodes, so that each node considers its own set, which changes
+	// little when back ends come and go.
 	unavailable bool
 	distance    int
 	hash        uint64
 }
 
-// chooseSubset returns at most nearSubset records of the zone and farSubset of
-// others, those of the region first. Those that take no work come after all
-// others, and nodes whose back end is gone not at all.
+// chooseSubset returns at most nearSubset records of the zone and farSubset of other zones, those
+// of the region first. Records that accept no work come last, and those whose back end is gone are
+// left out.
 func chooseSubset(records []*roster.Record, self string, origin location) *subset {
 	var near, far []ranked
 	for _, record := range records {
@@ -121,7 +122,7 @@
 	return chosen
 }
 
-// first returns the best ranked, at most that many.
+// topRanked returns the best ranked records, at most limit.
 func topRanked(all []ranked, limit int) []ranked {
 	slices.SortFunc(all, compareRanks)
 	return all[:min(len(all), limit)]
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -13,56 +13,58 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// target is another node as this one sees it: its connections, what it last
-// said of its load, and how it failed. It is shared by all of its records.
+// target is another node as seen by this one: its connections, its last load report and its
+// failures. All records of the node share it.
 type target struct {
 	node    string
 	address string
 	pool    *forward.Pool
-	// inFlight counts this node's requests there.
+	// inFlight counts the requests that this node has in flight there.
 	inFlight atomic.Int64
-	// avoidUntil is a stamp of the node's clock; zero for never.
+	// avoidUntil is a clock.Stamp; zero for never.
 	avoidUntil atomic.Int64
 	failures   atomic.Int32
 	// silent: the node has not answered the last probe.
 	silent atomic.Bool
 	report atomic.Pointer[loadReport]
-	// limit and leaving are what replies said that the back end asks for; nil while it asks for nothing.
+	// limit and leaving hold the rate limit and the leaving notice that responses reported; nil
+	// without one.
 	limit   atomic.Pointer[limitReport]
 	leaving atomic.Pointer[leavingReport]
-	// outstanding are the visits that wait for an answer.
+	// outstanding holds the attempts that wait for a response.
 	outstanding outstanding
 }
 
-// loadReport is what a reply said of the load there. It is immutable.
+// loadReport is the load that a response reported. It is immutable.
 type loadReport struct {
 	hop.Reply
-	// epoch is the node's life and endpoint the back end that the reply came from.
+	// epoch identifies the node's process and endpoint the back end that the response came from.
 	epoch    uint64
 	endpoint roster.Incarnation
-	// others estimates how many requests there are not this node's.
+	// others estimates the requests there that are not this node's.
 	others     occupancy.Estimate
 	receivedAt time.Time
 }
 
 const (
-	// avoidBase is how long a target is avoided after its first failure; each
-	// further one doubles it, up to avoidMost.
+	// baseAvoidance is how long a target is avoided after its first failure; each further one
+	// doubles it, up to maxAvoidance.
 	baseAvoidance = 200 * time.Millisecond
 	maxAvoidance  = 2 * time.Second
-	// coldAvoid is how long a target is avoided whose back end is cold and has got what it bears.
-	// It bears a few requests a second: a look some times a second finds its room.
+	// coldAvoidance is how long a target is avoided whose back end is warming up and has reached
+	// its limit. Such a back end takes a few requests per second, so trying it several times a
+	// second finds its free capacity.
 	coldAvoidance = 250 * time.Millisecond
 )
 
-// of reports whether the report is of the back end and the life of the node that
-// the record tells of. After either has changed it says nothing any more.
+// matches reports whether the report comes from the record's back end and epoch. After a restart of
+// either it is void.
 func (r *loadReport) matches(record *roster.Record) bool {
 	return r.epoch == record.Epoch && r.endpoint == record.Endpoint.Incarnation()
 }
 
-// learn takes in the load that a reply carries, and returns how many requests of others are
-// there. The record is the one that the request was sent by.
+// observe records the load that a response reports, and returns how many requests of other nodes
+// are there. The record is the one that the request was sent by.
 func (t *target) observe(load hop.Reply, record *roster.Record, now time.Time) (others float64) {
 	others = float64(load.Running+load.Waiting) - float64(t.inFlight.Load())
 	for {
@@ -78,7 +80,7 @@
 	}
 }
 
-// failed has the target avoided for a while.
+// failed avoids the target for a while, longer after each consecutive failure.
 func (t *target) failed(now time.Time) {
 	count := t.failures.Add(1)
 	wait := maxAvoidance
@@ -88,7 +90,7 @@
 	t.avoid(now, wait)
 }
 
-// avoid has the target avoided for that long. It has not failed.
+// avoid avoids the target for that long without counting a failure.
 func (t *target) avoid(now time.Time, wait time.Duration) {
 	t.avoidUntil.Store(clock.Stamp(now.Add(wait)))
 }
@@ -99,7 +101,7 @@
 	return until != 0 && until > clock.Stamp(now)
 }
 
-// succeeded ends a target's bad record.
+// succeeded resets the target's failures.
 func (t *target) succeeded() {
 	if t.failures.Load() != 0 {
 		t.failures.Store(0)
@@ -107,21 +109,21 @@
 	}
 }
 
-// place is where a node is.
+// location is the zone of a node.
 type location struct {
 	zone string
-	// regions holds the region of each zone, as far as known.
+	// regions maps each zone to its region, as far as known.
 	regions map[string]string
 }
 
-// leaves reports whether a zone is known to be in another region.
+// crossesRegion reports whether a zone is known to be in another region.
 func (p location) crossesRegion(zone string) bool {
 	own, other := p.regions[p.zone], p.regions[zone]
 	return own != "" && other != "" && own != other
 }
 
-// candidate describes the target for the choice. usual is how long back ends of
-// the service work on such a request.
+// candidate describes the target for the choice. expectedWork is how long back ends of the service
+// take to process such a request.
 func (t *target) candidate(record *roster.Record, origin location, expectedWork time.Duration, now time.Time) choice.Candidate {
 	described := choice.Candidate{
 		SameZone: record.Zone == origin.zone, OtherRegion: origin.crossesRegion(record.Zone),
@@ -149,8 +151,8 @@
 	return described
 }
 
-// unheard is the part of what is there that no report tells of any more: one without any report,
-// little after a fresh one.
+// unreportedWeight is the weight of the zone's average in the estimate of the target's load: one
+// without a report, near zero after a fresh one.
 func (t *target) unreportedWeight(record *roster.Record, now time.Time) float64 {
 	report := t.report.Load()
 	if report == nil || !report.matches(record) {
@@ -159,8 +161,7 @@
 	return 1 - report.others.Weight(now)
 }
 
-// reportAge is how old the node's own account of its load is; below zero when
-// there is none.
+// reportAge returns the age of the node's load report; below zero when there is none.
 func (t *target) reportAge(now time.Time) time.Duration {
 	if report := t.report.Load(); report != nil {
 		return now.Sub(report.receivedAt)
@@ -168,7 +169,7 @@
 	return -1
 }
 
-// targets holds the targets of all nodes. Reads take a shared lock only.
+// targets holds the targets of all nodes. Lookups take only a read lock.
 type targets struct {
 	options forward.Limits
 	dial    forward.Dialer
@@ -177,7 +178,7 @@
 	byNode map[string]*target
 }
 
-// of returns the target of a record, a new one when the node has moved.
+// forRecord returns the target of a record, a new one when the node's address has changed.
 func (t *targets) forRecord(record *roster.Record) *target {
 	t.mutex.RLock()
 	existing := t.byNode[record.Node]
--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -10,8 +10,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// plan returns how a service's requests are divided between versions, nil when they
-// are not.
+// plan returns how a service's requests are split between versions, nil when they are not.
 func (h *Handler) plan(service string) *rollout.Plan {
 	if h.options.Plan == nil {
 		return nil
@@ -19,7 +18,7 @@
 	return h.options.Plan(service)
 }
 
-// serves reports whether one of the selected back ends is there to take requests.
+// hasAvailable reports whether one of the selected back ends accepts work and answers probes.
 func (h *Handler) hasAvailable(service string, selection rollout.Selection, allowed regions) bool {
 	for _, record := range h.subset(h.options.View(), service, selection, allowed).records {
 		if record.AcceptsWork() && !h.targets.forRecord(record).silent.Load() {
@@ -29,15 +28,15 @@
 	return false
 }
 
-// compares reports whether the record's back end is of a version that is compared with
-// those in use.
+// isCanary reports whether the record's back end runs a version that is being compared with those
+// in use.
 func (h *Handler) isCanary(service string, record *roster.Record) bool {
 	plan := h.plan(service)
 	return plan != nil && plan.Compares() && record.Endpoint.Version == plan.Version
 }
 
-// usualOf returns what is told with a request to a back end whose version is compared;
-// nil for all others.
+// baselineStats returns the statistics that are sent with a request to a canary; nil for all other
+// back ends.
 func (h *Handler) baselineStats(service, route string, record *roster.Record) *rollout.Usual {
 	if !h.isCanary(service, record) {
 		return nil
@@ -46,7 +45,7 @@
 	return &stats
 }
 
-// baselineOf returns how the answers of a service's versions in use are.
+// baseline returns the statistics of a service's versions in use.
 func (h *Handler) baseline(service string) *rollout.Baseline {
 	if value, found := h.baselines.Load(service); found {
 		return value.(*rollout.Baseline)
@@ -55,8 +54,8 @@
 	return value.(*rollout.Baseline)
 }
 
-// compare takes in what the send shows of a version in use, while another one is
-// compared with it. Refusals and what the caller gave up show nothing.
+// observeBaseline records the result of an attempt at a version in use while a canary is compared
+// with it. Refusals and calls that the caller cancelled are not counted.
 func (a *attempt) observeBaseline(now time.Time) {
 	plan := a.call.handler.plan(a.service)
 	if plan == nil || !plan.Compares() || a.canary || a.call.context.Err() != nil {
@@ -73,9 +72,9 @@
 	a.call.handler.baseline(a.service).Observe(a.call.route.Name, failed, slow, now)
 }
 
-// Load returns what part of the slots of a service's back ends is taken, those of one
-// version aside, by what their nodes last told; above one where requests wait, and one
-// where nothing is known.
+// Load returns the utilization of the slots of a service's back ends, except those of one version,
+// from the load that their nodes last reported; above one where requests wait, and one where
+// nothing is known.
 func (h *Handler) Load(service, excludedVersion string) float64 {
 	now := clock.Now()
 	origin := location{zone: h.options.Zone, regions: h.options.Regions}
--- a/internal/sidecar/egress/zoneload.go
+++ b/internal/sidecar/egress/zoneload.go
@@ -11,48 +11,48 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// zoneLoads holds how full the back ends of each service and zone are on average, by what replies
-// told. It is safe for concurrent use; the zero value knows nothing. Services and zones are those
-// of the roster, so that there are few.
+// zoneLoads holds the average load of the back ends of each service and zone, as reported in
+// responses. It is safe for concurrent use; the zero value is empty. Services and zones come from
+// the roster, so there are few.
 type zoneLoads struct {
-	// byZone holds a *zoneLoad by zoneKey.
+	// byZone maps a zoneKey to its *zoneLoad.
 	byZone sync.Map
 }
 
-// zoneKey is a service with a zone.
+// zoneKey identifies a service in a zone.
 type zoneKey struct{ service, zone string }
 
-// zoneLoad is what is known of one service's back ends in one zone.
+// zoneLoad is the known load of one service's back ends in one zone.
 type zoneLoad struct {
-	// average is nil before the first reply.
+	// average is nil before the first response.
 	average atomic.Pointer[occupancy.Average]
-	// full is what the log last said.
+	// full is the state that was last logged.
 	full atomic.Bool
-	// sent counts this node's sends there.
+	// sent counts this node's attempts there.
 	sent atomic.Int64
 }
 
-// ZoneLoad is how full the back ends of a service are in a zone, as far as a node knows.
+// ZoneLoad is the load of a service's back ends in a zone, as far as a node knows.
 type ZoneLoad struct {
 	Service, Zone string
-	// PerSlot is how many requests of others there are for each slot, Age how old the newest
-	// report is.
+	// PerSlot is the number of requests of other nodes for each slot, Age the age of the newest
+	// report.
 	PerSlot float64
 	Age     time.Duration
-	// Sent counts the node's sends there.
+	// Sent counts the node's attempts there.
 	Sent int64
 }
 
 const (
-	// fullFrom is from how many requests for each slot on a zone is logged as full, roomFrom up to
-	// how many as having room again. They lie apart so that the log doesn't tell of every swing.
+	// A zone is logged as full from fullThreshold requests for each slot, and as having room again
+	// at roomThreshold or below. The gap keeps the log from reporting every fluctuation.
 	fullThreshold = 1.5
 	roomThreshold = 0.8
-	// zoneKept is how long a zone is kept of which no reply tells.
+	// zoneRetention is how long a zone is kept without a response that reports on it.
 	zoneRetention = 5 * time.Minute
 )
 
-// of returns what is known of back ends like that of the record.
+// forRecord returns the load of the record's service and zone.
 func (z *zoneLoads) forRecord(record *roster.Record) *zoneLoad {
 	key := zoneKey{service: record.Endpoint.Service, zone: record.Zone}
 	if found, known := z.byZone.Load(key); known {
@@ -62,7 +62,7 @@
 	return found.(*zoneLoad)
 }
 
-// learn takes in how many requests of others the back end of the record has, and reports whether
+// observe records how many requests of other nodes the record's back end has, and reports whether
 // its zone became full, or got room.
 func (z *zoneLoads) observe(record *roster.Record, others float64, now time.Time) (full, changed bool) {
 	held := z.forRecord(record)
@@ -79,7 +79,7 @@
 	}
 }
 
-// judge reports whether the zone became full, or got room.
+// updateFull reports whether the zone became full, or got room.
 func (l *zoneLoad) updateFull(perSlot float64) (full, changed bool) {
 	switch {
 	case perSlot >= fullThreshold:
@@ -90,7 +90,8 @@
 	return false, false
 }
 
-// others returns how many requests of others a back end like that of the record has on average.
+// others returns the average number of other nodes' requests at a back end of the record's service,
+// zone and size.
 func (z *zoneLoads) others(record *roster.Record, now time.Time) float64 {
 	average := z.forRecord(record).average.Load()
 	if average == nil {
@@ -99,7 +100,7 @@
 	return average.PerSlot(now) * float64(record.Endpoint.Slots)
 }
 
-// sweep forgets services and zones of which no reply has told for long.
+// sweep forgets services and zones without recent reports.
 func (z *zoneLoads) sweep(now time.Time) {
 	z.byZone.Range(func(key, value any) bool {
 		average := value.(*zoneLoad).average.Load()
@@ -110,8 +111,7 @@
 	})
 }
 
-// ZoneLoads returns what the node knows of services and zones; nothing where requests do not
-// compete for room.
+// ZoneLoads returns the known load by service and zone; nothing without overload control.
 func (h *Handler) ZoneLoads(now time.Time) []ZoneLoad {
 	var list []ZoneLoad
 	h.zoneLoads.byZone.Range(func(key, value any) bool {
@@ -126,7 +126,8 @@
 	return list
 }
 
-// learnZone takes in how many requests of others the back end of a send has.
+// observeZone records how many requests of other nodes the attempt's back end has, and logs when
+// its zone becomes full or has room again.
 func (a *attempt) observeZone(others float64, now time.Time) {
 	h := a.call.handler
 	full, changed := h.zoneLoads.observe(a.record, others, now)
