--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -12,18 +12,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/quota"
 )
 
-// Quota keeps tenants within their limits.
+// Quota enforces the tenants' rate limits.
 type Quota interface {
 	// Take spends one request of a tenant that has a limit. The error is quota.ErrSpent when the
-	// limit is reached, otherwise nobody can tell.
+	// limit is reached; any other means that the limit cannot be checked.
 	Take(ctx context.Context, tenant string) (lending.Token, error)
-	// Again spends one more run of a request and reports whether it may.
+	// Again spends a token that the node holds on another run of a request, and reports whether
+	// there was one.
 	Again(tenant string) bool
 	// Return gives back the token of a request that did not run.
 	Return(lending.Token)
 }
 
-// unlimited is the Quota of a node that keeps no limits.
+// noQuota is the Quota of a node that enforces no limits.
 type noQuota struct{}
 
 // Take implements Quota.
@@ -35,8 +36,8 @@
 // Return implements Quota.
 func (noQuota) Return(lending.Token) {}
 
-// spend takes the request's place within its tenant's limit, or refuses it: as one too many when
-// the limit is reached, otherwise as one that cannot be served now.
+// takeToken takes a token of the tenant's rate limit for the request, or refuses it: with 429 when
+// the limit is reached, with 503 when nothing can grant a token.
 func (c *call) takeToken() *outcome.Failure {
 	if !c.tenant.Limited() {
 		return nil
@@ -66,9 +67,10 @@
 	}
 }
 
-// spendAgain makes sure that the request has a token for one more run; the error says why it has none. A
-// send that provably did not run has left it one. Otherwise the granter is asked where requests compete
-// for room; elsewhere, and while a send that was left behind may answer, what the node holds has to do.
+// takeRetryToken ensures that the request has a token for another run; the error says why it has
+// none. An attempt that provably did not run leaves its token to the next one. Otherwise the
+// granter is asked while overload control is active; else, and while a detached attempt may still
+// answer, only tokens that the node holds are used.
 func (c *call) takeRetryToken() error {
 	switch {
 	case !c.tenant.Limited() || c.hasValidToken():
@@ -85,26 +87,28 @@
 	return nil
 }
 
-// holdsToken reports whether a token is left that may still be spent.
+// hasValidToken reports whether an unused token is left that has not expired.
 func (c *call) hasValidToken() bool {
 	unusedTokens := c.unusedTokens()
 	return c.handler.contended() && len(unusedTokens) > 0 && unusedTokens[len(unusedTokens)-1].Valid(clock.Now())
 }
 
-// unused returns the request's tokens that no send has used, those that end first in front.
+// unusedTokens returns the request's tokens that no run has used, ordered by expiry.
 func (c *call) unusedTokens() []lending.Token {
 	used := max(c.attempts.possibleRuns()-c.heldTokenRuns, 0)
 	return c.tokens[:max(len(c.tokens)-used, 0)]
 }
 
-// unspent gives the token back when the request provably did not run.
+// refundIfNotRun returns the token when the request provably did not run. It applies without
+// overload control.
 func (c *call) refundIfNotRun(failure *outcome.Failure) {
 	if c.tenant.Limited() && !c.handler.contended() && failure.Outcome == outcome.NotRun && c.runs == 0 && len(c.tokens) > 0 {
 		c.handler.options.Quota.Return(c.tokens[0])
 	}
 }
 
-// returnUnused gives the tokens back that no run has used, where requests compete for room.
+// returnUnusedTokens returns the tokens that no run has used. It applies while overload control is
+// active.
 func (c *call) returnUnusedTokens() {
 	if !c.handler.contended() {
 		return
--- a/internal/sidecar/egress/sample.go
+++ b/internal/sidecar/egress/sample.go
@@ -7,11 +7,12 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// servedPerSecond is how many of the calls that went well are logged.
+// loggedCallsPerSecond limits how many successful calls are logged.
 const loggedCallsPerSecond = 3
 
-// sampled returns a logger that writes the first lines of each second. It is for one message: the
-// library's sampler holds counters for thousands of them, which is much of what an idle node holds.
+// newSampledLogger returns a logger that writes the first lines of each second. It serves a single
+// message: zap's sampler holds counters for thousands of them, which would be a large part of an
+// idle node's memory.
 func newSampledLogger(logger *zap.Logger) *zap.Logger {
 	return logger.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return &sampledCore{Core: core, window: &atomic.Uint64{}}
@@ -21,12 +22,12 @@
 // sampledCore passes on the first lines of each second. It is safe for concurrent use.
 type sampledCore struct {
 	zapcore.Core
-	// passed is the second of the last line that was passed on, and in the lowest bits how many
-	// were in it.
+	// window holds the second of the last line that was passed on, and in the lowest countBits how
+	// many lines of it were passed on.
 	window *atomic.Uint64
 }
 
-// countBits is how many bits count the lines of a second.
+// countBits is the number of bits that count the lines of a second.
 const countBits = 16
 
 // With implements zapcore.Core.
@@ -42,11 +43,11 @@
 	return s.Core.Check(entry, checked)
 }
 
-// passes reports whether a line of that second is passed on, and counts it.
+// allow reports whether a line of that second is passed on, and counts it.
 func (s *sampledCore) allow(second uint64) bool {
 	for {
 		before := s.window.Load()
-		second := max(second, before>>countBits) // lines come a little out of order
+		second := max(second, before>>countBits) // lines may arrive slightly out of order
 		next := second<<countBits + 1
 		if before>>countBits == second {
 			next = before + 1
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -8,22 +8,24 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// contended reports whether requests compete for room.
+// contended reports whether overload control is active.
 func (h *Handler) contended() bool {
 	return h.options.Contended != nil && h.options.Contended()
 }
 
-// shared reports whether the request counts against its tenant's share of the service's room.
+// countsAgainstShare reports whether the request counts against its tenant's share of the service's
+// capacity.
 func (c *call) countsAgainstShare() bool {
 	return c.handler.options.MarkOverShare && c.tenant != nil && !c.nested && c.handler.contended()
 }
 
-// subject is whose share the request counts against.
+// subject returns the service, tenant and priority whose share the request counts against.
 func (c *call) subject() shares.Subject {
 	return shares.Subject{Service: c.service, Tenant: c.tenant.Name, Priority: c.priority()}
 }
 
-// drawShare decides whether the request is above its tenant's share, once for all sends to a service.
+// sampleOverShare decides whether the request is above its tenant's share, once for all attempts at
+// a service.
 func (c *call) sampleOverShare() {
 	c.shareFraction, c.overShare = shares.Whole, false
 	if !c.countsAgainstShare() {
@@ -33,7 +35,8 @@
 	c.overShare = c.shareFraction < shares.Whole && c.handler.randomFloat() >= c.shareFraction
 }
 
-// tellPart tells the node beside the back end for which part of the tenant's requests this one stands.
+// setShareHeader tells the sidecar of the back end for which fraction of the tenant's requests this
+// one stands.
 func (c *call) setShareHeader(header http.Header) {
 	if c.overShare {
 		return
@@ -43,7 +46,8 @@
 	}
 }
 
-// hearShare takes in what a reply tells of the tenant's share; replies to what no queue saw tell nothing.
+// observeShare records the tenant's share that a response reports; responses to requests that never
+// reached a queue report none.
 func (c *call) observeShare(header http.Header) {
 	if told := header.Get(hop.HeaderShare); told != "" && c.countsAgainstShare() {
 		c.handler.tenantShares.Take(c.subject(), shares.ParseStanding(told), clock.Now())
--- a/internal/sidecar/egress/tenant.go
+++ b/internal/sidecar/egress/tenant.go
@@ -9,8 +9,8 @@
 
 var errNoTenant = errors.New("no tenant has the caller's key")
 
-// identify finds out whose key the caller has. A route without need of one serves all, and
-// back ends are told of a tenant there too when there is one. No key is logged.
+// identify sets the tenant that the caller's API key belongs to. Open routes serve callers without
+// one; back ends learn the tenant there too if there is one. No key is logged.
 func (c *call) identify() *outcome.Failure {
 	c.tenant = c.table.Holder(c.request.Header.Get(c.handler.options.Vocabulary.APIKey))
 	if c.tenant == nil && c.table.Authenticated(c.route) {
@@ -19,8 +19,8 @@
 	return nil
 }
 
-// setTenant replaces what the caller says of itself by what the node knows: the key goes no
-// further, and whoever runs the request is told the name of its tenant.
+// setTenant replaces the caller's headers by what the node has verified: the key is not forwarded,
+// and the back end gets the name of the tenant.
 func (c *call) setTenant(header http.Header) {
 	names := &c.handler.options.Vocabulary
 	delete(header, names.APIKey)
@@ -30,7 +30,7 @@
 	}
 }
 
-// priority ranks the request; zero is the most urgent.
+// priority returns the request's priority; zero is the most urgent.
 func (c *call) priority() int {
 	if c.tenant != nil && c.tenant.Priority != nil {
 		return *c.tenant.Priority
@@ -38,7 +38,7 @@
 	return c.route.Priority
 }
 
-// tenantName is for the log; empty without a tenant.
+// tenantName returns the tenant's name for the log; empty without a tenant.
 func (c *call) tenantName() string {
 	if c.tenant == nil {
 		return ""
