--- a/internal/sidecar/egress/bench_test.go
+++ b/internal/sidecar/egress/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// BenchmarkRefused is what one call costs the caller's node when every node that
-// it is sent to refuses it, the servers of those nodes included.
+// BenchmarkRefused measures one call that every node refuses, on the caller's side and including
+// the servers of those nodes.
 func BenchmarkRefused(b *testing.B) {
 	refusing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(outcome.HeaderOutcome, "not-run")
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -26,7 +26,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// quiet is an observer that remembers silent nodes only.
+// fakeObserver is an Observer that counts unanswered probes only.
 type fakeObserver struct{ silent atomic.Int64 }
 
 func (q *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
@@ -39,15 +39,14 @@
 func (q *fakeObserver) Unreachable(string)                                                  {}
 func (q *fakeObserver) Behind(string, uint64)                                               {}
 
-// peer is a node that scripts what it does with each connection.
+// peer is a node with a scripted behaviour for each connection.
 type peer struct {
 	address  string
 	bodies   atomic.Int64
 	requests atomic.Int64
 }
 
-// newPeer serves each connection with the script, which gets the connection
-// after a request's header was read.
+// newPeer starts a peer that runs the script on each connection once the request's header was read.
 func newPeer(t *testing.T, script func(p *peer, connection net.Conn, reader *bufio.Reader)) *peer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,10 +82,10 @@
 
 const replyOK = "HTTP/1.1 200 OK\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nContent-Length: 2\r\n\r\nok"
 
-// dies ends the connection before it consents.
+// closeConnection closes the connection before 100 Continue.
 func closeConnection(*peer, net.Conn, *bufio.Reader) {}
 
-// consentsAndDies takes the body and ends the connection without an answer.
+// continueAndClose receives the body and closes the connection without a response.
 func continueAndClose(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
@@ -94,7 +93,7 @@
 	}
 }
 
-// serves consents and answers.
+// continueAndAnswer sends 100 Continue and a response.
 func continueAndAnswer(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
@@ -103,12 +102,12 @@
 	_, _ = io.WriteString(connection, replyOK)
 }
 
-// answers answers a request without a body.
+// answerOK answers a request without a body.
 func answerOK(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, replyOK)
 }
 
-// hangs says nothing until the caller goes.
+// hang sends nothing until the caller closes the connection.
 func hang(_ *peer, _ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() }
 
 func newHandler(t testing.TB, observer Observer, probe Probe, peers ...*peer) *Handler {
@@ -127,7 +126,7 @@
 	}
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for number, member := range peers {
-		// The first is in the zone, so that it is chosen first.
+		// The first peer is in the node's zone, so that it is chosen first.
 		zone := "other"
 		if number == 0 {
 			zone = "z"
@@ -158,13 +157,13 @@
 			Members: members, Spread: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		}),
 	})
-	// A process that stands still for a moment must not fail to connect.
+	// A process that is paused for a moment must not fail to connect.
 	created.targets.options.DialTimeout = testDialTimeout
 	t.Cleanup(created.CancelCalls)
 	return created
 }
 
-// testDialTimeout is beyond the deadline of every call of these tests.
+// testDialTimeout is longer than the deadline of every call in these tests.
 const testDialTimeout = 20 * time.Second
 
 func probeOK(context.Context, *roster.Record) error { return nil }
@@ -173,7 +172,7 @@
 
 func probeFailed(context.Context, *roster.Record) error { return errNoAnswer }
 
-// call sends a request over a real server and returns status and Retry-After.
+// callThrough sends a request over a real server and returns the status and Retry-After.
 func callThrough(t *testing.T, handler *Handler, method, path, body string) (int, string) {
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -191,10 +190,10 @@
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// TestConsent: a request that may not be repeated is provably not run before the
-// node has consented, whatever becomes of the node; after that its outcome is
-// unknown, and it goes nowhere else.
-func TestConsent(t *testing.T) {
+// Test100Continue: until the node has sent 100 Continue, a non-repeatable request counts as not
+// run, whatever happens to the node. After that its outcome is unknown, and it is not sent anywhere
+// else.
+func Test100Continue(t *testing.T) {
 	cases := []struct {
 		name          string
 		first, second func(*peer, net.Conn, *bufio.Reader)
@@ -202,10 +201,10 @@
 		status        int
 		bodies        [2]int64
 	}{
-		{"dies before consent, then served", closeConnection, continueAndAnswer, "body\n", 200, [2]int64{0, 1}},
-		{"both die before consent", closeConnection, closeConnection, "body\n", 503, [2]int64{0, 0}},
-		{"dies after consent", continueAndClose, continueAndAnswer, "body\n", 502, [2]int64{1, 0}},
-		{"no body, dies before consent", closeConnection, continueAndAnswer, "", 200, [2]int64{0, 1}},
+		{"closed before 100 Continue, then served", closeConnection, continueAndAnswer, "body\n", 200, [2]int64{0, 1}},
+		{"both closed before 100 Continue", closeConnection, closeConnection, "body\n", 503, [2]int64{0, 0}},
+		{"closed after 100 Continue", continueAndClose, continueAndAnswer, "body\n", 502, [2]int64{1, 0}},
+		{"no body, closed before 100 Continue", closeConnection, continueAndAnswer, "", 200, [2]int64{0, 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -219,9 +218,9 @@
 	}
 }
 
-// TestASilentNode loses what waits for it: what may be repeated, or was not
-// consented to, goes elsewhere long before its deadline.
-func TestASilentNode(t *testing.T) {
+// TestSilentPeer: when a node does not answer probes, requests that are repeatable or have not
+// received 100 Continue are sent elsewhere long before their deadline.
+func TestSilentPeer(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			g := NewWithT(t)
@@ -237,13 +236,13 @@
 	}
 }
 
-// refuses answers that it has not run the request.
+// refuse answers that the request has not run.
 func refuse(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\n"+
 		outcome.HeaderOutcome+": not-run\r\n"+outcome.HeaderError+": step=admit\r\nContent-Length: 0\r\n\r\n")
 }
 
-// once does the same as the script when the condition holds.
+// after runs the script once the condition holds.
 func after(condition func() bool, script func(*peer, net.Conn, *bufio.Reader)) func(*peer, net.Conn, *bufio.Reader) {
 	return func(p *peer, connection net.Conn, reader *bufio.Reader) {
 		const look, most = time.Millisecond, 20 * time.Second
@@ -253,7 +252,7 @@
 	}
 }
 
-// probes of a node that does not answer the first ones.
+// scriptedProbe does not answer the first probes of node a.
 type scriptedProbe struct {
 	missed int64
 	asked  atomic.Int64
@@ -266,19 +265,19 @@
 	return nil
 }
 
-// over reports whether the node has answered one: all that it missed were acted upon.
+// recovered reports whether a probe was answered, so that all missed ones have been handled.
 func (p *scriptedProbe) recovered() bool { return p.asked.Load() > p.missed }
 
-// TestANodeThatSeemedSilent keeps what it works on: the node that asked may have
-// been the slow one. What may be repeated is tried elsewhere meanwhile.
-func TestANodeThatSeemedSilent(t *testing.T) {
+// TestSuspectedPeerAnswers: a suspected node keeps the request that it processes, as the node that
+// probes may be the slow one. Meanwhile a repeatable request is also tried elsewhere.
+func TestSuspectedPeerAnswers(t *testing.T) {
 	consents := func(p *peer, connection net.Conn, reader *bufio.Reader) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = reader.ReadString('\n')
 	}
 	cases := []struct {
 		name, method, path, body string
-		// first is what the silent node does before it answers, nil when it never does.
+		// first is what the suspected node does before it answers, nil when it never does.
 		first, second func(*peer, net.Conn, *bufio.Reader)
 		missed        int64
 		status        int
@@ -287,8 +286,8 @@
 		{"repeatable, refused elsewhere", http.MethodGet, "/safe/1", "", noop, refuse, 1, 200, 1},
 		{"repeatable, served elsewhere", http.MethodGet, "/safe/1", "", noop, answerOK, 1, 200, 1},
 		{"repeatable with a body, refused elsewhere", http.MethodPost, "/safe/1", "body\n", noop, refuse, 1, 200, 1},
-		{"not repeatable, at work", http.MethodPost, "/once/1", "body\n", consents, continueAndAnswer, 1, 200, 0},
-		{"lost after all, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuse, abandonAfterProbes, 502, 1},
+		{"not repeatable, being processed", http.MethodPost, "/once/1", "body\n", consents, continueAndAnswer, 1, 200, 0},
+		{"abandoned, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuse, abandonAfterProbes, 502, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -312,12 +311,12 @@
 	}
 }
 
-// nothing does nothing.
+// noop does nothing.
 func noop(*peer, net.Conn, *bufio.Reader) {}
 
-// TestAStoppingNodeGivesNothingUp: once its planned stop has begun, a node waits for
-// the answer of a peer that does not answer probes.
-func TestAStoppingNodeGivesNothingUp(t *testing.T) {
+// TestStoppingNodeAbandonsNothing: during its planned stop a node waits for the answer of a peer
+// that does not answer probes.
+func TestStoppingNodeAbandonsNothing(t *testing.T) {
 	for stopping, want := range map[bool]int{true: http.StatusOK, false: http.StatusBadGateway} {
 		g := NewWithT(t)
 		asked := &scriptedProbe{missed: abandonAfterProbes}
@@ -330,8 +329,8 @@
 	}
 }
 
-// TestASlowNodeIsLeftAlone: one that answers the probe keeps its requests.
-func TestASlowNodeIsLeftAlone(t *testing.T) {
+// TestSlowPeerKeepsRequests: a slow node that answers probes keeps its requests.
+func TestSlowPeerKeepsRequests(t *testing.T) {
 	g := NewWithT(t)
 	slow := newPeer(t, func(_ *peer, connection net.Conn, _ *bufio.Reader) {
 		time.Sleep(600 * time.Millisecond)
@@ -364,7 +363,7 @@
 	}
 }
 
-// TestHeaderBytes counts a header as it was sent.
+// TestHeaderBytes compares the computed length with that of the header as sent.
 func TestHeaderBytes(t *testing.T) {
 	for _, raw := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -377,8 +376,8 @@
 	}
 }
 
-// TestALongHeaderIsRefused by the bound of the configuration.
-func TestALongHeaderIsRefused(t *testing.T) {
+// TestHeaderLimit: headers longer than the configured limit are refused.
+func TestHeaderLimit(t *testing.T) {
 	g := NewWithT(t)
 	server := newPeer(t, func(_ *peer, connection net.Conn, _ *bufio.Reader) { _, _ = io.WriteString(connection, replyOK) })
 	handler := newHandler(t, &fakeObserver{}, probeOK, server)
--- a/internal/sidecar/egress/choose_test.go
+++ b/internal/sidecar/egress/choose_test.go
@@ -12,9 +12,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// TestAPartWithoutBackEnds: what belongs to a service that has no back ends is
-// refused as not run, and not moved to the route's other services.
-func TestAPartWithoutBackEnds(t *testing.T) {
+// TestTargetWithoutBackEnds: requests for a target service without back ends are refused as not
+// run, and not moved to the route's other targets.
+func TestTargetWithoutBackEnds(t *testing.T) {
 	g := NewWithT(t)
 	handler := newHandler(t, &fakeObserver{}, probeOK, newPeer(t, answerOK))
 	table, err := route.Compile(&route.Document{
@@ -39,9 +39,9 @@
 	g.Expect(statuses[http.StatusServiceUnavailable]).To(BeNumerically("~", 50, 2))
 }
 
-// TestZonesAreLearnedWhereRequestsCompete: elsewhere nothing is kept of zones, and no back end is
-// described by them.
-func TestZonesAreLearnedWhereRequestsCompete(t *testing.T) {
+// TestZoneLoadsNeedOverloadControl: without overload control no zone loads are kept, and none
+// affect the choice.
+func TestZoneLoadsNeedOverloadControl(t *testing.T) {
 	for _, competes := range []bool{false, true} {
 		g := NewWithT(t)
 		handler := newHandler(t, &fakeObserver{}, probeOK, newPeer(t, answerOK))
@@ -62,20 +62,20 @@
 	}
 }
 
-// TestTransfer: a large body waits for the link of the machine that receives it, a short one and
-// one of unknown length do not.
-func TestTransfer(t *testing.T) {
+// TestTransferTime: a large body takes time on the link of the machine that receives it; a short
+// one and one of unknown length do not.
+func TestTransferTime(t *testing.T) {
 	cases := []struct {
 		name   string
 		length int64
 		link   int
 		want   time.Duration
 	}{
-		{"a narrow link", 62500, 10, 50 * time.Millisecond},
-		{"a wide link", 62500, 200, 2500 * time.Microsecond},
-		{"a link of unknown speed counts as a wide one", 62500, 0, 500 * time.Microsecond},
-		{"a length that nobody can mean", 1 << 62, 10, maxTransferTime},
-		{"a speed that nobody can mean", 62500, 1 << 60, 0},
+		{"a slow link", 62500, 10, 50 * time.Millisecond},
+		{"a fast link", 62500, 200, 2500 * time.Microsecond},
+		{"a link of unknown speed counts as a fast one", 62500, 0, 500 * time.Microsecond},
+		{"an implausible length", 1 << 62, 10, maxTransferTime},
+		{"an implausible speed", 62500, 1 << 60, 0},
 		{"a short body", 4000, 10, 0},
 		{"a body of unknown length", -1, 10, 0},
 	}
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -14,10 +14,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// TestTimeToComeBack: whether a caller can come back after a refusal goes by its
-// own deadline. A route's time-out of about three target latencies once made
-// every caller one that cannot, so that all of them waited as long as possible.
-func TestTimeToComeBack(t *testing.T) {
+// TestHurriedUsesCallerDeadline guards against deriving from the route's timeout whether a caller
+// can come back after a refusal. With a timeout of about three target latencies no caller seemed
+// able to, so that all of them waited as long as possible.
+func TestHurriedUsesCallerDeadline(t *testing.T) {
 	const aim = 400 * time.Millisecond
 	cases := []struct {
 		name, deadline string
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestRetryAfterASecondRefusal: who was refused before comes back after a part of the time
-// it has left, all others once the queue is worked off.
-func TestRetryAfterASecondRefusal(t *testing.T) {
+// TestRetryAfterOfReturningCaller: a caller that was refused before comes back after a fraction of
+// its remaining time, all others once the queue is processed.
+func TestRetryAfterOfReturningCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const queue, left = 120 * time.Millisecond, 3 * time.Second
 		made := &call{started: clock.Now(), deadline: clock.Now().Add(2 * time.Second), callerTime: left}
@@ -63,13 +63,13 @@
 		time.Sleep(time.Second)
 		g.Expect(made.clampRetryAfter(queue)).To(Equal(600 * time.Millisecond))
 		time.Sleep(2 * time.Second)
-		g.Expect(made.clampRetryAfter(queue)).To(Equal(queue), "nothing is left to share")
+		g.Expect(made.clampRetryAfter(queue)).To(Equal(queue), "no time is left")
 	})
 }
 
-// TestLargeBodiesAreNotSentAround: a send of a large body waits for the whole time, and fewer
-// nodes may refuse it.
-func TestLargeBodiesAreNotSentAround(t *testing.T) {
+// TestLargeBodyAttempts: an attempt with a large body waits for the full time, and fewer nodes may
+// refuse it.
+func TestLargeBodyAttempts(t *testing.T) {
 	cases := map[string]struct {
 		length int64
 		large  bool
--- a/internal/sidecar/egress/contain_test.go
+++ b/internal/sidecar/egress/contain_test.go
@@ -7,21 +7,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// faulty sets off a panic in the goroutine of a send, as a fault of this node's own code that
-// some request meets would.
+// panickingObserver panics in the goroutine of an attempt, like a bug of the node that some request
+// triggers.
 type panickingObserver struct{ fakeObserver }
 
-func (f *panickingObserver) Unreachable(string) { panic("a fault of the node") }
+func (f *panickingObserver) Unreachable(string) { panic("simulated bug of the node") }
 
-// TestARequestThatSetsOffAPanic costs its caller an answer, and the node nothing: it comes again
-// at the next node, and would end one after the other.
-func TestARequestThatSetsOffAPanic(t *testing.T) {
+// TestPanicIsContained: a request that causes a panic fails, and the node goes on. Otherwise the
+// request, sent again, would terminate one node after another.
+func TestPanicIsContained(t *testing.T) {
 	g := NewWithT(t)
 	nobody := &peer{address: "127.0.0.1:1"}
 	handler := newHandler(t, &panickingObserver{}, probeOK, nobody)
 	for range 3 {
 		status, retryAfter := callThrough(t, handler, http.MethodGet, "/safe/", "")
-		g.Expect(status).To(Equal(http.StatusBadGateway), "what became of it is not known")
+		g.Expect(status).To(Equal(http.StatusBadGateway), "its outcome is unknown")
 		g.Expect(retryAfter).To(BeEmpty())
 	}
 	g.Expect(handler.InFlight()).To(BeZero())
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -17,17 +17,17 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// lagging is a node whose configuration is older than that of others.
+// fakeFreshness is the Freshness of a node whose configuration is outdated.
 type fakeFreshness struct {
 	table *route.Table
-	// next is the newest configuration; the node gets it when it may.
+	// next is the newest configuration; the node gets it if canAdvance is set.
 	next       *route.Table
 	canAdvance bool
-	// unconfirmed: nobody has proof that the configuration is the newest.
+	// unconfirmed: no peer has proof that the configuration is the newest.
 	unconfirmed bool
-	// proof is the moment of the last proof that was heard.
+	// proof is the time of the last proof that was received.
 	proof time.Time
-	// confirms and catches count the questions.
+	// confirms and catchUps count the calls.
 	confirms, catchUps int
 }
 
@@ -52,8 +52,8 @@
 	return l.canAdvance
 }
 
-// leading returns a configuration with one route, which leads to the service; without a service
-// there is none.
+// tableWithRoute returns a configuration with one route to the service, or without a route if
+// service is empty.
 func tableWithRoute(t *testing.T, version uint64, service string) *route.Table {
 	document := &route.Document{Version: version, Services: []route.Service{{Name: "s"}, {Name: "s2"}}}
 	if service != "" {
@@ -67,13 +67,13 @@
 	return table
 }
 
-// givesBack refuses a request since a newer configuration leads it elsewhere.
+// answerMoved refuses a request because a newer configuration routes it elsewhere.
 func answerMoved(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 503 X\r\nKestrel-Reply: 2 0 0 8 50000 1000 1000\r\n%s: %s\r\n%s: step=%s\r\nRetry-After: 0.1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		outcome.HeaderOutcome, outcome.NotRun, outcome.HeaderError, outcome.StepMoved)
 }
 
-// playLate returns a handler of a late node with a peer of each of two services.
+// outdatedHandler returns a handler of an outdated node with one peer for each of two services.
 func outdatedHandler(t *testing.T, held *fakeFreshness, first, second *peer) *Handler {
 	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
@@ -89,9 +89,9 @@
 	return handler
 }
 
-// TestANodeThatIsBehind: it neither refuses for good what a newer configuration allows, nor has
-// a request run where a newer one does not lead it.
-func TestANodeThatIsBehind(t *testing.T) {
+// TestOutdatedConfiguration: an outdated node neither refuses for good what a newer configuration
+// allows, nor has a request run where a newer one does not route it.
+func TestOutdatedConfiguration(t *testing.T) {
 	cases := []struct {
 		name              string
 		before, after     string // the service of the route, empty for no route
@@ -100,10 +100,10 @@
 		atFirst, atSecond int64
 	}{
 		{"an added route is served", "", "s", true, 200, 1, 0},
-		{"a route that nobody knows", "", "", true, 404, 0, 0},
-		{"a route of which nobody says anything", "", "", false, 503, 0, 0},
-		{"a moved route is served where it leads now", "s2", "s", true, 200, 1, 1},
-		{"a moved route, and no way to catch up", "s2", "s", false, 503, 0, 1},
+		{"an unknown route", "", "", true, 404, 0, 0},
+		{"an unknown route, unconfirmed", "", "", false, 503, 0, 0},
+		{"a moved route is served by its new service", "s2", "s", true, 200, 1, 1},
+		{"a moved route, without the newer configuration", "s2", "s", false, 503, 0, 1},
 		{"a dropped route", "s2", "", true, 404, 0, 1},
 	}
 	for _, test := range cases {
@@ -115,14 +115,13 @@
 			g.Expect(status).To(Equal(test.status))
 			g.Expect(served.requests.Load()).To(Equal(test.atFirst))
 			g.Expect(given.requests.Load()).To(Equal(test.atSecond))
-			g.Expect(wait != "").To(Equal(test.status == 503), "who is refused unrun is told when to come back")
+			g.Expect(wait != "").To(Equal(test.status == 503), "a request refused as not run gets a Retry-After")
 		})
 	}
 }
 
-// TestARequestIsNotRoutedAnewForEver: while it is given back again and again it is refused
-// after a few times.
-func TestARequestIsNotRoutedAnewForEver(t *testing.T) {
+// TestRerouteLimit: a request that is returned again and again is refused after a few times.
+func TestRerouteLimit(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newPeer(t, answerMoved), newPeer(t, answerMoved)
 	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, "s"), canAdvance: true}
@@ -131,8 +130,9 @@
 	g.Expect(held.catchUps).To(BeNumerically("<=", maxReroutes))
 }
 
-// TestTheVersionIsToldWithARequest, by which the arriving node knows whether the sender is behind.
-func TestTheVersionIsToldWithARequest(t *testing.T) {
+// TestVersionHeader: requests carry the sender's configuration version, by which the receiver sees
+// whether the sender is outdated.
+func TestVersionHeader(t *testing.T) {
 	g := NewWithT(t)
 	seen := make(chan string, 1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -161,7 +161,7 @@
 	g.Expect(<-seen).To(Equal("7"))
 }
 
-// cutHeader returns the value of a header's line.
+// cutHeader returns the value of a header line.
 func cutHeader(line, name string) (value string, found bool) {
 	if len(line) < len(name)+2 || line[:len(name)] != name {
 		return "", false
@@ -169,9 +169,10 @@
 	return line[len(name)+2 : len(line)-2], true
 }
 
-// TestADroppedRouteIsNotRefusedForGoodWithoutProof: that the node which gave the request back has no
-// route for it says nothing about later versions.
-func TestADroppedRouteIsNotRefusedForGoodWithoutProof(t *testing.T) {
+// TestDroppedRouteWithoutProof: the route is missing in the configuration of the node that returned
+// the request, but later versions may have it. Without proof that there are none the refusal is not
+// final.
+func TestDroppedRouteWithoutProof(t *testing.T) {
 	g := NewWithT(t)
 	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, ""), canAdvance: true, unconfirmed: true}
 	status, wait := callThrough(t, outdatedHandler(t, held, newPeer(t, answerMoved), newPeer(t, answerOK)), "GET", "/r/x", "")
@@ -179,13 +180,13 @@
 	g.Expect(wait).NotTo(BeEmpty())
 }
 
-// provesLevel answers with proof that the configuration in force is the newest.
+// answerWithProof answers with proof that the configuration in force is the newest.
 func answerWithProof(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 X\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nKestrel-Proof: 300\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-// TestProofComesWithReplies: its age and the time since the request was sent count.
-func TestProofComesWithReplies(t *testing.T) {
+// TestProofFromResponses: the age of a proof includes the time since the request was sent.
+func TestProofFromResponses(t *testing.T) {
 	g := NewWithT(t)
 	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}
 	sent := clock.Now()
--- a/internal/sidecar/egress/notice_test.go
+++ b/internal/sidecar/egress/notice_test.go
@@ -18,7 +18,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// askFor sends one request through the handler.
+// sendRequest sends one request through the handler.
 func sendRequest(handler *Handler) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodGet, "/safe/1", nil)
 	request.Host = "h"
@@ -28,15 +28,16 @@
 	return recorder
 }
 
-// answersWith answers with further headers.
+// answerWith answers with additional headers.
 func answerWith(headers string) func(*peer, net.Conn, *bufio.Reader) {
 	return func(_ *peer, connection net.Conn, _ *bufio.Reader) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nConnection: close\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\n"+headers+"Content-Length: 2\r\n\r\nok")
 	}
 }
 
-// TestACallerThatNobodyHasRoomForHearsSoAtOnce, without a send, and when to come back.
-func TestACallerThatNobodyHasRoomForHearsSoAtOnce(t *testing.T) {
+// TestLimitExceeded: if no back end's limit has capacity, the caller is refused without an attempt
+// and told when to come back.
+func TestLimitExceeded(t *testing.T) {
 	g := NewWithT(t)
 	full := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n"))
 	handler := newHandler(t, &fakeObserver{}, probeOK, full)
@@ -47,8 +48,9 @@
 	g.Expect(full.requests.Load()).To(BeEquivalentTo(1))
 }
 
-// TestABackEndWithoutRoomIsPassedOver while another one of the service has room.
-func TestABackEndWithoutRoomIsPassedOver(t *testing.T) {
+// TestLimitedBackEndSkipped: a back end without capacity is skipped while another one of the
+// service has some.
+func TestLimitedBackEndSkipped(t *testing.T) {
 	g := NewWithT(t)
 	full, free := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answerWith(""))
 	handler := newHandler(t, &fakeObserver{}, probeOK, full, free)
@@ -58,8 +60,9 @@
 	g.Expect(full.requests.Load()).To(BeNumerically("<=", 1))
 }
 
-// TestALimitIsToldToANodeThatMayHaveStartedSince, until an answer of the back end names none.
-func TestALimitIsToldToANodeThatMayHaveStartedSince(t *testing.T) {
+// TestLimitSentToPeer: requests carry the known limit, as the peer may have restarted since, until
+// a response of the back end has none.
+func TestLimitSentToPeer(t *testing.T) {
 	g := NewWithT(t)
 	var told atomic.Pointer[string]
 	reply := "Kestrel-Limit: 12800 9000\r\n"
@@ -92,8 +95,9 @@
 	g.Expect(*told.Load()).To(BeEmpty())
 }
 
-// TestABackEndThatLeavesByWordOfAnAnswerIsNotSentTo by the node that passed it on, whatever others say.
-func TestABackEndThatLeavesByWordOfAnAnswerIsNotSentTo(t *testing.T) {
+// TestLeavingBackEndSkipped: the node that received a leaving notice sends the back end nothing
+// more, whatever its record says.
+func TestLeavingBackEndSkipped(t *testing.T) {
 	g := NewWithT(t)
 	leaving := newPeer(t, answerWith("Kestrel-Leaving: i\r\n"))
 	handler := newHandler(t, &fakeObserver{}, probeOK, leaving)
@@ -107,8 +111,8 @@
 	g.Expect(leaving.requests.Load()).To(BeEquivalentTo(1))
 }
 
-// TestABackEndOnTrialWithoutRoomRefusesNobody: its requests go to the versions in use.
-func TestABackEndOnTrialWithoutRoomRefusesNobody(t *testing.T) {
+// TestLimitedCanaryFallsBack: requests for a canary without capacity go to the versions in use.
+func TestLimitedCanaryFallsBack(t *testing.T) {
 	g := NewWithT(t)
 	onTrial, inUse := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n")), newPeer(t, answerWith(""))
 	handler := newHandler(t, &fakeObserver{}, probeOK, onTrial, inUse)
--- a/internal/sidecar/egress/patience_test.go
+++ b/internal/sidecar/egress/patience_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPatienceOfCallers(t *testing.T) {
+func TestReturningCallers(t *testing.T) {
 	g := NewWithT(t)
 	known := &callerTimeout{}
 	g.Expect(known.isReturning(1200 * time.Millisecond)).To(BeFalse())
--- a/internal/sidecar/egress/quarantine_test.go
+++ b/internal/sidecar/egress/quarantine_test.go
@@ -13,18 +13,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// crashes answers as a node does whose back end has ended under the request.
+// answerCrash answers like a node whose back end crashed while it processed the request.
 func answerCrash(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 502 Bad Gateway\r\nKestrel-Outcome: unknown\r\nKestrel-Error: step=crash\r\nContent-Length: 0\r\n\r\n")
 }
 
-// holds answers as a node does that holds the request back.
+// answerQuarantined answers like a node that quarantines the request.
 func answerQuarantined(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\nKestrel-Outcome: not-run\r\nKestrel-Error: step=quarantine\r\nContent-Length: 0\r\n\r\n")
 }
 
-// TestEndsUnderOneRequest: its node sends it no more after two, whatever the route allows.
-func TestEndsUnderOneRequest(t *testing.T) {
+// TestCrashLimit: a request is not sent again after maxCrashes crashes, whatever the route allows.
+func TestCrashLimit(t *testing.T) {
 	g := NewWithT(t)
 	peers := []*peer{newPeer(t, answerCrash), newPeer(t, answerCrash), newPeer(t, answerCrash)}
 	handler := newHandler(t, &fakeObserver{}, probeOK, peers...)
@@ -38,9 +38,9 @@
 	g.Expect(total).To(BeEquivalentTo(maxCrashes))
 }
 
-// TestAHeldRequestIsRefusedAtOnce: nobody is asked, and the caller is not told to come back
-// soon.
-func TestAHeldRequestIsRefusedAtOnce(t *testing.T) {
+// TestQuarantinedRequestRefused: a quarantined request is refused without an attempt, with a long
+// Retry-After.
+func TestQuarantinedRequestRefused(t *testing.T) {
 	g := NewWithT(t)
 	asked := newPeer(t, answerOK)
 	handler := newHandler(t, &fakeObserver{}, probeOK, asked)
@@ -59,8 +59,8 @@
 	g.Expect(status).To(Equal(http.StatusOK))
 }
 
-// TestAHeldRequestGoesToNoOtherNode: what one node knows of it holds for all.
-func TestAHeldRequestGoesToNoOtherNode(t *testing.T) {
+// TestQuarantinedByPeer: a request that one node quarantines is sent to no other node.
+func TestQuarantinedByPeer(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newPeer(t, answerQuarantined), newPeer(t, answerQuarantined)
 	handler := newHandler(t, &fakeObserver{}, probeOK, first, second)
@@ -70,17 +70,17 @@
 	g.Expect(first.requests.Load() + second.requests.Load()).To(BeEquivalentTo(1))
 	for _, record := range handler.options.View().Records() {
 		if record.AcceptsWork() {
-			g.Expect(handler.targets.forRecord(record).failures.Load()).To(BeZero(), "the node did right")
+			g.Expect(handler.targets.forRecord(record).failures.Load()).To(BeZero(), "a quarantine is no failure of the node")
 		}
 	}
 }
 
-// emptyBody is no body.
+// emptyBody is the body of a request without one.
 type emptyBody struct{}
 
 func (emptyBody) Held() ([]byte, int64) { return nil, 0 }
 
-// heldPrint holds one request back.
+// quarantinedPrint quarantines one request.
 type quarantinedPrint struct{ fingerprint.Print }
 
 func (quarantinedPrint) Idle() bool                           { return false }
--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -13,10 +13,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// scriptedQuota answers as it is told and notes what it was asked.
+// scriptedQuota returns scripted results and records the calls.
 type scriptedQuota struct {
 	err error
-	// again is the error of every token but the first, token what is given out.
+	// again is the error of every token but the first, token the token that is returned.
 	again           error
 	token           lending.Token
 	wait            time.Duration
@@ -35,9 +35,10 @@
 func (s *scriptedQuota) Again(string) bool    { return true }
 func (s *scriptedQuota) Return(lending.Token) { s.returned = append(s.returned, "token") }
 
-// TestWhoIsAboveTheLimit is refused at once and told truthfully when to come back; what nobody
-// grants is refused as what cannot be served now; a token whose request did not run is given back.
-func TestWhoIsAboveTheLimit(t *testing.T) {
+// TestTenantLimit: requests above the limit are refused at once with a correct Retry-After; if
+// nothing grants tokens, they are refused as unavailable; the token of a request that did not run
+// is returned.
+func TestTenantLimit(t *testing.T) {
 	limited := route.Tenant{Name: "acme", Keys: []route.Key{"k"}, Rate: 3}
 	unlimited := route.Tenant{Name: "acme", Keys: []route.Key{"k"}}
 	cases := []struct {
@@ -45,19 +46,19 @@
 		tenant   route.Tenant
 		path     string
 		quota    scriptedQuota
-		served   bool // a back end is there
+		served   bool // a back end exists
 		status   int
 		wait     string
 		taken    int
 		returned int
 	}{
 		{"within the limit", limited, "/closed/", scriptedQuota{}, true, 200, "", 1, 0},
-		{"due soon", limited, "/closed/", scriptedQuota{wait: time.Millisecond}, true, 200, "", 1, 0},
+		{"token valid soon", limited, "/closed/", scriptedQuota{wait: time.Millisecond}, true, 200, "", 1, 0},
 		{"above the limit", limited, "/closed/", scriptedQuota{err: quota.ErrSpent, wait: 1500 * time.Millisecond}, true, 429, "1.50", 1, 0},
-		{"nobody grants", limited, "/closed/", scriptedQuota{err: quota.ErrUnknown, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
+		{"no granter", limited, "/closed/", scriptedQuota{err: quota.ErrUnknown, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
 		{"an open route, with a key", limited, "/open/", scriptedQuota{}, true, 200, "", 1, 0},
 		{"no limit", unlimited, "/closed/", scriptedQuota{err: quota.ErrSpent}, true, 200, "", 0, 0},
-		{"nobody runs it", limited, "/closed/", scriptedQuota{}, false, 503, "0.15", 1, 1},
+		{"no back end", limited, "/closed/", scriptedQuota{}, false, 503, "0.15", 1, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -11,9 +11,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestWhereARequestMayGo: an emptied zone's back ends and those of other regions are not
-// considered, whatever that leaves.
-func TestWhereARequestMayGo(t *testing.T) {
+// TestAllowedZones: back ends of evacuated zones and of other regions are not considered, even if
+// none are left.
+func TestAllowedZones(t *testing.T) {
 	cases := []struct {
 		name     string
 		emptied  []string
@@ -22,15 +22,15 @@
 		expected []string // zones
 	}{
 		{"anywhere", nil, nil, nil, []string{"a", "b", "c"}},
-		{"the own zone is emptied", []string{"a"}, nil, nil, []string{"b", "c"}},
-		{"all zones are emptied", []string{"a", "b", "c"}, nil, nil, nil},
-		{"an unknown zone is emptied", []string{"x"}, nil, nil, []string{"a", "b", "c"}},
+		{"the own zone is evacuated", []string{"a"}, nil, nil, []string{"b", "c"}},
+		{"all zones are evacuated", []string{"a", "b", "c"}, nil, nil, nil},
+		{"an unknown zone is evacuated", []string{"x"}, nil, nil, []string{"a", "b", "c"}},
 		{"a route's region", nil, []string{"north"}, nil, []string{"a", "b"}},
 		{"a tenant's region", nil, nil, []string{"south", "east"}, []string{"c"}},
-		{"both bind", nil, []string{"north", "south"}, []string{"south"}, []string{"c"}},
+		{"both restrict", nil, []string{"north", "south"}, []string{"south"}, []string{"c"}},
 		{"nothing in common", nil, []string{"north"}, []string{"south"}, nil},
-		{"a region that is not there", nil, []string{"west"}, nil, nil},
-		{"the region's last zone is emptied", []string{"c"}, []string{"south"}, nil, nil},
+		{"an unknown region", nil, []string{"west"}, nil, nil},
+		{"the region's last zone is evacuated", []string{"c"}, []string{"south"}, nil, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/sidecar/egress/rejected_test.go
+++ b/internal/sidecar/egress/rejected_test.go
@@ -11,10 +11,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// TestWhoIsRejectedByChance plays callers of back ends that reject 0.55 of what they get though they
-// have slots free: each comes back twice, as it is told. Nearly all that are served at all are
-// served in time.
-func TestWhoIsRejectedByChance(t *testing.T) {
+// TestRetryAfterRandomRejection simulates callers of back ends that reject 0.55 of their requests
+// although they have free slots. Each caller comes back twice, when it was told to. Nearly all that
+// are served at all are served in time.
+func TestRetryAfterRandomRejection(t *testing.T) {
 	const (
 		callers  = 4000
 		rejects  = 0.55
@@ -23,7 +23,7 @@
 		aim      = time.Second
 		patience = 6 * time.Second
 	)
-	// play returns the parts of callers that are served in time, and late.
+	// play returns the fractions of callers that are served in time, and late.
 	play := func(room bool) (inTime, late float64) {
 		random := rand.New(rand.NewPCG(1, 2))
 		for range callers {
--- a/internal/sidecar/egress/sample_test.go
+++ b/internal/sidecar/egress/sample_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// TestSampled: of each second the first lines are written, whoever writes them and with whatever
-// fields, and none below the logger's level.
-func TestSampled(t *testing.T) {
+// TestSampledLogger: the first lines of each second are written, from whatever goroutine and with
+// whatever fields, and none below the logger's level.
+func TestSampledLogger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		core, written := observer.New(zapcore.InfoLevel)
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -14,9 +14,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// TestRequestsAboveTheShareAreMarked: where requests compete for room, a tenant's requests beyond its share
-// are; the others tell for how many they stand. Those of another tenant are not, nor any elsewhere.
-func TestRequestsAboveTheShareAreMarked(t *testing.T) {
+// TestOverShareMarks: under overload control a tenant's requests above its share are marked, and
+// the others say how many they stand for. Requests of another tenant are not marked, and none are
+// without overload control.
+func TestOverShareMarks(t *testing.T) {
 	cases := []struct {
 		name, key   string
 		contended   bool
@@ -24,7 +25,7 @@
 	}{
 		{"above", "k", true, 50, 95},
 		{"another tenant", "of-another", true, 0, 0},
-		{"where requests do not compete", "k", false, 0, 0},
+		{"without overload control", "k", false, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -37,7 +38,7 @@
 			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
 			marked, told := 0, 0
 			for range 100 {
-				// The node that is played tells nothing itself.
+				// The simulated node reports no shares itself.
 				handler.tenantShares.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
 				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
--- a/internal/sidecar/egress/stop_test.go
+++ b/internal/sidecar/egress/stop_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestTheEarliestMomentHolds: a call that is refused is not taken again when a
-// later moment is named.
-func TestTheEarliestMomentHolds(t *testing.T) {
+// TestRefuseFromEarliest: a later time does not replace an earlier one, so that calls already
+// refused stay refused.
+func TestRefuseFromEarliest(t *testing.T) {
 	g := NewWithT(t)
 	handler := newHandler(t, &fakeObserver{}, probeOK)
 	start := time.Unix(1_700_000_000, 0)
--- a/internal/sidecar/egress/subset_test.go
+++ b/internal/sidecar/egress/subset_test.go
@@ -11,7 +11,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// serviceOf returns the records of a service, by turns in the zones.
+// serviceRecords returns records of a service, spread evenly over the zones.
 func serviceRecords(count int, zones ...string) []*roster.Record {
 	records := make([]*roster.Record, count)
 	for i := range records {
@@ -23,7 +23,7 @@
 	return records
 }
 
-func TestTheSizeOfASubset(t *testing.T) {
+func TestSubsetSize(t *testing.T) {
 	near := location{zone: "a"}
 	cases := []struct {
 		name    string
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestASubsetPrefers who takes work, then the region.
-func TestASubsetPrefers(t *testing.T) {
+// TestSubsetOrder: back ends that accept work come first, then those of the region.
+func TestSubsetOrder(t *testing.T) {
 	g := NewWithT(t)
 	records := serviceRecords(400, "a", "b", "c", "d")
 	origin := location{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south", "d": "north"}}
@@ -71,9 +71,9 @@
 	g.Expect(chooseSubset(records, "self", origin).records).To(HaveLen(nearSubset+farSubset), "rather than none")
 }
 
-// TestSubsetsSpreadAndStay: the callers' nodes do not all consider the same back
-// ends, and one more back end changes little.
-func TestSubsetsSpreadAndStay(t *testing.T) {
+// TestSubsetSpread: the subsets of different nodes cover all back ends, and an added back end
+// changes them little.
+func TestSubsetSpread(t *testing.T) {
 	g := NewWithT(t)
 	records := serviceRecords(200, "a")
 	near := location{zone: "a"}
@@ -101,11 +101,11 @@
 	}
 }
 
-// TestSubsetsOfUnequalBackEnds: of 44 back ends in four zones a node considers all of its own zone
-// and 16 of the 33 others. Where some are two and a half times slower, the room of what 88 nodes
-// consider differs by less than a quarter from the mean, and no back end is considered by
-// far fewer nodes than another.
-func TestSubsetsOfUnequalBackEnds(t *testing.T) {
+// TestSubsetBalance: of 44 back ends in four zones a node considers all of its own zone and 16 of
+// the 33 others. Where some are 2.4 times slower, the capacity of the subsets of 88 nodes differs
+// by less than a quarter from the mean, and no back end is considered by far fewer nodes than
+// another.
+func TestSubsetBalance(t *testing.T) {
 	g := NewWithT(t)
 	zones := []string{"a", "b", "c", "d"}
 	records := serviceRecords(44, zones...)
--- a/internal/sidecar/egress/suspension_test.go
+++ b/internal/sidecar/egress/suspension_test.go
@@ -14,8 +14,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-// tellingPeer is a node that tells how much time each request has left, and answers what the
-// function returns: whether it was run to a good end.
+// remainingTimePeer returns a node that sends the remaining time of each request to left. served
+// reports whether the request succeeds.
 func remainingTimePeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
@@ -34,8 +34,9 @@
 	return &peer{address: server.Listener.Addr().String()}
 }
 
-// TestARepeatAfterASuspension has what the caller still has, not what it had before.
-func TestARepeatAfterASuspension(t *testing.T) {
+// TestRetryAfterSuspension: a retry carries the time that the caller has left after the machine was
+// suspended.
+func TestRetryAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
@@ -54,8 +55,9 @@
 	g.Expect(<-left).To(BeNumerically("<=", given-slept))
 }
 
-// TestARequestThatIsReadAfterASuspension may have waited all the while.
-func TestARequestThatIsReadAfterASuspension(t *testing.T) {
+// TestRequestReadAfterSuspension: a request that is read after a suspension may have waited for all
+// of it.
+func TestRequestReadAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
@@ -69,8 +71,7 @@
 	g.Expect(left).To(BeEmpty())
 }
 
-// callWithin sends a request that may be repeated, whose caller waits that long, and returns
-// the status.
+// callWithin sends a repeatable request whose caller waits that long, and returns the status.
 func callWithin(handler *Handler, given time.Duration) int {
 	request := httptest.NewRequest(http.MethodGet, "/safe/", nil)
 	request.Host = "h"
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -11,9 +11,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestTheWayToABackEnd: what is believed of the way by zone and region. A zone
-// whose region is not known counts as one of the own region.
-func TestTheWayToABackEnd(t *testing.T) {
+// TestCandidateRoundTrip: the assumed round-trip time by zone and region. A zone whose region is
+// unknown counts as one of the node's own region.
+func TestCandidateRoundTrip(t *testing.T) {
 	origin := location{zone: "a", regions: map[string]string{"a": "north", "b": "north", "c": "south"}}
 	cases := []struct {
 		zone                  string
@@ -37,9 +37,8 @@
 	}
 }
 
-// TestAReportOfAnEarlierLife: what a node said of its load before it, or its back
-// end, started anew says nothing any more.
-func TestAReportOfAnEarlierLife(t *testing.T) {
+// TestOutdatedLoadReport: a load report is void after the node or its back end has restarted.
+func TestOutdatedLoadReport(t *testing.T) {
 	g := NewWithT(t)
 	record := func(epoch uint64, id string) *roster.Record {
 		return &roster.Record{Node: "n", Epoch: epoch, Endpoint: &roster.Endpoint{ID: id, Slots: 4, State: roster.Ready}}
@@ -56,9 +55,8 @@
 	}
 }
 
-// TestOwnRequestsAreNotOthers: of the requests that a reply tells of, the node's own
-// are counted by itself.
-func TestOwnRequestsAreNotOthers(t *testing.T) {
+// TestOwnRequestsCountedOnce: a report includes this node's own requests, which it counts itself.
+func TestOwnRequestsCountedOnce(t *testing.T) {
 	g := NewWithT(t)
 	record := &roster.Record{Node: "n", Epoch: 1, Endpoint: &roster.Endpoint{ID: "a", Slots: 4, State: roster.Ready}}
 	now := time.Now()
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -22,7 +22,7 @@
 	tenantHeader = "Tenant"
 )
 
-// keyed returns a configuration of one tenant with the keys, with a route that asks for a key
+// tenantTable returns a configuration with the tenant and another one, a route that requires a key
 // and one that does not.
 func tenantTable(t *testing.T, version uint64, tenant route.Tenant) *route.Table {
 	document := &route.Document{
@@ -40,7 +40,7 @@
 	return table
 }
 
-// arriving is a node that notes what arrives there.
+// recordingNode is a node that records the requests it receives.
 type recordingNode struct {
 	*httptest.Server
 	headers []http.Header
@@ -62,7 +62,7 @@
 	return created
 }
 
-// keyedHandler returns a handler whose one back end is beside the arriving node.
+// tenantHandler returns a handler with one back end, behind the recording node.
 func tenantHandler(t *testing.T, held *fakeFreshness, at *recordingNode) *Handler {
 	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
@@ -86,8 +86,9 @@
 	return recorder
 }
 
-// TestTenants: who has no tenant's key is refused once the node knows that it is level, the
-// key goes no further, and what a caller says of its tenant counts for nothing.
+// TestTenants: callers without a tenant's key are refused once the node has confirmed that its
+// configuration is the newest. The key is not forwarded, and the caller's own tenant header is
+// ignored.
 func TestTenants(t *testing.T) {
 	cases := []struct {
 		name, path, key string
@@ -101,7 +102,7 @@
 		{"no key", "/closed/", "", "k", "k", true, 401, ""},
 		{"an unknown key", "/closed/", "x", "k", "k", true, 401, ""},
 		{"a key that was just added", "/closed/", "new", "k", "new", true, 200, "acme"},
-		{"an unknown key, and nobody who says whether it is new", "/closed/", "x", "k", "k", false, 503, ""},
+		{"an unknown key, unconfirmed", "/closed/", "x", "k", "k", false, 503, ""},
 		{"an open route without a key", "/open/", "", "k", "k", true, 200, ""},
 		{"an open route with an unknown key", "/open/", "x", "k", "k", true, 200, ""},
 		{"an open route with a key", "/open/", "k", "k", "k", true, 200, "acme"},
@@ -133,12 +134,12 @@
 			if test.tenant == "acme" {
 				priority = rank
 			}
-			g.Expect(at.hops[0].Priority).To(Equal(priority), "a tenant's priority goes before the route's")
+			g.Expect(at.hops[0].Priority).To(Equal(priority), "a tenant's priority takes precedence over the route's")
 		})
 	}
 }
 
-// TestWithoutTenants nobody needs a key.
+// TestWithoutTenants: a configuration without tenants requires no key.
 func TestWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
 	at := newRecordingNode(t)
@@ -147,9 +148,9 @@
 	g.Expect(at.headers[0]).NotTo(HaveKey(tenantHeader))
 }
 
-// TestAKeyThatWasTakenAway: a request that was routed before is given back by a node that has
+// TestRevokedKey: a request that was routed before the key was revoked is returned by a node with
 // the newer configuration, and refused.
-func TestAKeyThatWasTakenAway(t *testing.T) {
+func TestRevokedKey(t *testing.T) {
 	g := NewWithT(t)
 	given := newPeer(t, answerMoved)
 	held := &fakeFreshness{
@@ -163,8 +164,8 @@
 	g.Expect(given.requests.Load()).To(BeEquivalentTo(1))
 }
 
-// TestNoKeyInTheLog whatever becomes of a request.
-func TestNoKeyInTheLog(t *testing.T) {
+// TestKeysNotLogged: neither accepted nor refused requests log the key.
+func TestKeysNotLogged(t *testing.T) {
 	g := NewWithT(t)
 	core, logged := observer.New(zapcore.DebugLevel)
 	at := newRecordingNode(t)
--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -20,7 +20,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// said is what a scripted node answers.
+// scriptedReply is the response of a scripted node.
 type scriptedReply struct {
 	outcome outcome.Outcome
 	step    outcome.Step
@@ -32,10 +32,10 @@
 	servedReply   = scriptedReply{}
 )
 
-// TestTokensOfRepeatedSends: a send that provably did not run leaves the request its token, also for the
-// next send; one that may have run is followed by another where there is a token. Where requests do not
-// compete for room a token is spent for each send that reached a back end.
-func TestTokensOfRepeatedSends(t *testing.T) {
+// TestTokensOfRetries: an attempt that provably did not run leaves its token to the next attempt;
+// one that may have run is followed by another only with a new token. Without overload control
+// every attempt that reached a back end spends a token.
+func TestTokensOfRetries(t *testing.T) {
 	cases := []struct {
 		name                    string
 		answers                 []scriptedReply
@@ -45,11 +45,11 @@
 	}{
 		{"rejected, then served", []scriptedReply{rejectedReply, servedReply}, nil, true, 200, 1, 0},
 		{"rejected twice", []scriptedReply{rejectedReply, rejectedReply}, nil, true, 503, 1, 1},
-		{"spoiled, then served", []scriptedReply{unknownResult, servedReply}, nil, true, 200, 2, 0},
-		{"spoiled, with the limit reached", []scriptedReply{unknownResult, servedReply}, quota.ErrSpent, true, 502, 2, 0},
-		{"spoiled, then rejected", []scriptedReply{unknownResult, rejectedReply}, nil, true, 502, 2, 1},
-		{"rejected twice, elsewhere", []scriptedReply{rejectedReply, rejectedReply}, nil, false, 503, 1, 0},
-		{"spoiled, then served, without overload control", []scriptedReply{unknownResult, servedReply}, nil, false, 200, 1, 0},
+		{"unknown outcome, then served", []scriptedReply{unknownResult, servedReply}, nil, true, 200, 2, 0},
+		{"unknown outcome, with the limit reached", []scriptedReply{unknownResult, servedReply}, quota.ErrSpent, true, 502, 2, 0},
+		{"unknown outcome, then rejected", []scriptedReply{unknownResult, rejectedReply}, nil, true, 502, 2, 1},
+		{"rejected twice, without overload control", []scriptedReply{rejectedReply, rejectedReply}, nil, false, 503, 1, 0},
+		{"unknown outcome, then served, without overload control", []scriptedReply{unknownResult, servedReply}, nil, false, 200, 1, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -91,17 +91,18 @@
 	}
 }
 
-// liveToken returns a token that may still be spent whenever the test comes to it.
+// validToken returns a token that does not expire during the test.
 func validToken() lending.Token {
-	now := time.Now().Add(time.Hour) // the test does not depend on how long it takes
+	now := time.Now().Add(time.Hour) // independent of how long the test takes
 	holder := lending.NewHolder("n")
 	holder.Granted("acme", lending.Grant{Tokens: 1}, now, now)
 	_, token := holder.Take("acme", now)
 	return token
 }
 
-// TestTokensThatNoRunUsed, also when the request is served in the end.
-func TestTokensThatNoRunUsed(t *testing.T) {
+// TestUnusedTokens: tokens that no run has used are left, also when the request is served in the
+// end.
+func TestUnusedTokens(t *testing.T) {
 	ran, notRun, answered := attemptRecord{outcome: outcome.Unknown}, attemptRecord{outcome: outcome.NotRun}, attemptRecord{}
 	cases := []struct {
 		name         string
@@ -113,7 +114,7 @@
 		{"refused", attempts{notRun, notRun}, 0, 2},
 		{"rejected, then served", attempts{notRun, answered}, 0, 1},
 		{"ran twice", attempts{ran, answered}, 0, 0},
-		{"the second run paid for by the node", attempts{ran, answered}, 1, 1},
+		{"the second run paid for with a held token", attempts{ran, answered}, 1, 1},
 		{"more runs than tokens", attempts{ran, ran, ran}, 0, 0},
 	}
 	for _, test := range cases {
--- a/internal/sidecar/egress/zoneload_test.go
+++ b/internal/sidecar/egress/zoneload_test.go
@@ -16,8 +16,8 @@
 	return &roster.Record{Node: node, Zone: zone, Epoch: 1, Endpoint: &roster.Endpoint{ID: node, Service: service, Slots: 6, State: roster.Ready}}
 }
 
-// TestZoneLoads: what one back end tells stands for others of its service and zone, and for no
-// others; what nobody renews is forgotten.
+// TestZoneLoads: a report of one back end stands for all of its service and zone, and for no
+// others; its weight fades when none follows.
 func TestZoneLoads(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -26,7 +26,7 @@
 	g.Expect(loads.others(loadRecord("n2", "a", "s"), now)).To(Equal(9.0))
 	g.Expect(loads.others(loadRecord("n3", "b", "s"), now)).To(BeZero(), "another zone")
 	g.Expect(loads.others(loadRecord("n4", "a", "t"), now)).To(BeZero(), "another service")
-	g.Expect(loads.others(loadRecord("n2", "a", "s"), now.Add(time.Hour))).To(BeNumerically("~", 0, 0.001), "cut off")
+	g.Expect(loads.others(loadRecord("n2", "a", "s"), now.Add(time.Hour))).To(BeNumerically("~", 0, 0.001), "no report for an hour")
 	var running sync.WaitGroup
 	for i := range 16 {
 		running.Go(func() {
@@ -39,8 +39,8 @@
 	g.Expect(loads.others(loadRecord("n", "c", "s"), now)).To(BeNumerically("~", 3, 0.001))
 }
 
-// TestZonesAreForgotten: what no reply tells of is not kept for good, what one tells of is.
-func TestZonesAreForgotten(t *testing.T) {
+// TestSweepZoneLoads: zones without recent reports are forgotten, others are kept.
+func TestSweepZoneLoads(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	handler := &Handler{targets: &targets{}}
@@ -55,7 +55,7 @@
 	g.Expect(kept).To(BeFalse())
 }
 
-// TestZoneBecomesFull: a zone is told as full once, and as having room only well below that.
+// TestZoneBecomesFull: a zone is reported full once, and as having room only well below that.
 func TestZoneBecomesFull(t *testing.T) {
 	g := NewWithT(t)
 	now, record := time.Now(), loadRecord("n", "a", "s")
@@ -69,7 +69,7 @@
 		return count, last
 	}
 	count, _ := changes(4)
-	g.Expect(count).To(BeZero(), "room from the first")
+	g.Expect(count).To(BeZero(), "room from the start")
 	count, full := changes(12)
 	g.Expect(count).To(Equal(1))
 	g.Expect(full).To(BeTrue())
@@ -80,9 +80,10 @@
 	g.Expect(full).To(BeFalse())
 }
 
-// TestUnheard: of a back end that told just now nothing is unknown; without a report of its
-// present life everything is, so that a new one is neither flooded nor left out.
-func TestUnheard(t *testing.T) {
+// TestUnreportedWeight: the zone's average has no weight right after a report and full weight
+// without one from the back end's current incarnation, so that a new one is neither flooded nor
+// ignored.
+func TestUnreportedWeight(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	held, record := &target{}, loadRecord("n", "a", "s")
