--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -189,7 +189,7 @@
 // observeProof records the age of the peer's proof that it holds the newest configuration. The time
 // since the request was sent counts against it.
 func (a *attempt) observeProof(header http.Header, version uint64) {
-	if age, told := hop.Milliseconds(header.Get(hop.HeaderProof)); told {
+	if age, valid := hop.Milliseconds(header.Get(hop.HeaderProof)); valid {
 		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
 	}
 }
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -29,15 +29,15 @@
 // fakeObserver is an Observer that counts unanswered probes only.
 type fakeObserver struct{ silent atomic.Int64 }
 
-func (q *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
-func (q *fakeObserver) Sent(string, int)                                                    {}
-func (q *fakeObserver) Diverted(string, bool)                                               {}
-func (q *fakeObserver) Overtook()                                                           {}
-func (q *fakeObserver) Carried(time.Duration, time.Duration)                                {}
-func (q *fakeObserver) Silent(string, bool)                                                 { q.silent.Add(1) }
-func (q *fakeObserver) Regained(string)                                                     {}
-func (q *fakeObserver) Unreachable(string)                                                  {}
-func (q *fakeObserver) Behind(string, uint64)                                               {}
+func (f *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
+func (f *fakeObserver) Sent(string, int)                                                    {}
+func (f *fakeObserver) Diverted(string, bool)                                               {}
+func (f *fakeObserver) Overtook()                                                           {}
+func (f *fakeObserver) Carried(time.Duration, time.Duration)                                {}
+func (f *fakeObserver) Silent(string, bool)                                                 { f.silent.Add(1) }
+func (f *fakeObserver) Regained(string)                                                     {}
+func (f *fakeObserver) Unreachable(string)                                                  {}
+func (f *fakeObserver) Behind(string, uint64)                                               {}
 
 // peer is a node with a scripted behaviour for each connection.
 type peer struct {
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -104,14 +104,14 @@
 // describe returns the candidate with that index.
 func (s *candidateSet) describe(index int) choice.Candidate {
 	record := s.records[index]
-	found := s.call.handler.targets.forRecord(record)
-	described := found.candidate(record, s.origin, s.expectedWork, s.now)
+	peer := s.call.handler.targets.forRecord(record)
+	described := peer.candidate(record, s.origin, s.expectedWork, s.now)
 	if s.contention {
 		described.RoundTrip += s.call.transferTime(record)
-		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * found.unreportedWeight(record, s.now)
+		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * peer.unreportedWeight(record, s.now)
 	}
-	s.applyNotices(&described, found, record)
-	described.Tried = s.call.attempted(found)
+	s.applyNotices(&described, peer, record)
+	described.Tried = s.call.attempted(peer)
 	return described
 }
 
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -224,8 +224,8 @@
 		case record.Leaving:
 			continue
 		case record.AcceptsWork():
-			if held := h.targets.forRecord(record); held.failures.Load() > 0 {
-				held.succeeded()
+			if peer := h.targets.forRecord(record); peer.failures.Load() > 0 {
+				peer.succeeded()
 			}
 		}
 	}
@@ -242,16 +242,16 @@
 // CloseIdle closes idle connections to other nodes: the peers may have closed them while the
 // machine was suspended.
 func (h *Handler) CloseIdle() {
-	for _, held := range h.targets.all() {
-		held.pool.CloseIdle()
+	for _, peer := range h.targets.all() {
+		peer.pool.CloseIdle()
 	}
 }
 
 // Sweep closes idle connections that are too old or broken, and forgets zones without recent
 // reports.
 func (h *Handler) Sweep(now time.Time) {
-	for _, held := range h.targets.all() {
-		held.pool.Sweep(now)
+	for _, peer := range h.targets.all() {
+		peer.pool.Sweep(now)
 	}
 	h.zoneLoads.sweep(now)
 }
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -31,25 +31,25 @@
 	confirms, catchUps int
 }
 
-func (l *fakeFreshness) Confirm(context.Context) bool {
-	l.confirms++
-	return l.advance() && !l.unconfirmed
+func (f *fakeFreshness) Confirm(context.Context) bool {
+	f.confirms++
+	return f.advance() && !f.unconfirmed
 }
 
-func (l *fakeFreshness) CatchUp(context.Context, string, uint64) bool {
-	l.catchUps++
-	return l.advance()
+func (f *fakeFreshness) CatchUp(context.Context, string, uint64) bool {
+	f.catchUps++
+	return f.advance()
 }
 
-func (l *fakeFreshness) Proven(_ uint64, at time.Time) { l.proof = at }
+func (f *fakeFreshness) Proven(_ uint64, at time.Time) { f.proof = at }
 
-func (l *fakeFreshness) ProofAge() (time.Duration, bool) { return 0, false }
+func (f *fakeFreshness) ProofAge() (time.Duration, bool) { return 0, false }
 
-func (l *fakeFreshness) advance() bool {
-	if l.canAdvance && l.next != nil {
-		l.table = l.next
+func (f *fakeFreshness) advance() bool {
+	if f.canAdvance && f.next != nil {
+		f.table = f.next
 	}
-	return l.canAdvance
+	return f.canAdvance
 }
 
 // tableWithRoute returns a configuration with one route to the service, or without a route if
@@ -74,7 +74,7 @@
 }
 
 // outdatedHandler returns a handler of an outdated node with one peer for each of two services.
-func outdatedHandler(t *testing.T, held *fakeFreshness, first, second *peer) *Handler {
+func outdatedHandler(t *testing.T, freshness *fakeFreshness, first, second *peer) *Handler {
 	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for service, at := range map[string]*peer{"s": first, "s2": second} {
@@ -84,8 +84,8 @@
 		}})
 	}
 	handler.options.View = members.View
-	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Freshness = held
+	handler.options.Table = func() *route.Table { return freshness.table }
+	handler.options.Freshness = freshness
 	return handler
 }
 
@@ -109,12 +109,12 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			served, given := newPeer(t, answerOK), newPeer(t, answerMoved)
-			held := &fakeFreshness{table: tableWithRoute(t, 1, test.before), next: tableWithRoute(t, 2, test.after), canAdvance: test.canAdvance}
-			status, wait := callThrough(t, outdatedHandler(t, held, served, given), "GET", "/r/x", "")
+			served, moved := newPeer(t, answerOK), newPeer(t, answerMoved)
+			freshness := &fakeFreshness{table: tableWithRoute(t, 1, test.before), next: tableWithRoute(t, 2, test.after), canAdvance: test.canAdvance}
+			status, wait := callThrough(t, outdatedHandler(t, freshness, served, moved), "GET", "/r/x", "")
 			g.Expect(status).To(Equal(test.status))
 			g.Expect(served.requests.Load()).To(Equal(test.atFirst))
-			g.Expect(given.requests.Load()).To(Equal(test.atSecond))
+			g.Expect(moved.requests.Load()).To(Equal(test.atSecond))
 			g.Expect(wait != "").To(Equal(test.status == 503), "a request refused as not run gets a Retry-After")
 		})
 	}
@@ -124,10 +124,10 @@
 func TestRerouteLimit(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newPeer(t, answerMoved), newPeer(t, answerMoved)
-	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, "s"), canAdvance: true}
-	status, _ := callThrough(t, outdatedHandler(t, held, first, second), "GET", "/r/x", "")
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, freshness, first, second), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
-	g.Expect(held.catchUps).To(BeNumerically("<=", maxReroutes))
+	g.Expect(freshness.catchUps).To(BeNumerically("<=", maxReroutes))
 }
 
 // TestVersionHeader: requests carry the sender's configuration version, by which the receiver sees
@@ -155,8 +155,8 @@
 		}
 		_, _ = io.WriteString(connection, replyOK)
 	}()
-	held := &fakeFreshness{table: tableWithRoute(t, 7, "s"), canAdvance: true}
-	status, _ := callThrough(t, outdatedHandler(t, held, &peer{address: listener.Addr().String()}, newPeer(t, answerOK)), "GET", "/r/x", "")
+	freshness := &fakeFreshness{table: tableWithRoute(t, 7, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, freshness, &peer{address: listener.Addr().String()}, newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
 	g.Expect(<-seen).To(Equal("7"))
 }
@@ -174,8 +174,8 @@
 // final.
 func TestDroppedRouteWithoutProof(t *testing.T) {
 	g := NewWithT(t)
-	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, ""), canAdvance: true, unconfirmed: true}
-	status, wait := callThrough(t, outdatedHandler(t, held, newPeer(t, answerMoved), newPeer(t, answerOK)), "GET", "/r/x", "")
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, ""), canAdvance: true, unconfirmed: true}
+	status, wait := callThrough(t, outdatedHandler(t, freshness, newPeer(t, answerMoved), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
 	g.Expect(wait).NotTo(BeEmpty())
 }
@@ -188,9 +188,9 @@
 // TestProofFromResponses: the age of a proof includes the time since the request was sent.
 func TestProofFromResponses(t *testing.T) {
 	g := NewWithT(t)
-	held := &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}
 	sent := clock.Now()
-	status, _ := callThrough(t, outdatedHandler(t, held, newPeer(t, answerWithProof), newPeer(t, answerOK)), "GET", "/r/x", "")
+	status, _ := callThrough(t, outdatedHandler(t, freshness, newPeer(t, answerWithProof), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
-	g.Expect(held.proof).To(BeTemporally("~", sent.Add(-300*time.Millisecond), clock.Since(sent)))
+	g.Expect(freshness.proof).To(BeTemporally("~", sent.Add(-300*time.Millisecond), clock.Since(sent)))
 }
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -58,28 +58,28 @@
 		}
 		return
 	}
-	told, err := hop.ParseLimit(line)
+	reported, err := hop.ParseLimit(line)
 	if err != nil {
 		a.call.handler.options.Logger.Warn("invalid rate limit in a response", zap.String("peer", a.target.node), zap.Error(err))
 		return
 	}
-	a.target.setLimit(told, a.record, a.call.class(), now)
+	a.target.setLimit(reported, a.record, a.call.class(), now)
 }
 
 // markLeaving records that an incarnation is leaving.
 func (t *target) markLeaving(incarnation string, now time.Time) {
-	if held := t.leaving.Load(); held == nil || held.incarnation != incarnation {
+	if current := t.leaving.Load(); current == nil || current.incarnation != incarnation {
 		t.leaving.Store(&leavingReport{incarnation: incarnation, since: now})
 	}
 }
 
 // leavingFor reports whether the record's back end is known to be leaving, and for how long.
 func (t *target) leavingFor(record *roster.Record, now time.Time) (age time.Duration, leaves bool) {
-	held := t.leaving.Load()
-	if held == nil || held.incarnation != record.Endpoint.Incarnation().String() {
+	report := t.leaving.Load()
+	if report == nil || report.incarnation != record.Endpoint.Incarnation().String() {
 		return 0, false
 	}
-	return now.Sub(held.since), true
+	return now.Sub(report.since), true
 }
 
 // clearLimit records that a response of the back end carried no limit. A refusal by its sidecar
@@ -91,21 +91,21 @@
 }
 
 // setLimit records the limit that a response reported.
-func (t *target) setLimit(told hop.Limit, record *roster.Record, class ratelimit.Class, now time.Time) {
-	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: told.PerSecond}
-	if held := t.limitOf(record); held != nil {
-		next.Estimate = held.Estimate
-		next.Update(told.PerSecond, told.Room, class, now)
+func (t *target) setLimit(reported hop.Limit, record *roster.Record, class ratelimit.Class, now time.Time) {
+	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: reported.PerSecond}
+	if known := t.limitOf(record); known != nil {
+		next.Estimate = known.Estimate
+		next.Update(reported.PerSecond, reported.Room, class, now)
 	} else {
-		next.Estimate = ratelimit.NewEstimate(told.PerSecond, told.Room, class, now)
+		next.Estimate = ratelimit.NewEstimate(reported.PerSecond, reported.Room, class, now)
 	}
 	t.limit.Store(next)
 }
 
 // limitOf returns the known limit of the record's back end, nil for none.
 func (t *target) limitOf(record *roster.Record) *limitReport {
-	if held := t.limit.Load(); held != nil && held.matches(record) {
-		return held
+	if report := t.limit.Load(); report != nil && report.matches(record) {
+		return report
 	}
 	return nil
 }
@@ -120,12 +120,12 @@
 
 // applyNotices adds the back end's notices to its description: a candidate is closed when its limit
 // has no capacity in time or it has left.
-func (s *candidateSet) applyNotices(described *choice.Candidate, found *target, record *roster.Record) {
-	if age, leaves := found.leavingFor(record, s.now); leaves {
+func (s *candidateSet) applyNotices(described *choice.Candidate, peer *target, record *roster.Record) {
+	if age, leaves := peer.leavingFor(record, s.now); leaves {
 		described.Leaving = true
 		described.Closed = age >= s.call.handler.options.DrainAfter()
 	}
-	limit := found.limitOf(record)
+	limit := peer.limitOf(record)
 	if limit == nil {
 		return
 	}
--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -63,8 +63,8 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newRecordingNode(t)
-			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, test.tenant), canAdvance: true}, at)
+			node := newRecordingNode(t)
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, test.tenant), canAdvance: true}, node)
 			handler.options.Quota = &test.quota
 			if !test.served {
 				handler.options.View = newHandler(t, &fakeObserver{}, probeOK).options.View
@@ -72,7 +72,7 @@
 			answer := request(t, handler, test.path, http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"k"}})
 			g.Expect(answer.Code).To(Equal(test.status))
 			g.Expect(answer.Header().Get("Retry-After")).To(Equal(test.wait))
-			g.Expect(at.hops).To(HaveLen(map[bool]int{true: 1}[test.status == 200]))
+			g.Expect(node.hops).To(HaveLen(map[bool]int{true: 1}[test.status == 200]))
 			g.Expect(test.quota.taken).To(HaveLen(test.taken))
 			g.Expect(test.quota.returned).To(HaveLen(test.returned))
 		})
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -49,7 +49,7 @@
 // observeShare records the tenant's share that a response reports; responses to requests that never
 // reached a queue report none.
 func (c *call) observeShare(header http.Header) {
-	if told := header.Get(hop.HeaderShare); told != "" && c.countsAgainstShare() {
-		c.handler.tenantShares.Take(c.subject(), shares.ParseStanding(told), clock.Now())
+	if reported := header.Get(hop.HeaderShare); reported != "" && c.countsAgainstShare() {
+		c.handler.tenantShares.Take(c.subject(), shares.ParseStanding(reported), clock.Now())
 	}
 }
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -30,8 +30,8 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newRecordingNode(t)
-			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), canAdvance: true}, at)
+			node := newRecordingNode(t)
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), canAdvance: true}, node)
 			handler.options.MarkOverShare = true
 			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
 			handler.options.Contended = func() bool { return test.contended }
@@ -43,11 +43,11 @@
 				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
 			}
-			for i, arrived := range at.hops {
+			for i, arrived := range node.hops {
 				if arrived.OverShare {
 					marked++
 				}
-				if at.headers[i].Get(hop.HeaderShare) != "" {
+				if node.headers[i].Get(hop.HeaderShare) != "" {
 					told++
 				}
 			}
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -129,15 +129,15 @@
 }
 
 func rank(record *roster.Record, self string, origin location) ranked {
-	made := ranked{record: record, unavailable: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
+	result := ranked{record: record, unavailable: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
 	switch {
 	case record.Zone == origin.zone:
 	case origin.crossesRegion(record.Zone):
-		made.distance = 2
+		result.distance = 2
 	default:
-		made.distance = 1
+		result.distance = 1
 	}
-	return made
+	return result
 }
 
 func compareRanks(a, b ranked) int {
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -203,11 +203,11 @@
 // drop forgets a node that is gone.
 func (t *targets) drop(node string) {
 	t.mutex.Lock()
-	held := t.byNode[node]
+	removed := t.byNode[node]
 	delete(t.byNode, node)
 	t.mutex.Unlock()
-	if held != nil {
-		held.pool.Close()
+	if removed != nil {
+		removed.pool.Close()
 	}
 }
 
@@ -216,8 +216,8 @@
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	list := make([]*target, 0, len(t.byNode))
-	for _, held := range t.byNode {
-		list = append(list, held)
+	for _, entry := range t.byNode {
+		list = append(list, entry)
 	}
 	return list
 }
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -44,9 +44,9 @@
 		return &roster.Record{Node: "n", Epoch: epoch, Endpoint: &roster.Endpoint{ID: id, Slots: 4, State: roster.Ready}}
 	}
 	now := time.Now()
-	held := &target{}
-	held.observe(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
-	described := func(of *roster.Record) choice.Candidate { return held.candidate(of, location{}, time.Second, now) }
+	peer := &target{}
+	peer.observe(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
+	described := func(of *roster.Record) choice.Candidate { return peer.candidate(of, location{}, time.Second, now) }
 	g.Expect(described(record(1, "a")).Busy).To(Equal(5.0))
 	g.Expect(described(record(1, "a")).Work).To(Equal(7 * time.Second))
 	for _, later := range []*roster.Record{record(2, "a"), record(1, "b")} {
@@ -60,9 +60,9 @@
 	g := NewWithT(t)
 	record := &roster.Record{Node: "n", Epoch: 1, Endpoint: &roster.Endpoint{ID: "a", Slots: 4, State: roster.Ready}}
 	now := time.Now()
-	held := &target{}
-	held.inFlight.Store(2)
-	held.observe(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
-	held.inFlight.Store(4)
-	g.Expect(held.candidate(record, location{}, time.Second, now).Busy).To(Equal(5.0))
+	peer := &target{}
+	peer.inFlight.Store(2)
+	peer.observe(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
+	peer.inFlight.Store(4)
+	g.Expect(peer.candidate(record, location{}, time.Second, now).Busy).To(Equal(5.0))
 }
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -63,17 +63,17 @@
 }
 
 // tenantHandler returns a handler with one back end, behind the recording node.
-func tenantHandler(t *testing.T, held *fakeFreshness, at *recordingNode) *Handler {
+func tenantHandler(t *testing.T, freshness *fakeFreshness, node *recordingNode) *Handler {
 	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	members.Merge([]*roster.Record{{
-		Node: "a", Epoch: 1, Address: at.Listener.Addr().String(), Zone: "z",
+		Node: "a", Epoch: 1, Address: node.Listener.Addr().String(), Zone: "z",
 		Endpoint: &roster.Endpoint{ID: "i", Service: "s", Slots: 8, State: roster.Ready},
 	}})
 	handler.options.View = members.View
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
-	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Freshness = held
+	handler.options.Table = func() *route.Table { return freshness.table }
+	handler.options.Freshness = freshness
 	return handler
 }
 
@@ -111,30 +111,30 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newRecordingNode(t)
+			node := newRecordingNode(t)
 			rank := 1
 			tenant := route.Tenant{Name: "acme", Keys: []route.Key{test.before}, Priority: &rank}
-			held := &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: test.canAdvance}
+			freshness := &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: test.canAdvance}
 			tenant.Keys = []route.Key{test.after}
-			held.next = tenantTable(t, 2, tenant)
+			freshness.next = tenantTable(t, 2, tenant)
 			header := http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}
 			if test.key != "" {
 				header[keyHeader] = []string{test.key}
 			}
-			handler := tenantHandler(t, held, at)
+			handler := tenantHandler(t, freshness, node)
 			g.Expect(request(t, handler, test.path, header).Code).To(Equal(test.status))
 			if test.status != http.StatusOK {
-				g.Expect(at.headers).To(BeEmpty())
+				g.Expect(node.headers).To(BeEmpty())
 				return
 			}
-			g.Expect(at.headers).To(HaveLen(1))
-			g.Expect(at.headers[0]).NotTo(HaveKey(keyHeader))
-			g.Expect(at.headers[0].Get(tenantHeader)).To(Equal(test.tenant))
+			g.Expect(node.headers).To(HaveLen(1))
+			g.Expect(node.headers[0]).NotTo(HaveKey(keyHeader))
+			g.Expect(node.headers[0].Get(tenantHeader)).To(Equal(test.tenant))
 			priority := 5
 			if test.tenant == "acme" {
 				priority = rank
 			}
-			g.Expect(at.hops[0].Priority).To(Equal(priority), "a tenant's priority takes precedence over the route's")
+			g.Expect(node.hops[0].Priority).To(Equal(priority), "a tenant's priority takes precedence over the route's")
 		})
 	}
 }
@@ -142,35 +142,35 @@
 // TestWithoutTenants: a configuration without tenants requires no key.
 func TestWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
-	at := newRecordingNode(t)
-	handler := tenantHandler(t, &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}, at)
+	node := newRecordingNode(t)
+	handler := tenantHandler(t, &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}, node)
 	g.Expect(request(t, handler, "/r/", http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}).Code).To(Equal(http.StatusOK))
-	g.Expect(at.headers[0]).NotTo(HaveKey(tenantHeader))
+	g.Expect(node.headers[0]).NotTo(HaveKey(tenantHeader))
 }
 
 // TestRevokedKey: a request that was routed before the key was revoked is returned by a node with
 // the newer configuration, and refused.
 func TestRevokedKey(t *testing.T) {
 	g := NewWithT(t)
-	given := newPeer(t, answerMoved)
-	held := &fakeFreshness{
+	moved := newPeer(t, answerMoved)
+	freshness := &fakeFreshness{
 		table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"old"}}),
 		next:  tenantTable(t, 2, route.Tenant{Name: "acme", Keys: []route.Key{"new"}}), canAdvance: true,
 	}
-	handler := outdatedHandler(t, held, given, given)
+	handler := outdatedHandler(t, freshness, moved, moved)
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
 	header := http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"old"}}
 	g.Expect(request(t, handler, "/closed/", header).Code).To(Equal(http.StatusUnauthorized))
-	g.Expect(given.requests.Load()).To(BeEquivalentTo(1))
+	g.Expect(moved.requests.Load()).To(BeEquivalentTo(1))
 }
 
 // TestKeysNotLogged: neither accepted nor refused requests log the key.
 func TestKeysNotLogged(t *testing.T) {
 	g := NewWithT(t)
 	core, logged := observer.New(zapcore.DebugLevel)
-	at := newRecordingNode(t)
+	node := newRecordingNode(t)
 	tenant := route.Tenant{Name: "acme", Keys: []route.Key{"secret-known"}}
-	handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: true}, at)
+	handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: true}, node)
 	handler.options.Logger, handler.servedLogger = zap.New(core), zap.New(core)
 	for _, key := range []string{"secret-known", "secret-unknown"} {
 		request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {key}})
--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -80,11 +80,11 @@
 	origin := location{zone: h.options.Zone, regions: h.options.Regions}
 	busy, slots := 0.0, 0
 	for _, record := range h.subset(h.options.View(), service, rollout.Without(excludedVersion), regions{}).records {
-		found := h.targets.forRecord(record)
-		if !record.AcceptsWork() || found.reportAge(now) < 0 {
+		peer := h.targets.forRecord(record)
+		if !record.AcceptsWork() || peer.reportAge(now) < 0 {
 			continue
 		}
-		seen := found.candidate(record, origin, 0, now)
+		seen := peer.candidate(record, origin, 0, now)
 		busy += seen.Busy
 		slots += seen.Slots
 	}
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -241,7 +241,7 @@
 	c.setTenant(header)
 	remaining := clock.Until(c.deadline)
 	request := c.choiceRequest(remaining, a.seen.Work)
-	told := hop.Request{
+	metadata := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
 		MaximumWait: c.maxAttemptWait(request, a), Expected: c.work().Mean(c.assumedWork()),
 		Returning: request.Returning && !request.Hurried(),
@@ -251,7 +251,7 @@
 		Repeated:  a.repeated,
 		Usual:     c.handler.baselineStats(c.service, c.route.Name, a.record),
 	}
-	header[hop.HeaderHop] = []string{told.Format()}
+	header[hop.HeaderHop] = []string{metadata.Format()}
 	header[hop.HeaderVersion] = []string{strconv.FormatUint(c.table.Version(), 10)}
 	c.setShareHeader(header)
 	a.setLimitHeader(header)
--- a/internal/sidecar/egress/zoneload.go
+++ b/internal/sidecar/egress/zoneload.go
@@ -55,26 +55,26 @@
 // forRecord returns the load of the record's service and zone.
 func (z *zoneLoads) forRecord(record *roster.Record) *zoneLoad {
 	key := zoneKey{service: record.Endpoint.Service, zone: record.Zone}
-	if found, known := z.byZone.Load(key); known {
-		return found.(*zoneLoad)
+	if value, known := z.byZone.Load(key); known {
+		return value.(*zoneLoad)
 	}
-	found, _ := z.byZone.LoadOrStore(key, &zoneLoad{})
-	return found.(*zoneLoad)
+	value, _ := z.byZone.LoadOrStore(key, &zoneLoad{})
+	return value.(*zoneLoad)
 }
 
 // observe records how many requests of other nodes the record's back end has, and reports whether
 // its zone became full, or got room.
 func (z *zoneLoads) observe(record *roster.Record, others float64, now time.Time) (full, changed bool) {
-	held := z.forRecord(record)
+	load := z.forRecord(record)
 	for {
-		before := held.average.Load()
+		before := load.average.Load()
 		var average occupancy.Average
 		if before != nil {
 			average = *before
 		}
 		average = average.After(others, record.Endpoint.Slots, now)
-		if held.average.CompareAndSwap(before, &average) {
-			return held.updateFull(average.PerSlot(now))
+		if load.average.CompareAndSwap(before, &average) {
+			return load.updateFull(average.PerSlot(now))
 		}
 	}
 }
@@ -115,10 +115,10 @@
 func (h *Handler) ZoneLoads(now time.Time) []ZoneLoad {
 	var list []ZoneLoad
 	h.zoneLoads.byZone.Range(func(key, value any) bool {
-		id, held := key.(zoneKey), value.(*zoneLoad)
-		if average := held.average.Load(); average != nil {
+		id, load := key.(zoneKey), value.(*zoneLoad)
+		if average := load.average.Load(); average != nil {
 			list = append(list, ZoneLoad{
-				Service: id.service, Zone: id.zone, PerSlot: average.PerSlot(now), Age: average.Age(now), Sent: held.sent.Load(),
+				Service: id.service, Zone: id.zone, PerSlot: average.PerSlot(now), Age: average.Age(now), Sent: load.sent.Load(),
 			})
 		}
 		return true
--- a/internal/sidecar/egress/zoneload_test.go
+++ b/internal/sidecar/egress/zoneload_test.go
@@ -86,15 +86,15 @@
 func TestUnreportedWeight(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	held, record := &target{}, loadRecord("n", "a", "s")
-	g.Expect(held.unreportedWeight(record, now)).To(Equal(1.0))
-	held.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now)
-	held.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now.Add(time.Millisecond))
+	peer, record := &target{}, loadRecord("n", "a", "s")
+	g.Expect(peer.unreportedWeight(record, now)).To(Equal(1.0))
+	peer.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now)
+	peer.observe(hop.Reply{Running: 3, Slots: 6, Factor: 1, Held: time.Second}, record, now.Add(time.Millisecond))
 	now = now.Add(time.Millisecond)
-	g.Expect(held.unreportedWeight(record, now)).To(BeZero())
-	g.Expect(held.unreportedWeight(record, now.Add(time.Second))).To(BeNumerically("~", 0.5, 0.001))
-	g.Expect(held.unreportedWeight(record, now.Add(time.Hour))).To(BeNumerically("~", 1, 0.001))
+	g.Expect(peer.unreportedWeight(record, now)).To(BeZero())
+	g.Expect(peer.unreportedWeight(record, now.Add(time.Second))).To(BeNumerically("~", 0.5, 0.001))
+	g.Expect(peer.unreportedWeight(record, now.Add(time.Hour))).To(BeNumerically("~", 1, 0.001))
 	replaced := loadRecord("n", "a", "s")
 	replaced.Endpoint.ID = "other"
-	g.Expect(held.unreportedWeight(replaced, now)).To(Equal(1.0))
+	g.Expect(peer.unreportedWeight(replaced, now)).To(Equal(1.0))
 }
