--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -44,8 +44,8 @@
 	// sends is the number of peers that the request was sent to before, candidates the number of
 	// back ends that accept work, those included.
 	sends, candidates int
-	// canary: the back end runs a version that is being compared with others. Its work times do not
-	// count toward the route's estimate.
+	// canary: the back end runs a version that is being compared with others. Its work times say
+	// nothing about the usual ones and are left out of the route's estimate.
 	canary bool
 	// repeated: the run is a retry. crashed: a back end crashed during an earlier attempt.
 	repeated, crashed bool
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -58,8 +58,8 @@
 	// Nested recognizes calls that the local back end makes while it processes a request; nil where
 	// they are not told apart.
 	Nested Nested
-	// Contended reports whether overload control is active: back ends are chosen by their load, and
-	// tenants have shares; nil for never.
+	// Contended reports whether overload control is active, so that back ends are chosen by their
+	// load and tenants have shares; nil for never.
 	Contended func() bool
 	// MarkOverShare marks requests above their tenant's share of a service while overload control
 	// is active. The program leaves it off: nothing refuses requests by the marks, and the queues
@@ -121,8 +121,8 @@
 	Diverted(service string, elsewhere bool)
 	// Overtook: a pipelined request was started before its turn on the caller's connection.
 	Overtook()
-	// Carried: an attempt returned a response after elapsed, of which the back end worked for
-	// worked.
+	// Carried: an attempt returned a response after the elapsed time; worked is the part of it that
+	// the back end spent on the request.
 	Carried(elapsed, worked time.Duration)
 	// Silent: a node did not answer a probe; first: it had answered before.
 	Silent(node string, first bool)
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -82,8 +82,8 @@
 	return now.Sub(report.since), true
 }
 
-// clearLimit records that a response of the back end carried no limit. A refusal by its sidecar
-// says nothing: that may have just started.
+// clearLimit records that a response of the back end carried no limit. It is not called for a
+// refusal by the sidecar itself, which may have just started and not know the limit yet.
 func (t *target) clearLimit() {
 	if t.limit.Load() != nil {
 		t.limit.Store(nil)
--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -69,8 +69,8 @@
 
 // takeRetryToken ensures that the request has a token for another run; the error says why it has
 // none. An attempt that provably did not run leaves its token to the next one. Otherwise the
-// granter is asked while overload control is active; else, and while a detached attempt may still
-// answer, only tokens that the node holds are used.
+// granter is asked for one under overload control. Without overload control, and while a detached
+// attempt may still answer, only a token that the node already holds will do.
 func (c *call) takeRetryToken() error {
 	switch {
 	case !c.tenant.Limited() || c.hasValidToken():
