--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -17,31 +17,31 @@
 
 // Causes of failures.
 var (
-	errNoTable    = errors.New("no configuration is in force yet")
-	errNoRoute    = errors.New("no route for this host and path")
-	errStopping   = errors.New("the node is leaving")
-	errNoEndpoint = errors.New("no back end of the service is known")
-	errLate       = errors.New("the deadline passed before work began")
-	errUpgrade    = errors.New("upgrades are not carried")
-	errHeader     = errors.New("the header is longer than limits.headerBytes")
-	errBudget     = errors.New("the budget of repeats is spent")
-	errAttempts   = errors.New("the route's attempts are spent")
-	errHeld       = errors.New("the request ends the back ends that run it")
-	errCrashes    = errors.New("back ends ended under the request")
+	errNoTable        = errors.New("no configuration is in force yet")
+	errNoRoute        = errors.New("no route for this host and path")
+	errStopping       = errors.New("the node is shutting down")
+	errNoEndpoint     = errors.New("no back end of the service is known")
+	errDeadlinePassed = errors.New("the deadline passed before work began")
+	errUpgrade        = errors.New("protocol upgrades are not supported")
+	errHeader         = errors.New("the header is longer than limits.headerBytes")
+	errRetryBudget    = errors.New("the budget of repeats is spent")
+	errAttempts       = errors.New("the route's attempts are exhausted")
+	errQuarantined    = errors.New("the request ends the back ends that run it")
+	errCrashes        = errors.New("back ends crashed while they processed the request")
 )
 
 const (
-	// defaultDeadline bounds a request when neither caller nor route does.
+	// defaultDeadline applies when neither the caller nor the route sets a deadline.
 	defaultDeadline = 30 * time.Second
-	// minimumRetryAfter is the shortest wait that a refused caller is told.
+	// minimumRetryAfter is the shortest Retry-After that is sent.
 	minimumRetryAfter = 50 * time.Millisecond
-	// defaultRetryAfter is told when nothing is known of the load.
+	// defaultRetryAfter is sent when the load is unknown.
 	defaultRetryAfter = 150 * time.Millisecond
-	// unlimitedBody stands for a configuration without a bound.
+	// unlimitedBody stands for a configuration without a limit.
 	unlimitedBody = int64(1) << 40
 )
 
-// call is one request of a caller. It is used by one goroutine.
+// call handles one request of a caller. Only one goroutine uses it.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -50,53 +50,52 @@
 
 	table *route.Table
 	route *route.CompiledRoute
-	// tenant is the one whose key the caller has; nil without one.
+	// tenant is the tenant that the caller's API key belongs to; nil without one.
 	tenant *route.Tenant
-	// tokens are the request's places within its tenant's limit, one for each run that it may need,
-	// those that end first in front.
+	// tokens are the request's tokens of its tenant's rate limit, one for each run that it may
+	// need, ordered by expiry.
 	tokens []lending.Token
-	// boughtAgain is how many more runs were paid for with tokens that the node held.
-	boughtAgain int
-	service     string
-	context     context.Context
-	deadline    time.Time
-	// callerTime is how long the caller itself waits; the route's time-out does not
-	// shorten it.
+	// heldTokenRuns is the number of further runs paid for with tokens that the node already held.
+	heldTokenRuns int
+	service       string
+	context       context.Context
+	deadline      time.Time
+	// callerTime is the time that the caller itself waits. The route's timeout does not shorten it.
 	callerTime time.Duration
 	body       *forward.Body
-	// visits are the nodes that the request was sent to.
-	visits visits
-	// runs counts the sends that may have reached a back end, crashes those under which
-	// one ended.
+	// attempts records the attempts, one for each peer that the request was sent to.
+	attempts attempts
+	// runs counts the attempts that may have reached a back end, crashes those during which a back
+	// end crashed.
 	runs, crashes int
-	// results delivers the sends that ended; over is closed when nobody takes
-	// them any more.
+	// results delivers finished attempts; done is closed when nothing receives them any more.
 	results chan *attempt
-	over    chan struct{}
-	// moves counts how often a node gave the request back since it is to go elsewhere.
-	moves int
-	// behind counts the sends whose node seems silent, which go on.
-	behind int
+	done    chan struct{}
+	// reroutes counts how often a peer returned the request because its route has moved.
+	reroutes int
+	// detached counts the attempts that continue although their peer does not answer probes.
+	detached int
 	// returning: the caller was refused before and has come back.
 	returning bool
-	// nested: the back end beside the node makes the call while it works on another one.
+	// nested: the local back end makes the call while it processes another request.
 	nested bool
-	// repeated is how likely it is that the run which makes the call is a repeat.
-	repeated float64
-	// part is which part of the tenant's requests is within its share, overShare: this one is not.
-	part      float64
-	overShare bool
-	// rejectedWithRoom: the last send was rejected by a back end that had slots free.
-	rejectedWithRoom bool
-	// mayHaveRun: a send ended with an unknown outcome.
+	// retryProbability is the probability that the run which makes this call is itself a retry.
+	retryProbability float64
+	// shareFraction is the fraction of the tenant's requests that are within its share; overShare:
+	// this one is above it.
+	shareFraction float64
+	overShare     bool
+	// rejectedWithFreeSlots: the last attempt was rejected by a back end that had free slots.
+	rejectedWithFreeSlots bool
+	// mayHaveRun: the outcome of an attempt is unknown.
 	mayHaveRun bool
 
 	status  int
 	failure *outcome.Failure
 }
 
-// serve carries the request through. A nil result means that the caller has
-// its answer; a failure is still to be sent.
+// serve handles the request. It returns nil when the response has been written; otherwise the
+// failure that is still to be sent.
 func (c *call) serve() *outcome.Failure {
 	c.table = c.handler.options.Table()
 	if c.table == nil {
@@ -114,36 +113,36 @@
 	if failure := c.findRoute(); failure != nil {
 		return failure
 	}
-	if failure := c.bound(); failure != nil {
+	if failure := c.setDeadline(); failure != nil {
 		return failure
 	}
 	var cancel context.CancelFunc
 	c.context, cancel = clock.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	defer context.AfterFunc(c.handler.cutting, cancel)()
+	defer context.AfterFunc(c.handler.callsContext, cancel)()
 	return c.send()
 }
 
-// heldRetryAfter is told a caller whose request is held back: nothing that it could wait
-// for will change that.
-const heldRetryAfter = time.Minute
+// quarantineRetryAfter is the Retry-After of a quarantined request: nothing that the caller could
+// wait for changes the decision soon.
+const quarantineRetryAfter = time.Minute
 
-// heldBack refuses a request that ends the back ends that run it, or returns nil.
-func (c *call) heldBack() *outcome.Failure {
+// checkQuarantine refuses a quarantined request, one that crashes the back ends that run it.
+// Otherwise it returns nil.
+func (c *call) checkQuarantine() *outcome.Failure {
 	quarantine := c.handler.options.Quarantine
 	if quarantine.Idle() || !quarantine.Holds(c.print()) {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errHeld)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 }
 
-// print identifies what the request asks for.
+// print returns the fingerprint of the request.
 func (c *call) print() fingerprint.Fingerprint {
 	return fingerprint.Of(c.request, c.handler.options.Caller(), c.body)
 }
 
-// headerBytes is the length of the request's header as it was sent, line ends
-// included.
+// headerBytes returns the length of the request's header as it was sent, line ends included.
 func headerBytes(r *http.Request) int {
 	const (
 		lineEnd   = len("\r\n")
@@ -159,8 +158,8 @@
 	return total + lineEnd
 }
 
-// bound sets the deadline: the caller's, at most the route's time-out.
-func (c *call) bound() *outcome.Failure {
+// setDeadline sets the call's deadline: the caller's, bounded by the route's timeout.
+func (c *call) setDeadline() *outcome.Failure {
 	limit := defaultDeadline
 	c.callerTime = defaultDeadline
 	if c.route.Timeout > 0 {
@@ -168,24 +167,24 @@
 	}
 	text := c.request.Header.Get(c.handler.options.Vocabulary.Deadline)
 	if asked, valid := hop.ParseMilliseconds(text); valid {
-		c.returning = c.handler.patience(c.route.Name).returns(asked)
+		c.returning = c.handler.callerTimeout(c.route.Name).isReturning(asked)
 		limit = min(limit, asked)
 		c.callerTime = asked
 		if known := c.handler.options.Nested; known != nil {
 			c.nested = known.Nested(c.route.Name, c.started.Add(asked), c.tenant != nil, c.started)
 			if c.nested {
-				c.repeated = known.Repeated(c.started.Add(asked))
+				c.retryProbability = known.Repeated(c.started.Add(asked))
 			}
 		}
 	}
 	if limit <= 0 {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDeadline, minimumRetryAfter, errLate)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDeadline, minimumRetryAfter, errDeadlinePassed)
 	}
 	c.deadline = c.started.Add(limit)
 	return nil
 }
 
-// send reads the body and sends the request until it is answered or given up.
+// send reads the body and sends the request until it is answered or no attempt is left.
 func (c *call) send() *outcome.Failure {
 	maximum := c.table.Document().Limits.BodyBytes
 	if maximum == 0 {
@@ -198,37 +197,37 @@
 	c.body = body
 	defer body.UnblockOnDone(c.context, c.writer)()
 	c.service = c.route.NextService()
-	if failure := c.heldBack(); failure != nil {
+	if failure := c.checkQuarantine(); failure != nil {
 		return failure
 	}
-	if failure := c.spend(); failure != nil {
+	if failure := c.takeToken(); failure != nil {
 		return failure
 	}
-	defer c.returnUnused()
-	c.drawShare()
-	c.results, c.over = make(chan *attempt), make(chan struct{})
-	defer close(c.over)
-	c.handler.options.RetryBudget.First(c.service, c.repeated)
+	defer c.returnUnusedTokens()
+	c.sampleOverShare()
+	c.results, c.done = make(chan *attempt), make(chan struct{})
+	defer close(c.done)
+	c.handler.options.RetryBudget.First(c.service, c.retryProbability)
 	for {
-		result := c.visit()
+		result := c.sendOnce()
 		if result.response != nil {
-			return c.pass(result)
+			return c.writeResponse(result)
 		}
-		if result.moved() {
-			again, failure := c.routeAnew(result)
-			if again {
+		if result.misrouted() {
+			retry, failure := c.reroute(result)
+			if retry {
 				continue
 			}
 			if failure != nil {
 				return failure
 			}
-		} else if c.again(result) {
+		} else if c.retry(result) {
 			continue
 		}
-		if late, answered := c.awaitBehind(); answered {
-			return c.pass(late)
+		if late, answered := c.awaitDetached(); answered {
+			return c.writeResponse(late)
 		}
-		return c.giveUp(result.failure)
+		return c.finalFailure(result.failure)
 	}
 }
 
@@ -243,8 +242,8 @@
 	return outcome.Refusal(status, outcome.StepRequest, 0, err)
 }
 
-// pass sends the answer of a back end on.
-func (c *call) pass(result result) *outcome.Failure {
+// writeResponse writes a back end's response to the caller.
+func (c *call) writeResponse(result result) *outcome.Failure {
 	response := result.response
 	c.status = response.StatusCode
 	forward.RemoveHopByHop(response.Header)
@@ -252,19 +251,19 @@
 	c.body.CloseUnlessRead(c.writer.Header())
 	if err := forward.WriteReply(c.context, c.writer, response, ""); err != nil {
 		c.failure = &outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: result.target.address, Cause: err}
-		c.ended()
+		c.reportEnd()
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-// giveUp makes the final failure of the last one.
-func (c *call) giveUp(last *outcome.Failure) *outcome.Failure {
+// finalFailure returns the failure of the call, derived from that of the last attempt.
+func (c *call) finalFailure(last *outcome.Failure) *outcome.Failure {
 	failure := *last
 	if c.mayHaveRun {
 		failure.Outcome = outcome.Unknown
 	}
-	c.unspent(&failure)
+	c.refundIfNotRun(&failure)
 	if failure.Outcome == outcome.NotRun {
 		failure.Status = http.StatusServiceUnavailable
 		return &failure
@@ -277,12 +276,12 @@
 	return &failure
 }
 
-// reply sends a failure that the node answers itself.
-func (c *call) reply(failure *outcome.Failure) {
+// writeFailure sends a failure as the node's own response.
+func (c *call) writeFailure(failure *outcome.Failure) {
 	c.status, c.failure = failure.Status, failure
 	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
 	header := c.writer.Header()
-	if wait := c.comeBackAfter(failure); wait > 0 {
+	if wait := c.retryAfterFor(failure); wait > 0 {
 		header["Retry-After"] = []string{hop.FormatSeconds(wait)}
 	}
 	if names := &c.handler.options.Vocabulary; c.request.Header.Get(names.RequestID) != "" {
@@ -292,34 +291,35 @@
 	c.writer.WriteHeader(failure.Status)
 }
 
-// returningShare is the part of its remaining time after which a caller that was refused
-// again comes back: by the queue's time it came back to the queue that had just refused it
-// twice. Callers heed a third at most. With demand near capacity a tenth fewer were refused
-// again, and as many were served in time (docs/design/0010-the-shifted-work.md). It does not hold for
-// who was rejected by a back end with slots free: no queue gets shorter while it waits. Where back ends
-// reject 0.55 of what they get, a third attempt after 1.8 s of 6 s comes 0.8 s too late for a target
-// latency of 1 s, and 0.12 of the requests came so (TestWhoIsRejectedByChance has the load).
-const returningShare = 0.3
+// returningWaitFraction is the fraction of its remaining time after which a caller that was refused
+// again is told to come back. With a Retry-After from the queue's length it came back to the same
+// queue that had just refused it twice. Callers heed a third of their remaining time at most. With
+// demand near capacity a tenth fewer were refused again, and as many were served in time
+// (docs/design/0010-the-shifted-work.md). It does not apply to a caller that was rejected by a back
+// end with free slots: no queue gets shorter while it waits. Where back ends reject 0.55 of their
+// requests, a third attempt after 1.8 s of 6 s comes 0.8 s too late for a target latency of 1 s,
+// and 0.12 of the requests came so late (TestRetryAfterRandomRejection reproduces the load).
+const returningWaitFraction = 0.3
 
-// comeBackAfter is how long the caller is told to wait, zero for nothing.
-func (c *call) comeBackAfter(failure *outcome.Failure) time.Duration {
+// retryAfterFor returns the Retry-After of a failure, zero for none.
+func (c *call) retryAfterFor(failure *outcome.Failure) time.Duration {
 	switch {
 	case failure.Step == outcome.StepQuarantine && failure.Outcome == outcome.NotRun:
-		return heldRetryAfter
+		return quarantineRetryAfter
 	case failure.Step == outcome.StepQuota || failure.Step == outcome.StepLimit && failure.Outcome == outcome.NotRun:
-		return failure.RetryAfter // sooner there is no room
+		return failure.RetryAfter // there is no capacity before
 	case failure.RetryAfter > 0:
-		return c.retryAfter(failure.RetryAfter)
+		return c.clampRetryAfter(failure.RetryAfter)
 	}
 	return 0
 }
 
-// retryAfter keeps the wait within what the caller still has.
-func (c *call) retryAfter(wanted time.Duration) time.Duration {
+// clampRetryAfter bounds the wait by the time that the caller has left.
+func (c *call) clampRetryAfter(wanted time.Duration) time.Duration {
 	wait := max(wanted, minimumRetryAfter)
-	if c.returning && !c.rejectedWithRoom {
+	if c.returning && !c.rejectedWithFreeSlots {
 		left := c.callerTime - clock.Since(c.started)
-		return max(wait, time.Duration(float64(left)*returningShare))
+		return max(wait, time.Duration(float64(left)*returningWaitFraction))
 	}
 	if !c.deadline.IsZero() {
 		const useful = 4
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -26,28 +26,27 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// quiet is an observer that remembers silent nodes only.
-type quiet struct{ silent atomic.Int64 }
-
-func (q *quiet) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
-func (q *quiet) Sent(string, int)                                                    {}
-func (q *quiet) Diverted(string, bool)                                               {}
-func (q *quiet) Overtook()                                                           {}
-func (q *quiet) Carried(time.Duration, time.Duration)                                {}
-func (q *quiet) Silent(string, bool)                                                 { q.silent.Add(1) }
-func (q *quiet) Regained(string)                                                     {}
-func (q *quiet) Unreachable(string)                                                  {}
-func (q *quiet) Behind(string, uint64)                                               {}
-
-// peer is a node that scripts what it does with each connection.
+// fakeObserver is an Observer that counts unanswered probes only.
+type fakeObserver struct{ silent atomic.Int64 }
+
+func (f *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
+func (f *fakeObserver) Sent(string, int)                                                    {}
+func (f *fakeObserver) Diverted(string, bool)                                               {}
+func (f *fakeObserver) Overtook()                                                           {}
+func (f *fakeObserver) Carried(time.Duration, time.Duration)                                {}
+func (f *fakeObserver) Silent(string, bool)                                                 { f.silent.Add(1) }
+func (f *fakeObserver) Regained(string)                                                     {}
+func (f *fakeObserver) Unreachable(string)                                                  {}
+func (f *fakeObserver) Behind(string, uint64)                                               {}
+
+// peer is a node with a scripted behaviour for each connection.
 type peer struct {
 	address  string
 	bodies   atomic.Int64
 	requests atomic.Int64
 }
 
-// newPeer serves each connection with the script, which gets the connection
-// after a request's header was read.
+// newPeer starts a peer that runs the script on each connection once the request's header was read.
 func newPeer(t *testing.T, script func(p *peer, connection net.Conn, reader *bufio.Reader)) *peer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,19 +82,19 @@
 
 const replyOK = "HTTP/1.1 200 OK\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nContent-Length: 2\r\n\r\nok"
 
-// dies ends the connection before it consents.
-func dies(*peer, net.Conn, *bufio.Reader) {}
+// closeConnection closes the connection before 100 Continue.
+func closeConnection(*peer, net.Conn, *bufio.Reader) {}
 
-// consentsAndDies takes the body and ends the connection without an answer.
-func consentsAndDies(p *peer, connection net.Conn, reader *bufio.Reader) {
+// continueAndClose receives the body and closes the connection without a response.
+func continueAndClose(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
 		p.bodies.Add(1)
 	}
 }
 
-// serves consents and answers.
-func serves(p *peer, connection net.Conn, reader *bufio.Reader) {
+// continueAndAnswer sends 100 Continue and a response.
+func continueAndAnswer(p *peer, connection net.Conn, reader *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 	if line, err := reader.ReadString('\n'); err == nil && line != "" {
 		p.bodies.Add(1)
@@ -103,13 +102,13 @@
 	_, _ = io.WriteString(connection, replyOK)
 }
 
-// answers answers a request without a body.
-func answers(_ *peer, connection net.Conn, _ *bufio.Reader) {
+// answerOK answers a request without a body.
+func answerOK(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, replyOK)
 }
 
-// hangs says nothing until the caller goes.
-func hangs(_ *peer, _ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() }
+// hang sends nothing until the caller closes the connection.
+func hang(_ *peer, _ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() }
 
 func newHandler(t testing.TB, observer Observer, probe Probe, peers ...*peer) *Handler {
 	table, err := route.Compile(&route.Document{
@@ -127,7 +126,7 @@
 	}
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for number, member := range peers {
-		// The first is in the zone, so that it is chosen first.
+		// The first peer is in the node's zone, so that it is chosen first.
 		zone := "other"
 		if number == 0 {
 			zone = "z"
@@ -158,22 +157,22 @@
 			Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		}),
 	})
-	// A process that stands still for a moment must not fail to connect.
+	// A process that is paused for a moment must not fail to connect.
 	created.targets.options.DialTimeout = testDialTimeout
 	t.Cleanup(created.CancelCalls)
 	return created
 }
 
-// testDialTimeout is beyond the deadline of every call of these tests.
+// testDialTimeout is longer than the deadline of every call in these tests.
 const testDialTimeout = 20 * time.Second
 
-func present(context.Context, *roster.Record) error { return nil }
+func probeOK(context.Context, *roster.Record) error { return nil }
 
 var errNoAnswer = errors.New("no answer")
 
-func absent(context.Context, *roster.Record) error { return errNoAnswer }
+func probeFailed(context.Context, *roster.Record) error { return errNoAnswer }
 
-// call sends a request over a real server and returns status and Retry-After.
+// callThrough sends a request over a real server and returns the status and Retry-After.
 func callThrough(t *testing.T, handler *Handler, method, path, body string) (int, string) {
 	server := httptest.NewServer(handler)
 	defer server.Close()
@@ -191,10 +190,10 @@
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// TestConsent: a request that may not be repeated is provably not run before the
-// node has consented, whatever becomes of the node; after that its outcome is
-// unknown, and it goes nowhere else.
-func TestConsent(t *testing.T) {
+// Test100Continue: until the node has sent 100 Continue, a non-repeatable request counts as not
+// run, whatever happens to the node. After that its outcome is unknown, and it is not sent anywhere
+// else.
+func Test100Continue(t *testing.T) {
 	cases := []struct {
 		name          string
 		first, second func(*peer, net.Conn, *bufio.Reader)
@@ -202,49 +201,49 @@
 		status        int
 		bodies        [2]int64
 	}{
-		{"dies before consent, then served", dies, serves, "body\n", 200, [2]int64{0, 1}},
-		{"both die before consent", dies, dies, "body\n", 503, [2]int64{0, 0}},
-		{"dies after consent", consentsAndDies, serves, "body\n", 502, [2]int64{1, 0}},
-		{"no body, dies before consent", dies, serves, "", 200, [2]int64{0, 1}},
+		{"closed before 100 Continue, then served", closeConnection, continueAndAnswer, "body\n", 200, [2]int64{0, 1}},
+		{"both closed before 100 Continue", closeConnection, closeConnection, "body\n", 503, [2]int64{0, 0}},
+		{"closed after 100 Continue", continueAndClose, continueAndAnswer, "body\n", 502, [2]int64{1, 0}},
+		{"no body, closed before 100 Continue", closeConnection, continueAndAnswer, "", 200, [2]int64{0, 1}},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			first, second := newPeer(t, played.first), newPeer(t, played.second)
-			status, retryAfter := callThrough(t, newHandler(t, &quiet{}, present, first, second), http.MethodPost, "/once/1", played.body)
-			g.Expect(status).To(Equal(played.status))
+			first, second := newPeer(t, test.first), newPeer(t, test.second)
+			status, retryAfter := callThrough(t, newHandler(t, &fakeObserver{}, probeOK, first, second), http.MethodPost, "/once/1", test.body)
+			g.Expect(status).To(Equal(test.status))
 			g.Expect(retryAfter != "").To(Equal(status == http.StatusServiceUnavailable))
-			g.Expect([2]int64{first.bodies.Load(), second.bodies.Load()}).To(Equal(played.bodies))
+			g.Expect([2]int64{first.bodies.Load(), second.bodies.Load()}).To(Equal(test.bodies))
 		})
 	}
 }
 
-// TestASilentNode loses what waits for it: what may be repeated, or was not
-// consented to, goes elsewhere long before its deadline.
-func TestASilentNode(t *testing.T) {
+// TestSilentPeer: when a node does not answer probes, requests that are repeatable or have not
+// received 100 Continue are sent elsewhere long before their deadline.
+func TestSilentPeer(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			g := NewWithT(t)
-			second, path, body := answers, "/safe/1", ""
+			second, path, body := answerOK, "/safe/1", ""
 			if method == http.MethodPost {
-				second, path, body = serves, "/once/1", "body\n"
+				second, path, body = continueAndAnswer, "/once/1", "body\n"
 			}
-			observer := &quiet{}
-			status, _ := callThrough(t, newHandler(t, observer, absent, newPeer(t, hangs), newPeer(t, second)), method, path, body)
+			observer := &fakeObserver{}
+			status, _ := callThrough(t, newHandler(t, observer, probeFailed, newPeer(t, hang), newPeer(t, second)), method, path, body)
 			g.Expect(status).To(Equal(http.StatusOK))
 			g.Expect(observer.silent.Load()).To(BeNumerically(">", 0))
 		})
 	}
 }
 
-// refuses answers that it has not run the request.
-func refuses(_ *peer, connection net.Conn, _ *bufio.Reader) {
+// refuse answers that the request has not run.
+func refuse(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\n"+
 		outcome.HeaderOutcome+": not-run\r\n"+outcome.HeaderError+": step=admit\r\nContent-Length: 0\r\n\r\n")
 }
 
-// once does the same as the script when the condition holds.
-func once(condition func() bool, script func(*peer, net.Conn, *bufio.Reader)) func(*peer, net.Conn, *bufio.Reader) {
+// after runs the script once the condition holds.
+func after(condition func() bool, script func(*peer, net.Conn, *bufio.Reader)) func(*peer, net.Conn, *bufio.Reader) {
 	return func(p *peer, connection net.Conn, reader *bufio.Reader) {
 		const look, most = time.Millisecond, 20 * time.Second
 		for began := time.Now(); !condition() && time.Since(began) < most; time.Sleep(look) {
@@ -253,75 +252,75 @@
 	}
 }
 
-// probes of a node that does not answer the first ones.
-type probes struct {
+// scriptedProbe does not answer the first probes of node a.
+type scriptedProbe struct {
 	missed int64
 	asked  atomic.Int64
 }
 
-func (p *probes) probe(ctx context.Context, record *roster.Record) error {
+func (p *scriptedProbe) probe(ctx context.Context, record *roster.Record) error {
 	if record.Node == "a" && p.asked.Add(1) <= p.missed {
-		return absent(ctx, record)
+		return probeFailed(ctx, record)
 	}
 	return nil
 }
 
-// over reports whether the node has answered one: all that it missed were acted upon.
-func (p *probes) over() bool { return p.asked.Load() > p.missed }
+// recovered reports whether a probe was answered, so that all missed ones have been handled.
+func (p *scriptedProbe) recovered() bool { return p.asked.Load() > p.missed }
 
-// TestANodeThatSeemedSilent keeps what it works on: the node that asked may have
-// been the slow one. What may be repeated is tried elsewhere meanwhile.
-func TestANodeThatSeemedSilent(t *testing.T) {
+// TestSuspectedPeerAnswers: a suspected node keeps the request that it processes, as the node that
+// probes may be the slow one. Meanwhile a repeatable request is also tried elsewhere.
+func TestSuspectedPeerAnswers(t *testing.T) {
 	consents := func(p *peer, connection net.Conn, reader *bufio.Reader) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 100 Continue\r\n\r\n")
 		_, _ = reader.ReadString('\n')
 	}
 	cases := []struct {
 		name, method, path, body string
-		// first is what the silent node does before it answers, nil when it never does.
+		// first is what the suspected node does before it answers, nil when it never does.
 		first, second func(*peer, net.Conn, *bufio.Reader)
 		missed        int64
 		status        int
 		asked         int64
 	}{
-		{"repeatable, refused elsewhere", http.MethodGet, "/safe/1", "", nothing, refuses, 1, 200, 1},
-		{"repeatable, served elsewhere", http.MethodGet, "/safe/1", "", nothing, answers, 1, 200, 1},
-		{"repeatable with a body, refused elsewhere", http.MethodPost, "/safe/1", "body\n", nothing, refuses, 1, 200, 1},
-		{"not repeatable, at work", http.MethodPost, "/once/1", "body\n", consents, serves, 1, 200, 0},
-		{"lost after all, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuses, lostProbes, 502, 1},
+		{"repeatable, refused elsewhere", http.MethodGet, "/safe/1", "", noop, refuse, 1, 200, 1},
+		{"repeatable, served elsewhere", http.MethodGet, "/safe/1", "", noop, answerOK, 1, 200, 1},
+		{"repeatable with a body, refused elsewhere", http.MethodPost, "/safe/1", "body\n", noop, refuse, 1, 200, 1},
+		{"not repeatable, being processed", http.MethodPost, "/once/1", "body\n", consents, continueAndAnswer, 1, 200, 0},
+		{"abandoned, refused elsewhere", http.MethodGet, "/safe/1", "", nil, refuse, abandonAfterProbes, 502, 1},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			asked := &probes{missed: played.missed}
-			second := newPeer(t, played.second)
-			acted := func() bool { return asked.over() && second.requests.Load() >= played.asked }
+			asked := &scriptedProbe{missed: test.missed}
+			second := newPeer(t, test.second)
+			acted := func() bool { return asked.recovered() && second.requests.Load() >= test.asked }
 			first := newPeer(t, func(p *peer, connection net.Conn, reader *bufio.Reader) {
-				if played.first == nil {
-					hangs(p, connection, reader)
+				if test.first == nil {
+					hang(p, connection, reader)
 					return
 				}
-				played.first(p, connection, reader)
-				once(acted, answers)(p, connection, reader)
+				test.first(p, connection, reader)
+				after(acted, answerOK)(p, connection, reader)
 			})
-			handler := newHandler(t, &quiet{}, asked.probe, first, second)
-			status, _ := callThrough(t, handler, played.method, played.path, played.body)
-			g.Expect(status).To(Equal(played.status))
-			g.Expect(second.requests.Load()).To(Equal(played.asked))
+			handler := newHandler(t, &fakeObserver{}, asked.probe, first, second)
+			status, _ := callThrough(t, handler, test.method, test.path, test.body)
+			g.Expect(status).To(Equal(test.status))
+			g.Expect(second.requests.Load()).To(Equal(test.asked))
 		})
 	}
 }
 
-// nothing does nothing.
-func nothing(*peer, net.Conn, *bufio.Reader) {}
+// noop does nothing.
+func noop(*peer, net.Conn, *bufio.Reader) {}
 
-// TestAStoppingNodeGivesNothingUp: once its planned stop has begun, a node waits for
-// the answer of a peer that does not answer probes.
-func TestAStoppingNodeGivesNothingUp(t *testing.T) {
+// TestStoppingNodeAbandonsNothing: during its planned stop a node waits for the answer of a peer
+// that does not answer probes.
+func TestStoppingNodeAbandonsNothing(t *testing.T) {
 	for stopping, want := range map[bool]int{true: http.StatusOK, false: http.StatusBadGateway} {
 		g := NewWithT(t)
-		asked := &probes{missed: lostProbes}
-		handler := newHandler(t, &quiet{}, asked.probe, newPeer(t, once(asked.over, answers)), newPeer(t, refuses))
+		asked := &scriptedProbe{missed: abandonAfterProbes}
+		handler := newHandler(t, &fakeObserver{}, asked.probe, newPeer(t, after(asked.recovered, answerOK)), newPeer(t, refuse))
 		if stopping {
 			handler.Stop()
 		}
@@ -330,16 +329,16 @@
 	}
 }
 
-// TestASlowNodeIsLeftAlone: one that answers the probe keeps its requests.
-func TestASlowNodeIsLeftAlone(t *testing.T) {
+// TestSlowPeerKeepsRequests: a slow node that answers probes keeps its requests.
+func TestSlowPeerKeepsRequests(t *testing.T) {
 	g := NewWithT(t)
 	slow := newPeer(t, func(_ *peer, connection net.Conn, _ *bufio.Reader) {
 		time.Sleep(600 * time.Millisecond)
 		_, _ = io.WriteString(connection, replyOK)
 	})
-	other := newPeer(t, answers)
-	observer := &quiet{}
-	status, _ := callThrough(t, newHandler(t, observer, present, slow, other), http.MethodGet, "/safe/1", "")
+	other := newPeer(t, answerOK)
+	observer := &fakeObserver{}
+	status, _ := callThrough(t, newHandler(t, observer, probeOK, slow, other), http.MethodGet, "/safe/1", "")
 	g.Expect(status).To(Equal(http.StatusOK))
 	g.Expect(other.requests.Load()).To(BeZero())
 	g.Expect(observer.silent.Load()).To(BeZero())
@@ -357,14 +356,14 @@
 	for _, refused := range cases {
 		t.Run(refused.name, func(t *testing.T) {
 			g := NewWithT(t)
-			status, retryAfter := callThrough(t, newHandler(t, &quiet{}, present), refused.method, refused.path, refused.body)
+			status, retryAfter := callThrough(t, newHandler(t, &fakeObserver{}, probeOK), refused.method, refused.path, refused.body)
 			g.Expect(status).To(Equal(refused.status))
 			g.Expect(retryAfter != "").To(Equal(status == http.StatusServiceUnavailable))
 		})
 	}
 }
 
-// TestHeaderBytes counts a header as it was sent.
+// TestHeaderBytes compares the computed length with that of the header as sent.
 func TestHeaderBytes(t *testing.T) {
 	for _, raw := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -377,11 +376,11 @@
 	}
 }
 
-// TestALongHeaderIsRefused by the bound of the configuration.
-func TestALongHeaderIsRefused(t *testing.T) {
+// TestHeaderLimit: headers longer than the configured limit are refused.
+func TestHeaderLimit(t *testing.T) {
 	g := NewWithT(t)
 	server := newPeer(t, func(_ *peer, connection net.Conn, _ *bufio.Reader) { _, _ = io.WriteString(connection, replyOK) })
-	handler := newHandler(t, &quiet{}, present, server)
+	handler := newHandler(t, &fakeObserver{}, probeOK, server)
 	for length, want := range map[int]int{100: http.StatusOK, 5000: http.StatusRequestHeaderFieldsTooLarge} {
 		request := httptest.NewRequest(http.MethodGet, "/safe/", nil)
 		request.Host = "h"
--- a/internal/sidecar/egress/calllog.go
+++ b/internal/sidecar/egress/calllog.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ended tells the observer and the log how the call went.
-func (c *call) ended() {
+// reportEnd reports the result of the call to the observer and the log.
+func (c *call) reportEnd() {
 	name := ""
 	if c.route != nil {
 		name = c.route.Name
@@ -26,8 +26,8 @@
 	}
 }
 
-// logEntry returns the line for the call, nil when it is not to be logged: of
-// those that went well a sample is.
+// logEntry returns the log entry of the call, or nil when it is not logged: successful calls are
+// sampled.
 func (c *call) logEntry() *zapcore.CheckedEntry {
 	logger := c.handler.options.Logger
 	switch {
@@ -36,10 +36,10 @@
 	case c.status >= http.StatusInternalServerError:
 		return logger.Check(zap.InfoLevel, "back end failed the call")
 	}
-	return c.handler.served.Check(zap.InfoLevel, "call served")
+	return c.handler.servedLogger.Check(zap.InfoLevel, "call served")
 }
 
-// logFields are the inputs of the decisions on the call, and the outcome.
+// logFields returns the inputs of the decisions on the call, and its outcome.
 func (c *call) logFields(name string, elapsed time.Duration) []zap.Field {
 	options := &c.handler.options
 	priority := -1
@@ -52,7 +52,7 @@
 		zap.String("route", name), zap.Int("priority", priority), zap.String("tenant", c.tenantName()),
 		zap.Uint64("version", c.table.Version()), zap.Duration("versionAge", options.TableAge()),
 		zap.Bool("returning", c.returning), zap.Bool("nested", c.nested), zap.Bool("overShare", c.overShare), zap.Int("status", c.status),
-		zap.Array("visits", c.visits), zap.Duration("elapsed", elapsed),
+		zap.Array("visits", c.attempts), zap.Duration("elapsed", elapsed),
 	}
 	if !c.deadline.IsZero() {
 		fields = append(fields, zap.Duration("left", clock.Until(c.deadline)))
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -17,44 +17,44 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// lagging is a node whose configuration is older than that of others.
-type lagging struct {
+// fakeFreshness is the Freshness of a node whose configuration is outdated.
+type fakeFreshness struct {
 	table *route.Table
-	// next is the newest configuration; the node gets it when it may.
-	next *route.Table
-	may  bool
-	// unconfirmed: nobody has proof that the configuration is the newest.
+	// next is the newest configuration; the node gets it if canAdvance is set.
+	next       *route.Table
+	canAdvance bool
+	// unconfirmed: no peer has proof that the configuration is the newest.
 	unconfirmed bool
-	// proof is the moment of the last proof that was heard.
+	// proof is the time of the last proof that was received.
 	proof time.Time
-	// confirms and catches count the questions.
-	confirms, catches int
+	// confirms and catchUps count the calls.
+	confirms, catchUps int
 }
 
-func (l *lagging) Confirm(context.Context) bool {
-	l.confirms++
-	return l.advance() && !l.unconfirmed
+func (f *fakeFreshness) Confirm(context.Context) bool {
+	f.confirms++
+	return f.advance() && !f.unconfirmed
 }
 
-func (l *lagging) CatchUp(context.Context, string, uint64) bool {
-	l.catches++
-	return l.advance()
+func (f *fakeFreshness) CatchUp(context.Context, string, uint64) bool {
+	f.catchUps++
+	return f.advance()
 }
 
-func (l *lagging) Proven(_ uint64, at time.Time) { l.proof = at }
+func (f *fakeFreshness) Proven(_ uint64, at time.Time) { f.proof = at }
 
-func (l *lagging) ProofAge() (time.Duration, bool) { return 0, false }
+func (f *fakeFreshness) ProofAge() (time.Duration, bool) { return 0, false }
 
-func (l *lagging) advance() bool {
-	if l.may && l.next != nil {
-		l.table = l.next
+func (f *fakeFreshness) advance() bool {
+	if f.canAdvance && f.next != nil {
+		f.table = f.next
 	}
-	return l.may
+	return f.canAdvance
 }
 
-// leading returns a configuration with one route, which leads to the service; without a service
-// there is none.
-func leading(t *testing.T, version uint64, service string) *route.Table {
+// tableWithRoute returns a configuration with one route to the service, or without a route if
+// service is empty.
+func tableWithRoute(t *testing.T, version uint64, service string) *route.Table {
 	document := &route.Document{Version: version, Services: []route.Service{{Name: "s"}, {Name: "s2"}}}
 	if service != "" {
 		document.Routes = []route.Route{{
@@ -67,15 +67,15 @@
 	return table
 }
 
-// givesBack refuses a request since a newer configuration leads it elsewhere.
-func givesBack(_ *peer, connection net.Conn, _ *bufio.Reader) {
+// answerMoved refuses a request because a newer configuration routes it elsewhere.
+func answerMoved(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 503 X\r\nKestrel-Reply: 2 0 0 8 50000 1000 1000\r\n%s: %s\r\n%s: step=%s\r\nRetry-After: 0.1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		outcome.HeaderOutcome, outcome.NotRun, outcome.HeaderError, outcome.StepMoved)
 }
 
-// playLate returns a handler of a late node with a peer of each of two services.
-func playLate(t *testing.T, held *lagging, first, second *peer) *Handler {
-	handler := newHandler(t, &quiet{}, present)
+// outdatedHandler returns a handler of an outdated node with one peer for each of two services.
+func outdatedHandler(t *testing.T, freshness *fakeFreshness, first, second *peer) *Handler {
+	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	for service, at := range map[string]*peer{"s": first, "s2": second} {
 		members.Merge([]*roster.Record{{
@@ -84,55 +84,55 @@
 		}})
 	}
 	handler.options.View = members.View
-	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Freshness = held
+	handler.options.Table = func() *route.Table { return freshness.table }
+	handler.options.Freshness = freshness
 	return handler
 }
 
-// TestANodeThatIsBehind: it neither refuses for good what a newer configuration allows, nor has
-// a request run where a newer one does not lead it.
-func TestANodeThatIsBehind(t *testing.T) {
+// TestOutdatedConfiguration: an outdated node neither refuses for good what a newer configuration
+// allows, nor has a request run where a newer one does not route it.
+func TestOutdatedConfiguration(t *testing.T) {
 	cases := []struct {
 		name              string
 		before, after     string // the service of the route, empty for no route
-		may               bool
+		canAdvance        bool
 		status            int
 		atFirst, atSecond int64
 	}{
 		{"an added route is served", "", "s", true, 200, 1, 0},
-		{"a route that nobody knows", "", "", true, 404, 0, 0},
-		{"a route of which nobody says anything", "", "", false, 503, 0, 0},
-		{"a moved route is served where it leads now", "s2", "s", true, 200, 1, 1},
-		{"a moved route, and no way to catch up", "s2", "s", false, 503, 0, 1},
+		{"an unknown route", "", "", true, 404, 0, 0},
+		{"an unknown route, unconfirmed", "", "", false, 503, 0, 0},
+		{"a moved route is served by its new service", "s2", "s", true, 200, 1, 1},
+		{"a moved route, without the newer configuration", "s2", "s", false, 503, 0, 1},
 		{"a dropped route", "s2", "", true, 404, 0, 1},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			served, given := newPeer(t, answers), newPeer(t, givesBack)
-			held := &lagging{table: leading(t, 1, played.before), next: leading(t, 2, played.after), may: played.may}
-			status, wait := callThrough(t, playLate(t, held, served, given), "GET", "/r/x", "")
-			g.Expect(status).To(Equal(played.status))
-			g.Expect(served.requests.Load()).To(Equal(played.atFirst))
-			g.Expect(given.requests.Load()).To(Equal(played.atSecond))
-			g.Expect(wait != "").To(Equal(played.status == 503), "who is refused unrun is told when to come back")
+			served, moved := newPeer(t, answerOK), newPeer(t, answerMoved)
+			freshness := &fakeFreshness{table: tableWithRoute(t, 1, test.before), next: tableWithRoute(t, 2, test.after), canAdvance: test.canAdvance}
+			status, wait := callThrough(t, outdatedHandler(t, freshness, served, moved), "GET", "/r/x", "")
+			g.Expect(status).To(Equal(test.status))
+			g.Expect(served.requests.Load()).To(Equal(test.atFirst))
+			g.Expect(moved.requests.Load()).To(Equal(test.atSecond))
+			g.Expect(wait != "").To(Equal(test.status == 503), "a request refused as not run gets a Retry-After")
 		})
 	}
 }
 
-// TestARequestIsNotRoutedAnewForEver: while it is given back again and again it is refused
-// after a few times.
-func TestARequestIsNotRoutedAnewForEver(t *testing.T) {
+// TestRerouteLimit: a request that is returned again and again is refused after a few times.
+func TestRerouteLimit(t *testing.T) {
 	g := NewWithT(t)
-	first, second := newPeer(t, givesBack), newPeer(t, givesBack)
-	held := &lagging{table: leading(t, 1, "s"), next: leading(t, 2, "s"), may: true}
-	status, _ := callThrough(t, playLate(t, held, first, second), "GET", "/r/x", "")
+	first, second := newPeer(t, answerMoved), newPeer(t, answerMoved)
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, freshness, first, second), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
-	g.Expect(held.catches).To(BeNumerically("<=", mostMoves))
+	g.Expect(freshness.catchUps).To(BeNumerically("<=", maxReroutes))
 }
 
-// TestTheVersionIsToldWithARequest, by which the arriving node knows whether the sender is behind.
-func TestTheVersionIsToldWithARequest(t *testing.T) {
+// TestVersionHeader: requests carry the sender's configuration version, by which the receiver sees
+// whether the sender is outdated.
+func TestVersionHeader(t *testing.T) {
 	g := NewWithT(t)
 	seen := make(chan string, 1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,13 +155,13 @@
 		}
 		_, _ = io.WriteString(connection, replyOK)
 	}()
-	held := &lagging{table: leading(t, 7, "s"), may: true}
-	status, _ := callThrough(t, playLate(t, held, &peer{address: listener.Addr().String()}, newPeer(t, answers)), "GET", "/r/x", "")
+	freshness := &fakeFreshness{table: tableWithRoute(t, 7, "s"), canAdvance: true}
+	status, _ := callThrough(t, outdatedHandler(t, freshness, &peer{address: listener.Addr().String()}, newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
 	g.Expect(<-seen).To(Equal("7"))
 }
 
-// cutHeader returns the value of a header's line.
+// cutHeader returns the value of a header line.
 func cutHeader(line, name string) (value string, found bool) {
 	if len(line) < len(name)+2 || line[:len(name)] != name {
 		return "", false
@@ -169,27 +169,28 @@
 	return line[len(name)+2 : len(line)-2], true
 }
 
-// TestADroppedRouteIsNotRefusedForGoodWithoutProof: that the node which gave the request back has no
-// route for it says nothing about later versions.
-func TestADroppedRouteIsNotRefusedForGoodWithoutProof(t *testing.T) {
+// TestDroppedRouteWithoutProof: the route is missing in the configuration of the node that returned
+// the request, but later versions may have it. Without proof that there are none the refusal is not
+// final.
+func TestDroppedRouteWithoutProof(t *testing.T) {
 	g := NewWithT(t)
-	held := &lagging{table: leading(t, 1, "s"), next: leading(t, 2, ""), may: true, unconfirmed: true}
-	status, wait := callThrough(t, playLate(t, held, newPeer(t, givesBack), newPeer(t, answers)), "GET", "/r/x", "")
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), next: tableWithRoute(t, 2, ""), canAdvance: true, unconfirmed: true}
+	status, wait := callThrough(t, outdatedHandler(t, freshness, newPeer(t, answerMoved), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(503))
 	g.Expect(wait).NotTo(BeEmpty())
 }
 
-// provesLevel answers with proof that the configuration in force is the newest.
-func provesLevel(_ *peer, connection net.Conn, _ *bufio.Reader) {
+// answerWithProof answers with proof that the configuration in force is the newest.
+func answerWithProof(_ *peer, connection net.Conn, _ *bufio.Reader) {
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 X\r\nKestrel-Reply: 1 0 0 8 50000 1000 1000\r\nKestrel-Proof: 300\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-// TestProofComesWithReplies: its age and the time since the request was sent count.
-func TestProofComesWithReplies(t *testing.T) {
+// TestProofFromResponses: the age of a proof includes the time since the request was sent.
+func TestProofFromResponses(t *testing.T) {
 	g := NewWithT(t)
-	held := &lagging{table: leading(t, 1, "s"), may: true}
+	freshness := &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}
 	sent := clock.Now()
-	status, _ := callThrough(t, playLate(t, held, newPeer(t, provesLevel), newPeer(t, answers)), "GET", "/r/x", "")
+	status, _ := callThrough(t, outdatedHandler(t, freshness, newPeer(t, answerWithProof), newPeer(t, answerOK)), "GET", "/r/x", "")
 	g.Expect(status).To(Equal(200))
-	g.Expect(held.proof).To(BeTemporally("~", sent.Add(-300*time.Millisecond), clock.Since(sent)))
+	g.Expect(freshness.proof).To(BeTemporally("~", sent.Add(-300*time.Millisecond), clock.Since(sent)))
 }
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -16,147 +16,149 @@
 )
 
 var (
-	errLimited = errors.New("no back end's limit has room for the request in time")
-	errLeaving = errors.New("the back ends of the service are leaving")
+	errLimited = errors.New("no back end's rate limit has capacity for the request in time")
+	errLeaving = errors.New("all back ends of the service are leaving")
 )
 
-// limitReport is what replies said of the limit of a back end. It is immutable but for the estimate.
+// limitReport holds what responses said about the rate limit of a back end. It is immutable except
+// for the estimate.
 type limitReport struct {
 	*ratelimit.Estimate
-	// endpoint is the back end that the replies came from.
+	// endpoint is the back end that the responses came from.
 	endpoint roster.Incarnation
-	// perSecond is the rate that was told last.
+	// perSecond is the rate that was reported last.
 	perSecond float64
 }
 
-// of reports whether the report is of the back end that the record tells of. Another life of the node beside
-// it changes nothing: that node has to learn of the limit.
-func (r *limitReport) of(record *roster.Record) bool {
+// matches reports whether the report is about the record's back end. A restart of the sidecar next
+// to it changes nothing: that sidecar has to learn the limit.
+func (r *limitReport) matches(record *roster.Record) bool {
 	return r.endpoint == record.Endpoint.Incarnation()
 }
 
-// leavingReport says since when an incarnation is known to leave by what an answer says.
+// leavingReport holds the incarnation of a back end that announced in a response that it is
+// leaving, and since when that is known.
 type leavingReport struct {
-	of    string
-	since time.Time
+	incarnation string
+	since       time.Time
 }
 
-// class is the request's among those that a limit tells apart.
+// class returns the request's class in the rate limit estimate.
 func (c *call) class() ratelimit.Class { return ratelimit.ClassOf(c.nested, c.priority()) }
 
-// hearNotices takes in what a reply says that the back end asks for.
-func (a *attempt) hearNotices(header http.Header, now time.Time) {
+// observeNotices records the leaving notice and the rate limit that a response carries.
+func (a *attempt) observeNotices(header http.Header, now time.Time) {
 	if leaving := header.Get(hop.HeaderLeaving); leaving != "" {
-		a.target.leaves(leaving, now)
+		a.target.markLeaving(leaving, now)
 	}
 	line := header.Get(hop.HeaderLimit)
 	if line == "" {
 		if header.Get(outcome.HeaderOutcome) == "" {
-			a.target.unlimited()
+			a.target.clearLimit()
 		}
 		return
 	}
-	told, err := hop.ParseLimit(line)
+	reported, err := hop.ParseLimit(line)
 	if err != nil {
-		a.call.handler.options.Logger.Warn("limit told by a node not read", zap.String("peer", a.target.node), zap.Error(err))
+		a.call.handler.options.Logger.Warn("invalid rate limit in a response", zap.String("peer", a.target.node), zap.Error(err))
 		return
 	}
-	a.target.limited(told, a.record, a.call.class(), now)
+	a.target.setLimit(reported, a.record, a.call.class(), now)
 }
 
-// leaves takes in that an incarnation leaves.
-func (t *target) leaves(of string, now time.Time) {
-	if held := t.leaving.Load(); held == nil || held.of != of {
-		t.leaving.Store(&leavingReport{of: of, since: now})
+// markLeaving records that an incarnation is leaving.
+func (t *target) markLeaving(incarnation string, now time.Time) {
+	if current := t.leaving.Load(); current == nil || current.incarnation != incarnation {
+		t.leaving.Store(&leavingReport{incarnation: incarnation, since: now})
 	}
 }
 
-// left reports whether the record's back end is known to leave, and for how long.
-func (t *target) left(record *roster.Record, now time.Time) (age time.Duration, leaves bool) {
-	held := t.leaving.Load()
-	if held == nil || held.of != record.Endpoint.Incarnation().String() {
+// leavingFor reports whether the record's back end is known to be leaving, and for how long.
+func (t *target) leavingFor(record *roster.Record, now time.Time) (age time.Duration, leaves bool) {
+	report := t.leaving.Load()
+	if report == nil || report.incarnation != record.Endpoint.Incarnation().String() {
 		return 0, false
 	}
-	return now.Sub(held.since), true
+	return now.Sub(report.since), true
 }
 
-// unlimited takes in that an answer of the back end came without a limit. A refusal by its node says nothing:
-// that may have just started.
-func (t *target) unlimited() {
+// clearLimit records that a response of the back end carried no limit. It is not called for a
+// refusal by the sidecar itself, which may have just started and not know the limit yet.
+func (t *target) clearLimit() {
 	if t.limit.Load() != nil {
 		t.limit.Store(nil)
 	}
 }
 
-// limited takes in what a reply told of the limit.
-func (t *target) limited(told hop.Limit, record *roster.Record, class ratelimit.Class, now time.Time) {
-	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: told.PerSecond}
-	if held := t.limitOf(record); held != nil {
-		next.Estimate = held.Estimate
-		next.Update(told.PerSecond, told.Room, class, now)
+// setLimit records the limit that a response reported.
+func (t *target) setLimit(reported hop.Limit, record *roster.Record, class ratelimit.Class, now time.Time) {
+	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: reported.PerSecond}
+	if known := t.limitOf(record); known != nil {
+		next.Estimate = known.Estimate
+		next.Update(reported.PerSecond, reported.Room, class, now)
 	} else {
-		next.Estimate = ratelimit.NewEstimate(told.PerSecond, told.Room, class, now)
+		next.Estimate = ratelimit.NewEstimate(reported.PerSecond, reported.Room, class, now)
 	}
 	t.limit.Store(next)
 }
 
-// limitOf returns what is known of the limit of the record's back end, nil for none.
+// limitOf returns the known limit of the record's back end, nil for none.
 func (t *target) limitOf(record *roster.Record) *limitReport {
-	if held := t.limit.Load(); held != nil && held.of(record) {
-		return held
+	if report := t.limit.Load(); report != nil && report.matches(record) {
+		return report
 	}
 	return nil
 }
 
-// tellLimit adds to a request the limit that is known of its back end: the node beside it may have started
-// since.
-func (a *attempt) tellLimit(header http.Header) {
+// setLimitHeader adds the known limit of the back end to a request, for the case that the sidecar
+// next to it has restarted.
+func (a *attempt) setLimitHeader(header http.Header) {
 	if limit := a.target.limitOf(a.record); limit != nil {
 		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: limit.perSecond}.Format()}
 	}
 }
 
-// judgeNotices adds to a description what the back end asks for: one whose limit has no room in time, or
-// that has left, is not sent to.
-func (s *considered) judgeNotices(described *choice.Candidate, found *target, record *roster.Record) {
-	if age, leaves := found.left(record, s.now); leaves {
+// applyNotices adds the back end's notices to its description: a candidate is closed when its limit
+// has no capacity in time or it has left.
+func (s *candidateSet) applyNotices(described *choice.Candidate, peer *target, record *roster.Record) {
+	if age, leaves := peer.leavingFor(record, s.now); leaves {
 		described.Draining = true
 		described.Excluded = age >= s.call.handler.options.DrainAfter()
 	}
-	limit := found.limitOf(record)
+	limit := peer.limitOf(record)
 	if limit == nil {
 		return
 	}
 	described.Wait = limit.Wait(s.call.class(), s.now)
-	if described.Wait > 0 && described.Wait > s.patience(described.ServiceTime) {
+	if described.Wait > 0 && described.Wait > s.nextMaxWait(described.ServiceTime) {
 		described.Excluded = true
-		s.full = true
+		s.limitExceeded = true
 	}
 }
 
-// patience is how long the request may wait at the next node.
-func (s *considered) patience(work time.Duration) time.Duration {
-	request := s.call.described(clock.Until(s.call.deadline), work)
-	return s.call.patienceOf(request, len(s.call.visits), s.ready)
+// nextMaxWait returns how long the request may wait at the next node.
+func (s *candidateSet) nextMaxWait(work time.Duration) time.Duration {
+	request := s.call.choiceRequest(clock.Until(s.call.deadline), work)
+	return s.call.maxWait(request, len(s.call.attempts), s.ready)
 }
 
-// closed returns the failure of a call whose candidates are all closed to it. Where limits are the
-// reason it is told when there will be room.
-func (s *considered) closed() *outcome.Failure {
-	wait, limited := s.turn()
+// closedFailure returns the failure of a call whose candidates are all closed. If rate limits are
+// the reason, its Retry-After is the time until one has capacity.
+func (s *candidateSet) closedFailure() *outcome.Failure {
+	wait, limited := s.shortestWait()
 	if !limited {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errLeaving)
 	}
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepLimit, wait, errLimited)
 }
 
-// turn returns the shortest time in which a back end's limit will have room for the caller, false when
-// none has a limit.
-func (s *considered) turn() (wait time.Duration, limited bool) {
+// shortestWait returns the shortest time until a back end's limit has capacity for the caller,
+// false when none has a limit.
+func (s *candidateSet) shortestWait() (wait time.Duration, limited bool) {
 	class := s.call.class()
 	var soonest *limitReport
 	for _, record := range s.records {
-		limit := s.call.handler.targets.of(record).limitOf(record)
+		limit := s.call.handler.targets.forRecord(record).limitOf(record)
 		if limit == nil || !record.AcceptsWork() {
 			continue
 		}
--- a/internal/sidecar/egress/patience.go
+++ b/internal/sidecar/egress/patience.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// patience is how long callers of one route wait when they come for the first
-// time. One with notably less time has come back.
-type patience struct {
+// callerTimeout tracks how long callers of one route wait on their first attempt. A caller with
+// notably less time is a returning one.
+type callerTimeout struct {
 	longest atomic.Int64
 }
 
-// returnShare is the part of the full time below which a caller has come back.
-const returnShare = 0.97
+// returningThreshold is the fraction of the longest timeout below which a caller counts as
+// returning.
+const returningThreshold = 0.97
 
-// returns takes in one caller's remaining time and tells whether it has come
-// back.
-func (p *patience) returns(remaining time.Duration) bool {
+// isReturning records one caller's remaining time and reports whether it is returning.
+func (p *callerTimeout) isReturning(remaining time.Duration) bool {
 	for {
 		longest := p.longest.Load()
 		if int64(remaining) <= longest {
-			return float64(remaining) < returnShare*float64(longest)
+			return float64(remaining) < returningThreshold*float64(longest)
 		}
 		if p.longest.CompareAndSwap(longest, int64(remaining)) {
 			return false
@@ -28,11 +28,11 @@
 	}
 }
 
-// patience returns what is known of the callers of a route.
-func (h *Handler) patience(route string) *patience {
-	if held, found := h.patiences.Load(route); found {
-		return held.(*patience)
+// callerTimeout returns the tracker of a route.
+func (h *Handler) callerTimeout(route string) *callerTimeout {
+	if value, found := h.callerTimeouts.Load(route); found {
+		return value.(*callerTimeout)
 	}
-	held, _ := h.patiences.LoadOrStore(route, &patience{})
-	return held.(*patience)
+	value, _ := h.callerTimeouts.LoadOrStore(route, &callerTimeout{})
+	return value.(*callerTimeout)
 }
--- a/internal/sidecar/egress/patience_test.go
+++ b/internal/sidecar/egress/patience_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPatienceOfCallers(t *testing.T) {
+func TestReturningCallers(t *testing.T) {
 	g := NewWithT(t)
-	known := &patience{}
-	g.Expect(known.returns(1200 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(1200 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(1199 * time.Millisecond)).To(BeFalse())
-	g.Expect(known.returns(900 * time.Millisecond)).To(BeTrue())
-	g.Expect(known.returns(1500 * time.Millisecond)).To(BeFalse())
+	known := &callerTimeout{}
+	g.Expect(known.isReturning(1200 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(1200 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(1199 * time.Millisecond)).To(BeFalse())
+	g.Expect(known.isReturning(900 * time.Millisecond)).To(BeTrue())
+	g.Expect(known.isReturning(1500 * time.Millisecond)).To(BeFalse())
 }
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -14,9 +14,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// TestRequestsAboveTheShareAreMarked: where requests compete for room, a tenant's requests beyond its share
-// are; the others tell for how many they stand. Those of another tenant are not, nor any elsewhere.
-func TestRequestsAboveTheShareAreMarked(t *testing.T) {
+// TestOverShareMarks: under overload control a tenant's requests above its share are marked, and
+// the others say how many they stand for. Requests of another tenant are not marked, and none are
+// without overload control.
+func TestOverShareMarks(t *testing.T) {
 	cases := []struct {
 		name, key   string
 		contended   bool
@@ -24,34 +25,34 @@
 	}{
 		{"above", "k", true, 50, 95},
 		{"another tenant", "of-another", true, 0, 0},
-		{"where requests do not compete", "k", false, 0, 0},
+		{"without overload control", "k", false, 0, 0},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newArriving(t)
-			handler := keyedHandler(t, &lagging{table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), may: true}, at)
+			node := newRecordingNode(t)
+			handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"k"}}), canAdvance: true}, node)
 			handler.options.MarkOverShare = true
-			handler.draw = rand.New(rand.NewPCG(1, 0)).Float64
-			handler.options.Contended = func() bool { return played.contended }
+			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
+			handler.options.Contended = func() bool { return test.contended }
 			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
 			marked, told := 0, 0
 			for range 100 {
-				// The node that is played tells nothing itself.
-				handler.heard.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
-				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {played.key}})
+				// The simulated node reports no shares itself.
+				handler.tenantShares.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
+				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
 			}
-			for i, arrived := range at.hops {
+			for i, arrived := range node.hops {
 				if arrived.OverShare {
 					marked++
 				}
-				if at.headers[i].Get(hop.HeaderShare) != "" {
+				if node.headers[i].Get(hop.HeaderShare) != "" {
 					told++
 				}
 			}
-			g.Expect(marked).To(And(BeNumerically(">=", played.least), BeNumerically("<=", played.most)))
-			if played.least > 0 {
+			g.Expect(marked).To(And(BeNumerically(">=", test.least), BeNumerically("<=", test.most)))
+			if test.least > 0 {
 				g.Expect(told).To(Equal(100 - marked))
 			} else {
 				g.Expect(told).To(BeZero())
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -12,57 +12,58 @@
 )
 
 const (
-	// nearSubset and farSubset are how many back ends of a service a node considers
-	// in its own zone and in others. Without a bound a choice would take time, and
-	// a back end connections, in proportion to the size of the mesh.
+	// nearSubset and farSubset limit how many back ends of a service a node considers in its own
+	// zone and in other zones. Without a limit the time of a choice and the connections of a back
+	// end would grow with the size of the mesh.
 	nearSubset = 24
 	farSubset  = 16
 )
 
-// subsetKey is a service with a selection of its back ends and the regions in which they may be.
+// subsetKey identifies a subset by service, version selection and allowed regions.
 type subsetKey struct{ service, selection, regions string }
 
-// subset holds the back ends of one service that a node considers. It is
-// immutable.
+// subset holds the back ends of one service that a node considers. It is immutable.
 type subset struct {
-	// records are those of the node's zone first.
+	// records holds those of the node's zone first.
 	records []*roster.Record
-	// near is how many are in the node's zone, ready how many of all take work.
+	// near is the number in the node's zone, ready the number of all that accept work.
 	near, ready int
-	// of are the service's records that it was chosen from, emptied the zones left out.
-	of      []*roster.Record
-	emptied *evacuation.Zones
+	// source is the list of the service's records that it was chosen from, evacuated the zones that
+	// were excluded.
+	source    []*roster.Record
+	evacuated *evacuation.Zones
 }
 
-// chosenFrom reports whether the subset was chosen from that list, and not one like it.
-func (s *subset) chosenFrom(list []*roster.Record, emptied *evacuation.Zones) bool {
-	if s.emptied != emptied || len(s.of) != len(list) {
+// chosenFrom reports whether the subset was chosen from this very list, not an equal one, and the
+// same evacuated zones.
+func (s *subset) chosenFrom(list []*roster.Record, evacuated *evacuation.Zones) bool {
+	if s.evacuated != evacuated || len(s.source) != len(list) {
 		return false
 	}
-	return len(list) == 0 || &s.of[0] == &list[0]
+	return len(list) == 0 || &s.source[0] == &list[0]
 }
 
-// mostSubsets bounds the subsets that are kept: selections and regions come and go.
-const mostSubsets = 512
+// maxSubsets limits the cached subsets: selections and regions come and go.
+const maxSubsets = 512
 
-// subset returns the back ends of the service that the node considers, of those that
-// are selected and in the regions. It is chosen anew when a record of the service, or an emptied zone,
-// has changed: a change of another service's record costs nothing.
+// subset returns the back ends of the service that the node considers, of those that are selected
+// and in the allowed regions. It is recomputed when a record of the service or the evacuated zones
+// have changed; changed records of other services cost nothing.
 func (h *Handler) subset(view *roster.View, service string, selected rollout.Selection, allowed regions) *subset {
-	of, emptied := view.Service(service), h.options.Emptied()
+	source, evacuated := view.Service(service), h.options.Emptied()
 	key := subsetKey{service: service, selection: selected.Key, regions: allowed.key}
-	if found, known := h.subsets.Load(key); known && found.(*subset).chosenFrom(of, emptied) {
+	if found, known := h.subsets.Load(key); known && found.(*subset).chosenFrom(source, evacuated) {
 		return found.(*subset)
 	}
-	records := admitted(of, selected)
-	if emptied != nil || !allowed.all() {
+	records := admitted(source, selected)
+	if evacuated != nil || !allowed.all() {
 		records = slices.DeleteFunc(slices.Clone(records), func(record *roster.Record) bool {
-			return emptied.Contains(record.Zone) || !allowed.contains(h.options.Regions[record.Zone])
+			return evacuated.Contains(record.Zone) || !allowed.contains(h.options.Regions[record.Zone])
 		})
 	}
-	chosen := chooseSubset(records, h.options.Node, place{zone: h.options.Zone, regions: h.options.Regions})
-	chosen.of, chosen.emptied = of, emptied
-	if h.subsetCount.Add(1) > mostSubsets {
+	chosen := chooseSubset(records, h.options.Node, location{zone: h.options.Zone, regions: h.options.Regions})
+	chosen.source, chosen.evacuated = source, evacuated
+	if h.subsetCount.Add(1) > maxSubsets {
 		h.subsets.Clear()
 		h.subsetCount.Store(0)
 	}
@@ -71,77 +72,77 @@
 }
 
 // admitted returns the records that are selected.
-func admitted(records []*roster.Record, selected rollout.Selection) []*roster.Record {
-	if selected.Admits == nil {
+func admitted(records []*roster.Record, selection rollout.Selection) []*roster.Record {
+	if selection.Admits == nil {
 		return records
 	}
 	var found []*roster.Record
 	for _, record := range records {
-		if selected.Admits(record) {
+		if selection.Admits(record) {
 			found = append(found, record)
 		}
 	}
 	return found
 }
 
-// ranked is a record with what its rank goes by.
+// ranked is a record with its sort key.
 type ranked struct {
 	record *roster.Record
-	// waits: it takes no new work now. distance is 0 in the zone, 1 in the region, 2
-	// beyond. hash is of the pair of nodes, so that each node has a choice of its
-	// own that hardly changes when others come and go.
-	waits    bool
-	distance int
-	hash     uint64
+	// unavailable: it accepts no new work now. distance is 0 in the zone, 1 in the region, 2
+	// beyond. hash is of the pair of nodes, so that each node considers its own set, which changes
+	// little when back ends come and go.
+	unavailable bool
+	distance    int
+	hash        uint64
 }
 
-// chooseSubset returns at most nearSubset records of the zone and farSubset of
-// others, those of the region first. Those that take no work come after all
-// others, and nodes whose back end is gone not at all.
-func chooseSubset(records []*roster.Record, self string, from place) *subset {
+// chooseSubset returns at most nearSubset records of the zone and farSubset of other zones, those
+// of the region first. Records that accept no work come last, and those whose back end is gone are
+// left out.
+func chooseSubset(records []*roster.Record, self string, origin location) *subset {
 	var near, far []ranked
 	for _, record := range records {
 		if record.BackendAbsent() {
 			continue
 		}
-		if candidate := rank(record, self, from); candidate.distance == 0 {
+		if candidate := rank(record, self, origin); candidate.distance == 0 {
 			near = append(near, candidate)
 		} else {
 			far = append(far, candidate)
 		}
 	}
-	near, far = first(near, nearSubset), first(far, farSubset)
+	near, far = topRanked(near, nearSubset), topRanked(far, farSubset)
 	chosen := &subset{near: len(near), records: make([]*roster.Record, 0, len(near)+len(far))}
 	for _, candidate := range append(near, far...) {
 		chosen.records = append(chosen.records, candidate.record)
-		if !candidate.waits {
+		if !candidate.unavailable {
 			chosen.ready++
 		}
 	}
 	return chosen
 }
 
-// first returns the best ranked, at most that many.
-func first(all []ranked, most int) []ranked {
+// topRanked returns the best ranked records, at most limit.
+func topRanked(all []ranked, limit int) []ranked {
 	slices.SortFunc(all, compareRanks)
-	return all[:min(len(all), most)]
+	return all[:min(len(all), limit)]
 }
 
-func rank(record *roster.Record, self string, near place) ranked {
-	made := ranked{record: record, waits: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
+func rank(record *roster.Record, self string, origin location) ranked {
+	result := ranked{record: record, unavailable: !record.AcceptsWork(), hash: xxhash.Sum64String(self + "\x00" + record.Node)}
 	switch {
-	case record.Zone == near.zone:
-	case near.leaves(record.Zone):
-		made.distance = 2
+	case record.Zone == origin.zone:
+	case origin.crossesRegion(record.Zone):
+		result.distance = 2
 	default:
-		made.distance = 1
+		result.distance = 1
 	}
-	return made
+	return result
 }
 
 func compareRanks(a, b ranked) int {
-	if a.waits != b.waits {
-		if a.waits {
+	if a.unavailable != b.unavailable {
+		if a.unavailable {
 			return 1
 		}
 		return -1
--- a/internal/sidecar/egress/suspension_test.go
+++ b/internal/sidecar/egress/suspension_test.go
@@ -14,9 +14,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-// tellingPeer is a node that tells how much time each request has left, and answers what the
-// function returns: whether it was run to a good end.
-func tellingPeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
+// remainingTimePeer returns a node that sends the remaining time of each request to left. served
+// reports whether the request succeeds.
+func remainingTimePeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
@@ -34,8 +34,9 @@
 	return &peer{address: server.Listener.Addr().String()}
 }
 
-// TestARepeatAfterASuspension has what the caller still has, not what it had before.
-func TestARepeatAfterASuspension(t *testing.T) {
+// TestRetryAfterSuspension: a retry carries the time that the caller has left after the machine was
+// suspended.
+func TestRetryAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspender(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
@@ -48,19 +49,20 @@
 		suspend(slept)
 		return false
 	}
-	handler := newHandler(t, &quiet{}, present, tellingPeer(t, left, served), tellingPeer(t, left, served))
+	handler := newHandler(t, &fakeObserver{}, probeOK, remainingTimePeer(t, left, served), remainingTimePeer(t, left, served))
 	g.Expect(callWithin(handler, given)).To(Equal(http.StatusOK))
 	g.Expect(<-left).To(BeNumerically("~", given, slept/2))
 	g.Expect(<-left).To(BeNumerically("<=", given-slept))
 }
 
-// TestARequestThatIsReadAfterASuspension may have waited all the while.
-func TestARequestThatIsReadAfterASuspension(t *testing.T) {
+// TestRequestReadAfterSuspension: a request that is read after a suspension may have waited for all
+// of it.
+func TestRequestReadAfterSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspender(t)
 	const given, slept = 4 * time.Second, 3 * time.Second
 	left := make(chan time.Duration, 1)
-	handler := newHandler(t, &quiet{}, present, tellingPeer(t, left, func() bool { return true }))
+	handler := newHandler(t, &fakeObserver{}, probeOK, remainingTimePeer(t, left, func() bool { return true }))
 	suspend(slept)
 	g.Expect(callWithin(handler, given)).To(Equal(http.StatusOK))
 	g.Expect(<-left).To(BeNumerically("<=", given-slept))
@@ -69,8 +71,7 @@
 	g.Expect(left).To(BeEmpty())
 }
 
-// callWithin sends a request that may be repeated, whose caller waits that long, and returns
-// the status.
+// callWithin sends a repeatable request whose caller waits that long, and returns the status.
 func callWithin(handler *Handler, given time.Duration) int {
 	request := httptest.NewRequest(http.MethodGet, "/safe/", nil)
 	request.Host = "h"
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -22,9 +22,9 @@
 	tenantHeader = "Tenant"
 )
 
-// keyed returns a configuration of one tenant with the keys, with a route that asks for a key
+// tenantTable returns a configuration with the tenant and another one, a route that requires a key
 // and one that does not.
-func keyed(t *testing.T, version uint64, tenant route.Tenant) *route.Table {
+func tenantTable(t *testing.T, version uint64, tenant route.Tenant) *route.Table {
 	document := &route.Document{
 		Version: version, Services: []route.Service{{Name: "s"}},
 		Tenants: []route.Tenant{tenant, {Name: "another", Keys: []route.Key{"of-another"}}},
@@ -40,15 +40,15 @@
 	return table
 }
 
-// arriving is a node that notes what arrives there.
-type arriving struct {
+// recordingNode is a node that records the requests it receives.
+type recordingNode struct {
 	*httptest.Server
 	headers []http.Header
 	hops    []hop.Request
 }
 
-func newArriving(t *testing.T) *arriving {
-	created := &arriving{}
+func newRecordingNode(t *testing.T) *recordingNode {
+	created := &recordingNode{}
 	created.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
@@ -62,18 +62,18 @@
 	return created
 }
 
-// keyedHandler returns a handler whose one back end is beside the arriving node.
-func keyedHandler(t *testing.T, held *lagging, at *arriving) *Handler {
-	handler := newHandler(t, &quiet{}, present)
+// tenantHandler returns a handler with one back end, behind the recording node.
+func tenantHandler(t *testing.T, freshness *fakeFreshness, node *recordingNode) *Handler {
+	handler := newHandler(t, &fakeObserver{}, probeOK)
 	members := roster.New(roster.Record{Node: "self", Epoch: 1, Zone: "z"})
 	members.Merge([]*roster.Record{{
-		Node: "a", Epoch: 1, Address: at.Listener.Addr().String(), Zone: "z",
+		Node: "a", Epoch: 1, Address: node.Listener.Addr().String(), Zone: "z",
 		Endpoint: &roster.Endpoint{ID: "i", Service: "s", Slots: 8, State: roster.Ready},
 	}})
 	handler.options.View = members.View
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
-	handler.options.Table = func() *route.Table { return held.table }
-	handler.options.Freshness = held
+	handler.options.Table = func() *route.Table { return freshness.table }
+	handler.options.Freshness = freshness
 	return handler
 }
 
@@ -86,13 +86,14 @@
 	return recorder
 }
 
-// TestTenants: who has no tenant's key is refused once the node knows that it is level, the
-// key goes no further, and what a caller says of its tenant counts for nothing.
+// TestTenants: callers without a tenant's key are refused once the node has confirmed that its
+// configuration is the newest. The key is not forwarded, and the caller's own tenant header is
+// ignored.
 func TestTenants(t *testing.T) {
 	cases := []struct {
 		name, path, key string
 		before, after   route.Key // the tenant's key in the version in force, and in the newest
-		may             bool      // the node can catch up
+		canAdvance      bool      // the node can catch up
 		status          int
 		tenant          string
 	}{
@@ -101,76 +102,76 @@
 		{"no key", "/closed/", "", "k", "k", true, 401, ""},
 		{"an unknown key", "/closed/", "x", "k", "k", true, 401, ""},
 		{"a key that was just added", "/closed/", "new", "k", "new", true, 200, "acme"},
-		{"an unknown key, and nobody who says whether it is new", "/closed/", "x", "k", "k", false, 503, ""},
+		{"an unknown key, unconfirmed", "/closed/", "x", "k", "k", false, 503, ""},
 		{"an open route without a key", "/open/", "", "k", "k", true, 200, ""},
 		{"an open route with an unknown key", "/open/", "x", "k", "k", true, 200, ""},
 		{"an open route with a key", "/open/", "k", "k", "k", true, 200, "acme"},
 		{"no route", "/none/", "k", "k", "k", true, 404, ""},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			at := newArriving(t)
+			node := newRecordingNode(t)
 			rank := 1
-			tenant := route.Tenant{Name: "acme", Keys: []route.Key{played.before}, Priority: &rank}
-			held := &lagging{table: keyed(t, 1, tenant), may: played.may}
-			tenant.Keys = []route.Key{played.after}
-			held.next = keyed(t, 2, tenant)
+			tenant := route.Tenant{Name: "acme", Keys: []route.Key{test.before}, Priority: &rank}
+			freshness := &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: test.canAdvance}
+			tenant.Keys = []route.Key{test.after}
+			freshness.next = tenantTable(t, 2, tenant)
 			header := http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}
-			if played.key != "" {
-				header[keyHeader] = []string{played.key}
+			if test.key != "" {
+				header[keyHeader] = []string{test.key}
 			}
-			handler := keyedHandler(t, held, at)
-			g.Expect(request(t, handler, played.path, header).Code).To(Equal(played.status))
-			if played.status != http.StatusOK {
-				g.Expect(at.headers).To(BeEmpty())
+			handler := tenantHandler(t, freshness, node)
+			g.Expect(request(t, handler, test.path, header).Code).To(Equal(test.status))
+			if test.status != http.StatusOK {
+				g.Expect(node.headers).To(BeEmpty())
 				return
 			}
-			g.Expect(at.headers).To(HaveLen(1))
-			g.Expect(at.headers[0]).NotTo(HaveKey(keyHeader))
-			g.Expect(at.headers[0].Get(tenantHeader)).To(Equal(played.tenant))
+			g.Expect(node.headers).To(HaveLen(1))
+			g.Expect(node.headers[0]).NotTo(HaveKey(keyHeader))
+			g.Expect(node.headers[0].Get(tenantHeader)).To(Equal(test.tenant))
 			priority := 5
-			if played.tenant == "acme" {
+			if test.tenant == "acme" {
 				priority = rank
 			}
-			g.Expect(at.hops[0].Priority).To(Equal(priority), "a tenant's priority goes before the route's")
+			g.Expect(node.hops[0].Priority).To(Equal(priority), "a tenant's priority takes precedence over the route's")
 		})
 	}
 }
 
-// TestWithoutTenants nobody needs a key.
+// TestWithoutTenants: a configuration without tenants requires no key.
 func TestWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
-	at := newArriving(t)
-	handler := keyedHandler(t, &lagging{table: leading(t, 1, "s"), may: true}, at)
+	node := newRecordingNode(t)
+	handler := tenantHandler(t, &fakeFreshness{table: tableWithRoute(t, 1, "s"), canAdvance: true}, node)
 	g.Expect(request(t, handler, "/r/", http.Header{"Deadline-Ms": {"3000"}, tenantHeader: {"forged"}}).Code).To(Equal(http.StatusOK))
-	g.Expect(at.headers[0]).NotTo(HaveKey(tenantHeader))
+	g.Expect(node.headers[0]).NotTo(HaveKey(tenantHeader))
 }
 
-// TestAKeyThatWasTakenAway: a request that was routed before is given back by a node that has
+// TestRevokedKey: a request that was routed before the key was revoked is returned by a node with
 // the newer configuration, and refused.
-func TestAKeyThatWasTakenAway(t *testing.T) {
+func TestRevokedKey(t *testing.T) {
 	g := NewWithT(t)
-	given := newPeer(t, givesBack)
-	held := &lagging{
-		table: keyed(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"old"}}),
-		next:  keyed(t, 2, route.Tenant{Name: "acme", Keys: []route.Key{"new"}}), may: true,
+	moved := newPeer(t, answerMoved)
+	freshness := &fakeFreshness{
+		table: tenantTable(t, 1, route.Tenant{Name: "acme", Keys: []route.Key{"old"}}),
+		next:  tenantTable(t, 2, route.Tenant{Name: "acme", Keys: []route.Key{"new"}}), canAdvance: true,
 	}
-	handler := playLate(t, held, given, given)
+	handler := outdatedHandler(t, freshness, moved, moved)
 	handler.options.Vocabulary.APIKey, handler.options.Vocabulary.Tenant = keyHeader, tenantHeader
 	header := http.Header{"Deadline-Ms": {"3000"}, keyHeader: {"old"}}
 	g.Expect(request(t, handler, "/closed/", header).Code).To(Equal(http.StatusUnauthorized))
-	g.Expect(given.requests.Load()).To(BeEquivalentTo(1))
+	g.Expect(moved.requests.Load()).To(BeEquivalentTo(1))
 }
 
-// TestNoKeyInTheLog whatever becomes of a request.
-func TestNoKeyInTheLog(t *testing.T) {
+// TestKeysNotLogged: neither accepted nor refused requests log the key.
+func TestKeysNotLogged(t *testing.T) {
 	g := NewWithT(t)
 	core, logged := observer.New(zapcore.DebugLevel)
-	at := newArriving(t)
+	node := newRecordingNode(t)
 	tenant := route.Tenant{Name: "acme", Keys: []route.Key{"secret-known"}}
-	handler := keyedHandler(t, &lagging{table: keyed(t, 1, tenant), may: true}, at)
-	handler.options.Logger, handler.served = zap.New(core), zap.New(core)
+	handler := tenantHandler(t, &fakeFreshness{table: tenantTable(t, 1, tenant), canAdvance: true}, node)
+	handler.options.Logger, handler.servedLogger = zap.New(core), zap.New(core)
 	for _, key := range []string{"secret-known", "secret-unknown"} {
 		request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {key}})
 	}
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -9,12 +9,12 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/choice"
 )
 
-// visit is one send of a request: what was believed of the node when it was
-// chosen, and what came of it.
-type visit struct {
+// attemptRecord records one attempt of a request: the state of the node when it was chosen, and the
+// result.
+type attemptRecord struct {
 	target *target
-	// seen is what the choice was made by, reportAge how old the node's own
-	// account of its load was then; below zero when there was none.
+	// seen is the candidate as it was described when it was chosen, reportAge the age of the node's
+	// load report at that time; below zero without a report.
 	seen      choice.Candidate
 	reportAge time.Duration
 	outcome   outcome.Outcome
@@ -22,17 +22,17 @@
 	elapsed   time.Duration
 }
 
-// loggedFailing is the least share of failures that is worth a word in the log.
-const loggedFailing = 0.05
+// minLoggedFailing is the smallest share of failures that is logged.
+const minLoggedFailing = 0.05
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
-func (v *visit) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
+func (v *attemptRecord) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("node", v.target.node)
 	encoder.AddFloat64("busy", v.seen.Outstanding)
 	encoder.AddInt("slots", v.seen.Slots)
 	encoder.AddDuration("work", v.seen.ServiceTime)
 	encoder.AddDuration("reportAge", v.reportAge)
-	if v.seen.FailureRate >= loggedFailing {
+	if v.seen.FailureRate >= minLoggedFailing {
 		encoder.AddFloat64("failing", v.seen.FailureRate)
 	}
 	if v.seen.Wait > 0 {
@@ -50,11 +50,11 @@
 	return nil
 }
 
-// visits are the sends of one request, in order.
-type visits []visit
+// attempts holds the attempts of one request, in order.
+type attempts []attemptRecord
 
-// mayHaveRun is how many of the sends a back end may have run.
-func (v visits) mayHaveRun() int {
+// possibleRuns returns how many of the attempts a back end may have run.
+func (v attempts) possibleRuns() int {
 	count := 0
 	for index := range v {
 		if v[index].outcome != outcome.NotRun {
@@ -65,7 +65,7 @@
 }
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
-func (v visits) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
+func (v attempts) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
 	for index := range v {
 		if err := encoder.AppendObject(&v[index]); err != nil {
 			return err
