--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -60,30 +60,30 @@
 }
 
 const (
-	// crowding is how much longer a back end works when all its slots are
+	// saturationOverhead is how much longer a back end works when all its slots are
 	// taken, as a share of the time it takes when they are not.
-	crowding = 0.3
-	// assumedAim stands in for a route without a target latency.
-	assumedAim = time.Second
-	// lateness is how much of the worth is lost by an answer that comes late.
-	lateness = 0.7
+	saturationOverhead = 0.3
+	// defaultTargetLatency stands in for a route without a target latency.
+	defaultTargetLatency = time.Second
+	// lateAnswerCost is how much of the worth is lost by an answer that comes late.
+	lateAnswerCost = 0.7
 	// Times scatter widely to the long side, as in a log-logistic distribution:
-	// typical is its median as a share of the expected time, steepness its shape.
-	typical   = 0.83
-	steepness = 2.8
-	// slowness is the price of a whole target latency of waiting. It tells apart
+	// latencyMedianRatio is its median as a share of the expected time, steepness its shape.
+	latencyMedianRatio = 0.83
+	latencyShape       = 2.8
+	// latencyCost is the price of a whole target latency of waiting. It tells apart
 	// back ends that would all answer in time, or all late.
-	slowness = 0.1
-	// usualFailing is a share of failures that costs nothing: a failure now and
+	latencyCost = 0.1
+	// toleratedFailureRate is a share of failures that costs nothing: a failure now and
 	// then is no reason to leave the zone.
-	usualFailing = 0.05
+	toleratedFailureRate = 0.05
 )
 
 // ExpectedLatency estimates the time until the candidate's answer.
 func ExpectedLatency(candidate Candidate) time.Duration {
 	slots := float64(max(candidate.Slots, 1))
 	used := min(candidate.Outstanding/slots, 1)
-	expected := float64(candidate.ServiceTime) * (1 + crowding*used*used)
+	expected := float64(candidate.ServiceTime) * (1 + saturationOverhead*used*used)
 	if waiting := candidate.Outstanding + 1 - slots; waiting > 0 {
 		expected += float64(candidate.HoldTime) * waiting / slots
 	}
@@ -94,18 +94,18 @@
 // candidate: the chance that the answer comes late, the chance that it is a
 // failure, and what cannot be measured in time. Far below the target latency
 // differences hardly count; near it they outweigh the zone.
-func Cost(candidate Candidate, aim time.Duration, weights Weights) float64 {
-	if aim <= 0 {
-		aim = assumedAim
+func Cost(candidate Candidate, targetLatency time.Duration, weights Weights) float64 {
+	if targetLatency <= 0 {
+		targetLatency = defaultTargetLatency
 	}
-	share := float64(ExpectedLatency(candidate)) / float64(aim)
-	cost := lateness / (1 + math.Pow(typical*share, -steepness))
-	cost += slowness*share + max(candidate.FailureRate-usualFailing, 0)
-	return candidate.added(cost, weights)
+	ratio := float64(ExpectedLatency(candidate)) / float64(targetLatency)
+	cost := lateAnswerCost / (1 + math.Pow(latencyMedianRatio*ratio, -latencyShape))
+	cost += latencyCost*ratio + max(candidate.FailureRate-toleratedFailureRate, 0)
+	return candidate.withPenalties(cost, weights)
 }
 
-// added returns the cost with the prices of what cannot be measured in time.
-func (c Candidate) added(cost float64, weights Weights) float64 {
+// withPenalties returns the cost with the prices of what cannot be measured in time.
+func (c Candidate) withPenalties(cost float64, weights Weights) float64 {
 	if !c.SameZone {
 		cost += weights.OtherZone
 	}
--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -21,10 +21,10 @@
 		return from
 	}
 	cases := []struct {
-		name       string
-		candidates []choice.Candidate
-		aim        time.Duration
-		want       int
+		name          string
+		candidates    []choice.Candidate
+		targetLatency time.Duration
+		want          int
 	}{
 		{"none", nil, 300 * ms, -1},
 		{"the zone", []choice.Candidate{far, near}, 300 * ms, 1},
@@ -64,27 +64,27 @@
 			with(near, func(c *choice.Candidate) { c.Outstanding = 20 }), near,
 		}, 0, 1},
 	}
-	for _, chosen := range cases {
-		t.Run(chosen.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for seed := range uint64(20) {
-				g.Expect(drawFrom(chosen.candidates, chosen.aim, rand.New(rand.NewPCG(seed, 0)))).To(Equal(chosen.want))
+				g.Expect(selectFrom(tc.candidates, tc.targetLatency, rand.New(rand.NewPCG(seed, 0)))).To(Equal(tc.want))
 			}
 		})
 	}
 }
 
-// drawFrom draws from candidates in any order and returns the place of the chosen
+// selectFrom draws from candidates in any order and returns the place of the chosen
 // one in it.
-func drawFrom(candidates []choice.Candidate, aim time.Duration, random *rand.Rand) int {
-	return chosenFrom(choice.Select, candidates, aim, random)
+func selectFrom(candidates []choice.Candidate, targetLatency time.Duration, random *rand.Rand) int {
+	return selectWith(choice.Select, candidates, targetLatency, random)
 }
 
-// drawFunc is Draw or DrawBalanced.
-type drawFunc func(choice.Pool, time.Duration, func(int) int, choice.Weights) (int, choice.Candidate)
+// selectFunc is Draw or DrawBalanced.
+type selectFunc func(choice.Pool, time.Duration, func(int) int, choice.Weights) (int, choice.Candidate)
 
-// chosenFrom is drawFrom with another choice.
-func chosenFrom(draw drawFunc, candidates []choice.Candidate, aim time.Duration, random *rand.Rand) int {
+// selectWith is drawFrom with another choice.
+func selectWith(selectBackend selectFunc, candidates []choice.Candidate, targetLatency time.Duration, random *rand.Rand) int {
 	var places []int
 	near := 0
 	for place, candidate := range candidates {
@@ -98,7 +98,7 @@
 	pool := choice.Pool{Local: near, Remote: len(candidates) - near, Describe: func(index int) choice.Candidate {
 		return candidates[places[index]]
 	}}
-	index, _ := draw(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := selectBackend(pool, targetLatency, random.IntN, choice.DefaultWeights())
 	if index < 0 {
 		return index
 	}
@@ -129,7 +129,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for place := range 40 {
-				g.Expect(drawFrom(pool(40, place, unusable), 300*ms, random)).To(Equal(place))
+				g.Expect(selectFrom(pool(40, place, unusable), 300*ms, random)).To(Equal(place))
 			}
 		})
 	}
@@ -143,7 +143,7 @@
 		}
 		slow := 0
 		for range 1000 {
-			if drawFrom(candidates, 300*ms, random)%5 < 2 {
+			if selectFrom(candidates, 300*ms, random)%5 < 2 {
 				slow++
 			}
 		}
@@ -167,10 +167,10 @@
 		return with(from, func(c *choice.Candidate) { c.ServiceTime *= times })
 	}
 	cases := []struct {
-		name       string
-		candidates []choice.Candidate
-		aim        time.Duration
-		want       int
+		name          string
+		candidates    []choice.Candidate
+		targetLatency time.Duration
+		want          int
 	}{
 		{"none", nil, 300 * ms, -1},
 		{"the zone", []choice.Candidate{far, near}, 300 * ms, 1},
@@ -204,11 +204,11 @@
 		{"a back end that tells no slots", []choice.Candidate{with(near, func(c *choice.Candidate) { c.Slots = 0 }), near}, 300 * ms, 1},
 	}
 	random := rand.New(rand.NewPCG(3, 4))
-	for _, drawn := range cases {
-		t.Run(drawn.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for range 20 {
-				g.Expect(chosenFrom(choice.SelectBalanced, drawn.candidates, drawn.aim, random)).To(Equal(drawn.want))
+				g.Expect(selectWith(choice.SelectBalanced, tc.candidates, tc.targetLatency, random)).To(Equal(tc.want))
 			}
 		})
 	}
@@ -217,7 +217,7 @@
 		for place := range 40 {
 			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Draining = true })}, 40)
 			candidates[place] = near
-			g.Expect(chosenFrom(choice.SelectBalanced, candidates, 300*ms, random)).To(Equal(place))
+			g.Expect(selectWith(choice.SelectBalanced, candidates, 300*ms, random)).To(Equal(place))
 		}
 	})
 }
@@ -239,7 +239,7 @@
 	taken := make([]int, len(same))
 	const draws = 5000
 	for range draws {
-		taken[drawFrom(same, time.Second, random)]++
+		taken[selectFrom(same, time.Second, random)]++
 	}
 	for _, count := range taken {
 		g.Expect(count).To(BeNumerically("~", draws/len(same), 100))
@@ -264,10 +264,10 @@
 		{"came back, no time to do so again", choice.Request{LatencyTarget: 200 * ms, Remaining: 400 * ms, CallerRemaining: 400 * ms, ExpectedServiceTime: 100 * ms, Returning: true}, 200 * ms},
 		{"hardly any time at all", choice.Request{LatencyTarget: 100 * ms, Remaining: 40 * ms, CallerRemaining: 40 * ms, ExpectedServiceTime: 20 * ms}, 20 * ms},
 	}
-	for _, asked := range cases {
-		t.Run(asked.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(choice.MaximumWait(asked.request)).To(Equal(asked.wait))
+			g.Expect(choice.MaximumWait(tc.request)).To(Equal(tc.wait))
 		})
 	}
 }
@@ -321,10 +321,10 @@
 func TestToldPace(t *testing.T) {
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
-	answer := func(worked time.Duration, told float64) {
+	answer := func(worked time.Duration, reported float64) {
 		now = now.Add(40 * ms)
-		pace.SetReported(told, now)
-		pace.ObserveReported(worked, 100*ms, told, now)
+		pace.SetReported(reported, now)
+		pace.ObserveReported(worked, 100*ms, reported, now)
 	}
 	for range 400 {
 		answer(80*ms, 0.8)
@@ -334,12 +334,12 @@
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 2, 0.02), "told just now")
 	g.Expect(pace.Factor(now.Add(300*ms))).To(BeNumerically("~", 1.4, 0.02), "half way to the average")
 	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 0.8, 0.02), "the average")
-	told, age := pace.Reported(now.Add(time.Second))
-	g.Expect(told).To(Equal(2.0))
+	reported, age := pace.Reported(now.Add(time.Second))
+	g.Expect(reported).To(Equal(2.0))
 	g.Expect(age).To(Equal(time.Second))
 	g.Expect(pace.Factor(now.Add(time.Minute))).To(BeNumerically("~", 1, 0.02), "too old")
-	told, _ = pace.Reported(now.Add(time.Minute))
-	g.Expect(told).To(BeZero())
+	reported, _ = pace.Reported(now.Add(time.Minute))
+	g.Expect(reported).To(BeZero())
 }
 
 // TestToldPaceOfALiar: what a back end tells falsely all the time, work corrects.
@@ -443,7 +443,7 @@
 	cases := []struct {
 		name              string
 		sends, candidates int
-		brief             bool
+		short             bool
 	}{
 		{"the first of many", 0, 22, true},
 		{"the second", 1, 22, true},
@@ -454,16 +454,16 @@
 		{"the only one", 0, 1, false},
 		{"nothing is known", 0, 0, false},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := choice.Request{
 				LatencyTarget: 600 * ms, Remaining: 4000 * ms, CallerRemaining: 4000 * ms, ExpectedServiceTime: 200 * ms,
 			}
 			whole := choice.MaximumWait(request)
-			request.Sends, request.Candidates = met.sends, met.candidates
+			request.Sends, request.Candidates = tc.sends, tc.candidates
 			wait := choice.MaximumWait(request)
-			if met.brief {
+			if tc.short {
 				g.Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<", whole/2)))
 			} else {
 				g.Expect(wait).To(Equal(whole))
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -13,9 +13,9 @@
 type Pace struct {
 	mutex sync.Mutex // guards all below
 	// factor is what is learned, beside what the back end tells.
-	factor  float64
-	samples float64
-	told    told
+	factor   float64
+	samples  float64
+	reported reported
 	// running are the requests that it works on now.
 	running map[*Run]struct{}
 }
@@ -34,8 +34,8 @@
 	// highestFactor bounds the factor that a peer may tell: a back end that is
 	// slower serves nobody in time either, and it must be forgotten some time.
 	highestFactor = 2 * highestRatio
-	// usualFactor is that of a back end of which nothing is known.
-	usualFactor = 1
+	// neutralFactor is that of a back end of which nothing is known.
+	neutralFactor = 1
 	// priorSamples have the first requests count as if some usual ones had come
 	// before.
 	priorSamples = 3
@@ -50,20 +50,20 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if factor <= 0 {
-		p.told = told{}
+		p.reported = reported{}
 		return
 	}
-	p.told = p.told.after(min(max(factor, lowestRatio), highestRatio), now)
+	p.reported = p.reported.updated(min(max(factor, lowestRatio), highestRatio), now)
 }
 
 // Reported returns what the back end last said and how old that is; zero when it never did.
 func (p *Pace) Reported(now time.Time) (factor float64, age time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.told.silent(now) {
+	if p.reported.expired(now) {
 		return 0, 0
 	}
-	return p.told.factor, now.Sub(p.told.at)
+	return p.reported.factor, now.Sub(p.reported.at)
 }
 
 // Begin notes that the back end begins a request that is expected to take that
@@ -90,7 +90,7 @@
 func (p *Pace) Observe(worked, expected time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.observe(worked, expected, usualFactor)
+	p.observe(worked, expected, neutralFactor)
 }
 
 // ObserveReported takes in one request, whose answer told that factor; zero when it told none. Then
@@ -99,20 +99,20 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if factor <= 0 {
-		factor = p.told.believed(now)
+		factor = p.reported.current(now)
 	}
 	p.observe(worked, expected, min(max(factor, lowestRatio), highestRatio))
 }
 
 // observe learns from one request with the told factor divided out. The lock is held.
-func (p *Pace) observe(worked, expected time.Duration, told float64) {
+func (p *Pace) observe(worked, expected time.Duration, reported float64) {
 	if expected <= 0 {
 		return
 	}
-	ratio := min(max(float64(worked)/float64(expected)/told, lowestRatio), highestRatio)
+	ratio := min(max(float64(worked)/float64(expected)/reported, lowestRatio), highestRatio)
 	p.samples = min(p.samples+1, paceSamples)
 	if p.factor == 0 {
-		p.factor = usualFactor
+		p.factor = neutralFactor
 	}
 	p.factor += (ratio - p.factor) / (p.samples + priorSamples)
 }
@@ -125,10 +125,10 @@
 	defer p.mutex.Unlock()
 	factor := p.factor
 	if factor == 0 {
-		factor = usualFactor
+		factor = neutralFactor
 	}
-	if !p.told.silent(now) {
-		factor = max(factor*p.told.believed(now), lowestRatio)
+	if !p.reported.expired(now) {
+		factor = max(factor*p.reported.current(now), lowestRatio)
 	}
 	excess := 0.0
 	for run := range p.running {
@@ -143,22 +143,22 @@
 // DecayedPace returns what a factor of that age still says. heard is the time in which
 // half of a report of the load is forgotten where it comes from: who hears of a back
 // end rarely remembers its pace for longer.
-func DecayedPace(factor float64, age, heard time.Duration) float64 {
+func DecayedPace(factor float64, age, sourceHalfLife time.Duration) float64 {
 	if factor <= 0 {
-		return usualFactor
+		return neutralFactor
 	}
-	return usualFactor + (min(factor, highestFactor)-usualFactor)*fading(age, heard)
+	return neutralFactor + (min(factor, highestFactor)-neutralFactor)*decay(age, sourceHalfLife)
 }
 
 // DecayedFailureRate returns what a share of failures of that age still says: a back end
 // that was left alone is tried again.
-func DecayedFailureRate(share float64, age, heard time.Duration) float64 {
-	return min(share, 1) * fading(age, heard)
+func DecayedFailureRate(share float64, age, sourceHalfLife time.Duration) float64 {
+	return min(share, 1) * decay(age, sourceHalfLife)
 }
 
-// fading is the part of a report that still counts after that time.
-func fading(age, heard time.Duration) float64 {
-	return math.Exp2(-float64(age) / float64(max(paceHalfLife, heard)))
+// decay is the part of a report that still counts after that time.
+func decay(age, sourceHalfLife time.Duration) float64 {
+	return math.Exp2(-float64(age) / float64(max(paceHalfLife, sourceHalfLife)))
 }
 
 // ServiceTime is the usual time that requests of one route are worked on. It is safe
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -24,24 +24,24 @@
 }
 
 const (
-	// earlyShare is the part of the target latency within which a refusal
+	// minimumWaitShare is the part of the target latency within which a refusal
 	// leaves the caller time to come back and still be served well.
-	earlyShare = 0.25
-	// lateShare is the part of the remaining time that a request may wait at
+	minimumWaitShare = 0.25
+	// maximumWaitShare is the part of the remaining time that a request may wait at
 	// most.
-	lateShare = 0.5
-	// workMargin is how much longer than expected the work may take.
-	workMargin = 1.5
-	// returnRoom is how many target latencies a caller must wait in all for a
+	maximumWaitShare = 0.5
+	// serviceTimeMargin is how much longer than expected the work may take.
+	serviceTimeMargin = 1.5
+	// retryLatencyTargets is how many target latencies a caller must wait in all for a
 	// refusal to be of use to it: it is refused, rests and is served anew.
-	returnRoom = 3
-	// briefSends is how many of its first sends are brief: the request waits briefShare
+	retryLatencyTargets = 3
+	// shortWaitSends is how many of its first sends are brief: the request waits briefShare
 	// of the time that it may, and looks elsewhere then. What a node knows of queues is
 	// old, so that the next one is mostly shorter. At full load of three services of 22 to
 	// 34 back ends it brought 0.879 of the worth for 0.863, and the routes with the shortest
 	// target latency 0.966 for 0.935 (docs/design/0010-the-shifted-work.md).
-	briefSends = 2
-	briefShare = 0.35
+	shortWaitSends = 2
+	shortWaitShare = 0.35
 )
 
 // MaximumWait returns how long a request may wait for a slot: as long as its answer
@@ -50,29 +50,29 @@
 // has no time to come back, such as a call that a back end makes while it works,
 // is of use until its deadline.
 func MaximumWait(request Request) time.Duration {
-	most := time.Duration(float64(request.Remaining) * lateShare)
+	maximum := time.Duration(float64(request.Remaining) * maximumWaitShare)
 	if request.LatencyTarget <= 0 {
-		return most
+		return maximum
 	}
-	least := time.Duration(float64(request.LatencyTarget) * earlyShare)
-	wait := request.LatencyTarget - request.Elapsed - time.Duration(float64(request.ExpectedServiceTime)*workMargin)
-	wait = min(max(wait, least), most)
+	minimum := time.Duration(float64(request.LatencyTarget) * minimumWaitShare)
+	wait := request.LatencyTarget - request.Elapsed - time.Duration(float64(request.ExpectedServiceTime)*serviceTimeMargin)
+	wait = min(max(wait, minimum), maximum)
 	if request.LacksRetryTime() {
-		wait = min(max(request.Remaining-request.ExpectedServiceTime, wait), most)
+		wait = min(max(request.Remaining-request.ExpectedServiceTime, wait), maximum)
 	}
-	if request.brief() {
-		wait = time.Duration(float64(wait) * briefShare)
+	if request.waitsShort() {
+		wait = time.Duration(float64(wait) * shortWaitShare)
 	}
 	return wait
 }
 
-// brief reports whether the next send is brief: one of the first, with more candidates left
-// than brief sends, so that at least one of them is asked for the whole time.
-func (r Request) brief() bool {
-	return r.Sends < briefSends && r.Candidates-r.Sends > briefSends
+// waitsShort reports whether the next send is waitsShort: one of the first, with more candidates left
+// than waitsShort sends, so that at least one of them is asked for the whole time.
+func (r Request) waitsShort() bool {
+	return r.Sends < shortWaitSends && r.Candidates-r.Sends > shortWaitSends
 }
 
 // LacksRetryTime reports whether the caller has no time to come back after a refusal.
 func (r Request) LacksRetryTime() bool {
-	return r.LatencyTarget > 0 && r.CallerRemaining < returnRoom*r.LatencyTarget
+	return r.LatencyTarget > 0 && r.CallerRemaining < retryLatencyTargets*r.LatencyTarget
 }
--- a/internal/sidecar/choice/told.go
+++ b/internal/sidecar/choice/told.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// told is what a back end says of how long work takes there: by the speed of its machine, and by
+// reported is what a back end says of how long work takes there: by the speed of its machine, and by
 // other work on it, which comes and goes. It is immutable; the zero value is of a back end that
 // says nothing.
-type told struct {
+type reported struct {
 	// factor is the last report, at when it came; zero before the first.
 	factor float64
 	at     time.Time
@@ -17,33 +17,35 @@
 }
 
 const (
-	// toldHalfLife is the time after which a report is half way to the average: other work on a
+	// reportHalfLife is the time after which a report is half way to the average: other work on a
 	// machine comes and goes within some tenths of a second.
-	toldHalfLife = 300 * time.Millisecond
+	reportHalfLife = 300 * time.Millisecond
 	// meanHalfLife is the time in which half of the average is renewed. It spans several periods
 	// of other work.
 	meanHalfLife = 3 * time.Second
-	// toldMost is the age from which neither says anything.
-	toldMost = 30 * time.Second
+	// reportMaximumAge is the age from which neither says anything.
+	reportMaximumAge = 30 * time.Second
 )
 
-// after returns what is known after a report.
-func (t told) after(factor float64, now time.Time) told {
-	if t.silent(now) {
-		return told{factor: factor, at: now, mean: factor}
+// updated returns what is known updated a report.
+func (r reported) updated(factor float64, now time.Time) reported {
+	if r.expired(now) {
+		return reported{factor: factor, at: now, mean: factor}
 	}
-	kept := math.Exp2(-float64(max(now.Sub(t.at), 0)) / float64(meanHalfLife))
-	return told{factor: factor, at: now, mean: t.mean*kept + t.factor*(1-kept)}
+	kept := math.Exp2(-float64(max(now.Sub(r.at), 0)) / float64(meanHalfLife))
+	return reported{factor: factor, at: now, mean: r.mean*kept + r.factor*(1-kept)}
 }
 
-// silent reports whether the back end says nothing, or has not for too long.
-func (t told) silent(now time.Time) bool { return t.factor == 0 || now.Sub(t.at) > toldMost }
+// expired reports whether the back end says nothing, or has not for too long.
+func (r reported) expired(now time.Time) bool {
+	return r.factor == 0 || now.Sub(r.at) > reportMaximumAge
+}
 
-// believed returns what the last report says now: an old one is worth no more than the average.
-func (t told) believed(now time.Time) float64 {
-	if t.silent(now) {
-		return usualFactor
+// current returns what the last report says now: an old one is worth no more than the average.
+func (r reported) current(now time.Time) float64 {
+	if r.expired(now) {
+		return neutralFactor
 	}
-	fresh := math.Exp2(-float64(max(now.Sub(t.at), 0)) / float64(toldHalfLife))
-	return t.mean + (t.factor-t.mean)*fresh
+	fresh := math.Exp2(-float64(max(now.Sub(r.at), 0)) / float64(reportHalfLife))
+	return r.mean + (r.factor-r.mean)*fresh
 }
