--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -33,8 +33,8 @@
 // ErrBaseMismatch says that a change does not start from the document it is applied to.
 var ErrBaseMismatch = errors.New("route: the change starts from another document")
 
-// place identifies a route within a document.
-func (r *Route) place() string { return normalizeHost(r.Host) + r.PathPrefix }
+// key identifies a route within a document.
+func (r *Route) key() string { return normalizeHost(r.Host) + r.PathPrefix }
 
 // name identifies a service within a document.
 func (s *Service) name() string { return s.Name }
@@ -50,9 +50,9 @@
 		return change
 	}
 	change.Base = base.Version
-	change.Routes, change.RemovedRoutes = differing(base.Routes, d.Routes, (*Route).place)
-	change.Services, change.RemovedServices = differing(base.Services, d.Services, (*Service).name)
-	change.Tenants, change.RemovedTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
+	change.Routes, change.RemovedRoutes = diffItems(base.Routes, d.Routes, (*Route).key)
+	change.Services, change.RemovedServices = diffItems(base.Services, d.Services, (*Service).name)
+	change.Tenants, change.RemovedTenants = diffItems(base.Tenants, d.Tenants, (*Tenant).name)
 	return change
 }
 
@@ -66,9 +66,9 @@
 	case base == nil || base.Version != c.Base:
 		return nil, ErrBaseMismatch
 	default:
-		document.Routes = replaced(base.Routes, c.Routes, c.RemovedRoutes, (*Route).place)
-		document.Services = replaced(base.Services, c.Services, c.RemovedServices, (*Service).name)
-		document.Tenants = replaced(base.Tenants, c.Tenants, c.RemovedTenants, (*Tenant).name)
+		document.Routes = applyItems(base.Routes, c.Routes, c.RemovedRoutes, (*Route).key)
+		document.Services = applyItems(base.Services, c.Services, c.RemovedServices, (*Service).name)
+		document.Tenants = applyItems(base.Tenants, c.Tenants, c.RemovedTenants, (*Tenant).name)
 	}
 	if len(document.Routes) != c.RouteCount || len(document.Services) != c.ServiceCount || len(document.Tenants) != c.TenantCount {
 		return nil, ErrBaseMismatch
@@ -76,30 +76,30 @@
 	return document, nil
 }
 
-// differing returns the items of after that before lacks or has otherwise, and
+// diffItems returns the items of after that before lacks or has otherwise, and
 // the keys of those that after lacks.
-func differing[T any](before, after []T, key func(*T) string) (changed []T, gone []string) {
-	held := make(map[string]*T, len(before))
+func diffItems[T any](before, after []T, key func(*T) string) (changed []T, removed []string) {
+	previous := make(map[string]*T, len(before))
 	for i := range before {
-		held[key(&before[i])] = &before[i]
+		previous[key(&before[i])] = &before[i]
 	}
 	for i := range after {
 		k := key(&after[i])
-		if old := held[k]; old == nil || !reflect.DeepEqual(*old, after[i]) {
+		if earlier := previous[k]; earlier == nil || !reflect.DeepEqual(*earlier, after[i]) {
 			changed = append(changed, after[i])
 		}
-		delete(held, k)
+		delete(previous, k)
 	}
-	for k := range held {
-		gone = append(gone, k)
+	for k := range previous {
+		removed = append(removed, k)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-// replaced returns before with the changed items in it and without those that
+// applyItems returns before with the changed items in it and without those that
 // are gone. Items that stay are shared with before.
-func replaced[T any](before, changed []T, gone []string, key func(*T) string) []T {
+func applyItems[T any](before, changed []T, removed []string, key func(*T) string) []T {
 	next := make(map[string]*T, len(changed))
 	for i := range changed {
 		next[key(&changed[i])] = &changed[i]
@@ -107,7 +107,7 @@
 	after := make([]T, 0, len(before)+len(changed))
 	for i := range before {
 		k := key(&before[i])
-		if _, lost := slices.BinarySearch(gone, k); lost {
+		if _, found := slices.BinarySearch(removed, k); found {
 			continue
 		}
 		if newer := next[k]; newer != nil {
--- a/internal/sidecar/route/change_test.go
+++ b/internal/sidecar/route/change_test.go
@@ -42,12 +42,12 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		change := &route.Change{}
 		g.Expect(json.Unmarshal(encoded, change)).To(Succeed())
-		made, err := change.Apply(base)
+		result, err := change.Apply(base)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(made.Version).To(BeEquivalentTo(2))
-		g.Expect(made.Limits).To(Equal(wanted.Limits))
-		g.Expect(made.Routes).To(ConsistOf(wanted.Routes))
-		g.Expect(made.Services).To(ConsistOf(wanted.Services))
+		g.Expect(result.Version).To(BeEquivalentTo(2))
+		g.Expect(result.Limits).To(Equal(wanted.Limits))
+		g.Expect(result.Routes).To(ConsistOf(wanted.Routes))
+		g.Expect(result.Services).To(ConsistOf(wanted.Services))
 	}
 }
 
--- a/internal/sidecar/route/document.go
+++ b/internal/sidecar/route/document.go
@@ -81,39 +81,39 @@
 // Error names field and reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
 
-func refuse(field, format string, arguments ...any) error {
+func fieldError(field, format string, arguments ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, arguments...)}
 }
 
 // Validate returns a *FieldError for the first field that is not acceptable.
 func (d *Document) Validate() error {
 	if d.Version == 0 {
-		return refuse("version", "must be above zero")
+		return fieldError("version", "must be above zero")
 	}
 	declared := make(map[string]bool, len(d.Services))
 	for _, service := range d.Services {
 		if service.Name == "" {
-			return refuse("services", "a service has no name")
+			return fieldError("services", "a service has no name")
 		}
 		if service.WarmupTime < 0 || !(service.WarmupRate >= 0) {
-			return refuse("services."+service.Name+".warmup", "a time or rate is below zero")
+			return fieldError("services."+service.Name+".warmup", "a time or rate is below zero")
 		}
 		declared[service.Name] = true
 	}
 	if err := validateTenants(d.Tenants); err != nil {
 		return err
 	}
-	places := make(map[string]string, len(d.Routes))
+	owners := make(map[string]string, len(d.Routes))
 	for index := range d.Routes {
 		route := &d.Routes[index]
 		if err := route.validate(declared); err != nil {
 			return err
 		}
-		place := normalizeHost(route.Host) + route.PathPrefix
-		if other, taken := places[place]; taken {
-			return refuse("routes."+route.Name+".pathPrefix", "host and prefix are those of route %s", other)
+		key := normalizeHost(route.Host) + route.PathPrefix
+		if owner, taken := owners[key]; taken {
+			return fieldError("routes."+route.Name+".pathPrefix", "host and prefix are those of route %s", owner)
 		}
-		places[place] = route.Name
+		owners[key] = route.Name
 	}
 	return d.Limits.validate()
 }
@@ -122,19 +122,19 @@
 	field := "routes." + r.Name
 	switch {
 	case r.Name == "":
-		return refuse("routes", "a route has no name")
+		return fieldError("routes", "a route has no name")
 	case r.Host == "":
-		return refuse(field+".host", "is empty")
+		return fieldError(field+".host", "is empty")
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
-		return refuse(field+".pathPrefix", "%q does not begin and end with a slash", r.PathPrefix)
+		return fieldError(field+".pathPrefix", "%q does not begin and end with a slash", r.PathPrefix)
 	case r.Attempts < 1:
-		return refuse(field+".attempts", "%d is below one", r.Attempts)
+		return fieldError(field+".attempts", "%d is below one", r.Attempts)
 	case r.Timeout < 0:
-		return refuse(field+".timeout", "%s is below zero", r.Timeout)
+		return fieldError(field+".timeout", "%s is below zero", r.Timeout)
 	case r.TargetLatency < 0:
-		return refuse(field+".targetLatency", "%s is below zero", r.TargetLatency)
+		return fieldError(field+".targetLatency", "%s is below zero", r.TargetLatency)
 	case r.Priority < 0:
-		return refuse(field+".priority", "%d is below zero", r.Priority)
+		return fieldError(field+".priority", "%d is below zero", r.Priority)
 	}
 	return r.validateTargets(field, declared)
 }
@@ -143,15 +143,15 @@
 	total := 0
 	for _, target := range r.Targets {
 		if !declared[target.Service] {
-			return refuse(field+".targets", "service %q is not declared", target.Service)
+			return fieldError(field+".targets", "service %q is not declared", target.Service)
 		}
 		if target.Weight < 0 {
-			return refuse(field+".targets", "the weight of service %q is below zero", target.Service)
+			return fieldError(field+".targets", "the weight of service %q is below zero", target.Service)
 		}
 		total += target.Weight
 	}
 	if total == 0 {
-		return refuse(field+".targets", "no service has a weight")
+		return fieldError(field+".targets", "no service has a weight")
 	}
 	return nil
 }
@@ -159,13 +159,13 @@
 func (l *Limits) validate() error {
 	switch {
 	case l.HeaderBytes < 0:
-		return refuse("limits.headerBytes", "%d is below zero", l.HeaderBytes)
+		return fieldError("limits.headerBytes", "%d is below zero", l.HeaderBytes)
 	case l.BodyBytes < 0:
-		return refuse("limits.bodyBytes", "%d is below zero", l.BodyBytes)
+		return fieldError("limits.bodyBytes", "%d is below zero", l.BodyBytes)
 	case l.HeaderTimeout < 0:
-		return refuse("limits.headerTimeout", "%s is below zero", l.HeaderTimeout)
+		return fieldError("limits.headerTimeout", "%s is below zero", l.HeaderTimeout)
 	case l.IdleTimeout < 0:
-		return refuse("limits.idleTimeout", "%s is below zero", l.IdleTimeout)
+		return fieldError("limits.idleTimeout", "%s is below zero", l.IdleTimeout)
 	}
 	return nil
 }
--- a/internal/sidecar/route/split.go
+++ b/internal/sidecar/route/split.go
@@ -16,13 +16,13 @@
 		total += uint64(target.Weight)
 	}
 	const half = 32
-	place := (s.sequence.Next() >> half) * total >> half
+	position := (s.sequence.Next() >> half) * total >> half
 	for _, target := range targets {
 		weight := uint64(target.Weight)
-		if place < weight {
+		if position < weight {
 			return target.Service
 		}
-		place -= weight
+		position -= weight
 	}
 	return targets[len(targets)-1].Service
 }
--- a/internal/sidecar/route/table.go
+++ b/internal/sidecar/route/table.go
@@ -86,9 +86,9 @@
 // splitOf returns the split of the same targets at the same place, or a new one.
 func (t *Table) splitOf(host string, route *Route) *split {
 	if t != nil {
-		held := t.hosts[host][route.PathPrefix]
-		if held != nil && slices.Equal(held.Targets, route.Targets) {
-			return held.split
+		existing := t.hosts[host][route.PathPrefix]
+		if existing != nil && slices.Equal(existing.Targets, route.Targets) {
+			return existing.split
 		}
 	}
 	return newSplit()
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -49,29 +49,29 @@
 // name identifies a tenant within a document.
 func (t *Tenant) name() string { return t.Name }
 
-// lostKey reports whether the later account of the tenant, which may be nil, lacks one of its keys.
-func (t *Tenant) lostKey(later *Tenant) bool {
+// hasRevokedKey reports whether the later account of the tenant, which may be nil, lacks one of its keys.
+func (t *Tenant) hasRevokedKey(later *Tenant) bool {
 	return later == nil || slices.ContainsFunc(t.Keys, func(key Key) bool { return !slices.Contains(later.Keys, key) })
 }
 
 // TenantsWithRevokedKeys returns the names of the tenants of the document that lack a key in the later one.
 func (d *Document) TenantsWithRevokedKeys(later *Document) map[string]bool {
-	held := make(map[string]*Tenant, len(later.Tenants))
+	laterTenants := make(map[string]*Tenant, len(later.Tenants))
 	for i := range later.Tenants {
-		held[later.Tenants[i].Name] = &later.Tenants[i]
+		laterTenants[later.Tenants[i].Name] = &later.Tenants[i]
 	}
-	var lost map[string]bool
+	var affected map[string]bool
 	for i := range d.Tenants {
 		before := &d.Tenants[i]
-		if !before.lostKey(held[before.Name]) {
+		if !before.hasRevokedKey(laterTenants[before.Name]) {
 			continue
 		}
-		if lost == nil {
-			lost = map[string]bool{}
+		if affected == nil {
+			affected = map[string]bool{}
 		}
-		lost[before.Name] = true
+		affected[before.Name] = true
 	}
-	return lost
+	return affected
 }
 
 // validateTenants returns a *FieldError for the first field that is not acceptable. No error
@@ -84,12 +84,12 @@
 			return err
 		}
 		if names[tenant.Name] {
-			return refuse("tenants."+tenant.Name, "the name is taken")
+			return fieldError("tenants."+tenant.Name, "the name is taken")
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
-			if other, taken := keys[key]; taken {
-				return refuse("tenants."+tenant.Name+".keys", "one is also a key of tenant %s", other)
+			if owner, taken := keys[key]; taken {
+				return fieldError("tenants."+tenant.Name+".keys", "one is also a key of tenant %s", owner)
 			}
 			keys[key] = tenant.Name
 		}
@@ -101,15 +101,15 @@
 	field := "tenants." + t.Name
 	switch {
 	case t.Name == "":
-		return refuse("tenants", "a tenant has no name")
+		return fieldError("tenants", "a tenant has no name")
 	case slices.Contains(t.Keys, ""):
-		return refuse(field+".keys", "one is empty")
+		return fieldError(field+".keys", "one is empty")
 	case !(t.Rate >= 0):
-		return refuse(field+".rate", "%v is below zero", t.Rate)
+		return fieldError(field+".rate", "%v is below zero", t.Rate)
 	case !(t.Burst >= 0):
-		return refuse(field+".burst", "%v is below zero", t.Burst)
+		return fieldError(field+".burst", "%v is below zero", t.Burst)
 	case t.Priority != nil && *t.Priority < 0:
-		return refuse(field+".priority", "%d is below zero", *t.Priority)
+		return fieldError(field+".priority", "%d is below zero", *t.Priority)
 	}
 	return nil
 }
--- a/internal/sidecar/route/tenant_test.go
+++ b/internal/sidecar/route/tenant_test.go
@@ -27,15 +27,15 @@
 		{"a burst below zero", []route.Tenant{{Name: "a", Burst: -1}}, "tenants.a.burst: "},
 		{"a priority below zero", []route.Tenant{{Name: "a", Priority: &below}}, "tenants.a.priority: "},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			err := (&route.Document{Version: 1, Tenants: played.tenants}).Validate()
-			if played.says == "" {
+			err := (&route.Document{Version: 1, Tenants: tc.tenants}).Validate()
+			if tc.says == "" {
 				g.Expect(err).NotTo(HaveOccurred())
 				return
 			}
-			g.Expect(err).To(MatchError(ContainSubstring(played.says)))
+			g.Expect(err).To(MatchError(ContainSubstring(tc.says)))
 			g.Expect(err.Error()).NotTo(ContainSubstring("secret"))
 		})
 	}
@@ -64,9 +64,9 @@
 	change := &route.Change{}
 	g.Expect(json.Unmarshal(encoded, change)).To(Succeed())
 	g.Expect(change.Tenants).To(HaveLen(2))
-	made, err := change.Apply(base)
+	result, err := change.Apply(base)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(made.Tenants).To(ConsistOf(next.Tenants))
+	g.Expect(result.Tenants).To(ConsistOf(next.Tenants))
 	g.Expect(base.TenantsWithRevokedKeys(next)).To(Equal(map[string]bool{"goes": true, "differs": true}))
 	g.Expect(next.TenantsWithRevokedKeys(next)).To(BeEmpty())
 }
