--- a/internal/sidecar/hop/hop.go
+++ b/internal/sidecar/hop/hop.go
@@ -61,8 +61,8 @@
 // ParseMilliseconds reads a whole number of milliseconds above or equal to zero.
 func ParseMilliseconds(text string) (duration time.Duration, valid bool) {
 	number, err := strconv.ParseInt(text, 10, 64)
-	const most = int64(24 * time.Hour / time.Millisecond)
-	if err != nil || number < 0 || number > most {
+	const maximum = int64(24 * time.Hour / time.Millisecond)
+	if err != nil || number < 0 || number > maximum {
 		return 0, false
 	}
 	return time.Duration(number) * time.Millisecond, true
--- a/internal/sidecar/hop/limit.go
+++ b/internal/sidecar/hop/limit.go
@@ -25,36 +25,36 @@
 }
 
 const (
-	// limitUnits make a whole number of a rate and of room.
-	limitUnits = 1000
-	// mostLimit bounds both.
-	mostLimit    = 1 << 40
-	limitNumbers = 2
+	// limitScale make a whole number of a rate and of room.
+	limitScale = 1000
+	// maximumLimit bounds both.
+	maximumLimit    = 1 << 40
+	limitFieldCount = 2
 )
 
 // Format writes the limit as a header value.
 func (l Limit) Format() string {
-	line := strconv.AppendInt(nil, wholeUnits(l.PerSecond), 10)
-	return string(strconv.AppendInt(append(line, ' '), wholeUnits(l.Room), 10))
+	line := strconv.AppendInt(nil, scaleLimit(l.PerSecond), 10)
+	return string(strconv.AppendInt(append(line, ' '), scaleLimit(l.Room), 10))
 }
 
-func wholeUnits(number float64) int64 {
-	return int64(math.Floor(min(max(number, -mostLimit), mostLimit) * limitUnits))
+func scaleLimit(number float64) int64 {
+	return int64(math.Floor(min(max(number, -maximumLimit), maximumLimit) * limitScale))
 }
 
 // ParseLimit reads a limit's header value.
 func ParseLimit(line string) (Limit, error) {
 	parts := strings.Split(line, " ")
-	if len(parts) != limitNumbers {
+	if len(parts) != limitFieldCount {
 		return Limit{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
-	numbers := [limitNumbers]float64{}
+	numbers := [limitFieldCount]float64{}
 	for i, part := range parts {
 		number, err := strconv.ParseInt(part, 10, 64)
-		if err != nil || number > mostLimit*limitUnits || number < -mostLimit*limitUnits {
+		if err != nil || number > maximumLimit*limitScale || number < -maximumLimit*limitScale {
 			return Limit{}, fmt.Errorf("%w: %q is no number of a limit", ErrMalformedHeader, part)
 		}
-		numbers[i] = float64(number) / limitUnits
+		numbers[i] = float64(number) / limitScale
 	}
 	if numbers[0] < 0 {
 		return Limit{}, fmt.Errorf("%w: a limit below zero", ErrMalformedHeader)
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -70,41 +70,41 @@
 		line = strconv.AppendInt(append(line, ' '), number, 10)
 	}
 	if r.Usual != nil {
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Failing*shareUnits), 10)
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Slow*shareUnits), 10)
+		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Failing*shareScale), 10)
+		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Slow*shareScale), 10)
 	}
 	return string(line)
 }
 
 const (
-	// shareUnits make a whole number of a share.
-	shareUnits     = 1000
-	usualNumbers   = 2
-	requestNames   = 2
-	requestNumbers = 5
-	replyNumbers   = 8
+	// shareScale make a whole number of a share.
+	shareScale         = 1000
+	usualFieldCount    = 2
+	requestNameCount   = 2
+	requestNumberCount = 5
+	replyNumberCount   = 8
 	// The flags of a request. Nodes of the version before take any of them for the first.
 	flagReturning = 1
 	flagSuspect   = 2
 	flagNested    = 4
 	flagOverShare = 8
 	flagRepeated  = 16
-	// slackPart is where the version before has its additional number.
-	slackPart = 5
+	// legacySlackIndex is where the version before has its additional number.
+	legacySlackIndex = 5
 )
 
 // ParseRequest reads a request's header value. Nodes of the version before tell
 // one more number, in what time the request must have a slot; it is left out.
 func ParseRequest(line string) (Request, error) {
 	parts := strings.Split(line, " ")
-	if len(parts) == requestNames+requestNumbers+1 {
-		parts = slices.Delete(parts, slackPart, slackPart+1)
+	if len(parts) == requestNameCount+requestNumberCount+1 {
+		parts = slices.Delete(parts, legacySlackIndex, legacySlackIndex+1)
 	}
-	compared := len(parts) == requestNames+requestNumbers+usualNumbers
-	if (len(parts) != requestNames+requestNumbers && !compared) || parts[0] == "" {
+	hasUsual := len(parts) == requestNameCount+requestNumberCount+usualFieldCount
+	if (len(parts) != requestNameCount+requestNumberCount && !hasUsual) || parts[0] == "" {
 		return Request{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
-	numbers, err := parseNumbers(parts[requestNames:])
+	numbers, err := parseNumbers(parts[requestNameCount:])
 	if err != nil {
 		return Request{}, err
 	}
@@ -115,9 +115,9 @@
 		Nested: numbers[4]&flagNested != 0, OverShare: numbers[4]&flagOverShare != 0,
 		Repeated: numbers[4]&flagRepeated != 0,
 	}
-	if compared {
+	if hasUsual {
 		read.Usual = &rollout.Usual{
-			Failing: min(float64(numbers[5])/shareUnits, 1), Slow: min(float64(numbers[6])/shareUnits, 1),
+			Failing: min(float64(numbers[5])/shareScale, 1), Slow: min(float64(numbers[6])/shareScale, 1),
 		}
 	}
 	return read, nil
@@ -139,8 +139,8 @@
 	FailureRate float64
 }
 
-// factorUnits make a whole number of a factor.
-const factorUnits = 1000
+// factorScale make a whole number of a factor.
+const factorScale = 1000
 
 // Format writes the reply as a header value.
 func (r *Reply) Format() string {
@@ -148,7 +148,7 @@
 	line = strconv.AppendUint(line, r.Version, 10)
 	for _, number := range [...]int64{
 		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.HoldTime.Microseconds(),
-		int64(r.Factor * factorUnits), r.ServiceTime.Microseconds(), int64(r.FailureRate * factorUnits),
+		int64(r.Factor * factorScale), r.ServiceTime.Microseconds(), int64(r.FailureRate * factorScale),
 	} {
 		line = strconv.AppendInt(append(line, ' '), max(number, 0), 10)
 	}
@@ -159,10 +159,10 @@
 // tell of failures.
 func ParseReply(line string) (Reply, error) {
 	parts := strings.Split(line, " ")
-	if len(parts) == replyNumbers-1 {
+	if len(parts) == replyNumberCount-1 {
 		parts = append(parts, "0")
 	}
-	if len(parts) != replyNumbers {
+	if len(parts) != replyNumberCount {
 		return Reply{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts)
@@ -171,8 +171,8 @@
 	}
 	return Reply{
 		Version: numbers[0], Running: int(numbers[1]), Waiting: int(numbers[2]), Slots: int(numbers[3]),
-		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, ServiceTime: microseconds(numbers[6]),
-		FailureRate: float64(numbers[7]) / factorUnits,
+		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorScale, ServiceTime: microseconds(numbers[6]),
+		FailureRate: float64(numbers[7]) / factorScale,
 	}, nil
 }
 
