--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -14,11 +14,11 @@
 // ActiveRequests knows until when what a back end works on is of use. It is safe for concurrent use.
 type ActiveRequests struct {
 	mu sync.Mutex // guards runs
-	// runs holds the requests at work by when their deadline is.
-	runs map[*run]struct{}
+	// requests holds the requests at work by when their deadline is.
+	requests map[*activeRequest]struct{}
 }
 
-type run struct {
+type activeRequest struct {
 	deadline time.Time
 	repeated bool
 }
@@ -26,29 +26,29 @@
 // Begin notes a request that is of use until the deadline; repeated says that it has reached a
 // back end before. The result notes its end.
 func (w *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
-	begun := &run{deadline: deadline, repeated: repeated}
+	request := &activeRequest{deadline: deadline, repeated: repeated}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.runs == nil {
-		w.runs = map[*run]struct{}{}
+	if w.requests == nil {
+		w.requests = map[*activeRequest]struct{}{}
 	}
-	w.runs[begun] = struct{}{}
-	return func() { w.end(begun) }
+	w.requests[request] = struct{}{}
+	return func() { w.end(request) }
 }
 
-func (w *ActiveRequests) end(ended *run) {
+func (w *ActiveRequests) end(request *activeRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.runs, ended)
+	delete(w.requests, request)
 }
 
 // LatestDeadline returns the latest deadline of what is at work, the zero time when nothing is.
 func (w *ActiveRequests) LatestDeadline() (latest time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for begun := range w.runs {
-		if begun.deadline.After(latest) {
-			latest = begun.deadline
+	for request := range w.requests {
+		if request.deadline.After(latest) {
+			latest = request.deadline
 		}
 	}
 	return latest
@@ -60,99 +60,99 @@
 func (w *ActiveRequests) Repeated(deadline time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	about, all := &likelihood{}, &likelihood{}
-	for begun := range w.runs {
-		all.add(begun)
-		if deadline.Sub(begun.deadline).Abs() <= readDelay {
-			about.add(begun)
+	matching, all := &repeatCounter{}, &repeatCounter{}
+	for request := range w.requests {
+		all.add(request)
+		if deadline.Sub(request.deadline).Abs() <= maximumReadDelay {
+			matching.add(request)
 		}
 	}
-	if about.runs > 0 {
-		return about.share()
+	if matching.requests > 0 {
+		return matching.probability()
 	}
-	return all.share()
+	return all.probability()
 }
 
-// likelihood counts runs and those that are repeats.
-type likelihood struct{ runs, repeated float64 }
+// repeatCounter counts runs and those that are repeats.
+type repeatCounter struct{ requests, repeated float64 }
 
-func (l *likelihood) add(begun *run) {
-	l.runs++
-	if begun.repeated {
+func (l *repeatCounter) add(request *activeRequest) {
+	l.requests++
+	if request.repeated {
 		l.repeated++
 	}
 }
 
-func (l *likelihood) share() float64 { return l.repeated / max(l.runs, 1) }
+func (l *repeatCounter) probability() float64 { return l.repeated / max(l.requests, 1) }
 
 const (
-	// readDelay is how much later than it was sent a call may be read: a busy machine takes that
+	// maximumReadDelay is how much later than it was sent a call may be read: a busy machine takes that
 	// long, and its deadline counts from then.
-	readDelay = 100 * time.Millisecond
-	// leastSeen is how many requests of a route say something of it.
-	leastSeen = 8
-	// strayShare is the part of a called route's requests that may seem to be clients': calls
+	maximumReadDelay = 100 * time.Millisecond
+	// minimumRequests is how many requests of a route say something of it.
+	minimumRequests = 8
+	// maximumClientShare is the part of a called route's requests that may seem to be clients': calls
 	// that cross the end of the request that they serve.
-	strayShare = 0.02
-	// remembered is how many requests of a route count: older ones fade.
-	remembered = 256
-	// settleTime is how long after its start a node does not know what its back end works on: requests
+	maximumClientShare = 0.02
+	// windowRequests is how many requests of a route count: older ones fade.
+	windowRequests = 256
+	// startupDelay is how long after its start a node does not know what its back end works on: requests
 	// that began before are not in Work.
-	settleTime = time.Second
+	startupDelay = time.Second
 )
 
 // Classifier learns which routes back ends call. It is safe for concurrent use.
 type Classifier struct {
-	work    *ActiveRequests
+	active  *ActiveRequests
 	started time.Time
 	routes  sync.Map // of *seen by route name
 }
 
-// seen counts the requests of one route.
-type seen struct {
+// routeCounter counts the requests of one route.
+type routeCounter struct {
 	mu sync.Mutex // guards all below
 	// total counts them, clients those that were certainly a client's.
 	total, clients float64
 }
 
 // NewClassifier returns one that has seen no route. started is when the node started.
-func NewClassifier(work *ActiveRequests, started time.Time) *Classifier {
-	return &Classifier{work: work, started: started}
+func NewClassifier(active *ActiveRequests, started time.Time) *Classifier {
+	return &Classifier{active: active, started: started}
 }
 
 // Nested takes in a request that begins at this machine and reports whether it is a call of what
 // its back end works on. identified says that the request bears what only clients have.
 func (r *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
-	if now.Sub(r.started) < settleTime {
+	if now.Sub(r.started) < startupDelay {
 		return false
 	}
-	client := identified || deadline.After(r.work.LatestDeadline().Add(readDelay))
-	called := r.of(route).add(client)
+	client := identified || deadline.After(r.active.LatestDeadline().Add(maximumReadDelay))
+	called := r.counterOf(route).add(client)
 	return called && !client
 }
 
 // Repeated is as of the work at the node's back end.
-func (r *Classifier) Repeated(deadline time.Time) float64 { return r.work.Repeated(deadline) }
+func (r *Classifier) Repeated(deadline time.Time) float64 { return r.active.Repeated(deadline) }
 
-func (r *Classifier) of(route string) *seen {
-	if held, found := r.routes.Load(route); found {
-		return held.(*seen)
+func (r *Classifier) counterOf(route string) *routeCounter {
+	if counter, found := r.routes.Load(route); found {
+		return counter.(*routeCounter)
 	}
-	held, _ := r.routes.LoadOrStore(route, &seen{})
-	return held.(*seen)
+	counter, _ := r.routes.LoadOrStore(route, &routeCounter{})
+	return counter.(*routeCounter)
 }
 
 // add counts one request and reports whether back ends call the route.
-func (s *seen) add(client bool) (called bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.total++
+func (c *routeCounter) add(client bool) (called bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.total++
 	if client {
-		s.clients++
+		c.clients++
 	}
-	if s.total > remembered {
-		s.total /= 2
-		s.clients /= 2
+	if c.total > windowRequests {
+		c.total /= 2
+		c.clients /= 2
 	}
-	return s.total >= leastSeen && s.clients <= s.total*strayShare
+	return c.total >= minimumRequests && c.clients <= c.total*maximumClientShare
 }
--- a/internal/sidecar/nested/nested_test.go
+++ b/internal/sidecar/nested/nested_test.go
@@ -17,18 +17,18 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
 	work := &nested.ActiveRequests{}
-	told := nested.NewClassifier(work, start)
+	classifier := nested.NewClassifier(work, start)
 	now := start.Add(2 * time.Second)
 	var deadlines []time.Time
 	var ends []func()
-	calls, callsTold, clientsTold := 0, 0, 0
+	calls, callsDetected, clientsDetected := 0, 0, 0
 	for range 2000 {
 		now = now.Add(20 * time.Millisecond)
-		asked := now.Add(2500*time.Millisecond + time.Duration(random.IntN(500))*time.Millisecond)
-		if told.Nested("client", asked, false, now) {
-			clientsTold++
+		deadline := now.Add(2500*time.Millisecond + time.Duration(random.IntN(500))*time.Millisecond)
+		if classifier.Nested("client", deadline, false, now) {
+			clientsDetected++
 		}
-		deadlines, ends = append(deadlines, asked), append(ends, work.Begin(asked, false))
+		deadlines, ends = append(deadlines, deadline), append(ends, work.Begin(deadline, false))
 		if len(ends) > 6 {
 			ends[0]()
 			deadlines, ends = deadlines[1:], ends[1:]
@@ -39,12 +39,12 @@
 			own = parent
 		}
 		calls++
-		if told.Nested("call", own.Add(time.Duration(random.IntN(50))*time.Millisecond), false, now) {
-			callsTold++
+		if classifier.Nested("call", own.Add(time.Duration(random.IntN(50))*time.Millisecond), false, now) {
+			callsDetected++
 		}
 	}
-	g.Expect(callsTold).To(BeNumerically(">=", calls-10))
-	g.Expect(clientsTold).To(BeZero())
+	g.Expect(callsDetected).To(BeNumerically(">=", calls-10))
+	g.Expect(clientsDetected).To(BeZero())
 }
 
 func TestWhatIsNoCall(t *testing.T) {
@@ -64,18 +64,18 @@
 		{"it bears what clients have", time.Second, 400 * time.Millisecond, true, later, false},
 		{"the node has just started", time.Second, 400 * time.Millisecond, false, start.Add(time.Millisecond), false},
 	}
-	for _, moment := range cases {
-		t.Run(moment.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			work := &nested.ActiveRequests{}
-			if moment.work > 0 {
-				work.Begin(moment.now.Add(moment.work), false)
+			if tc.work > 0 {
+				work.Begin(tc.now.Add(tc.work), false)
 			}
-			told := nested.NewClassifier(work, start)
+			classifier := nested.NewClassifier(work, start)
 			last := false
 			for range 20 {
-				last = told.Nested("r", moment.now.Add(moment.left), moment.identified, moment.now)
+				last = classifier.Nested("r", tc.now.Add(tc.left), tc.identified, tc.now)
 			}
-			NewWithT(t).Expect(last).To(Equal(moment.nested))
+			NewWithT(t).Expect(last).To(Equal(tc.nested))
 		})
 	}
 }
@@ -87,13 +87,13 @@
 	now := start.Add(time.Minute)
 	work := &nested.ActiveRequests{}
 	work.Begin(now.Add(time.Second), false)
-	told := nested.NewClassifier(work, start)
+	classifier := nested.NewClassifier(work, start)
 	for i := range 200 {
 		left := 400 * time.Millisecond
 		if i%10 == 0 {
 			left = 3 * time.Second
 		}
-		g.Expect(told.Nested("r", now.Add(left), false, now) && i > 20).To(BeFalse())
+		g.Expect(classifier.Nested("r", now.Add(left), false, now) && i > 20).To(BeFalse())
 	}
 }
 
