--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -24,19 +24,19 @@
 
 // Causes of refusals.
 var (
-	errNoEndpoint = errors.New("no back end has made itself known")
-	errIdentity   = errors.New("a back end of another service is here")
-	errLeaving    = errors.New("the back end is leaving")
-	errNoCaller   = errors.New("the request did not come through a node")
-	errVersion    = errors.New("requests move away from the version of the back end")
-	errMoved      = errors.New("a newer configuration leads the request elsewhere")
-	errStopping   = errors.New("the node is stopping")
-	errLink       = errors.New("the link has no room for the body in time")
-	errEmptied    = errors.New("the zone is emptied by order")
+	errNoEndpoint      = errors.New("no back end has made itself known")
+	errWrongService    = errors.New("a back end of another service is here")
+	errLeaving         = errors.New("the back end is leaving")
+	errNoCaller        = errors.New("the request did not come through a node")
+	errVersionRejected = errors.New("requests move away from the version of the back end")
+	errMoved           = errors.New("a newer configuration leads the request elsewhere")
+	errStopping        = errors.New("the node is stopping")
+	errLink            = errors.New("the link has no room for the body in time")
+	errEvacuated       = errors.New("the zone is emptied by order")
 )
 
-// readBodyLimit is how much of a body that waited for consent is read at once.
-const readBodyLimit = 64 << 10
+// initialReadLimit is how much of a body that waited for consent is read at once.
+const initialReadLimit = 64 << 10
 
 // arrival is one request of a node. It is used by one goroutine, but for print.
 type arrival struct {
@@ -45,21 +45,21 @@
 	request  *http.Request
 	started  time.Time
 	waited   time.Duration
-	told     hop.Request
+	reported hop.Request
 	endpoint *roster.Endpoint
 	deadline time.Time
 	context  context.Context
-	// consented: the caller's node waited for consent before it sent the body.
-	consented bool
+	// expectsContinue: the caller's node waited for consent before it sent the body.
+	expectsContinue bool
 	// body and sent, when it was first sent to the back end, are set before it is at work.
 	body *forward.Body
 	sent time.Time
-	// identified is what the request asks for, nil until somebody wants to know.
-	identified atomic.Pointer[fingerprint.Print]
-	// besideEnd: the back end's process ended, and another request has told so.
-	besideEnd bool
-	// counted: the request was offered to the queue, and counts against its tenant's share.
-	counted bool
+	// cachedPrint is what the request asks for, nil until somebody wants to know.
+	cachedPrint atomic.Pointer[fingerprint.Print]
+	// duplicateCrash: the back end's process ended, and another request has told so.
+	duplicateCrash bool
+	// countedInShare: the request was offered to the queue, and counts against its tenant's share.
+	countedInShare bool
 	// limited is why the back end's limit refused the request, nil when it did not.
 	limited *admission.LimitedError
 	// onTrial: the request is suspected of ending back ends and has the handler's trial.
@@ -75,14 +75,14 @@
 	a.context, cancel = clock.WithDeadline(a.request.Context(), a.deadline)
 	defer cancel()
 	defer a.endTrial()
-	a.consented = len(a.request.Header["Expect"]) > 0
-	body, failure := a.bodyBefore()
+	a.expectsContinue = len(a.request.Header["Expect"]) > 0
+	body, failure := a.bodyBeforeAdmission()
 	if failure != nil {
 		return failure
 	}
 	if body != nil {
 		a.body = body
-		if failure := a.examine(); failure != nil {
+		if failure := a.checkQuarantine(); failure != nil {
 			return failure
 		}
 	}
@@ -98,13 +98,13 @@
 		}
 		slot.Release(served)
 	}()
-	if failure := a.bear(); failure != nil {
+	if failure := a.checkWarmup(); failure != nil {
 		return failure
 	}
 	if body == nil {
 		// The first read tells the caller's node to send the body. Without the
 		// whole of it nothing is run.
-		read, err := a.readConsented(readBodyLimit)
+		read, err := a.readContinued(initialReadLimit)
 		if err != nil {
 			return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, err)
 		}
@@ -112,32 +112,32 @@
 	}
 	a.body = body
 	// What others told meanwhile counts.
-	if failure := a.examine(); failure != nil {
+	if failure := a.checkQuarantine(); failure != nil {
 		return failure
 	}
 	if forward.CallerLeft(a.context) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerLeft)
 	}
 	a.sent, sent = clock.Now(), true
-	a.handler.workplace.begin(a)
-	defer a.handler.workplace.end(a)
+	a.handler.activeRequests.begin(a)
+	defer a.handler.activeRequests.end(a)
 	if work := a.handler.options.ActiveRequests; work != nil {
-		defer work.Begin(a.deadline, a.told.Repeated)()
+		defer work.Begin(a.deadline, a.reported.Repeated)()
 	}
-	run := a.handler.pace.Begin(a.told.ExpectedServiceTime, a.sent)
+	run := a.handler.pace.Begin(a.reported.ExpectedServiceTime, a.sent)
 	defer a.handler.pace.End(run)
 	failure = a.exchange(body)
 	served = failure == nil
 	return failure
 }
 
-// bodyBefore returns the body that is there before a slot is taken; nil when its
+// bodyBeforeAdmission returns the body that is there before a slot is taken; nil when its
 // sender waits for the slot.
-func (a *arrival) bodyBefore() (*forward.Body, *outcome.Failure) {
+func (a *arrival) bodyBeforeAdmission() (*forward.Body, *outcome.Failure) {
 	switch {
-	case a.receivesFirst():
-		return a.receive()
-	case a.consented:
+	case a.buffersBeforeAdmission():
+		return a.receiveBody()
+	case a.expectsContinue:
 		return nil, nil
 	}
 	body, err := a.readBody()
@@ -152,43 +152,43 @@
 	if line == "" {
 		return outcome.Refusal(http.StatusForbidden, outcome.StepRequest, 0, errNoCaller)
 	}
-	told, err := hop.ParseRequest(line)
+	reported, err := hop.ParseRequest(line)
 	if err != nil {
 		return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, err)
 	}
-	a.told = told
-	if a.handler.refusing.Load() {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errStopping)
+	a.reported = reported
+	if a.handler.rejecting.Load() {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errStopping)
 	}
 	a.endpoint = a.handler.options.Endpoint()
 	if a.endpoint == nil {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepIdentity, refusedWait, errNoEndpoint)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepIdentity, defaultRetryAfter, errNoEndpoint)
 	}
-	if a.endpoint.Service != told.Service {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepIdentity, refusedWait, errIdentity)
+	if a.endpoint.Service != reported.Service {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepIdentity, defaultRetryAfter, errWrongService)
 	}
-	if a.moved() {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepMoved, refusedWait, errMoved)
+	if a.misrouted() {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepMoved, defaultRetryAfter, errMoved)
 	}
-	if a.handler.leftBehind(a.endpoint.Incarnation()) {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errLeaving)
+	if a.handler.drainExpired(a.endpoint.Incarnation()) {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errLeaving)
 	}
-	if emptied := a.handler.options.Evacuated; emptied != nil && emptied() {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errEmptied)
+	if evacuated := a.handler.options.Evacuated; evacuated != nil && evacuated() {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errEvacuated)
 	}
 	if judge := a.handler.options.Judge; judge != nil && judge.Refuses() {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errVersion)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errVersionRejected)
 	}
-	a.hearPeer()
-	a.deadline = a.started.Add(told.Remaining)
+	a.applyPeerLimit()
+	a.deadline = a.started.Add(reported.Remaining)
 	return nil
 }
 
-// moved reports whether the request was routed by a configuration that is older than the one
+// misrouted reports whether the request was routed by a configuration that is older than the one
 // in force here, and is to go to another service by this one. It is given back unrun: its node
 // is behind, and learns so. Without that a node that is behind has requests run by a service
 // that they have left for as long as it is.
-func (a *arrival) moved() bool {
+func (a *arrival) misrouted() bool {
 	version, err := strconv.ParseUint(a.request.Header.Get(hop.HeaderVersion), 10, 64)
 	if err != nil || a.handler.options.RoutesTo == nil {
 		return false // nodes of the version before do not tell
@@ -201,9 +201,9 @@
 	return forward.ReadBody(a.context, a.writer, a.request, unlimited, "")
 }
 
-// readConsented reads a body whose sender waited for consent. One shorter than the
+// readContinued reads a body whose sender waited for consent. One shorter than the
 // limit is read whole, so that one that breaks off is never run.
-func (a *arrival) readConsented(limit int64) (*forward.Body, error) {
+func (a *arrival) readContinued(limit int64) (*forward.Body, error) {
 	stop := context.AfterFunc(a.context, func() {
 		_ = http.NewResponseController(a.writer).SetReadDeadline(time.Unix(1, 0))
 	})
@@ -221,7 +221,7 @@
 
 // admit waits for a slot of the back end.
 func (a *arrival) admit() (*admission.Slot, *outcome.Failure) {
-	a.offered()
+	a.countOffered()
 	slot, err := a.handler.gate.Acquire(a.context, a.ticket())
 	a.waited = clock.Since(a.started)
 	if errors.As(err, &a.limited) {
@@ -230,25 +230,25 @@
 	if err != nil {
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, a.retryAfter(), err)
 	}
-	if a.handler.leftBehind(a.endpoint.Incarnation()) {
+	if a.handler.drainExpired(a.endpoint.Incarnation()) {
 		slot.Return()
-		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, refusedWait, errLeaving)
+		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errLeaving)
 	}
-	a.admitted()
+	a.countAdmitted()
 	return slot, nil
 }
 
 // ticket describes the request to the gate.
 func (a *arrival) ticket() admission.Ticket {
 	return admission.Ticket{
-		Priority:    a.told.Priority,
-		Returning:   a.told.Returning,
-		Nested:      a.told.Nested,
-		OverShare:   a.told.OverShare,
+		Priority:    a.reported.Priority,
+		Returning:   a.reported.Returning,
+		Nested:      a.reported.Nested,
+		OverShare:   a.reported.OverShare,
 		Tenant:      a.tenant(),
 		Bounded:     a.contended(),
-		Work:        a.told.ExpectedServiceTime,
-		MaximumWait: a.told.MaximumWait,
+		Work:        a.reported.ExpectedServiceTime,
+		MaximumWait: a.reported.MaximumWait,
 		Peer:        a.peer(),
 	}
 }
@@ -263,13 +263,13 @@
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
 	wait := load.Service * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
-	return max(wait, refusedWait/2)
+	return max(wait, defaultRetryAfter/2)
 }
 
 // reply sends a failure that the node answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
 	defer forward.PrepareOwnReply(a.context, a.writer, a.request, nil)()
-	a.mark(0)
+	a.setReplyHeaders(0)
 	header := a.writer.Header()
 	header[outcome.HeaderOutcome] = []string{string(failure.Outcome)}
 	header[outcome.HeaderError] = []string{"step=" + string(failure.Step)}
@@ -280,8 +280,8 @@
 	a.writer.WriteHeader(failure.Status)
 }
 
-// mark adds what the node tells of itself to a reply.
-func (a *arrival) mark(worked time.Duration) {
+// setReplyHeaders adds what the node tells of itself to a reply.
+func (a *arrival) setReplyHeaders(worked time.Duration) {
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
@@ -290,17 +290,17 @@
 	}
 	header := a.writer.Header()
 	header[hop.HeaderReply] = []string{reply.Format()}
-	a.tellProof(header)
-	a.tellShare(header)
-	a.tellNotices(header)
+	a.setProofHeader(header)
+	a.setShareHeader(header)
+	a.setNoticeHeaders(header)
 	if _, set := header["Date"]; !set {
 		// Without a value the library adds none of its own.
 		header["Date"] = nil
 	}
 }
 
-// tellProof adds how old the node's proof is that it is level.
-func (a *arrival) tellProof(header http.Header) {
+// setProofHeader adds how old the node's proof is that it is level.
+func (a *arrival) setProofHeader(header http.Header) {
 	proof := a.handler.options.Proof
 	if proof == nil {
 		return
@@ -310,7 +310,7 @@
 	}
 }
 
-func (a *arrival) ended(failure *outcome.Failure) {
+func (a *arrival) record(failure *outcome.Failure) {
 	options := &a.handler.options
 	elapsed := clock.Since(a.started)
 	if failure == nil {
@@ -328,7 +328,7 @@
 		zap.String("outcome", string(failure.Outcome)),
 		zap.String("step", string(failure.Step)),
 		zap.String("peer", a.request.RemoteAddr),
-		zap.String("service", a.told.Service), zap.String("tenant", a.tenant()),
+		zap.String("service", a.reported.Service), zap.String("tenant", a.tenant()),
 		zap.Int("running", load.Running), zap.Int("waiting", load.Waiting), zap.Int("slots", load.Slots),
 		zap.Duration("waited", a.waited), zap.Duration("elapsed", elapsed),
 		zap.NamedError("cause", failure.Cause),
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -22,14 +22,14 @@
 	// probeTimeout bounds the question whether the back end's process is still there.
 	// It is on the same machine: a process that has ended refuses at once.
 	probeTimeout = 50 * time.Millisecond
-	// endRemembered is how long after its connections broke a back end that comes back
+	// lossRetention is how long after its connections broke a back end that comes back
 	// under another id is known to have ended then.
-	endRemembered = 10 * time.Second
-	// breakTime is within which connections break together.
-	breakTime = 2 * probeTimeout
-	// gatherTimeout bounds the wait for the connections of all requests that were at work
+	lossRetention = 10 * time.Second
+	// lossWindow is within which connections break together.
+	lossWindow = 2 * probeTimeout
+	// sentTimeout bounds the wait for the connections of all requests that were at work
 	// to break: one that provably was not sent is no suspect.
-	gatherTimeout = 20 * time.Millisecond
+	sentTimeout = 20 * time.Millisecond
 )
 
 // BackendCrash is the unplanned end of the process of a back end.
@@ -62,32 +62,32 @@
 	return nil
 }
 
-// workplace knows which requests are at work at the back end, and tells a process that
+// activeRequests knows which requests are at work at the back end, and tells a process that
 // has ended from connections that broke. It is safe for concurrent use.
-type workplace struct {
+type activeRequests struct {
 	mu       sync.Mutex // guards all below and the breakages
 	arrivals map[*arrival]struct{}
 	// last is the newest break of connections, nil before the first.
-	last *breakage
+	last *connectionLoss
 }
 
-// breakage is a moment at which connections to the back end broke.
-type breakage struct {
+// connectionLoss is a moment at which connections to the back end broke.
+type connectionLoss struct {
 	endpoint *roster.Endpoint
 	at       time.Time
 	// running were at work then. One that provably was not sent is taken out.
 	running map[*arrival]Running
-	// open are those of them of which it is not known yet whether they were sent; known is
+	// undetermined are those of them of which it is not known yet whether they were sent; known is
 	// closed when there are none any more.
-	open  map[*arrival]struct{}
-	known chan struct{}
-	// answered is closed when it is known whether the process has ended, and told if so.
-	answered chan struct{}
-	ended    bool
+	undetermined map[*arrival]struct{}
+	determined   chan struct{}
+	// decided is closed when it is known whether the process has ended, and told if so.
+	decided chan struct{}
+	crashed bool
 }
 
 // begin notes that a request goes to the back end.
-func (w *workplace) begin(a *arrival) {
+func (w *activeRequests) begin(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.arrivals == nil {
@@ -97,15 +97,15 @@
 }
 
 // end notes that a request is there no more.
-func (w *workplace) end(a *arrival) {
+func (w *activeRequests) end(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.arrivals, a)
-	w.last.resolve(a)
+	w.last.markDetermined(a)
 }
 
-// unsent notes that a request provably was not sent: it ended nothing.
-func (w *workplace) unsent(a *arrival) {
+// markUnsent notes that a request provably was not sent: it ended nothing.
+func (w *activeRequests) markUnsent(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.last != nil {
@@ -113,110 +113,110 @@
 	}
 }
 
-// resolve notes that it is known of a request whether it was sent; the lock is held.
-func (b *breakage) resolve(a *arrival) {
-	if b == nil || len(b.open) == 0 {
+// markDetermined notes that it is known of a request whether it was sent; the lock is held.
+func (b *connectionLoss) markDetermined(a *arrival) {
+	if b == nil || len(b.undetermined) == 0 {
 		return
 	}
-	delete(b.open, a)
-	if len(b.open) == 0 {
-		close(b.known)
+	delete(b.undetermined, a)
+	if len(b.undetermined) == 0 {
+		close(b.determined)
 	}
 }
 
-// broke returns the breakage that a request met whose connection broke, and whether it is
+// connectionLost returns the breakage that a request met whose connection connectionLost, and whether it is
 // new. The first to come finds all others still at work.
-func (w *workplace) broke(a *arrival, now time.Time) (met *breakage, first bool) {
+func (w *activeRequests) connectionLost(a *arrival, now time.Time) (loss *connectionLoss, first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.last != nil && w.last.endpoint.Incarnation() == a.endpoint.Incarnation() && (w.last.ended || now.Sub(w.last.at) < breakTime) {
-		w.last.resolve(a)
+	if w.last != nil && w.last.endpoint.Incarnation() == a.endpoint.Incarnation() && (w.last.crashed || now.Sub(w.last.at) < lossWindow) {
+		w.last.markDetermined(a)
 		return w.last, false
 	}
-	w.last = &breakage{
-		endpoint: a.endpoint, at: now, running: map[*arrival]Running{}, open: map[*arrival]struct{}{},
-		known: make(chan struct{}), answered: make(chan struct{}),
+	w.last = &connectionLoss{
+		endpoint: a.endpoint, at: now, running: map[*arrival]Running{}, undetermined: map[*arrival]struct{}{},
+		determined: make(chan struct{}), decided: make(chan struct{}),
 	}
 	for other := range w.arrivals {
 		if other.endpoint.Incarnation() == a.endpoint.Incarnation() {
 			w.last.running[other] = other.running(now)
-			w.last.open[other] = struct{}{}
+			w.last.undetermined[other] = struct{}{}
 		}
 	}
-	w.last.resolve(a)
+	w.last.markDetermined(a)
 	return w.last, true
 }
 
-func (b *breakage) isAnswered() bool {
+func (b *connectionLoss) isDecided() bool {
 	select {
-	case <-b.answered:
+	case <-b.decided:
 		return true
 	default:
 		return false
 	}
 }
 
-// ending returns the end of the process that the breakage was, the requests in the order in
+// report returns the end of the process that the breakage was, the requests in the order in
 // which they began.
-func (w *workplace) ending(of *breakage) *BackendCrash {
+func (w *activeRequests) report(loss *connectionLoss) *BackendCrash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &BackendCrash{Endpoint: of.endpoint, Running: slices.SortedFunc(maps.Values(of.running), func(a, b Running) int {
+	return &BackendCrash{Endpoint: loss.endpoint, Running: slices.SortedFunc(maps.Values(loss.running), func(a, b Running) int {
 		return cmp.Or(cmp.Compare(b.For, a.For), cmp.Compare(a.RequestID, b.RequestID))
 	})}
 }
 
-// replaced returns the breakage that the end of a process turns out to have been, now that
+// crashOfPredecessor returns the breakage that the end of a process turns out to have been, now that
 // another back end is there; nil when there is none.
-func (w *workplace) replaced(of roster.Incarnation, now time.Time) *breakage {
+func (w *activeRequests) crashOfPredecessor(of roster.Incarnation, now time.Time) *connectionLoss {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	last := w.last
-	if last == nil || !last.isAnswered() || last.ended || last.endpoint.Incarnation() == of || now.Sub(last.at) > endRemembered {
+	if last == nil || !last.isDecided() || last.crashed || last.endpoint.Incarnation() == of || now.Sub(last.at) > lossRetention {
 		return nil
 	}
-	last.ended = true
+	last.crashed = true
 	return last
 }
 
-// planned takes in that a back end is to end: what broke before was no sign of it.
-func (w *workplace) planned(of roster.Incarnation) {
+// markPlannedStop takes in that a back end is to end: what broke before was no sign of it.
+func (w *activeRequests) markPlannedStop(of roster.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.last != nil && w.last.endpoint.Incarnation() == of && w.last.isAnswered() {
+	if w.last != nil && w.last.endpoint.Incarnation() == of && w.last.isDecided() {
 		w.last = nil
 	}
 }
 
-// settle notes whether the process has ended.
-func (w *workplace) settle(met *breakage, ended bool) {
+// setCrashed notes whether the process has ended.
+func (w *activeRequests) setCrashed(loss *connectionLoss, crashed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	met.ended = ended
+	loss.crashed = crashed
 }
 
-// ended reports whether the process of the back end has ended under a request whose
+// crashed reports whether the process of the back end has crashed under a request whose
 // connection broke. The first such request asks and tells what was at work; the others wait
 // for it, so that each knows whether it is held back before its caller's node is answered.
-func (h *Handler) ended(a *arrival) (ended, first bool) {
-	met, first := h.workplace.broke(a, clock.Now())
+func (h *Handler) crashed(a *arrival) (crashed, first bool) {
+	loss, first := h.activeRequests.connectionLost(a, clock.Now())
 	if first {
-		ended := h.processEnded(a.context)
-		h.workplace.settle(met, ended)
-		if ended {
-			h.tellEnding(met)
+		crashed := h.processExited(a.context)
+		h.activeRequests.setCrashed(loss, crashed)
+		if crashed {
+			h.reportCrash(loss)
 		}
-		close(met.answered)
+		close(loss.decided)
 	}
-	<-met.answered
-	h.workplace.mu.Lock()
-	defer h.workplace.mu.Unlock()
-	return met.ended, first
+	<-loss.decided
+	h.activeRequests.mu.Lock()
+	defer h.activeRequests.mu.Unlock()
+	return loss.crashed, first
 }
 
-// processEnded asks for a connection. A reset of connections leaves the listener; without
+// processExited asks for a connection. A reset of connections leaves the listener; without
 // its process nobody listens.
-func (h *Handler) processEnded(ctx context.Context) bool {
+func (h *Handler) processExited(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	conn, err := h.options.Dial(ctx, "tcp", h.options.Address)
@@ -229,20 +229,20 @@
 	return false
 }
 
-// tellEnding tells of a back end that has ended. One that was leaving was to end.
-func (h *Handler) tellEnding(met *breakage) {
-	if met.endpoint.State != roster.Ready {
+// reportCrash tells of a back end that has ended. One that was leaving was to end.
+func (h *Handler) reportCrash(loss *connectionLoss) {
+	if loss.endpoint.State != roster.Ready {
 		return
 	}
 	select {
-	case <-met.known:
-	case <-time.After(gatherTimeout):
+	case <-loss.determined:
+	case <-time.After(sentTimeout):
 	}
-	ending := h.workplace.ending(met)
-	h.options.Logger.Warn("back end ended", zap.String("endpoint", ending.Endpoint.ID), zap.String("service", ending.Endpoint.Service),
-		zap.String("software", ending.Endpoint.Version), zap.Objects("running", ending.Running))
-	h.options.Observer.BackendCrashed(len(ending.Running))
-	h.options.Quarantine.Ended(ending.crash())
+	report := h.activeRequests.report(loss)
+	h.options.Logger.Warn("back end ended", zap.String("endpoint", report.Endpoint.ID), zap.String("service", report.Endpoint.Service),
+		zap.String("software", report.Endpoint.Version), zap.Objects("running", report.Running))
+	h.options.Observer.BackendCrashed(len(report.Running))
+	h.options.Quarantine.Ended(report.crash())
 }
 
 // crash is the end as other nodes are told of it.
@@ -270,10 +270,10 @@
 // print identifies what the request asks for. The body is known by then. Who sees a back end
 // end asks for the others that were at work there.
 func (a *arrival) print() fingerprint.Print {
-	if known := a.identified.Load(); known != nil {
+	if known := a.cachedPrint.Load(); known != nil {
 		return *known
 	}
-	print := fingerprint.Of(a.request, a.told.Caller, a.body)
-	a.identified.Store(&print)
+	print := fingerprint.Of(a.request, a.reported.Caller, a.body)
+	a.cachedPrint.Store(&print)
 	return print
 }
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -19,18 +19,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// mortal is a handler before a back end that can end, with its log.
-type mortal struct {
-	played
+// crashFixture is a handler before a back end that can end, with its log.
+type crashFixture struct {
+	fixture
 	server   *httptest.Server
 	endpoint atomic.Pointer[roster.Endpoint]
-	lines    *observer.ObservedLogs
+	logs     *observer.ObservedLogs
 	// quarantine is what the handler asks and tells.
-	quarantine *scripted
+	quarantine *fakeQuarantine
 	// failures counts what counts against the back end's version.
 	failures failureCount
-	// atWork delivers one for each request that has begun.
-	atWork chan struct{}
+	// started delivers one for each request that has begun.
+	started chan struct{}
 }
 
 // failureCount is a judge that counts failures.
@@ -44,41 +44,41 @@
 	}
 }
 
-func playMortal(t *testing.T) *mortal {
-	made := &mortal{atWork: make(chan struct{}, 8), quarantine: newScripted()}
-	made.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*made.answer.Load())(w, r) }))
-	t.Cleanup(made.server.Close)
-	core, lines := observer.New(zap.WarnLevel)
-	made.lines = lines
-	made.endpoint.Store(&roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready})
-	made.handler = ingress.New(ingress.Options{
-		Vocabulary: vocabulary, Address: made.server.Listener.Addr().String(),
-		Endpoint:           func() *roster.Endpoint { return made.endpoint.Load() },
+func newCrashFixture(t *testing.T) *crashFixture {
+	f := &crashFixture{started: make(chan struct{}, 8), quarantine: newFakeQuarantine()}
+	f.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*f.answer.Load())(w, r) }))
+	t.Cleanup(f.server.Close)
+	core, logs := observer.New(zap.WarnLevel)
+	f.logs = logs
+	f.endpoint.Store(&roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready})
+	f.handler = ingress.New(ingress.Options{
+		Vocabulary: vocabulary, Address: f.server.Listener.Addr().String(),
+		Endpoint:           func() *roster.Endpoint { return f.endpoint.Load() },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainDelay: func() time.Duration { return time.Second },
-		Dial:       (&net.Dialer{}).DialContext, Logger: zap.New(core), Observer: silentObserver{}, Quarantine: made.quarantine, Judge: &made.failures,
+		Dial:       (&net.Dialer{}).DialContext, Logger: zap.New(core), Observer: silentObserver{}, Quarantine: f.quarantine, Judge: &f.failures,
 	})
-	made.handler.Follow(made.endpoint.Load())
-	made.handler.SetService(&route.Service{Name: "one"})
-	return made
+	f.handler.Follow(f.endpoint.Load())
+	f.handler.SetService(&route.Service{Name: "one"})
+	return f
 }
 
-// ends returns how many requests were at work at each end that was told of.
-func (m *mortal) ends() (running []int) {
-	for _, line := range m.lines.FilterMessage("back end ended").All() {
+// crashes returns how many requests were at work at each end that was reported of.
+func (m *crashFixture) crashes() (running []int) {
+	for _, line := range m.logs.FilterMessage("back end ended").All() {
 		running = append(running, len(line.ContextMap()["running"].([]any)))
 	}
 	return running
 }
 
-// work has requests at work until the function is called that is returned; then each
-// ends as told.
-func (m *mortal) work(t *testing.T, requests int, end http.HandlerFunc) (release func()) {
-	held := make(chan struct{})
+// startRequests has requests at startRequests until the function is called that is returned; then each
+// ends as reported.
+func (m *crashFixture) startRequests(t *testing.T, requests int, end http.HandlerFunc) (release func()) {
+	finish := make(chan struct{})
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.atWork <- struct{}{}
+		m.started <- struct{}{}
 		select {
-		case <-held:
+		case <-finish:
 		case <-r.Context().Done():
 		}
 		end(w, r)
@@ -92,10 +92,10 @@
 		}()
 	}
 	for range requests {
-		<-m.atWork
+		<-m.started
 	}
 	return func() {
-		close(held)
+		close(finish)
 		for range requests {
 			<-done
 		}
@@ -105,66 +105,66 @@
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // TestAnEndIsToldFromABrokenConnection: only a process that listens no more has ended,
-// and all that was at work there is told once.
+// and all that was at work there is reported once.
 func TestAnEndIsToldFromABrokenConnection(t *testing.T) {
 	t.Run("connections broke, the process lives", func(t *testing.T) {
 		g := NewWithT(t)
-		made := playMortal(t)
-		made.work(t, 3, abort)()
-		g.Expect(made.ends()).To(BeEmpty())
+		f := newCrashFixture(t)
+		f.startRequests(t, 3, abort)()
+		g.Expect(f.crashes()).To(BeEmpty())
 	})
 	t.Run("the process ended", func(t *testing.T) {
 		g := NewWithT(t)
-		made := playMortal(t)
-		release := made.work(t, 3, abort)
-		g.Expect(made.server.Listener.Close()).To(Succeed())
+		f := newCrashFixture(t)
+		release := f.startRequests(t, 3, abort)
+		g.Expect(f.server.Listener.Close()).To(Succeed())
 		release()
-		g.Expect(made.ends()).To(Equal([]int{3}))
+		g.Expect(f.crashes()).To(Equal([]int{3}))
 	})
 	t.Run("the process was to end", func(t *testing.T) {
 		g := NewWithT(t)
-		made := playMortal(t)
-		leaving := *made.endpoint.Load()
+		f := newCrashFixture(t)
+		leaving := *f.endpoint.Load()
 		leaving.State = roster.Draining
-		made.endpoint.Store(&leaving)
-		release := made.work(t, 2, abort)
-		g.Expect(made.server.Listener.Close()).To(Succeed())
+		f.endpoint.Store(&leaving)
+		release := f.startRequests(t, 2, abort)
+		g.Expect(f.server.Listener.Close()).To(Succeed())
 		release()
-		g.Expect(made.ends()).To(BeEmpty())
+		g.Expect(f.crashes()).To(BeEmpty())
 	})
 	t.Run("another process listens already, and says so", func(t *testing.T) {
 		g := NewWithT(t)
-		made := playMortal(t)
-		made.work(t, 2, abort)()
-		made.handler.Follow(&roster.Endpoint{ID: "i-2", Service: "one", Slots: 4, State: roster.Ready})
-		g.Eventually(made.ends).Should(Equal([]int{2}))
+		f := newCrashFixture(t)
+		f.startRequests(t, 2, abort)()
+		f.handler.Follow(&roster.Endpoint{ID: "i-2", Service: "one", Slots: 4, State: roster.Ready})
+		g.Eventually(f.crashes).Should(Equal([]int{2}))
 	})
 }
 
 // TestAnEndIsOneFailure of the back end's version, however many requests were at work: a
 // request that ends back ends is no sign of bad software, and neither is that nobody answers
 // until the next process has started. A good version was taken back within 2.4 s of its order when a
-// harmful request had ended one of its three back ends: three failures of one moment made that
+// harmful request had ended one of its three back ends: three failures of one moment f that
 // one faulty. Answers that break off while the process lives are each a failure.
 func TestAnEndIsOneFailure(t *testing.T) {
-	for name, played := range map[string]struct {
+	for name, tc := range map[string]struct {
 		ends     bool
 		failures int64
 	}{"the process ended": {true, 1}, "connections broke, the process lives": {false, 4}} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			made := playMortal(t)
-			made.told = func(told *hop.Request) { told.Usual = &rollout.Usual{} }
-			release := made.work(t, 4, abort)
-			if played.ends {
-				g.Expect(made.server.Listener.Close()).To(Succeed())
+			f := newCrashFixture(t)
+			f.reported = func(reported *hop.Request) { reported.Usual = &rollout.Usual{} }
+			release := f.startRequests(t, 4, abort)
+			if tc.ends {
+				g.Expect(f.server.Listener.Close()).To(Succeed())
 			}
 			release()
-			if played.ends {
+			if tc.ends {
 				// Nobody is there to be asked until the next one has started.
-				g.Expect(made.receive(t.Context()).Code).To(Equal(http.StatusServiceUnavailable))
+				g.Expect(f.receive(t.Context()).Code).To(Equal(http.StatusServiceUnavailable))
 			}
-			g.Expect(made.failures.Load()).To(Equal(played.failures))
+			g.Expect(f.failures.Load()).To(Equal(tc.failures))
 		})
 	}
 }
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -127,8 +127,8 @@
 	replyHeaderBytes = 64 << 10
 	// defaultConnections bounds the connections until the configuration says.
 	defaultConnections = 64
-	// refusedWait is the Retry-After of refusals when nothing better is known.
-	refusedWait = 100 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of refusals when nothing better is known.
+	defaultRetryAfter = 100 * time.Millisecond
 )
 
 // Handler serves other nodes and its own. It is safe for concurrent use.
@@ -140,17 +140,17 @@
 	meter shares.Meter
 	// transfers bounds the large bodies on the link.
 	transfers *transfers
-	// leaving is since when the back end is known to be leaving; nil while it is not.
-	leaving  atomic.Pointer[leaving]
-	stopping atomic.Bool
-	// refusing: nothing is taken any more. inFlight is counted up before it is
+	// drainStart is since when the back end is known to be drainStart; nil while it is not.
+	drainStart       atomic.Pointer[drainStart]
+	closeConnections atomic.Bool
+	// rejecting: nothing is taken any more. inFlight is counted up before it is
 	// looked at, so that a request is either counted or refused.
-	refusing atomic.Bool
-	inFlight atomic.Int64
-	pace     choice.Pace
-	failures choice.Failures
-	// workplace holds what is at work at the back end.
-	workplace workplace
+	rejecting atomic.Bool
+	inFlight  atomic.Int64
+	pace      choice.Pace
+	failures  choice.Failures
+	// activeRequests holds what is at work at the back end.
+	activeRequests activeRequests
 	// notices holds what the back end asks for.
 	notices notices
 	// warmup bounds what a cold back end gets.
@@ -163,8 +163,8 @@
 	trial *semaphore.Weighted
 }
 
-// leaving remembers since when a back end is leaving.
-type leaving struct {
+// drainStart remembers since when a back end is drainStart.
+type drainStart struct {
 	of    roster.Incarnation
 	since time.Time
 }
@@ -186,7 +186,7 @@
 		trial:        semaphore.NewWeighted(1),
 	}
 	if options.Restarted {
-		created.notices.unheard.Store(true)
+		created.notices.noReplyYet.Store(true)
 		created.gate.Restarted()
 	}
 	return created
@@ -198,20 +198,20 @@
 	if endpoint == nil {
 		return
 	}
-	if met := h.workplace.replaced(endpoint.Incarnation(), clock.Now()); met != nil {
-		go h.tellEnding(met) // the roster's lock is held
+	if loss := h.activeRequests.crashOfPredecessor(endpoint.Incarnation(), clock.Now()); loss != nil {
+		go h.reportCrash(loss) // the roster's lock is held
 	}
 	if endpoint.State != roster.Ready {
-		h.workplace.planned(endpoint.Incarnation())
+		h.activeRequests.markPlannedStop(endpoint.Incarnation())
 	}
-	h.notices.follow(endpoint.Incarnation(), h.gate)
+	h.notices.setIncarnation(endpoint.Incarnation(), h.gate)
 	h.gate.Resize(max(endpoint.Slots, 1))
-	held := h.leaving.Load()
+	start := h.drainStart.Load()
 	switch {
 	case endpoint.State == roster.Ready:
-		h.leaving.Store(nil)
-	case held == nil || held.of != endpoint.Incarnation():
-		h.leaving.Store(&leaving{of: endpoint.Incarnation(), since: clock.Now()})
+		h.drainStart.Store(nil)
+	case start == nil || start.of != endpoint.Incarnation():
+		h.drainStart.Store(&drainStart{of: endpoint.Incarnation(), since: clock.Now()})
 	}
 }
 
@@ -226,11 +226,11 @@
 }
 
 // Stop has answers close their connections from now on.
-func (h *Handler) Stop() { h.stopping.Store(true) }
+func (h *Handler) Stop() { h.closeConnections.Store(true) }
 
 // RejectNew has whatever comes from now on, and what waits for a slot, refused: it has not run.
 func (h *Handler) RejectNew() {
-	h.refusing.Store(true)
+	h.rejecting.Store(true)
 	h.gate.Close()
 }
 
@@ -242,10 +242,10 @@
 
 // Pace returns how much longer the back end works than others of its service do, and what it last
 // said of that itself, with its age; zero when it says nothing.
-func (h *Handler) Pace() (factor, told float64, age time.Duration) {
+func (h *Handler) Pace() (factor, reported float64, age time.Duration) {
 	now := clock.Now()
-	told, age = h.pace.Reported(now)
-	return h.pace.Factor(now), told, age
+	reported, age = h.pace.Reported(now)
+	return h.pace.Factor(now), reported, age
 }
 
 // Usage returns which tenants have held the back end's slots for the longest time, and for how long
@@ -261,17 +261,17 @@
 // Sweep closes idle connections that are too old or broken.
 func (h *Handler) Sweep(now time.Time) { h.pool.Sweep(now) }
 
-// leftBehind reports whether the back end takes no new work any more.
-func (h *Handler) leftBehind(of roster.Incarnation) bool {
-	held := h.leaving.Load()
-	return held != nil && held.of == of && clock.Since(held.since) >= h.options.DrainDelay()
+// drainExpired reports whether the back end takes no new work any more.
+func (h *Handler) drainExpired(of roster.Incarnation) bool {
+	start := h.drainStart.Load()
+	return start != nil && start.of == of && clock.Since(start.since) >= h.options.DrainDelay()
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	if h.stopping.Load() {
+	if h.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	arrival := &arrival{handler: h, writer: w, request: r, started: clock.Received()}
@@ -279,5 +279,5 @@
 	if failure != nil {
 		arrival.reply(failure)
 	}
-	arrival.ended(failure)
+	arrival.record(failure)
 }
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -36,41 +36,41 @@
 func (silentObserver) BackendSent()                                                                 {}
 func (silentObserver) NoticeUnreadable()                                                            {}
 
-// played is a handler with a back end that answers as it is told.
-type played struct {
+// fixture is a handler with a back end that answers as it is reported.
+type fixture struct {
 	handler *ingress.Handler
 	answer  atomic.Pointer[http.HandlerFunc]
-	// told changes what the caller's node tells, nil for nothing.
-	told func(*hop.Request)
+	// reported changes what the caller's node tells, nil for nothing.
+	reported func(*hop.Request)
 	// limit is what the caller's node knows of the back end's limit, empty for nothing.
 	limit string
-	// serves says whether a newer configuration leads a request here, nil for always.
-	serves func(request *http.Request, service string, version uint64) bool
-	// emptied: the zone is to take nothing.
-	emptied atomic.Bool
+	// routesTo says whether a newer configuration leads a request here, nil for always.
+	routesTo func(request *http.Request, service string, version uint64) bool
+	// evacuated: the zone is to take nothing.
+	evacuated atomic.Bool
 }
 
-// play returns a handler whose requests compete for room when the function, if there is one, says so. Its
+// newFixture returns a handler whose requests compete for room when the function, if there is one, says so. Its
 // configuration says that back ends bear anything while they are cold.
-func play(t *testing.T, contended ...func() bool) *played {
-	made := playUnconfigured(t, contended...)
-	made.handler.SetService(&route.Service{Name: "one"})
-	return made
+func newFixture(t *testing.T, contended ...func() bool) *fixture {
+	f := newUnconfigured(t, contended...)
+	f.handler.SetService(&route.Service{Name: "one"})
+	return f
 }
 
-// playUnconfigured is play before a configuration came.
-func playUnconfigured(t *testing.T, contended ...func() bool) *played {
-	return playWith(t, func(options *ingress.Options) {
+// newUnconfigured is play before a configuration came.
+func newUnconfigured(t *testing.T, contended ...func() bool) *fixture {
+	return newWithOptions(t, func(options *ingress.Options) {
 		if len(contended) > 0 {
 			options.Contended = contended[0]
 		}
 	})
 }
 
-// playWith is playUnconfigured with changed options.
-func playWith(t *testing.T, change func(*ingress.Options)) *played {
-	made := &played{}
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*made.answer.Load())(w, r) }))
+// newWithOptions is playUnconfigured with changed options.
+func newWithOptions(t *testing.T, change func(*ingress.Options)) *fixture {
+	f := &fixture{}
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*f.answer.Load())(w, r) }))
 	t.Cleanup(backend.Close)
 	endpoint := &roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready}
 	options := ingress.Options{
@@ -78,21 +78,21 @@
 		Endpoint:           func() *roster.Endpoint { return endpoint },
 		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
 		DrainDelay: func() time.Duration { return time.Second },
-		Evacuated:  made.emptied.Load,
-		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
+		Evacuated:  f.evacuated.Load,
+		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newFakeQuarantine(),
 		RoutesTo: func(request *http.Request, service string, version uint64) bool {
-			return made.serves == nil || made.serves(request, service, version)
+			return f.routesTo == nil || f.routesTo(request, service, version)
 		},
 	}
 	change(&options)
-	made.handler = ingress.New(options)
-	made.handler.Follow(endpoint)
-	return made
+	f.handler = ingress.New(options)
+	f.handler.Follow(endpoint)
+	return f
 }
 
 // send passes one request through the handler and returns what the node says of
 // itself with the reply.
-func (p *played) send(t *testing.T, ctx context.Context) hop.Reply {
+func (p *fixture) send(t *testing.T, ctx context.Context) hop.Reply {
 	reply, err := hop.ParseReply(p.receive(ctx).Header().Get(hop.HeaderReply))
 	if err != nil {
 		t.Fatal(err)
@@ -100,8 +100,8 @@
 	return reply
 }
 
-// counts has the back end answer every request with success, and counts them.
-func (p *played) counts() *atomic.Int64 {
+// countRequests has the back end answer every request with success, and countRequests them.
+func (p *fixture) countRequests() *atomic.Int64 {
 	ran := &atomic.Int64{}
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
@@ -112,13 +112,13 @@
 }
 
 // receive passes one request through the handler and returns the answer.
-func (p *played) receive(ctx context.Context) *httptest.ResponseRecorder {
-	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
-	if p.told != nil {
-		p.told(&told)
+func (p *fixture) receive(ctx context.Context) *httptest.ResponseRecorder {
+	reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
+	if p.reported != nil {
+		p.reported(&reported)
 	}
 	req := httptest.NewRequestWithContext(ctx, http.MethodGet, "/a/", strings.NewReader(""))
-	req.Header.Set(hop.HeaderHop, told.Format())
+	req.Header.Set(hop.HeaderHop, reported.Format())
 	if p.limit != "" {
 		req.Header.Set(hop.HeaderLimit, p.limit)
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestTheShareOfFailures: what counts against a back end, as peers are told.
+// TestTheShareOfFailures: what counts against a back end, as peers are reported.
 func TestTheShareOfFailures(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -158,16 +158,16 @@
 		}, false},
 		{"a broken connection", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			made := play(t)
-			made.answer.Store(&held.answer)
+			f := newFixture(t)
+			f.answer.Store(&tc.answer)
 			var last hop.Reply
 			for range 40 {
-				last = made.send(t, t.Context())
+				last = f.send(t, t.Context())
 			}
-			if held.failed {
+			if tc.failed {
 				g.Expect(last.FailureRate).To(BeNumerically(">", 0.5))
 				return
 			}
@@ -181,12 +181,12 @@
 func TestCallersThatLeave(t *testing.T) {
 	for wait, failed := range map[time.Duration]bool{0: false, 100 * time.Millisecond: true} {
 		g := NewWithT(t)
-		made := play(t)
+		f := newFixture(t)
 		hanging := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		made.answer.Store(&hanging)
+		f.answer.Store(&hanging)
 		for range 3 {
 			ctx, leave := context.WithTimeout(t.Context(), wait)
-			last := made.send(t, ctx)
+			last := f.send(t, ctx)
 			leave()
 			g.Expect(last.FailureRate > 0).To(Equal(failed))
 		}
@@ -197,26 +197,26 @@
 // came before.
 func TestAStoppingNodeTakesNothing(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	begun, finish := make(chan struct{}), make(chan struct{})
 	waiting := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-finish
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&waiting)
+	f.answer.Store(&waiting)
 	first := make(chan *httptest.ResponseRecorder)
-	go func() { first <- made.receive(t.Context()) }()
+	go func() { first <- f.receive(t.Context()) }()
 	<-begun
-	made.handler.RejectNew()
-	g.Expect(made.handler.InFlight()).To(Equal(1))
-	refused := made.receive(t.Context())
+	f.handler.RejectNew()
+	g.Expect(f.handler.InFlight()).To(Equal(1))
+	refused := f.receive(t.Context())
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Header().Get(outcome.HeaderOutcome)).To(BeEquivalentTo(outcome.NotRun))
 	g.Expect(refused.Header().Get("Retry-After")).NotTo(BeEmpty())
 	close(finish)
 	g.Expect((<-first).Code).To(Equal(http.StatusOK))
-	g.Expect(made.handler.InFlight()).To(BeZero())
+	g.Expect(f.handler.InFlight()).To(BeZero())
 }
 
 // watchedBody tells each time it is read.
@@ -234,28 +234,28 @@
 // slot is taken, so that the link's time is not the back end's.
 func TestALargeBodyHoldsNoSlotWhileItComes(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		content, _ := io.ReadAll(r.Body)
 		w.Header().Set("Length", strconv.Itoa(len(content)))
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
+	f.answer.Store(&answer)
 	for length, running := range map[int]int{100: 1, 60_000: 0, 360_000: 0} {
-		told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
+		reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
 		seen := -1
 		body := &watchedBody{Reader: strings.NewReader(strings.Repeat("x", length)), begun: func() {
 			if seen < 0 {
-				seen = made.handler.Load().Running
+				seen = f.handler.Load().Running
 			}
 		}}
 		req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/a/", body)
 		req.ContentLength = int64(length)
-		req.Header.Set(hop.HeaderHop, told.Format())
+		req.Header.Set(hop.HeaderHop, reported.Format())
 		req.Header.Set(vocabulary.RequestID, "r")
 		req.Header.Set("Expect", "100-continue")
 		recorder := httptest.NewRecorder()
-		made.handler.ServeHTTP(recorder, req)
+		f.handler.ServeHTTP(recorder, req)
 		g.Expect(recorder.Code).To(Equal(http.StatusOK))
 		g.Expect(recorder.Header().Get("Length")).To(Equal(strconv.Itoa(length)))
 		g.Expect(seen).To(Equal(running))
@@ -267,25 +267,25 @@
 func TestACallerThatHasLeft(t *testing.T) {
 	g := NewWithT(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	made := play(t)
-	arrived := made.counts()
+	f := newFixture(t)
+	arrived := f.countRequests()
 	// A request before has a connection to the back end ready.
-	made.send(t, t.Context())
+	f.send(t, t.Context())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
+	reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
 	const callers = 20
 	for range callers {
 		connection, err := net.Dial("tcp", listener.Addr().String())
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = fmt.Fprintf(connection, "GET /a/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\n%s: %s\r\n\r\n", hop.HeaderHop, told.Format())
+		_, err = fmt.Fprintf(connection, "GET /a/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\n%s: %s\r\n\r\n", hop.HeaderHop, reported.Format())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(connection.Close()).To(Succeed())
 	}
 	ended := make(chan struct{}, callers)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() { ended <- struct{}{} }()
-		made.handler.ServeHTTP(w, r)
+		f.handler.ServeHTTP(w, r)
 	})}
 	defer server.Close()
 	go func() { _ = server.Serve(listener) }()
--- a/internal/sidecar/ingress/moved_test.go
+++ b/internal/sidecar/ingress/moved_test.go
@@ -18,7 +18,7 @@
 func TestARequestOfANodeThatIsBehind(t *testing.T) {
 	cases := []struct {
 		name, version string
-		serves        bool
+		routesTo      bool
 		ran           bool
 	}{
 		{"led here by both", "7", true, true},
@@ -26,31 +26,31 @@
 		{"of a node that does not tell", "", false, true},
 		{"of a version that cannot be read", "x", false, true},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			made := play(t)
-			ran := made.counts()
+			f := newFixture(t)
+			ran := f.countRequests()
 			var asked uint64
-			made.serves = func(_ *http.Request, service string, version uint64) bool {
+			f.routesTo = func(_ *http.Request, service string, version uint64) bool {
 				g.Expect(service).To(Equal("one"))
 				asked = version
-				return held.serves
+				return tc.routesTo
 			}
-			told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
+			reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
 			request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/a/", strings.NewReader(""))
-			request.Header.Set(hop.HeaderHop, told.Format())
+			request.Header.Set(hop.HeaderHop, reported.Format())
 			request.Header.Set(vocabulary.RequestID, "r")
-			if held.version != "" {
-				request.Header.Set(hop.HeaderVersion, held.version)
+			if tc.version != "" {
+				request.Header.Set(hop.HeaderVersion, tc.version)
 			}
 			recorder := httptest.NewRecorder()
-			made.handler.ServeHTTP(recorder, request)
-			g.Expect(ran.Load() == 1).To(Equal(held.ran))
-			if held.version == "7" {
+			f.handler.ServeHTTP(recorder, request)
+			g.Expect(ran.Load() == 1).To(Equal(tc.ran))
+			if tc.version == "7" {
 				g.Expect(asked).To(BeEquivalentTo(7))
 			}
-			if !held.ran {
+			if !tc.ran {
 				g.Expect(recorder.Code).To(Equal(http.StatusServiceUnavailable))
 				g.Expect(recorder.Header().Get(outcome.HeaderOutcome)).To(Equal(string(outcome.NotRun)))
 				g.Expect(recorder.Header().Get(outcome.HeaderError)).To(Equal("step=" + string(outcome.StepMoved)))
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -20,47 +20,47 @@
 
 // notices takes in what the back end asks for with its answers. It is safe for concurrent use.
 type notices struct {
-	// unheard: no answer of this life of the node has told whether there is a limit. Callers' nodes tell
+	// noReplyYet: no answer of this life of the node has told whether there is a limit. Callers' nodes tell
 	// of one that they know.
-	unheard atomic.Bool
+	noReplyYet atomic.Bool
 
 	mu sync.Mutex // guards all below
 	// of is the incarnation that is there; leaving: it leaves by what an answer says.
-	of      roster.Incarnation
-	leaving bool
+	of       roster.Incarnation
+	draining bool
 	// unreadable: the last notice could not be read.
 	unreadable bool
-	// logged is when the log last told of the limit.
-	logged time.Time
+	// lastLogged is when the log last told of the limit.
+	lastLogged time.Time
 }
 
-// follow takes in which incarnation is there.
-func (n *notices) follow(of roster.Incarnation, gate *admission.Gate) {
+// setIncarnation takes in which incarnation is there.
+func (n *notices) setIncarnation(of roster.Incarnation, gate *admission.Gate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.of == of {
 		return
 	}
 	if n.of != (roster.Incarnation{}) {
-		n.unheard.Store(false) // what has just started has named nothing before
+		n.noReplyYet.Store(false) // what has just started has named nothing before
 	}
-	n.of, n.leaving = of, false
+	n.of, n.draining = of, false
 	gate.ResetLimit()
 }
 
-// leaves takes in that an incarnation leaves, and reports whether that is new.
-func (n *notices) leaves(of roster.Incarnation) bool {
+// markDraining takes in that an incarnation markDraining, and reports whether that is new.
+func (n *notices) markDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.of != of || n.leaving {
+	if n.of != of || n.draining {
 		return false
 	}
-	n.leaving = true
+	n.draining = true
 	return true
 }
 
-// failed takes in that a notice could not be read, and reports whether the one before could.
-func (n *notices) failed() (first bool) {
+// markUnreadable takes in that a notice could not be read, and reports whether the one before could.
+func (n *notices) markUnreadable() (first bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	first = !n.unreadable
@@ -72,19 +72,19 @@
 func (h *Handler) Limit() admission.Limit { return h.gate.Limit() }
 
 // LeavesByAnswer reports whether an incarnation has said with an answer that it leaves.
-func (h *Handler) LeavesByAnswer(of roster.Incarnation) bool { return h.notices.leavesByAnswer(of) }
+func (h *Handler) LeavesByAnswer(of roster.Incarnation) bool { return h.notices.announcedDraining(of) }
 
-// hear takes in what the back end asks for with an answer to a request sent at that moment.
-func (h *Handler) hear(header http.Header, of *roster.Endpoint, sent time.Time) {
+// applyNotice takes in what the back end asks for with an answer to a request sent at that moment.
+func (h *Handler) applyNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read {
-		h.hearLimit(ratelimit.Advertised{Named: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{Named: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
-// hearHealth is hear for the answer to a health check. It may leave a limit out that holds.
-func (h *Handler) hearHealth(header http.Header, of *roster.Endpoint, sent time.Time) {
+// applyHealthNotice is hear for the answer to a health check. It may leave a limit out that holds.
+func (h *Handler) applyHealthNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read && notice.Limited {
-		h.hearLimit(ratelimit.Advertised{Named: true, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{Named: true, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
@@ -94,7 +94,7 @@
 		return hop.Notice{}, false
 	}
 	notice, err := h.options.DecodeNotice(header)
-	if notice.Draining && h.notices.leaves(of.Incarnation()) {
+	if notice.Draining && h.notices.markDraining(of.Incarnation()) {
 		h.options.Logger.Info("back end leaves by word of an answer", zap.String("endpoint", of.ID), zap.String("service", of.Service))
 		h.options.OnDraining(of.Incarnation())
 	}
@@ -102,14 +102,14 @@
 		return notice, true
 	}
 	h.options.Observer.NoticeUnreadable()
-	if h.notices.failed() {
+	if h.notices.markUnreadable() {
 		h.options.Logger.Warn("notice of the back end not read", zap.String("endpoint", of.ID), zap.Error(err))
 	}
 	return notice, false
 }
 
-// hearLimit takes in the limit that an answer names. A late answer of an earlier incarnation says nothing.
-func (h *Handler) hearLimit(advertised ratelimit.Advertised, of *roster.Endpoint, sent time.Time) {
+// applyLimit takes in the limit that an answer names. A late answer of an earlier incarnation says nothing.
+func (h *Handler) applyLimit(advertised ratelimit.Advertised, of *roster.Endpoint, sent time.Time) {
 	h.notices.mu.Lock()
 	defer h.notices.mu.Unlock()
 	if h.notices.of != of.Incarnation() {
@@ -120,59 +120,59 @@
 	if before, changed := h.gate.UpdateLimit(advertised, sent, now); changed {
 		h.logLimit(of, before, advertised, now)
 	}
-	h.notices.unheard.Store(false)
+	h.notices.noReplyYet.Store(false)
 }
 
-// hearPeer takes in the limit that the caller's node knows of, while the back end has not answered in this
+// applyPeerLimit takes in the limit that the caller's node knows of, while the back end has not answered in this
 // life of the node.
-func (a *arrival) hearPeer() {
+func (a *arrival) applyPeerLimit() {
 	line := a.request.Header.Get(hop.HeaderLimit)
-	if line == "" || !a.handler.notices.unheard.Load() {
+	if line == "" || !a.handler.notices.noReplyYet.Load() {
 		return
 	}
-	told, err := hop.ParseLimit(line)
+	reported, err := hop.ParseLimit(line)
 	if err != nil {
 		a.handler.options.Logger.Warn("limit told by a node not read", zap.String("peer", a.request.RemoteAddr), zap.Error(err))
 		return
 	}
 	// Of what several nodes know the strictest holds.
-	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: told.PerSecond}, time.Time{}, clock.Now()); changed {
+	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: reported.PerSecond}, time.Time{}, clock.Now()); changed {
 		a.handler.options.Logger.Info("limit of the back end told by a node", zap.String("endpoint", a.endpoint.ID),
-			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", told.PerSecond))
+			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", reported.PerSecond))
 	}
 }
 
 // logLimit tells of a change; the lock of the notices is held.
 func (h *Handler) logLimit(of *roster.Endpoint, before admission.Limit, advertised ratelimit.Advertised, now time.Time) {
-	if before.Named == advertised.Named && now.Sub(h.notices.logged) < noticeLogInterval {
+	if before.Named == advertised.Named && now.Sub(h.notices.lastLogged) < noticeLogInterval {
 		return
 	}
-	h.notices.logged = now
+	h.notices.lastLogged = now
 	h.options.Logger.Info("limit of the back end", zap.String("endpoint", of.ID), zap.String("service", of.Service),
 		zap.Bool("limited", advertised.Named), zap.Float64("perSecond", advertised.PerSecond),
 		zap.Bool("limitedBefore", before.Named), zap.Float64("perSecondBefore", before.PerSecond),
 		zap.Duration("for", before.Age), zap.Int("recent", before.Recent))
 }
 
-// leavesByAnswer reports whether an incarnation has said with an answer that it leaves.
-func (n *notices) leavesByAnswer(of roster.Incarnation) bool {
+// announcedDraining reports whether an incarnation has said with an answer that it leaves.
+func (n *notices) announcedDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leaving && n.of == of
+	return n.draining && n.of == of
 }
 
-// tellNotices adds to a reply what the back end asks for.
-func (a *arrival) tellNotices(header http.Header) {
+// setNoticeHeaders adds to a reply what the back end asks for.
+func (a *arrival) setNoticeHeaders(header http.Header) {
 	if a.handler.gate.Limited() {
-		a.tellLimit(header)
+		a.setLimitHeader(header)
 	}
-	if a.endpoint != nil && a.handler.notices.leavesByAnswer(a.endpoint.Incarnation()) {
+	if a.endpoint != nil && a.handler.notices.announcedDraining(a.endpoint.Incarnation()) {
 		header[hop.HeaderLeaving] = []string{a.endpoint.Incarnation().String()}
 	}
 }
 
-// tellLimit adds the limit of the back end to a reply.
-func (a *arrival) tellLimit(header http.Header) {
+// setLimitHeader adds the limit of the back end to a reply.
+func (a *arrival) setLimitHeader(header http.Header) {
 	if perSecond, room, limited := a.handler.gate.Room(a.ticket(), a.limited); limited {
 		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: perSecond, Room: room}.Format()}
 	}
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -27,25 +27,25 @@
 	return notice, err
 }
 
-// noticed is a handler whose back end asks for something with its answers.
-type noticed struct {
-	*played
+// noticeFixture is a handler whose back end asks for something with its answers.
+type noticeFixture struct {
+	*fixture
 	left atomic.Int64
 }
 
-func playNoticed(t *testing.T, restarted bool) *noticed {
-	made := &noticed{}
-	made.played = playWith(t, func(options *ingress.Options) {
+func newNoticeFixture(t *testing.T, restarted bool) *noticeFixture {
+	f := &noticeFixture{}
+	f.fixture = newWithOptions(t, func(options *ingress.Options) {
 		options.DecodeNotice = decodeNotice
-		options.OnDraining = func(roster.Incarnation) { made.left.Add(1) }
+		options.OnDraining = func(roster.Incarnation) { f.left.Add(1) }
 		options.Restarted = restarted
 	})
-	made.handler.SetService(&route.Service{Name: "one", HealthPath: "/health"})
-	return made
+	f.handler.SetService(&route.Service{Name: "one", HealthPath: "/health"})
+	return f
 }
 
-// names answers with a limit in the manner given.
-func (n *noticed) names(limit string, answer http.HandlerFunc) {
+// setLimit answers with a limit in the manner given.
+func (n *noticeFixture) setLimit(limit string, answer http.HandlerFunc) {
 	limited := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", limit)
 		answer(w, r)
@@ -56,9 +56,9 @@
 // TestWhichAnswersNameALimit: those that are provably of the back end that was meant.
 func TestWhichAnswersNameALimit(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		heard  bool
+		name    string
+		answer  http.HandlerFunc
+		applied bool
 	}{
 		{"a success", signed(http.StatusOK), true},
 		{"a failure", signed(http.StatusInternalServerError), true},
@@ -74,13 +74,13 @@
 		}, false},
 		{"a broken connection", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			made := playNoticed(t, false)
-			made.names("3", held.answer)
-			made.receive(t.Context())
-			g.Expect(made.handler.Limit().Named).To(Equal(held.heard))
+			f := newNoticeFixture(t, false)
+			f.setLimit("3", tc.answer)
+			f.receive(t.Context())
+			g.Expect(f.handler.Limit().Named).To(Equal(tc.applied))
 		})
 	}
 }
@@ -88,43 +88,43 @@
 // TestARequestWithoutRoomIsRefusedWithATime and the node tells its peer of the limit.
 func TestARequestWithoutRoomIsRefusedWithATime(t *testing.T) {
 	g := NewWithT(t)
-	made := playNoticed(t, false)
-	made.told = func(told *hop.Request) { told.MaximumWait = 10 * time.Millisecond }
-	made.names("0.5", signed(http.StatusOK))
-	made.receive(t.Context())
-	refused := made.receive(t.Context())
+	f := newNoticeFixture(t, false)
+	f.reported = func(reported *hop.Request) { reported.MaximumWait = 10 * time.Millisecond }
+	f.setLimit("0.5", signed(http.StatusOK))
+	f.receive(t.Context())
+	refused := f.receive(t.Context())
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Header().Get(outcome.HeaderOutcome)).To(Equal(string(outcome.NotRun)))
 	g.Expect(refused.Header().Get(outcome.HeaderError)).To(Equal("step=" + string(outcome.StepLimit)))
 	g.Expect(strconv.ParseFloat(refused.Header().Get("Retry-After"), 64)).To(BeNumerically("~", 2, 0.5))
-	told, err := hop.ParseLimit(refused.Header().Get(hop.HeaderLimit))
+	reported, err := hop.ParseLimit(refused.Header().Get(hop.HeaderLimit))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(told.PerSecond).To(Equal(0.5))
-	g.Expect(told.Room).To(BeNumerically("<", 0.5))
+	g.Expect(reported.PerSecond).To(Equal(0.5))
+	g.Expect(reported.Room).To(BeNumerically("<", 0.5))
 }
 
 // TestALimitThatCannotBeReadLeavesTheOneThatHolds.
 func TestALimitThatCannotBeReadLeavesTheOneThatHolds(t *testing.T) {
 	g := NewWithT(t)
-	made := playNoticed(t, false)
-	made.names("7", signed(http.StatusOK))
-	made.receive(t.Context())
-	made.names("few", signed(http.StatusOK))
-	g.Expect(made.receive(t.Context()).Code).To(Equal(http.StatusOK))
-	g.Expect(made.handler.Limit().PerSecond).To(Equal(7.0))
+	f := newNoticeFixture(t, false)
+	f.setLimit("7", signed(http.StatusOK))
+	f.receive(t.Context())
+	f.setLimit("few", signed(http.StatusOK))
+	g.Expect(f.receive(t.Context()).Code).To(Equal(http.StatusOK))
+	g.Expect(f.handler.Limit().PerSecond).To(Equal(7.0))
 }
 
 // TestANodeThatHasJustStartedIsToldOfALimit by the requests that it bounds, until the first answer.
 func TestANodeThatHasJustStartedIsToldOfALimit(t *testing.T) {
 	for _, restarted := range []bool{true, false} {
 		g := NewWithT(t)
-		made := playNoticed(t, restarted)
-		made.told = func(told *hop.Request) { told.MaximumWait = time.Millisecond }
-		made.limit = "2000 0"
-		ran := made.counts()
+		f := newNoticeFixture(t, restarted)
+		f.reported = func(reported *hop.Request) { reported.MaximumWait = time.Millisecond }
+		f.limit = "2000 0"
+		ran := f.countRequests()
 		var requests sync.WaitGroup
 		for range 30 {
-			requests.Go(func() { made.receive(t.Context()) })
+			requests.Go(func() { f.receive(t.Context()) })
 		}
 		requests.Wait()
 		if restarted {
@@ -138,14 +138,14 @@
 // TestABackEndThatLeavesByWordOfAnAnswerIsToldOnce.
 func TestABackEndThatLeavesByWordOfAnAnswerIsToldOnce(t *testing.T) {
 	g := NewWithT(t)
-	made := playNoticed(t, false)
+	f := newNoticeFixture(t, false)
 	leaving := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&leaving)
+	f.answer.Store(&leaving)
 	for range 3 {
-		g.Expect(made.receive(t.Context()).Header().Get(hop.HeaderLeaving)).To(Equal("i-1"))
+		g.Expect(f.receive(t.Context()).Header().Get(hop.HeaderLeaving)).To(Equal("i-1"))
 	}
-	g.Expect(made.left.Load()).To(BeEquivalentTo(1))
+	g.Expect(f.left.Load()).To(BeEquivalentTo(1))
 }
--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -23,37 +23,37 @@
 	return a.request.Header.Get(a.handler.options.Vocabulary.Tenant)
 }
 
-// shared returns the tenant against whose share the request counts, empty for none.
-func (a *arrival) shared() string {
-	if a.told.Nested || !a.handler.options.ReportShares {
+// shareTenant returns the tenant against whose share the request counts, empty for none.
+func (a *arrival) shareTenant() string {
+	if a.reported.Nested || !a.handler.options.ReportShares {
 		return ""
 	}
 	return a.tenant()
 }
 
-// offered has the meter count the request. Those above their tenant's share are counted by the others,
+// countOffered has the meter count the request. Those above their tenant's share are counted by the others,
 // which tell for how many they stand.
-func (a *arrival) offered() {
-	tenant := a.shared()
-	a.counted = tenant != ""
-	if a.counted && !a.told.OverShare {
+func (a *arrival) countOffered() {
+	tenant := a.shareTenant()
+	a.countedInShare = tenant != ""
+	if a.countedInShare && !a.reported.OverShare {
 		part := shares.ParsePart(a.request.Header.Get(hop.HeaderShare))
-		a.handler.meter.Came(a.told.Priority, tenant, a.told.ExpectedServiceTime, part, clock.Now())
+		a.handler.meter.Came(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
 	}
 }
 
-// admitted has the meter count that the request has a slot.
-func (a *arrival) admitted() {
-	if a.counted {
-		a.handler.meter.Served(a.told.Priority, a.told.ExpectedServiceTime, clock.Now())
+// countAdmitted has the meter count that the request has a slot.
+func (a *arrival) countAdmitted() {
+	if a.countedInShare {
+		a.handler.meter.Served(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
 	}
 }
 
-// tellShare tells the caller's node what the tenant may have of the room here. A request that was refused
+// setShareHeader tells the caller's node what the tenant may have of the room here. A request that was refused
 // for another reason says nothing of the room.
-func (a *arrival) tellShare(header http.Header) {
-	if a.counted {
-		told := a.handler.meter.Standing(a.told.Priority, a.shared(), clock.Now())
-		header[hop.HeaderShare] = []string{told.Format()}
+func (a *arrival) setShareHeader(header http.Header) {
+	if a.countedInShare {
+		reported := a.handler.meter.Standing(a.reported.Priority, a.shareTenant(), clock.Now())
+		header[hop.HeaderShare] = []string{reported.Format()}
 	}
 }
--- a/internal/sidecar/ingress/suspension_test.go
+++ b/internal/sidecar/ingress/suspension_test.go
@@ -18,16 +18,16 @@
 func TestASuspendedNodeStillDrains(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
-	made := playMortal(t)
+	f := newCrashFixture(t)
 	answer := signed(http.StatusOK)
-	made.answer.Store(&answer)
-	leaving := *made.endpoint.Load()
+	f.answer.Store(&answer)
+	leaving := *f.endpoint.Load()
 	leaving.State = roster.Draining
-	made.endpoint.Store(&leaving)
-	made.handler.Follow(&leaving)
-	g.Expect(refusedAt(made.receive(t.Context()))).To(BeEmpty())
+	f.endpoint.Store(&leaving)
+	f.handler.Follow(&leaving)
+	g.Expect(refusedAt(f.receive(t.Context()))).To(BeEmpty())
 	suspend(2 * time.Second)
-	g.Expect(refusedAt(made.receive(t.Context()))).To(Equal("step=drain"))
+	g.Expect(refusedAt(f.receive(t.Context()))).To(Equal("step=drain"))
 }
 
 // TestADeadlineIsNotLengthened: a request that waited while the machine was suspended is
@@ -35,10 +35,10 @@
 func TestADeadlineIsNotLengthened(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
-	made := playMortal(t)
+	f := newCrashFixture(t)
 	const remaining, slept = 10 * time.Second, 4 * time.Second
-	made.told = func(told *hop.Request) { told.Remaining, told.MaximumWait = remaining, time.Minute }
-	release := made.work(t, 4, signed(http.StatusOK)) // all slots
+	f.reported = func(reported *hop.Request) { reported.Remaining, reported.MaximumWait = remaining, time.Minute }
+	release := f.startRequests(t, 4, signed(http.StatusOK)) // all slots
 
 	deadlines := make(chan time.Duration, 1)
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,10 +48,10 @@
 		}
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
+	f.answer.Store(&answer)
 	waiting := make(chan string, 1)
-	go func() { waiting <- refusedAt(made.receive(t.Context())) }()
-	g.Eventually(func() int { return made.handler.Load().Waiting }).Should(Equal(1))
+	go func() { waiting <- refusedAt(f.receive(t.Context())) }()
+	g.Eventually(func() int { return f.handler.Load().Waiting }).Should(Equal(1))
 	suspend(slept)
 	release()
 	g.Expect(<-waiting).To(BeEmpty())
--- a/internal/sidecar/ingress/transfer_test.go
+++ b/internal/sidecar/ingress/transfer_test.go
@@ -46,14 +46,14 @@
 		_, err := slow.acquire(t.Context(), slow.size)
 		g.Expect(err).NotTo(HaveOccurred())
 		began := time.Now()
-		held, err := slow.acquire(t.Context(), slow.size)
-		g.Expect(time.Since(began)).To(Equal(roomTime), "a slow sender does not keep its room")
+		free, err := slow.acquire(t.Context(), slow.size)
+		g.Expect(time.Since(began)).To(Equal(reservationTimeout), "a slow sender does not keep its room")
 		g.Expect(err).NotTo(HaveOccurred())
-		impatient, cancel := context.WithTimeout(t.Context(), roomTime/2)
+		impatient, cancel := context.WithTimeout(t.Context(), reservationTimeout/2)
 		defer cancel()
 		_, err = slow.acquire(impatient, 1)
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
-		held()
+		free()
 
 		for range 100 {
 			_, err := newTransfers(0).acquire(t.Context(), 60_000)
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -15,20 +15,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// scripted is a quarantine that says what it is told to.
-type scripted struct {
+// fakeQuarantine is a quarantine that says what it is reported to.
+type fakeQuarantine struct {
 	holds, suspects atomic.Bool
 	survived        atomic.Int64
 	crashes         chan roster.Crash
 }
 
-func newScripted() *scripted { return &scripted{crashes: make(chan roster.Crash, 8)} }
+func newFakeQuarantine() *fakeQuarantine { return &fakeQuarantine{crashes: make(chan roster.Crash, 8)} }
 
-func (s *scripted) Idle() bool                       { return !s.holds.Load() && !s.suspects.Load() }
-func (s *scripted) Holds(fingerprint.Print) bool     { return s.holds.Load() }
-func (s *scripted) Suspects(fingerprint.Print) bool  { return s.suspects.Load() }
-func (s *scripted) Ended(crash roster.Crash)         { s.crashes <- crash }
-func (s *scripted) Survived(print fingerprint.Print) { s.survived.Add(1) }
+func (s *fakeQuarantine) Idle() bool                       { return !s.holds.Load() && !s.suspects.Load() }
+func (s *fakeQuarantine) Holds(fingerprint.Print) bool     { return s.holds.Load() }
+func (s *fakeQuarantine) Suspects(fingerprint.Print) bool  { return s.suspects.Load() }
+func (s *fakeQuarantine) Ended(crash roster.Crash)         { s.crashes <- crash }
+func (s *fakeQuarantine) Survived(print fingerprint.Print) { s.survived.Add(1) }
 
 // refusedAt returns the step at which a request was refused as not run, empty when it was
 // not.
@@ -42,60 +42,60 @@
 // TestAHeldRequestIsNotRun whatever brought it here.
 func TestAHeldRequestIsNotRun(t *testing.T) {
 	g := NewWithT(t)
-	made := playMortal(t)
-	runs := made.counts()
-	made.quarantine.holds.Store(true)
-	g.Expect(refusedAt(made.receive(t.Context()))).To(Equal("step=quarantine"))
+	f := newCrashFixture(t)
+	runs := f.countRequests()
+	f.quarantine.holds.Store(true)
+	g.Expect(refusedAt(f.receive(t.Context()))).To(Equal("step=quarantine"))
 	g.Expect(runs.Load()).To(BeZero())
-	made.quarantine.holds.Store(false)
-	g.Expect(refusedAt(made.receive(t.Context()))).To(BeEmpty())
+	f.quarantine.holds.Store(false)
+	g.Expect(refusedAt(f.receive(t.Context()))).To(BeEmpty())
 	g.Expect(runs.Load()).To(BeEquivalentTo(1))
 }
 
-// TestSuspectsRunOneAtATime: an end tells which of them made it. Others wait, and run in
+// TestSuspectsRunOneAtATime: an end tells which of them f it. Others wait, and run in
 // their turn.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	g := NewWithT(t)
-	made := playMortal(t)
-	made.quarantine.suspects.Store(true)
+	f := newCrashFixture(t)
+	f.quarantine.suspects.Store(true)
 	var running, most atomic.Int64
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		now := running.Add(1)
 		defer running.Add(-1)
-		for held := most.Load(); now > held && !most.CompareAndSwap(held, now); held = most.Load() {
+		for highest := most.Load(); now > highest && !most.CompareAndSwap(highest, now); highest = most.Load() {
 		}
 		time.Sleep(5 * time.Millisecond)
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
+	f.answer.Store(&answer)
 	const requests = 4
 	refused := make(chan string, requests)
 	for range requests {
-		go func() { refused <- refusedAt(made.receive(t.Context())) }()
+		go func() { refused <- refusedAt(f.receive(t.Context())) }()
 	}
 	for range requests {
 		g.Expect(<-refused).To(BeEmpty())
 	}
 	g.Expect(most.Load()).To(BeEquivalentTo(1))
-	g.Expect(made.quarantine.survived.Load()).To(BeEquivalentTo(requests))
+	g.Expect(f.quarantine.survived.Load()).To(BeEquivalentTo(requests))
 }
 
 // TestAnEndUnderASuspect names it apart from what was beside it.
 func TestAnEndUnderASuspect(t *testing.T) {
 	g := NewWithT(t)
-	made := playMortal(t)
-	beside := made.work(t, 2, abort)
-	made.told = func(told *hop.Request) { told.Suspect = true }
+	f := newCrashFixture(t)
+	beside := f.startRequests(t, 2, abort)
+	f.reported = func(reported *hop.Request) { reported.Suspect = true }
 	trial := make(chan struct{})
 	go func() {
 		defer close(trial)
-		made.receive(t.Context())
+		f.receive(t.Context())
 	}()
-	<-made.atWork
-	g.Expect(made.server.Listener.Close()).To(Succeed())
+	<-f.started
+	g.Expect(f.server.Listener.Close()).To(Succeed())
 	beside()
 	<-trial
-	crash := <-made.quarantine.crashes
+	crash := <-f.quarantine.crashes
 	g.Expect(crash.Running).To(HaveLen(3))
 	g.Expect(crash.Trial).NotTo(BeNil())
 }
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -38,8 +38,8 @@
 // MarkPossiblyCold takes in that the back end may have turned cold unheard.
 func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
 
-// bear refuses a request that a cold back end would not bear. It has not run.
-func (a *arrival) bear() *outcome.Failure {
+// checkWarmup refuses a request that a cold back end would not checkWarmup. It has not run.
+func (a *arrival) checkWarmup() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
 	if verdict.Ask {
 		go func() { _ = contain.Run("health", a.handler.options.Logger, a.handler.askHealth) }()
@@ -47,7 +47,7 @@
 	if !verdict.Refused {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, refusedWait/2), errCold)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, defaultRetryAfter/2), errCold)
 }
 
 // newHealthClient returns the client of the back end's health path. Each question has a
@@ -74,13 +74,13 @@
 	}
 	_ = response.Body.Close()
 	names := &h.options.Vocabulary
-	left, told := hop.ParseMilliseconds(response.Header.Get(names.WarmupLeft))
+	left, reported := hop.ParseMilliseconds(response.Header.Get(names.WarmupLeft))
 	if found := response.Header.Get(names.InstanceID); found != endpoint.ID {
 		h.options.Logger.Info("health of another back end", zap.String("endpoint", endpoint.ID), zap.String("found", found))
 		return
 	}
-	h.hearHealth(response.Header, endpoint, asked)
-	if told || response.StatusCode == http.StatusOK {
+	h.applyHealthNotice(response.Header, endpoint, asked)
+	if reported || response.StatusCode == http.StatusOK {
 		h.warmup.Answer(left, asked, clock.Now())
 		h.options.Logger.Info("back end asked whether it is cold", zap.String("endpoint", endpoint.ID), zap.Duration("left", left))
 	}
--- a/internal/sidecar/ingress/warmup_test.go
+++ b/internal/sidecar/ingress/warmup_test.go
@@ -16,7 +16,7 @@
 // back, until the back end itself says that it is warm.
 func TestAColdBackEndIsNotOverrun(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	var ran, asked atomic.Int64
 	warm := make(chan struct{})
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,11 +29,11 @@
 		ran.Add(1)
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
-	made.handler.SetService(&route.Service{Name: "one", HealthPath: "/health", WarmupRate: 3, WarmupTime: time.Hour})
+	f.answer.Store(&answer)
+	f.handler.SetService(&route.Service{Name: "one", HealthPath: "/health", WarmupRate: 3, WarmupTime: time.Hour})
 	var refused int
 	for range 20 {
-		recorder := made.receive(t.Context())
+		recorder := f.receive(t.Context())
 		if recorder.Code == http.StatusOK {
 			continue
 		}
@@ -47,21 +47,21 @@
 	g.Expect(refused).To(BeNumerically(">", 0))
 	g.Eventually(asked.Load).Should(BeNumerically(">", 0))
 	close(warm)
-	g.Eventually(func() int { return made.receive(t.Context()).Code }).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return f.receive(t.Context()).Code }).Should(Equal(http.StatusOK))
 }
 
 // TestAColdBackEndIsNotOverrunBeforeAConfigurationCame, as after a loss of power while the store is away.
 func TestAColdBackEndIsNotOverrunBeforeAConfigurationCame(t *testing.T) {
 	g := NewWithT(t)
-	made := playUnconfigured(t)
-	ran := made.counts()
-	made.handler.SetWarmupRemaining(time.Hour)
+	f := newUnconfigured(t)
+	ran := f.countRequests()
+	f.handler.SetWarmupRemaining(time.Hour)
 	for range 20 {
-		made.receive(t.Context())
+		f.receive(t.Context())
 	}
-	made.handler.SetService(&route.Service{Name: "one", WarmupRate: 3, WarmupTime: time.Hour})
+	f.handler.SetService(&route.Service{Name: "one", WarmupRate: 3, WarmupTime: time.Hour})
 	for range 20 {
-		made.receive(t.Context())
+		f.receive(t.Context())
 	}
 	g.Expect(ran.Load()).To(BeNumerically("<=", 3))
 }
@@ -69,13 +69,13 @@
 // TestAnEmptiedZoneTakesNothing, as the node beside the back end sees it.
 func TestAnEmptiedZoneTakesNothing(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
-	ran := made.counts()
-	made.emptied.Store(true)
-	recorder := made.receive(t.Context())
+	f := newFixture(t)
+	ran := f.countRequests()
+	f.evacuated.Store(true)
+	recorder := f.receive(t.Context())
 	g.Expect(recorder.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(recorder.Header().Get(outcome.HeaderOutcome)).To(Equal(string(outcome.NotRun)))
 	g.Expect(ran.Load()).To(BeZero())
-	made.emptied.Store(false)
-	g.Expect(made.receive(t.Context()).Code).To(Equal(http.StatusOK))
+	f.evacuated.Store(false)
+	g.Expect(f.receive(t.Context()).Code).To(Equal(http.StatusOK))
 }
