--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -10,7 +10,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-func TestRequestLine(t *testing.T) {
+func TestRequestHeader(t *testing.T) {
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: 1234567 * time.Microsecond, Priority: 3,
@@ -31,7 +31,7 @@
 	g.Expect(received.MaximumWait).To(BeZero())
 }
 
-func TestRequestOfTheVersionBefore(t *testing.T) {
+func TestRequestOfThePreviousRelease(t *testing.T) {
 	g := NewWithT(t)
 	received, err := hop.ParseRequest("one two 1 2 3 4 5 1")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -41,7 +41,7 @@
 	}))
 }
 
-func TestReplyLine(t *testing.T) {
+func TestReplyHeader(t *testing.T) {
 	g := NewWithT(t)
 	sent := hop.Reply{
 		Version: 1<<53 - 1, Running: 9, Waiting: 2, Slots: 9, HoldTime: 120 * time.Millisecond, Factor: 1.5, ServiceTime: 80 * time.Millisecond, FailureRate: 0.25,
@@ -51,9 +51,9 @@
 	g.Expect(received).To(Equal(sent))
 }
 
-// TestARequestThatIsCompared: what is usual travels with requests to a version on
-// trial, and with no others.
-func TestARequestThatIsCompared(t *testing.T) {
+// TestUsualOfARequest checks that the usual rates are sent with requests to a version under
+// comparison, and with no others.
+func TestUsualOfARequest(t *testing.T) {
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: time.Second, Priority: 1, MaximumWait: 20 * time.Millisecond,
@@ -68,7 +68,7 @@
 	g.Expect(received.Usual).To(BeNil())
 }
 
-func TestReplyOfTheVersionBefore(t *testing.T) {
+func TestReplyOfThePreviousRelease(t *testing.T) {
 	g := NewWithT(t)
 	received, err := hop.ParseReply("1 2 3 4 5 6 7")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -76,7 +76,7 @@
 	g.Expect(received.FailureRate).To(BeZero())
 }
 
-func TestLinesThatCannotBeRead(t *testing.T) {
+func TestMalformedHeaders(t *testing.T) {
 	for _, line := range []string{"", "one", " two 1 2 3 4 5 0", "one two 1 2 3 4", "one two 1 2 3 4 0 6 7 8", "one two 1 2 3 4 0 6 x", "one two -1 2 3 4 0", "one two x 2 3 4 0"} {
 		_, err := hop.ParseRequest(line)
 		NewWithT(t).Expect(err).To(MatchError(hop.ErrMalformedHeader), line)
@@ -100,8 +100,8 @@
 	g.Expect(hop.FormatSeconds(150 * time.Millisecond)).To(Equal("0.15"))
 }
 
-// TestAnAgeIsNotToldAsLess than it is.
-func TestAnAgeIsNotToldAsLess(t *testing.T) {
+// TestFormatAgeRoundsUp checks that an age is never reported as less than it is.
+func TestFormatAgeRoundsUp(t *testing.T) {
 	g := NewWithT(t)
 	for age, want := range map[time.Duration]string{0: "0", time.Nanosecond: "1", time.Millisecond: "1", 1500 * time.Microsecond: "2"} {
 		g.Expect(hop.FormatAge(age)).To(Equal(want))
--- a/internal/sidecar/hop/limit_test.go
+++ b/internal/sidecar/hop/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-func TestLimitLine(t *testing.T) {
+func TestLimitHeader(t *testing.T) {
 	for _, sent := range []hop.Limit{{PerSecond: 12.8, Room: 3.25}, {PerSecond: 0, Room: -7.5}, {PerSecond: 1000, Room: 1000}} {
 		received, err := hop.ParseLimit(sent.Format())
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -11,13 +11,12 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// Request is what the caller's node tells the arriving one beside the request
-// itself.
+// Request is the metadata that the caller's node sends with a request to the receiving node.
 type Request struct {
-	// Service is the one the caller's node means to reach, Caller the one beside
-	// the node where the request began. Neither holds a blank.
+	// Service is the intended service, Caller the service beside the node where the request entered
+	// the mesh. Neither contains a space.
 	Service, Caller string
-	// Remaining is the time until the answer is of no use.
+	// Remaining is the time until the deadline.
 	Remaining time.Duration
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
@@ -25,23 +24,23 @@
 	MaximumWait time.Duration
 	// ExpectedServiceTime is how long back ends usually work on such a request.
 	ExpectedServiceTime time.Duration
-	// Returning: the caller was refused before and has come back.
+	// Returning: the caller was refused before and is retrying.
 	Returning bool
-	// Suspect: a back end ended under the request at an earlier send.
+	// Suspect: a back end crashed while it ran the request at an earlier send.
 	Suspect bool
 	// Nested and OverShare are as in precedence.Precedence.
 	Nested, OverShare bool
-	// Repeated: the request has reached a back end before, so that the calls of its run are repeats.
+	// Repeated: the request reached a back end before, so the nested calls of its run are repeats.
 	Repeated bool
-	// Usual is told with requests to a version that is compared with others: how often
-	// answers of those are bad. It is nil with all other requests.
+	// Usual is sent with requests to a version under comparison: the usual rate of bad answers to
+	// such requests. It is nil otherwise.
 	Usual *rollout.Usual
 }
 
-// ErrMalformedHeader says that a header between nodes cannot be read.
-var ErrMalformedHeader = errors.New("hop: header between nodes cannot be read")
+// ErrMalformedHeader is returned for an internal header that cannot be parsed.
+var ErrMalformedHeader = errors.New("hop: internal header cannot be read")
 
-// Format writes the request as a header value. Times are whole microseconds.
+// Format returns the header value of the request. Durations are whole microseconds.
 func (r *Request) Format() string {
 	line := make([]byte, 0, 96)
 	line = append(line, r.Service...)
@@ -77,24 +76,24 @@
 }
 
 const (
-	// shareScale make a whole number of a share.
+	// shareScale converts shares to whole numbers.
 	shareScale         = 1000
 	usualFieldCount    = 2
 	requestNameCount   = 2
 	requestNumberCount = 5
 	replyNumberCount   = 8
-	// The flags of a request. Nodes of the version before take any of them for the first.
+	// Flags of a request. Nodes of the previous release read any non-zero value as flagReturning.
 	flagReturning = 1
 	flagSuspect   = 2
 	flagNested    = 4
 	flagOverShare = 8
 	flagRepeated  = 16
-	// legacySlackIndex is where the version before has its additional number.
+	// legacySlackIndex is the position of the additional number that the previous release sends.
 	legacySlackIndex = 5
 )
 
-// ParseRequest reads a request's header value. Nodes of the version before tell
-// one more number, in what time the request must have a slot; it is left out.
+// ParseRequest parses the header value of a request. Nodes of the previous release send one more
+// number, the time within which the request must get a slot; it is ignored.
 func ParseRequest(line string) (Request, error) {
 	parts := strings.Split(line, " ")
 	if len(parts) == requestNameCount+requestNumberCount+1 {
@@ -102,7 +101,7 @@
 	}
 	hasUsual := len(parts) == requestNameCount+requestNumberCount+usualFieldCount
 	if (len(parts) != requestNameCount+requestNumberCount && !hasUsual) || parts[0] == "" {
-		return Request{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
+		return Request{}, fmt.Errorf("%w: %d fields", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts[requestNameCount:])
 	if err != nil {
@@ -123,26 +122,26 @@
 	return read, nil
 }
 
-// Reply is what the arriving node tells of itself with each reply.
+// Reply is the state that the receiving node reports with each reply.
 type Reply struct {
-	// Version is that of the configuration in force there.
+	// Version is the version of the configuration in force at the node.
 	Version uint64
-	// Running, Waiting and Slots describe its back end's load, Held how long a
-	// slot is held.
+	// Running, Waiting and Slots describe the load of its back end, HoldTime how long a slot is
+	// held.
 	Running, Waiting, Slots int
 	HoldTime                time.Duration
-	// Factor is how much longer the back end works than others do.
+	// Factor is the service time of the back end relative to that of others.
 	Factor float64
-	// ServiceTime is how long it worked on this request; zero when it did not.
+	// ServiceTime is how long the back end worked on this request; zero if it did not.
 	ServiceTime time.Duration
-	// FailureRate is the share of its requests that fail.
+	// FailureRate is the share of the back end's requests that fail.
 	FailureRate float64
 }
 
-// factorScale make a whole number of a factor.
+// factorScale converts factors to whole numbers.
 const factorScale = 1000
 
-// Format writes the reply as a header value.
+// Format returns the header value of the reply.
 func (r *Reply) Format() string {
 	line := make([]byte, 0, 64)
 	line = strconv.AppendUint(line, r.Version, 10)
@@ -155,15 +154,15 @@
 	return string(line)
 }
 
-// ParseReply reads a reply's header value. Nodes of the version before do not
-// tell of failures.
+// ParseReply parses the header value of a reply. Nodes of the previous release send no failure
+// rate.
 func ParseReply(line string) (Reply, error) {
 	parts := strings.Split(line, " ")
 	if len(parts) == replyNumberCount-1 {
 		parts = append(parts, "0")
 	}
 	if len(parts) != replyNumberCount {
-		return Reply{}, fmt.Errorf("%w: %d parts", ErrMalformedHeader, len(parts))
+		return Reply{}, fmt.Errorf("%w: %d fields", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts)
 	if err != nil {
@@ -176,7 +175,7 @@
 	}, nil
 }
 
-// parseNumbers reads whole numbers of at most 53 bits.
+// parseNumbers parses whole numbers of at most 53 bits.
 func parseNumbers(parts []string) ([]uint64, error) {
 	numbers := make([]uint64, len(parts))
 	for index, part := range parts {
--- a/internal/sidecar/hop/load.go
+++ b/internal/sidecar/hop/load.go
@@ -1,10 +1,10 @@
 package hop
 
-// BackendLoad is what a back end tells of itself with an answer.
+// BackendLoad is the load that a back end reports with an answer.
 type BackendLoad struct {
-	// Running and Waiting are its requests, Slots how many it works on at once.
+	// Running and Waiting count its requests; Slots is how many it processes concurrently.
 	Running, Waiting, Slots int
-	// Factor is how much longer work takes there at the moment than usually, since other work
-	// shares its machine; zero when it does not tell.
+	// Factor is how much longer work currently takes there than usual because other processes use
+	// the machine; zero when the back end does not report it.
 	Factor float64
 }
--- a/internal/sidecar/hop/notice.go
+++ b/internal/sidecar/hop/notice.go
@@ -1,10 +1,11 @@
 package hop
 
-// Notice is what a back end asks of the mesh with an answer. The zero value asks for nothing.
+// Notice holds the announcements of a back end in an answer. The zero value announces nothing.
 type Notice struct {
-	// Limited: the back end takes PerSecond requests a second from all nodes together, zero for none.
+	// Limited: the back end accepts PerSecond requests a second from all nodes together, where zero
+	// means none.
 	Limited   bool
 	PerSecond float64
-	// Draining: the back end is about to end and wants no new work.
+	// Draining: the back end is about to stop and accepts no new requests.
 	Draining bool
 }
