--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -1,9 +1,9 @@
-// Package nested tells the calls that a back end makes while it works on a request from the
-// requests of clients. A nested call ends with the request that it serves: its deadline is that
-// request's. So a request whose deadline is later than those of all that is at work at the back end
-// of the machine where it begins is a client's. A route
-// counts as called by back ends once leastSeen of its requests are known and at most strayShare of them
-// were certainly clients'. The package is pure: the caller brings the time.
+// Package nested distinguishes the calls that a back end makes while it works on a request from
+// requests of clients. A nested call inherits the deadline of the request that it serves. So a
+// request whose deadline is later than those of all active requests at the local back end comes
+// from a client. A route counts as called by back ends once at least minimumRequests of its
+// requests were seen and at most maximumClientShare of them certainly came from clients. The
+// package is pure: callers pass the time.
 package nested
 
 import (
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// ActiveRequests knows until when what a back end works on is of use. It is safe for concurrent use.
+// ActiveRequests tracks the deadlines of the requests that a back end works on. It is safe for
+// concurrent use.
 type ActiveRequests struct {
-	mu sync.Mutex // guards runs
-	// requests holds the requests at work by when their deadline is.
+	mu sync.Mutex // guards requests
+	// requests holds the active requests.
 	requests map[*activeRequest]struct{}
 }
 
@@ -23,30 +24,31 @@
 	repeated bool
 }
 
-// Begin notes a request that is of use until the deadline; repeated says that it has reached a
-// back end before. The result notes its end.
-func (w *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
+// Begin records a request with its deadline; repeated says that it reached a back end before. The
+// result must be called when the request ends.
+func (a *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
 	request := &activeRequest{deadline: deadline, repeated: repeated}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.requests == nil {
-		w.requests = map[*activeRequest]struct{}{}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.requests == nil {
+		a.requests = map[*activeRequest]struct{}{}
 	}
-	w.requests[request] = struct{}{}
-	return func() { w.end(request) }
+	a.requests[request] = struct{}{}
+	return func() { a.end(request) }
 }
 
-func (w *ActiveRequests) end(request *activeRequest) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.requests, request)
+func (a *ActiveRequests) end(request *activeRequest) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.requests, request)
 }
 
-// LatestDeadline returns the latest deadline of what is at work, the zero time when nothing is.
-func (w *ActiveRequests) LatestDeadline() (latest time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for request := range w.requests {
+// LatestDeadline returns the latest deadline of the active requests, the zero time if there are
+// none.
+func (a *ActiveRequests) LatestDeadline() (latest time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for request := range a.requests {
 		if request.deadline.After(latest) {
 			latest = request.deadline
 		}
@@ -54,14 +56,14 @@
 	return latest
 }
 
-// Repeated returns how likely it is that the run which makes a call with that deadline is a
-// repeat: the part of those that are, among the runs with about that deadline or, where there are
+// Repeated returns the probability that a call with that deadline is made by a repeated request:
+// the share of repeated ones among the active requests with about that deadline or, if there are
 // none, among all.
-func (w *ActiveRequests) Repeated(deadline time.Time) float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (a *ActiveRequests) Repeated(deadline time.Time) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	matching, all := &repeatCounter{}, &repeatCounter{}
-	for request := range w.requests {
+	for request := range a.requests {
 		all.add(request)
 		if deadline.Sub(request.deadline).Abs() <= maximumReadDelay {
 			matching.add(request)
@@ -73,72 +75,73 @@
 	return all.probability()
 }
 
-// repeatCounter counts runs and those that are repeats.
+// repeatCounter counts requests and the repeated ones among them.
 type repeatCounter struct{ requests, repeated float64 }
 
-func (l *repeatCounter) add(request *activeRequest) {
-	l.requests++
+func (c *repeatCounter) add(request *activeRequest) {
+	c.requests++
 	if request.repeated {
-		l.repeated++
+		c.repeated++
 	}
 }
 
-func (l *repeatCounter) probability() float64 { return l.repeated / max(l.requests, 1) }
+func (c *repeatCounter) probability() float64 { return c.repeated / max(c.requests, 1) }
 
 const (
-	// maximumReadDelay is how much later than it was sent a call may be read: a busy machine takes that
-	// long, and its deadline counts from then.
+	// maximumReadDelay is how long after its sending a call may be read on a busy machine. Its
+	// deadline is computed from the time of reading.
 	maximumReadDelay = 100 * time.Millisecond
-	// minimumRequests is how many requests of a route say something of it.
+	// minimumRequests is how many requests of a route must be seen before it is classified.
 	minimumRequests = 8
-	// maximumClientShare is the part of a called route's requests that may seem to be clients': calls
-	// that cross the end of the request that they serve.
+	// maximumClientShare is the share of a called route's requests that may look like requests of
+	// clients: calls that overlap with the end of the request that they serve.
 	maximumClientShare = 0.02
-	// windowRequests is how many requests of a route count: older ones fade.
+	// windowRequests is how many requests of a route are counted before the counts are halved.
 	windowRequests = 256
-	// startupDelay is how long after its start a node does not know what its back end works on: requests
-	// that began before are not in Work.
+	// startupDelay is how long after its start a node cannot classify requests, since requests that
+	// began before are not in ActiveRequests.
 	startupDelay = time.Second
 )
 
-// Classifier learns which routes back ends call. It is safe for concurrent use.
+// Classifier learns which routes are called by back ends. It is safe for concurrent use.
 type Classifier struct {
 	active  *ActiveRequests
 	started time.Time
-	routes  sync.Map // of *seen by route name
+	routes  sync.Map // route name to *routeCounter
 }
 
 // routeCounter counts the requests of one route.
 type routeCounter struct {
 	mu sync.Mutex // guards all below
-	// total counts them, clients those that were certainly a client's.
+	// total counts all requests, clients those that certainly came from a client.
 	total, clients float64
 }
 
-// NewClassifier returns one that has seen no route. started is when the node started.
+// NewClassifier returns a classifier without observations. started is the start time of the node.
 func NewClassifier(active *ActiveRequests, started time.Time) *Classifier {
 	return &Classifier{active: active, started: started}
 }
 
-// Nested takes in a request that begins at this machine and reports whether it is a call of what
-// its back end works on. identified says that the request bears what only clients have.
-func (r *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
-	if now.Sub(r.started) < startupDelay {
+// Nested records a request that enters the mesh at this node and reports whether it is a nested
+// call of the local back end. identified says that the request carries credentials that only
+// clients have.
+func (c *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
+	if now.Sub(c.started) < startupDelay {
 		return false
 	}
-	client := identified || deadline.After(r.active.LatestDeadline().Add(maximumReadDelay))
-	called := r.counterOf(route).add(client)
+	client := identified || deadline.After(c.active.LatestDeadline().Add(maximumReadDelay))
+	called := c.counterOf(route).add(client)
 	return called && !client
 }
 
-// Repeated is as of the work at the node's back end.
-func (r *Classifier) Repeated(deadline time.Time) float64 { return r.active.Repeated(deadline) }
+// Repeated returns the result of ActiveRequests.Repeated for the local back end.
+func (c *Classifier) Repeated(deadline time.Time) float64 { return c.active.Repeated(deadline) }
 
-func (r *Classifier) counterOf(route string) *routeCounter {
-	if counter, found := r.routes.Load(route); found {
+func (c *Classifier) counterOf(route string) *routeCounter {
+	if counter, found := c.routes.Load(route); found {
 		return counter.(*routeCounter)
 	}
-	counter, _ := r.routes.LoadOrStore(route, &routeCounter{})
+	counter, _ := c.routes.LoadOrStore(route, &routeCounter{})
 	return counter.(*routeCounter)
 }
 
--- a/internal/sidecar/nested/nested_test.go
+++ b/internal/sidecar/nested/nested_test.go
@@ -10,9 +10,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/nested"
 )
 
-// TestCallsAreTold: a full back end works on requests of 3 s, clients come with 2.5 to 3 s left, and
-// each request calls with at most its own deadline.
-func TestCallsAreTold(t *testing.T) {
+// TestNestedCallsAreDetected simulates a full back end that works on requests of up to 3 s: clients
+// send requests with 2.5 to 3 s left, and each request makes calls with at most its own deadline.
+func TestNestedCallsAreDetected(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
@@ -47,7 +47,7 @@
 	g.Expect(clientsDetected).To(BeZero())
 }
 
-func TestWhatIsNoCall(t *testing.T) {
+func TestClassification(t *testing.T) {
 	start := time.Unix(1000, 0)
 	later := start.Add(10 * time.Second)
 	cases := []struct {
@@ -58,10 +58,10 @@
 		now        time.Time
 		nested     bool
 	}{
-		{"within the deadline of what is at work", time.Second, 400 * time.Millisecond, false, later, true},
-		{"nothing is at work", 0, 400 * time.Millisecond, false, later, false},
-		{"later than all that is at work", time.Second, 2 * time.Second, false, later, false},
-		{"it bears what clients have", time.Second, 400 * time.Millisecond, true, later, false},
+		{"within the deadline of an active request", time.Second, 400 * time.Millisecond, false, later, true},
+		{"no active requests", 0, 400 * time.Millisecond, false, later, false},
+		{"later than all active requests", time.Second, 2 * time.Second, false, later, false},
+		{"with credentials of a client", time.Second, 400 * time.Millisecond, true, later, false},
 		{"the node has just started", time.Second, 400 * time.Millisecond, false, start.Add(time.Millisecond), false},
 	}
 	for _, tc := range cases {
@@ -80,8 +80,9 @@
 	}
 }
 
-// TestARouteThatClientsUseToo is a client's, whatever single requests look like.
-func TestARouteThatClientsUseToo(t *testing.T) {
+// TestRouteOfClientsAndBackEnds checks that no request of a route that clients use too is
+// classified as nested, whatever its deadline.
+func TestRouteOfClientsAndBackEnds(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
 	now := start.Add(time.Minute)
@@ -97,19 +98,20 @@
 	}
 }
 
-// TestWhoseCallItIs: the deadline tells which run makes a call, and so whether that is a repeat.
-func TestWhoseCallItIs(t *testing.T) {
+// TestRepeatProbability checks that the deadline identifies the request that makes a call, and so
+// whether the call is a repeat.
+func TestRepeatProbability(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	work := &nested.ActiveRequests{}
-	g.Expect(work.Repeated(now)).To(BeZero(), "nothing is at work")
+	g.Expect(work.Repeated(now)).To(BeZero(), "no active requests")
 	endFirst := work.Begin(now.Add(time.Second), false)
 	endAgain := work.Begin(now.Add(2*time.Second), true)
 	g.Expect(work.Repeated(now.Add(time.Second))).To(BeZero())
 	g.Expect(work.Repeated(now.Add(2*time.Second + time.Millisecond))).To(Equal(1.0))
-	g.Expect(work.Repeated(now.Add(10*time.Second))).To(Equal(0.5), "any of the two may make it")
+	g.Expect(work.Repeated(now.Add(10*time.Second))).To(Equal(0.5), "either request may make the call")
 	defer work.Begin(now.Add(2*time.Second), false)()
-	g.Expect(work.Repeated(now.Add(2*time.Second))).To(Equal(0.5), "so may these")
+	g.Expect(work.Repeated(now.Add(2*time.Second))).To(Equal(0.5), "either of the two with that deadline may make it")
 	endFirst()
 	endAgain()
 	g.Expect(work.Repeated(now.Add(2 * time.Second))).To(BeZero())
