--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -24,49 +24,53 @@
 
 // Causes of refusals.
 var (
-	errNoEndpoint      = errors.New("no back end has made itself known")
-	errWrongService    = errors.New("a back end of another service is here")
-	errLeaving         = errors.New("the back end is leaving")
-	errNoCaller        = errors.New("the request did not come through a node")
-	errVersionRejected = errors.New("requests move away from the version of the back end")
-	errMoved           = errors.New("a newer configuration leads the request elsewhere")
+	errNoEndpoint      = errors.New("no back end has registered")
+	errWrongService    = errors.New("the back end belongs to another service")
+	errDraining        = errors.New("the back end is leaving")
+	errNoCaller        = errors.New("the request was not sent by a node")
+	errVersionRejected = errors.New("the rollout sends no requests to the back end's version")
+	errMoved           = errors.New("a newer configuration routes the request to another service")
 	errStopping        = errors.New("the node is stopping")
 	errLink            = errors.New("the link has no room for the body in time")
-	errEvacuated       = errors.New("the zone is emptied by order")
+	errEvacuated       = errors.New("the zone is being evacuated")
 )
 
-// initialReadLimit is how much of a body that waited for consent is read at once.
+// initialReadLimit is how many bytes are read of a body that the caller's node sends after a 100
+// Continue, before the request goes to the back end.
 const initialReadLimit = 64 << 10
 
-// arrival is one request of a node. It is used by one goroutine, but for print.
+// arrival is one request from a node. It is used by a single goroutine, except for print.
 type arrival struct {
-	handler  *Handler
-	writer   http.ResponseWriter
-	request  *http.Request
-	started  time.Time
-	waited   time.Duration
+	handler *Handler
+	writer  http.ResponseWriter
+	request *http.Request
+	started time.Time
+	waited  time.Duration
+	// reported is the metadata that the caller's node sent.
 	reported hop.Request
 	endpoint *roster.Endpoint
 	deadline time.Time
 	context  context.Context
-	// expectsContinue: the caller's node waited for consent before it sent the body.
+	// expectsContinue: the caller's node waits for a 100 Continue before it sends the body.
 	expectsContinue bool
-	// body and sent, when it was first sent to the back end, are set before it is at work.
+	// body, and sent, the time of the first send to the back end, are set before the request is
+	// active.
 	body *forward.Body
 	sent time.Time
-	// cachedPrint is what the request asks for, nil until somebody wants to know.
+	// cachedPrint is the fingerprint of the request, nil until it is first needed.
 	cachedPrint atomic.Pointer[fingerprint.Print]
-	// duplicateCrash: the back end's process ended, and another request has told so.
+	// duplicateCrash: the back end's process ended, and another request has already reported the
+	// crash.
 	duplicateCrash bool
-	// countedInShare: the request was offered to the queue, and counts against its tenant's share.
+	// countedInShare: the request was offered to the queue and counts against its tenant's share.
 	countedInShare bool
-	// limited is why the back end's limit refused the request, nil when it did not.
+	// limited is the refusal by the back end's rate limit, nil if there was none.
 	limited *admission.LimitedError
-	// onTrial: the request is suspected of ending back ends and has the handler's trial.
+	// onTrial: the request is suspected of crashing back ends and holds the handler's trial.
 	onTrial bool
 }
 
-// serve carries the request through. A nil result means that it is answered.
+// serve processes the request. A nil result means that it was answered.
 func (a *arrival) serve() *outcome.Failure {
 	if failure := a.check(); failure != nil {
 		return failure
@@ -102,8 +106,8 @@
 		return failure
 	}
 	if body == nil {
-		// The first read tells the caller's node to send the body. Without the
-		// whole of it nothing is run.
+		// The first read makes the server send 100 Continue. The request is run only if the whole
+		// body, up to the limit, arrives.
 		read, err := a.readContinued(initialReadLimit)
 		if err != nil {
 			return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, err)
@@ -111,7 +115,7 @@
 		body = read
 	}
 	a.body = body
-	// What others told meanwhile counts.
+	// Other nodes may have reported a crash in the meantime.
 	if failure := a.checkQuarantine(); failure != nil {
 		return failure
 	}
@@ -131,8 +135,8 @@
 	return failure
 }
 
-// bodyBeforeAdmission returns the body that is there before a slot is taken; nil when its
-// sender waits for the slot.
+// bodyBeforeAdmission returns the body if it is read before a slot is taken, and nil if the
+// caller's node waits for the slot.
 func (a *arrival) bodyBeforeAdmission() (*forward.Body, *outcome.Failure) {
 	switch {
 	case a.buffersBeforeAdmission():
@@ -171,7 +175,7 @@
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepMoved, defaultRetryAfter, errMoved)
 	}
 	if a.handler.drainExpired(a.endpoint.Incarnation()) {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errLeaving)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errDraining)
 	}
 	if evacuated := a.handler.options.Evacuated; evacuated != nil && evacuated() {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errEvacuated)
@@ -184,14 +188,14 @@
 	return nil
 }
 
-// misrouted reports whether the request was routed by a configuration that is older than the one
-// in force here, and is to go to another service by this one. It is given back unrun: its node
-// is behind, and learns so. Without that a node that is behind has requests run by a service
-// that they have left for as long as it is.
+// misrouted reports whether the request was routed by an older configuration than the one in force
+// here, which routes it to another service. Such a request is rejected without being run, and the
+// caller's node learns that its configuration is old. Otherwise a node with an old configuration
+// would keep sending requests to a service that they no longer belong to.
 func (a *arrival) misrouted() bool {
 	version, err := strconv.ParseUint(a.request.Header.Get(hop.HeaderVersion), 10, 64)
 	if err != nil || a.handler.options.RoutesTo == nil {
-		return false // nodes of the version before do not tell
+		return false // nodes of the previous release do not send it
 	}
 	return !a.handler.options.RoutesTo(a.request, a.endpoint.Service, version)
 }
@@ -201,8 +205,8 @@
 	return forward.ReadBody(a.context, a.writer, a.request, unlimited, "")
 }
 
-// readContinued reads a body whose sender waited for consent. One shorter than the
-// limit is read whole, so that one that breaks off is never run.
+// readContinued reads a body whose sender waited for 100 Continue. A body within the limit is read
+// completely, so that a truncated one is never run.
 func (a *arrival) readContinued(limit int64) (*forward.Body, error) {
 	stop := context.AfterFunc(a.context, func() {
 		_ = http.NewResponseController(a.writer).SetReadDeadline(time.Unix(1, 0))
@@ -232,13 +236,13 @@
 	}
 	if a.handler.drainExpired(a.endpoint.Incarnation()) {
 		slot.Return()
-		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errLeaving)
+		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errDraining)
 	}
 	a.countAdmitted()
 	return slot, nil
 }
 
-// ticket describes the request to the gate.
+// ticket describes the request to the admission gate.
 func (a *arrival) ticket() admission.Ticket {
 	return admission.Ticket{
 		Priority:    a.reported.Priority,
@@ -253,20 +257,20 @@
 	}
 }
 
-// peer names the machine of the node that sent the request.
+// peer returns the host of the node that sent the request.
 func (a *arrival) peer() string {
 	host, _, _ := strings.Cut(a.request.RemoteAddr, ":")
 	return host
 }
 
-// retryAfter is the time in which the queue is expected to be worked off.
+// retryAfter returns the expected time in which the queue drains.
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
 	wait := load.Service * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	return max(wait, defaultRetryAfter/2)
 }
 
-// reply sends a failure that the node answers itself.
+// reply sends a failure that this node answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
 	defer forward.PrepareOwnReply(a.context, a.writer, a.request, nil)()
 	a.setReplyHeaders(0)
@@ -280,7 +284,7 @@
 	a.writer.WriteHeader(failure.Status)
 }
 
-// setReplyHeaders adds what the node tells of itself to a reply.
+// setReplyHeaders sets the headers with the state of this node.
 func (a *arrival) setReplyHeaders(worked time.Duration) {
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
@@ -294,12 +298,12 @@
 	a.setShareHeader(header)
 	a.setNoticeHeaders(header)
 	if _, set := header["Date"]; !set {
-		// Without a value the library adds none of its own.
+		// A nil value keeps net/http from adding its own.
 		header["Date"] = nil
 	}
 }
 
-// setProofHeader adds how old the node's proof is that it is level.
+// setProofHeader sets the time since the node last confirmed that its configuration is the newest.
 func (a *arrival) setProofHeader(header http.Header) {
 	proof := a.handler.options.Proof
 	if proof == nil {
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -19,34 +19,34 @@
 )
 
 const (
-	// probeTimeout bounds the question whether the back end's process is still there.
-	// It is on the same machine: a process that has ended refuses at once.
+	// probeTimeout bounds the probe for the back end's process. It runs on the same machine, so the
+	// connection is refused at once if the process has ended.
 	probeTimeout = 50 * time.Millisecond
-	// lossRetention is how long after its connections broke a back end that comes back
-	// under another id is known to have ended then.
+	// lossRetention is how long after a connection loss the arrival of a back end with another id
+	// shows that the former process crashed.
 	lossRetention = 10 * time.Second
-	// lossWindow is within which connections break together.
+	// lossWindow is the time within which broken connections count as one loss.
 	lossWindow = 2 * probeTimeout
-	// sentTimeout bounds the wait for the connections of all requests that were at work
-	// to break: one that provably was not sent is no suspect.
+	// sentTimeout bounds the wait until it is known which of the active requests were sent: one
+	// that provably was not sent is no suspect.
 	sentTimeout = 20 * time.Millisecond
 )
 
-// BackendCrash is the unplanned end of the process of a back end.
+// BackendCrash is the unplanned end of a back end's process.
 type BackendCrash struct {
 	// Endpoint is the back end.
 	Endpoint *roster.Endpoint
-	// Running are the requests that were at work there when its first connection broke.
+	// Running are the requests that were active when the first connection broke.
 	Running []Running
 }
 
-// Running is one request at work.
+// Running is one active request.
 type Running struct {
 	RequestID string
 	Print     fingerprint.Print
-	// For is how long it had been there.
+	// For is how long the request had been active.
 	For time.Duration
-	// Trial: it was suspected of ending back ends before.
+	// Trial: the request was already suspected of crashing back ends.
 	Trial bool
 }
 
@@ -62,31 +62,32 @@
 	return nil
 }
 
-// activeRequests knows which requests are at work at the back end, and tells a process that
-// has ended from connections that broke. It is safe for concurrent use.
+// activeRequests tracks the requests that the back end works on and distinguishes a crashed process
+// from broken connections. It is safe for concurrent use.
 type activeRequests struct {
-	mu       sync.Mutex // guards all below and the breakages
+	mu       sync.Mutex // guards all below and the connection losses
 	arrivals map[*arrival]struct{}
-	// last is the newest break of connections, nil before the first.
+	// last is the most recent connection loss, nil before the first.
 	last *connectionLoss
 }
 
-// connectionLoss is a moment at which connections to the back end broke.
+// connectionLoss is a point in time at which connections to the back end broke.
 type connectionLoss struct {
 	endpoint *roster.Endpoint
 	at       time.Time
-	// running were at work then. One that provably was not sent is taken out.
+	// running holds the requests that were active, without those that provably were not sent.
 	running map[*arrival]Running
-	// undetermined are those of them of which it is not known yet whether they were sent; known is
-	// closed when there are none any more.
+	// undetermined holds those of which it is not known yet whether they were sent; determined is
+	// closed when it is empty.
 	undetermined map[*arrival]struct{}
 	determined   chan struct{}
-	// decided is closed when it is known whether the process has ended, and told if so.
+	// decided is closed once it is known whether the process crashed and, if so, the crash was
+	// reported.
 	decided chan struct{}
 	crashed bool
 }
 
-// begin notes that a request goes to the back end.
+// begin records that a request is sent to the back end.
 func (w *activeRequests) begin(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -96,7 +97,7 @@
 	w.arrivals[a] = struct{}{}
 }
 
-// end notes that a request is there no more.
+// end records that a request is no longer active.
 func (w *activeRequests) end(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +105,7 @@
 	w.last.markDetermined(a)
 }
 
-// markUnsent notes that a request provably was not sent: it ended nothing.
+// markUnsent records that a request provably was not sent, so that it is no suspect.
 func (w *activeRequests) markUnsent(a *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,19 +114,19 @@
 	}
 }
 
-// markDetermined notes that it is known of a request whether it was sent; the lock is held.
-func (b *connectionLoss) markDetermined(a *arrival) {
-	if b == nil || len(b.undetermined) == 0 {
+// markDetermined records that it is known whether a request was sent. The caller holds the lock.
+func (l *connectionLoss) markDetermined(a *arrival) {
+	if l == nil || len(l.undetermined) == 0 {
 		return
 	}
-	delete(b.undetermined, a)
-	if len(b.undetermined) == 0 {
-		close(b.determined)
+	delete(l.undetermined, a)
+	if len(l.undetermined) == 0 {
+		close(l.determined)
 	}
 }
 
-// connectionLost returns the breakage that a request met whose connection connectionLost, and whether it is
-// new. The first to come finds all others still at work.
+// connectionLost returns the connection loss of a request whose connection broke, and whether the
+// request is the first of it. At that time all others are still active.
 func (w *activeRequests) connectionLost(a *arrival, now time.Time) (loss *connectionLoss, first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,17 +148,17 @@
 	return w.last, true
 }
 
-func (b *connectionLoss) isDecided() bool {
+func (l *connectionLoss) isDecided() bool {
 	select {
-	case <-b.decided:
+	case <-l.decided:
 		return true
 	default:
 		return false
 	}
 }
 
-// report returns the end of the process that the breakage was, the requests in the order in
-// which they began.
+// report returns the crash that caused the connection loss, with the requests in the order in which
+// they began.
 func (w *activeRequests) report(loss *connectionLoss) *BackendCrash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,8 +167,8 @@
 	})}
 }
 
-// crashOfPredecessor returns the breakage that the end of a process turns out to have been, now that
-// another back end is there; nil when there is none.
+// crashOfPredecessor returns the connection loss that turns out to have been a crash because
+// another back end has taken over the address; nil if there is none.
 func (w *activeRequests) crashOfPredecessor(of roster.Incarnation, now time.Time) *connectionLoss {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,7 +180,8 @@
 	return last
 }
 
-// markPlannedStop takes in that a back end is to end: what broke before was no sign of it.
+// markPlannedStop records that a back end stops as planned: earlier connection losses are no sign
+// of a crash.
 func (w *activeRequests) markPlannedStop(of roster.Incarnation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -188,16 +190,16 @@
 	}
 }
 
-// setCrashed notes whether the process has ended.
+// setCrashed records whether the process crashed.
 func (w *activeRequests) setCrashed(loss *connectionLoss, crashed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	loss.crashed = crashed
 }
 
-// crashed reports whether the process of the back end has crashed under a request whose
-// connection broke. The first such request asks and tells what was at work; the others wait
-// for it, so that each knows whether it is held back before its caller's node is answered.
+// crashed reports whether the back end's process crashed under a request whose connection broke.
+// The first such request probes the process and reports the crash. The others wait for it, so that
+// each knows whether it is quarantined before its caller's node is answered.
 func (h *Handler) crashed(a *arrival) (crashed, first bool) {
 	loss, first := h.activeRequests.connectionLost(a, clock.Now())
 	if first {
@@ -214,8 +216,8 @@
 	return loss.crashed, first
 }
 
-// processExited asks for a connection. A reset of connections leaves the listener; without
-// its process nobody listens.
+// processExited tries to connect. Reset connections leave the listener in place; without the
+// process the connection is refused.
 func (h *Handler) processExited(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
@@ -224,12 +226,12 @@
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if err := conn.Close(); err != nil {
-		h.options.Logger.Debug("probe of the back end not closed", zap.Error(err))
+		h.options.Logger.Debug("connection of the back end probe not closed", zap.Error(err))
 	}
 	return false
 }
 
-// reportCrash tells of a back end that has ended. One that was leaving was to end.
+// reportCrash reports a crash, unless the back end was already draining and its end was planned.
 func (h *Handler) reportCrash(loss *connectionLoss) {
 	if loss.endpoint.State != roster.Ready {
 		return
@@ -245,10 +247,10 @@
 	h.options.Quarantine.Ended(report.crash())
 }
 
-// crash is the end as other nodes are told of it.
-func (e *BackendCrash) crash() roster.Crash {
-	crash := roster.Crash{Endpoint: e.Endpoint.Incarnation().String(), Service: e.Endpoint.Service}
-	for _, running := range e.Running {
+// crash converts the crash to the form that other nodes receive.
+func (c *BackendCrash) crash() roster.Crash {
+	crash := roster.Crash{Endpoint: c.Endpoint.Incarnation().String(), Service: c.Endpoint.Service}
+	for _, running := range c.Running {
 		crash.Running = append(crash.Running, running.Print)
 		if running.Trial {
 			crash.Trial = &running.Print
@@ -257,7 +259,7 @@
 	return crash
 }
 
-// running describes the request for the end of its back end.
+// running describes the request for a crash report.
 func (a *arrival) running(now time.Time) Running {
 	return Running{
 		RequestID: a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
@@ -267,8 +269,8 @@
 	}
 }
 
-// print identifies what the request asks for. The body is known by then. Who sees a back end
-// end asks for the others that were at work there.
+// print returns the fingerprint of the request; the body must be set. The request that
+// detects a crash calls it for all other active requests.
 func (a *arrival) print() fingerprint.Print {
 	if known := a.cachedPrint.Load(); known != nil {
 		return *known
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -19,17 +19,17 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// crashFixture is a handler before a back end that can end, with its log.
+// crashFixture is a handler with a back end that can crash, and the handler's log.
 type crashFixture struct {
 	fixture
 	server   *httptest.Server
 	endpoint atomic.Pointer[roster.Endpoint]
 	logs     *observer.ObservedLogs
-	// quarantine is what the handler asks and tells.
+	// quarantine records the handler's calls and returns preset answers.
 	quarantine *fakeQuarantine
-	// failures counts what counts against the back end's version.
+	// failures counts the failures reported against the back end's version.
 	failures failureCount
-	// started delivers one for each request that has begun.
+	// started receives one value for each request that reached the back end.
 	started chan struct{}
 }
 
@@ -63,36 +63,36 @@
 	return f
 }
 
-// crashes returns how many requests were at work at each end that was reported of.
-func (m *crashFixture) crashes() (running []int) {
-	for _, line := range m.logs.FilterMessage("back end ended").All() {
+// crashes returns the number of active requests at each reported crash.
+func (f *crashFixture) crashes() (running []int) {
+	for _, line := range f.logs.FilterMessage("back end ended").All() {
 		running = append(running, len(line.ContextMap()["running"].([]any)))
 	}
 	return running
 }
 
-// startRequests has requests at startRequests until the function is called that is returned; then each
-// ends as reported.
-func (m *crashFixture) startRequests(t *testing.T, requests int, end http.HandlerFunc) (release func()) {
+// startRequests sends requests that stay active until the returned function is called; each then
+// ends with the given handler.
+func (f *crashFixture) startRequests(t *testing.T, requests int, end http.HandlerFunc) (release func()) {
 	finish := make(chan struct{})
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m.started <- struct{}{}
+		f.started <- struct{}{}
 		select {
 		case <-finish:
 		case <-r.Context().Done():
 		}
 		end(w, r)
 	})
-	m.answer.Store(&answer)
+	f.answer.Store(&answer)
 	done := make(chan struct{})
 	for range requests {
 		go func() {
-			m.receive(t.Context())
+			f.receive(t.Context())
 			done <- struct{}{}
 		}()
 	}
 	for range requests {
-		<-m.started
+		<-f.started
 	}
 	return func() {
 		close(finish)
@@ -104,10 +104,10 @@
 
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// TestAnEndIsToldFromABrokenConnection: only a process that listens no more has ended,
-// and all that was at work there is reported once.
-func TestAnEndIsToldFromABrokenConnection(t *testing.T) {
-	t.Run("connections broke, the process lives", func(t *testing.T) {
+// TestCrashIsDistinguishedFromBrokenConnections checks that only a process that no longer listens
+// counts as crashed, and that all its active requests are reported once.
+func TestCrashIsDistinguishedFromBrokenConnections(t *testing.T) {
+	t.Run("connections broke, the process is alive", func(t *testing.T) {
 		g := NewWithT(t)
 		f := newCrashFixture(t)
 		f.startRequests(t, 3, abort)()
@@ -121,7 +121,7 @@
 		release()
 		g.Expect(f.crashes()).To(Equal([]int{3}))
 	})
-	t.Run("the process was to end", func(t *testing.T) {
+	t.Run("the end was planned", func(t *testing.T) {
 		g := NewWithT(t)
 		f := newCrashFixture(t)
 		leaving := *f.endpoint.Load()
@@ -132,7 +132,7 @@
 		release()
 		g.Expect(f.crashes()).To(BeEmpty())
 	})
-	t.Run("another process listens already, and says so", func(t *testing.T) {
+	t.Run("another process listens already and has registered", func(t *testing.T) {
 		g := NewWithT(t)
 		f := newCrashFixture(t)
 		f.startRequests(t, 2, abort)()
@@ -141,16 +141,16 @@
 	})
 }
 
-// TestAnEndIsOneFailure of the back end's version, however many requests were at work: a
-// request that ends back ends is no sign of bad software, and neither is that nobody answers
-// until the next process has started. A good version was taken back within 2.4 s of its order when a
-// harmful request had ended one of its three back ends: three failures of one moment f that
-// one faulty. Answers that break off while the process lives are each a failure.
-func TestAnEndIsOneFailure(t *testing.T) {
+// TestCrashIsOneFailure checks that a crash counts as one failure of the back end's version,
+// however many requests were active, and that refused connections until the next process starts
+// count as none. Otherwise a harmful request makes a good version look faulty: one was rolled back
+// 2.4 s after its order because a harmful request crashed one of its three back ends and three
+// requests failed at once. Broken answers of a living process count as one failure each.
+func TestCrashIsOneFailure(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ends     bool
 		failures int64
-	}{"the process ended": {true, 1}, "connections broke, the process lives": {false, 4}} {
+	}{"the process ended": {true, 1}, "connections broke, the process is alive": {false, 4}} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newCrashFixture(t)
@@ -161,7 +161,7 @@
 			}
 			release()
 			if tc.ends {
-				// Nobody is there to be asked until the next one has started.
+				// Connections are refused until the next process has started.
 				g.Expect(f.receive(t.Context()).Code).To(Equal(http.StatusServiceUnavailable))
 			}
 			g.Expect(f.failures.Load()).To(Equal(tc.failures))
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -17,23 +17,23 @@
 // Causes of failed exchanges with the back end.
 var (
 	errCrashed             = errors.New("the back end's process ended")
-	errWrongInstance       = errors.New("the back end has another id than the one last heard of")
+	errWrongInstance       = errors.New("the back end's id differs from the last known one")
 	errNotProcessed        = errors.New("the back end did not process the request")
 	errWrongRequestID      = errors.New("the answer belongs to another request")
-	errUnsigned            = errors.New("the answer bears no signature")
-	errContradictoryStatus = errors.New("the back end ran the request and answered with a status that denies it")
-	errTruncated           = errors.New("the answer broke off")
+	errUnsigned            = errors.New("the answer has no signature")
+	errContradictoryStatus = errors.New("the back end ran the request but answered with a status that means it did not")
+	errTruncated           = errors.New("the answer was truncated")
 )
 
 const (
-	// addedHeaderCount is how many headers the node adds at most.
+	// addedHeaderCount is the maximum number of headers that the node adds.
 	addedHeaderCount = 3
-	// maximumSends bounds how often a request that wrote nothing is sent anew.
+	// maximumSends bounds how often a request is sent if nothing was written to the connection.
 	maximumSends = 2
 )
 
-// exchange sends the request to the back end and passes its answer on. A second
-// send follows only when the first provably wrote nothing.
+// exchange sends the request to the back end and forwards its answer. It sends the request a second
+// time only if the first send provably wrote nothing.
 func (a *arrival) exchange(sent *forward.Body) *outcome.Failure {
 	for send := 1; ; send++ {
 		interim := forward.NewInterim(a.writer, "")
@@ -60,7 +60,8 @@
 	}
 }
 
-// roundTrip sends the request once. What waited for consent may not be repeated.
+// roundTrip sends the request once. A request whose body is sent after 100 Continue must not be
+// retried by the pool.
 func (a *arrival) roundTrip(outgoing *http.Request) (*http.Response, error) {
 	if a.expectsContinue {
 		return a.handler.pool.RoundTripOnce(outgoing)
@@ -102,8 +103,9 @@
 	return failure
 }
 
-// detectCrash finds out for a failure whose connection broke whether the back end's process ended.
-// What the caller gave up broke the connection itself.
+// detectCrash finds out whether a broken connection is due to a crash of the back end's process and
+// updates the failure. When the caller cancelled the request, its cancellation broke the
+// connection.
 func (a *arrival) detectCrash(failure *outcome.Failure) {
 	if a.context.Err() != nil {
 		return
@@ -117,24 +119,25 @@
 	failure.Step = outcome.StepCrash
 	failure.Cause = errors.Join(errCrashed, failure.Cause)
 	if a.handler.options.Quarantine.Holds(a.print()) {
-		// The caller's node has not heard it yet and would send the request on.
+		// The caller's node does not know the verdict yet and would send the request to another
+		// back end.
 		failure.Step = outcome.StepQuarantine
 	}
 }
 
-// hangFactor is how many times as long as expected a request must have been at the
-// back end for its end without an answer to be the back end's failure.
+// hangFactor is how many times the expected service time a cancelled request must have been at the
+// back end to count as a failure of the back end.
 const hangFactor = 4
 
-// countFailure counts a failure against the back end: one of its answers, a broken
-// connection, or that it did not answer for long. What the caller gave up early,
-// what wrote nothing and an answer of another id say nothing of it.
+// countFailure counts a failure against the back end: a bad answer, a broken connection, or no
+// answer for a long time. Requests that the caller cancelled early, that were not written, or that
+// reached another instance are not counted.
 func (a *arrival) countFailure(failure *outcome.Failure) {
 	switch {
 	case failure.Step == outcome.StepIdentity || failure.Step == outcome.StepWrite:
 	case a.context.Err() == nil:
 		a.handler.failures.Observe(true)
-		if failure.Step != outcome.StepConnect { // nobody was there to be asked
+		if failure.Step != outcome.StepConnect { // no process handled the request
 			a.reportToJudge(failure.Step != outcome.StepShed)
 		}
 	case a.reported.ExpectedServiceTime > 0 && clock.Since(a.started)-a.waited > hangFactor*a.reported.ExpectedServiceTime:
@@ -143,9 +146,9 @@
 	}
 }
 
-// reportToJudge passes on what the request showed of the back end's version. The end of a process is
-// one failure and not as many as requests were at work: one request may have ended it, and
-// that is no sign of bad software.
+// reportToJudge passes the result of the request to the judge of the back end's version. A crash
+// counts as one failure, not as one per active request: a single request may have caused it, which
+// is no sign of bad software.
 func (a *arrival) reportToJudge(failed bool) {
 	judge := a.handler.options.Judge
 	if judge == nil || a.duplicateCrash || a.reported.Usual == nil || !judge.Judges() {
@@ -154,7 +157,7 @@
 	judge.Answered(a.request, failed, clock.Since(a.started)-a.waited, a.reported.ExpectedServiceTime, *a.reported.Usual)
 }
 
-// handleResponse judges an answer and passes it on when it is the one to this request.
+// handleResponse checks an answer and forwards it if it belongs to this request.
 func (a *arrival) handleResponse(response *http.Response, sent *forward.Body) *outcome.Failure {
 	if a.isFromBackend(response) {
 		a.handler.applyNotice(response.Header, a.endpoint, a.sent)
@@ -186,8 +189,8 @@
 	return nil
 }
 
-// readLoad takes in what the back end tells of its load. It returns how much longer work takes
-// there at the moment; zero when that is not told or does not count.
+// readLoad records the load that the back end reports and returns its factor; zero if there is none
+// or it does not count.
 func (a *arrival) readLoad(response *http.Response) (factor float64) {
 	options := &a.handler.options
 	header := response.Header.Get(options.Vocabulary.Load)
@@ -206,8 +209,8 @@
 	return load.Factor
 }
 
-// observeServiceTime takes in how long the back end worked, compared to what the caller's
-// node expected, and marks the reply with it.
+// observeServiceTime records the service time relative to the expected one and sets the reply
+// headers.
 func (a *arrival) observeServiceTime(response *http.Response, reported float64) {
 	worked := clock.Since(a.started) - a.waited
 	if response.StatusCode < http.StatusMultipleChoices {
@@ -216,8 +219,8 @@
 	a.setReplyHeaders(worked)
 }
 
-// checkResponse tells what the back end's answer means. Only an answer that bears the
-// request's id is one to it.
+// checkResponse returns the failure that an answer stands for, nil for a valid one. Only an answer
+// with the request's id belongs to it.
 func (a *arrival) checkResponse(response *http.Response) *outcome.Failure {
 	names := &a.handler.options.Vocabulary
 	header := response.Header
@@ -240,8 +243,8 @@
 	return nil
 }
 
-// isFromBackend reports whether the answer is provably one of the back end to this request. One that was
-// not processed may leave the request's id out.
+// isFromBackend reports whether the answer provably comes from the intended back end. An answer to
+// a request that was not processed may omit the request id.
 func (a *arrival) isFromBackend(response *http.Response) bool {
 	names := &a.handler.options.Vocabulary
 	if response.StatusCode == http.StatusMisdirectedRequest {
@@ -251,7 +254,7 @@
 	return id == a.request.Header.Get(names.RequestID) || (id == "" && response.Header.Get(names.NotProcessed) != "")
 }
 
-// impliesNotRun reports whether callers read the status as "has not run".
+// impliesNotRun reports whether callers interpret the status as "not run".
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/sidecar/ingress/export_test.go
+++ b/internal/sidecar/ingress/export_test.go
@@ -1,4 +1,4 @@
 package ingress
 
-// SetReportShares has replies tell of tenants' shares.
+// SetReportShares enables or disables the tenants' shares in replies.
 func (h *Handler) SetReportShares(marks bool) { h.options.ReportShares = marks }
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -1,6 +1,6 @@
-// Package ingress is the side of a sidecar that stands before the local back
-// end. Nothing reaches the back end but through it: it alone admits, orders,
-// refuses and enforces that a back end which is leaving gets no new work.
+// Package ingress is the inbound side of a sidecar, in front of the local back end. All requests to
+// the back end pass through it: it admits, orders and refuses them, and makes sure that a draining
+// back end gets no new requests.
 package ingress
 
 import (
@@ -30,45 +30,47 @@
 	Vocabulary hop.Vocabulary
 	// Address is the back end's own listener, host:port.
 	Address string
-	// Endpoint returns the back end beside the node, or nil.
+	// Endpoint returns the local back end, or nil.
 	Endpoint func() *roster.Endpoint
-	// OnInstanceMismatch is told the id that the back end itself gives when it is not
-	// the one that was meant.
+	// OnInstanceMismatch is called with the id that the back end reports when a request was meant
+	// for another instance.
 	OnInstanceMismatch func(id string)
 	// Version returns the version of the configuration in force.
 	Version func() uint64
-	// Proof returns how long ago that version is known to have been the newest; false when it is not
-	// worth telling. Nil for never.
+	// Proof returns the time since that version was last confirmed to be the newest, and false if
+	// it should not be reported. Nil disables it.
 	Proof func() (age time.Duration, proven bool)
-	// RoutesTo reports whether a configuration newer than the given version, if there is one in
-	// force, leads the request to the service; nil when nobody can tell.
+	// RoutesTo reports whether a configuration in force that is newer than the given version routes
+	// the request to the service. It also returns true without such a configuration. Nil disables
+	// the check.
 	RoutesTo func(request *http.Request, service string, version uint64) bool
-	// DrainDelay is how long after a back end's word that it is leaving new
-	// work is still taken.
+	// DrainDelay returns how long new requests are still accepted after the back end announced that
+	// it is draining.
 	DrainDelay func() time.Duration
-	// Evacuated reports whether the back end's zone is ordered to be emptied; nil for never.
+	// Evacuated reports whether the back end's zone is being evacuated; nil means never.
 	Evacuated func() bool
-	// Judge takes in what the back end's answers show of its version; nil when nobody
-	// compares versions.
+	// Judge compares the back end's version with others; nil when versions are not compared.
 	Judge Judge
-	// Quarantine knows which requests end back ends.
+	// Quarantine knows which requests crash back ends.
 	Quarantine Quarantine
-	// ActiveRequests is told what the back end works on; nil where nobody asks.
+	// ActiveRequests tracks the requests that the back end works on; nil when not needed.
 	ActiveRequests *nested.ActiveRequests
-	// DecodeLoad reads what the back end tells of its load; nil when it tells nothing. Told takes
-	// it in and reports whether it counts.
+	// DecodeLoad decodes the load that the back end reports; nil when it reports none. RecordLoad
+	// records it and reports whether it counts.
 	DecodeLoad func(header string) (hop.BackendLoad, error)
 	RecordLoad func(hop.BackendLoad) (counts bool)
-	// DecodeNotice reads what the back end asks for with an answer; nil when it asks for nothing.
+	// DecodeNotice decodes the announcements in an answer; nil when there are none.
 	DecodeNotice func(header http.Header) (hop.Notice, error)
-	// OnDraining is told of an incarnation that leaves by what an answer says.
+	// OnDraining is called when an incarnation announces in an answer that it is draining.
 	OnDraining func(of roster.Incarnation)
-	// Restarted: the back end may have named a limit before this life of the node.
+	// Restarted: the back end may have announced a rate limit before this process of the node
+	// started.
 	Restarted bool
-	// Contended reports whether requests compete for room, so that tenants have their shares of it;
-	// nil for never.
+	// Contended reports whether requests compete for capacity, so that tenants' shares apply; nil
+	// means never.
 	Contended func() bool
-	// ReportShares: replies tell of tenants' shares. Off in the program, as in egress.Options.
+	// ReportShares: replies report tenants' shares. It is off in the program, as is the
+	// corresponding option of the egress.
 	ReportShares bool
 	// LinkMbps is the speed of the machine's link in Mbit/s; zero when unknown.
 	LinkMbps int
@@ -78,98 +80,97 @@
 	Observer Observer
 }
 
-// Observer is told how requests went at the back end.
+// Observer receives events for metrics.
 type Observer interface {
-	// RequestCompleted: a request has its answer or was refused, after that time in all
-	// and that time in the queue.
+	// RequestCompleted is called when a request is answered or refused, with its total time and its
+	// time in the queue.
 	RequestCompleted(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration)
-	// BackendCrashed: the process of the back end ended unplanned while so many requests
-	// were at work there.
+	// BackendCrashed is called when the back end's process ended unplanned, with the number of
+	// active requests.
 	BackendCrashed(running int)
-	// BackendSent: a request goes to the back end.
+	// BackendSent is called when a request is sent to the back end.
 	BackendSent()
-	// NoticeUnreadable: the back end asked for something that cannot be read.
+	// NoticeUnreadable is called when a notice of the back end cannot be decoded.
 	NoticeUnreadable()
 }
 
-// Quarantine knows which requests end the back ends that run them.
+// Quarantine knows which requests crash the back ends that run them.
 type Quarantine interface {
-	// Idle reports whether there is none, not even a suspected one.
+	// Idle reports whether there are neither quarantined nor suspected requests.
 	Idle() bool
-	// Holds reports whether no back end is to get the request.
+	// Holds reports whether the request is quarantined and must not reach any back end.
 	Holds(fingerprint.Print) bool
-	// Suspects reports whether the request may have ended a back end.
+	// Suspects reports whether the request may have crashed a back end.
 	Suspects(fingerprint.Print) bool
-	// Ended takes in that the back end ended.
+	// Ended records a crash of the back end.
 	Ended(roster.Crash)
-	// Survived takes in that the back end has answered a request.
+	// Survived records that the back end answered a request.
 	Survived(fingerprint.Print)
 }
 
 // Judge compares the version of the back end with others.
 type Judge interface {
-	// Refuses reports whether the back end is to get nothing for its version.
+	// Refuses reports whether the back end must get no requests because of its version.
 	Refuses() bool
-	// Judges reports whether its answers are evidence now.
+	// Judges reports whether answers currently count as evidence.
 	Judges() bool
-	// Answered takes in what one request showed. The route is that of the request.
+	// Answered records the result of one request, which also identifies the route.
 	Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual)
 }
 
 const (
-	// dialTimeout bounds the opening of a connection to the back end, which is
-	// on the same machine.
+	// dialTimeout bounds connecting to the back end, which is on the same machine.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout is how long a connection is kept when the back end does not
-	// say how long it keeps it.
+	// idleTimeout is how long an idle connection is kept unless the back end announces another
+	// time.
 	idleTimeout = 3 * time.Second
-	// replyHeaderBytes bounds the headers of an answer.
+	// replyHeaderBytes bounds the size of an answer's headers.
 	replyHeaderBytes = 64 << 10
-	// defaultConnections bounds the connections until the configuration says.
+	// defaultConnections bounds the connections until a configuration is in force.
 	defaultConnections = 64
-	// defaultRetryAfter is the Retry-After of refusals when nothing better is known.
+	// defaultRetryAfter is the Retry-After of refusals without a better estimate.
 	defaultRetryAfter = 100 * time.Millisecond
 )
 
-// Handler serves other nodes and its own. It is safe for concurrent use.
+// Handler serves requests from other nodes and from its own. It is safe for concurrent use.
 type Handler struct {
 	options Options
 	pool    *forward.Pool
 	gate    *admission.Gate
-	// meter works out the tenants' shares.
+	// meter computes the tenants' shares.
 	meter shares.Meter
-	// transfers bounds the large bodies on the link.
+	// transfers limits large bodies on the link.
 	transfers *transfers
-	// drainStart is since when the back end is known to be drainStart; nil while it is not.
+	// drainStart records since when the back end has been draining; nil if it is not.
 	drainStart       atomic.Pointer[drainStart]
 	closeConnections atomic.Bool
-	// rejecting: nothing is taken any more. inFlight is counted up before it is
-	// looked at, so that a request is either counted or refused.
+	// rejecting: no request is accepted any more. inFlight is incremented before rejecting is read,
+	// so that each request is either counted or refused.
 	rejecting atomic.Bool
 	inFlight  atomic.Int64
 	pace      choice.Pace
 	failures  choice.Failures
-	// activeRequests holds what is at work at the back end.
+	// active tracks the requests that the back end works on.
 	activeRequests activeRequests
-	// notices holds what the back end asks for.
+	// notices tracks the announcements of the back end.
 	notices notices
-	// warmup bounds what a cold back end gets.
+	// warmup limits the requests to a cold back end.
 	warmup warmup.Limit
-	// health is the path of the back end's health check, nil while it is not known.
+	// health is the path of the back end's health check, nil until known.
 	health       atomic.Pointer[string]
 	healthClient *http.Client
-	// trial is held by the suspected request that is at work there: one at a time, so that
-	// an end tells which it was.
+	// trial is held by the suspected request that is active: only one at a time, so that a crash
+	// identifies it.
 	trial *semaphore.Weighted
 }
 
-// drainStart remembers since when a back end is drainStart.
+// drainStart records since when a back end has been draining.
 type drainStart struct {
 	of    roster.Incarnation
 	since time.Time
 }
 
-// New returns a handler that refuses everything until a back end is known.
+// New returns a handler that refuses all requests until a back end is known.
 func New(options Options) *Handler {
 	created := &Handler{
 		options: options,
@@ -192,8 +193,7 @@
 	return created
 }
 
-// Follow takes in the state of the back end: how much it works on at once, and
-// whether it is leaving.
+// Follow updates the state of the back end: its number of slots and whether it is draining.
 func (h *Handler) Follow(endpoint *roster.Endpoint) {
 	if endpoint == nil {
 		return
@@ -225,43 +225,43 @@
 	})
 }
 
-// Stop has answers close their connections from now on.
+// Stop makes replies close their connections from now on.
 func (h *Handler) Stop() { h.closeConnections.Store(true) }
 
-// RejectNew has whatever comes from now on, and what waits for a slot, refused: it has not run.
+// RejectNew refuses new requests and those that wait for a slot; none of them is run.
 func (h *Handler) RejectNew() {
 	h.rejecting.Store(true)
 	h.gate.Close()
 }
 
-// InFlight returns how many requests are under way.
+// InFlight returns the number of requests in progress.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
 // Load returns the state of the back end's slots.
 func (h *Handler) Load() admission.Load { return h.gate.Load() }
 
-// Pace returns how much longer the back end works than others of its service do, and what it last
-// said of that itself, with its age; zero when it says nothing.
+// Pace returns how much longer the back end works than others of its service, and the factor that
+// it last reported itself with its age; zeros when it reports none.
 func (h *Handler) Pace() (factor, reported float64, age time.Duration) {
 	now := clock.Now()
 	reported, age = h.pace.Reported(now)
 	return h.pace.Factor(now), reported, age
 }
 
-// Usage returns which tenants have held the back end's slots for the longest time, and for how long
-// all others have.
+// Usage returns the tenants that have held the back end's slots for the longest total time, and the
+// total time of all others.
 func (h *Handler) Usage(most int) (top []admission.Usage, others time.Duration) {
 	return h.gate.Usage(most)
 }
 
-// CloseIdle closes idle connections to the back end: it may have closed them itself while
-// the machine was suspended.
+// CloseIdle closes idle connections to the back end, which it may have closed itself while the
+// machine was suspended.
 func (h *Handler) CloseIdle() { h.pool.CloseIdle() }
 
 // Sweep closes idle connections that are too old or broken.
 func (h *Handler) Sweep(now time.Time) { h.pool.Sweep(now) }
 
-// drainExpired reports whether the back end takes no new work any more.
+// drainExpired reports whether the back end is draining and accepts no new requests any more.
 func (h *Handler) drainExpired(of roster.Incarnation) bool {
 	start := h.drainStart.Load()
 	return start != nil && start.of == of && clock.Since(start.since) >= h.options.DrainDelay()
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -36,29 +36,29 @@
 func (silentObserver) BackendSent()                                                                 {}
 func (silentObserver) NoticeUnreadable()                                                            {}
 
-// fixture is a handler with a back end that answers as it is reported.
+// fixture is a handler with a back end whose answers the test sets.
 type fixture struct {
 	handler *ingress.Handler
 	answer  atomic.Pointer[http.HandlerFunc]
-	// reported changes what the caller's node tells, nil for nothing.
+	// reported changes the metadata sent by the caller's node, nil for no change.
 	reported func(*hop.Request)
-	// limit is what the caller's node knows of the back end's limit, empty for nothing.
+	// limit is the header for the rate limit from the caller's node, empty for none.
 	limit string
-	// routesTo says whether a newer configuration leads a request here, nil for always.
+	// routesTo overrides whether a newer configuration routes a request here, nil for always.
 	routesTo func(request *http.Request, service string, version uint64) bool
-	// evacuated: the zone is to take nothing.
+	// evacuated: the zone is being evacuated.
 	evacuated atomic.Bool
 }
 
-// newFixture returns a handler whose requests compete for room when the function, if there is one, says so. Its
-// configuration says that back ends bear anything while they are cold.
+// newFixture returns a handler with the given Contended option, if any. Its configuration allows
+// any rate of requests to cold back ends.
 func newFixture(t *testing.T, contended ...func() bool) *fixture {
 	f := newUnconfigured(t, contended...)
 	f.handler.SetService(&route.Service{Name: "one"})
 	return f
 }
 
-// newUnconfigured is play before a configuration came.
+// newUnconfigured is newFixture before a configuration is in force.
 func newUnconfigured(t *testing.T, contended ...func() bool) *fixture {
 	return newWithOptions(t, func(options *ingress.Options) {
 		if len(contended) > 0 {
@@ -67,7 +67,7 @@
 	})
 }
 
-// newWithOptions is playUnconfigured with changed options.
+// newWithOptions is newUnconfigured with changed options.
 func newWithOptions(t *testing.T, change func(*ingress.Options)) *fixture {
 	f := &fixture{}
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*f.answer.Load())(w, r) }))
@@ -90,45 +90,44 @@
 	return f
 }
 
-// send passes one request through the handler and returns what the node says of
-// itself with the reply.
-func (p *fixture) send(t *testing.T, ctx context.Context) hop.Reply {
-	reply, err := hop.ParseReply(p.receive(ctx).Header().Get(hop.HeaderReply))
+// send passes one request through the handler and returns the node's state from the reply.
+func (f *fixture) send(t *testing.T, ctx context.Context) hop.Reply {
+	reply, err := hop.ParseReply(f.receive(ctx).Header().Get(hop.HeaderReply))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return reply
 }
 
-// countRequests has the back end answer every request with success, and countRequests them.
-func (p *fixture) countRequests() *atomic.Int64 {
+// countRequests makes the back end answer all requests with success and returns their count.
+func (f *fixture) countRequests() *atomic.Int64 {
 	ran := &atomic.Int64{}
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		signed(http.StatusOK)(w, r)
 	})
-	p.answer.Store(&answer)
+	f.answer.Store(&answer)
 	return ran
 }
 
-// receive passes one request through the handler and returns the answer.
-func (p *fixture) receive(ctx context.Context) *httptest.ResponseRecorder {
+// receive passes one request through the handler and returns the response.
+func (f *fixture) receive(ctx context.Context) *httptest.ResponseRecorder {
 	reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
-	if p.reported != nil {
-		p.reported(&reported)
+	if f.reported != nil {
+		f.reported(&reported)
 	}
 	req := httptest.NewRequestWithContext(ctx, http.MethodGet, "/a/", strings.NewReader(""))
 	req.Header.Set(hop.HeaderHop, reported.Format())
-	if p.limit != "" {
-		req.Header.Set(hop.HeaderLimit, p.limit)
+	if f.limit != "" {
+		req.Header.Set(hop.HeaderLimit, f.limit)
 	}
 	req.Header.Set(vocabulary.RequestID, "r")
 	recorder := httptest.NewRecorder()
-	p.handler.ServeHTTP(recorder, req)
+	f.handler.ServeHTTP(recorder, req)
 	return recorder
 }
 
-// signed answers as a back end does that ran the request.
+// signed answers like a back end that ran the request.
 func signed(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(vocabulary.RequestID, r.Header.Get(vocabulary.RequestID))
@@ -137,16 +136,16 @@
 	}
 }
 
-// TestTheShareOfFailures: what counts against a back end, as peers are reported.
-func TestTheShareOfFailures(t *testing.T) {
+// TestFailureRate checks which answers count as failures in the rate reported to other nodes.
+func TestFailureRate(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer http.HandlerFunc
 		failed bool
 	}{
 		{"a success", signed(http.StatusOK), false},
-		{"a refusal of the request itself", signed(http.StatusNotFound), false},
-		{"a failure of its own", signed(http.StatusInternalServerError), true},
+		{"a client error", signed(http.StatusNotFound), false},
+		{"a server error", signed(http.StatusInternalServerError), true},
 		{"not processed", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(vocabulary.NotProcessed, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -176,9 +175,9 @@
 	}
 }
 
-// TestCallersThatLeave say nothing of the back end, unless it kept them waiting
-// for long.
-func TestCallersThatLeave(t *testing.T) {
+// TestCancelledRequests checks that cancelled requests do not count against the back end unless it
+// kept them waiting for long.
+func TestCancelledRequests(t *testing.T) {
 	for wait, failed := range map[time.Duration]bool{0: false, 100 * time.Millisecond: true} {
 		g := NewWithT(t)
 		f := newFixture(t)
@@ -193,9 +192,9 @@
 	}
 }
 
-// TestAStoppingNodeTakesNothing that comes after it refuses, and finishes what
-// came before.
-func TestAStoppingNodeTakesNothing(t *testing.T) {
+// TestStoppingNodeRejectsNewRequests checks that requests in progress are completed and later ones
+// refused.
+func TestStoppingNodeRejectsNewRequests(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
 	begun, finish := make(chan struct{}), make(chan struct{})
@@ -219,7 +218,7 @@
 	g.Expect(f.handler.InFlight()).To(BeZero())
 }
 
-// watchedBody tells each time it is read.
+// watchedBody calls begun on each read.
 type watchedBody struct {
 	io.Reader
 	begun func()
@@ -230,9 +229,9 @@
 	return b.Reader.Read(p)
 }
 
-// TestALargeBodyHoldsNoSlotWhileItComes: the body of an upload is received before a
-// slot is taken, so that the link's time is not the back end's.
-func TestALargeBodyHoldsNoSlotWhileItComes(t *testing.T) {
+// TestLargeBodyIsReceivedBeforeAdmission checks that no slot is held during the transfer of a large
+// body.
+func TestLargeBodyIsReceivedBeforeAdmission(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -262,14 +261,14 @@
 	}
 }
 
-// TestACallerThatHasLeft: a request whose caller closed the connection before the
-// node came to read it is not passed on (finding 0009).
-func TestACallerThatHasLeft(t *testing.T) {
+// TestRequestOfDisconnectedCaller checks that a request is not forwarded if its caller closed the
+// connection before the node read it (finding 0009).
+func TestRequestOfDisconnectedCaller(t *testing.T) {
 	g := NewWithT(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	f := newFixture(t)
 	arrived := f.countRequests()
-	// A request before has a connection to the back end ready.
+	// An earlier request leaves an idle connection to the back end.
 	f.send(t, t.Context())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -292,5 +291,5 @@
 	for range callers {
 		g.Eventually(ended).WithTimeout(10 * time.Second).Should(Receive())
 	}
-	g.Expect(arrived.Load()).To(BeEquivalentTo(1), "but the first")
+	g.Expect(arrived.Load()).To(BeEquivalentTo(1), "only the first request")
 }
--- a/internal/sidecar/ingress/moved_test.go
+++ b/internal/sidecar/ingress/moved_test.go
@@ -13,18 +13,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-// TestARequestOfANodeThatIsBehind is given back unrun when the configuration in force here
-// leads it elsewhere; otherwise, and from nodes that do not tell their version, it runs.
-func TestARequestOfANodeThatIsBehind(t *testing.T) {
+// TestRequestRoutedByOldConfiguration checks that a request is refused without being run if the
+// newer configuration here routes it elsewhere. Otherwise, and for nodes that do not send their
+// version, it runs.
+func TestRequestRoutedByOldConfiguration(t *testing.T) {
 	cases := []struct {
 		name, version string
 		routesTo      bool
 		ran           bool
 	}{
-		{"led here by both", "7", true, true},
-		{"led elsewhere by the newer one", "7", false, false},
-		{"of a node that does not tell", "", false, true},
-		{"of a version that cannot be read", "x", false, true},
+		{"routed here by both", "7", true, true},
+		{"routed elsewhere by the newer one", "7", false, false},
+		{"a node that sends no version", "", false, true},
+		{"a malformed version", "x", false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -15,26 +15,26 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// noticeLogInterval is the least time between two lines of the log on a limit that changes.
+// noticeLogInterval is the minimum time between two log lines on a changing limit.
 const noticeLogInterval = time.Second
 
-// notices takes in what the back end asks for with its answers. It is safe for concurrent use.
+// notices tracks the announcements in the back end's answers. It is safe for concurrent use.
 type notices struct {
-	// noReplyYet: no answer of this life of the node has told whether there is a limit. Callers' nodes tell
-	// of one that they know.
+	// noReplyYet: no answer has been received since the start of this process that shows whether
+	// there is a limit. Until then a limit that callers' nodes report is applied.
 	noReplyYet atomic.Bool
 
 	mu sync.Mutex // guards all below
-	// of is the incarnation that is there; leaving: it leaves by what an answer says.
+	// of is the current incarnation; draining: it announced that it is draining.
 	of       roster.Incarnation
 	draining bool
-	// unreadable: the last notice could not be read.
+	// unreadable: the last notice could not be decoded.
 	unreadable bool
-	// lastLogged is when the log last told of the limit.
+	// lastLogged is when the limit was last logged.
 	lastLogged time.Time
 }
 
-// setIncarnation takes in which incarnation is there.
+// setIncarnation records the current incarnation.
 func (n *notices) setIncarnation(of roster.Incarnation, gate *admission.Gate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -42,13 +42,13 @@
 		return
 	}
 	if n.of != (roster.Incarnation{}) {
-		n.noReplyYet.Store(false) // what has just started has named nothing before
+		n.noReplyYet.Store(false) // a new process has announced no limit before
 	}
 	n.of, n.draining = of, false
 	gate.ResetLimit()
 }
 
-// markDraining takes in that an incarnation markDraining, and reports whether that is new.
+// markDraining records that an incarnation is draining and reports whether that is new.
 func (n *notices) markDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,8 @@
 	return true
 }
 
-// markUnreadable takes in that a notice could not be read, and reports whether the one before could.
+// markUnreadable records that a notice could not be decoded and reports whether the one before
+// could.
 func (n *notices) markUnreadable() (first bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,27 +69,29 @@
 	return first
 }
 
-// Limit returns the limit that the back end has named.
+// Limit returns the rate limit that the back end announced.
 func (h *Handler) Limit() admission.Limit { return h.gate.Limit() }
 
-// LeavesByAnswer reports whether an incarnation has said with an answer that it leaves.
+// LeavesByAnswer reports whether an incarnation announced in an answer that it is draining.
 func (h *Handler) LeavesByAnswer(of roster.Incarnation) bool { return h.notices.announcedDraining(of) }
 
-// applyNotice takes in what the back end asks for with an answer to a request sent at that moment.
+// applyNotice applies the announcements in an answer to a request sent at the given time.
 func (h *Handler) applyNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read {
 		h.applyLimit(ratelimit.Advertised{Named: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
-// applyHealthNotice is hear for the answer to a health check. It may leave a limit out that holds.
+// applyHealthNotice is applyNotice for the answer to a health check, which may omit a limit that is
+// in force.
 func (h *Handler) applyHealthNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read && notice.Limited {
 		h.applyLimit(ratelimit.Advertised{Named: true, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
-// read returns what the back end asks for, false when its limit cannot be read. That it leaves is passed on.
+// readNotice decodes the announcements and returns false if the limit cannot be decoded. It passes
+// on that the back end is draining.
 func (h *Handler) read(header http.Header, of *roster.Endpoint) (notice hop.Notice, read bool) {
 	if h.options.DecodeNotice == nil {
 		return hop.Notice{}, false
@@ -108,7 +111,7 @@
 	return notice, false
 }
 
-// applyLimit takes in the limit that an answer names. A late answer of an earlier incarnation says nothing.
+// applyLimit applies the limit of an answer. A late answer of a former incarnation is ignored.
 func (h *Handler) applyLimit(advertised ratelimit.Advertised, of *roster.Endpoint, sent time.Time) {
 	h.notices.mu.Lock()
 	defer h.notices.mu.Unlock()
@@ -123,8 +126,8 @@
 	h.notices.noReplyYet.Store(false)
 }
 
-// applyPeerLimit takes in the limit that the caller's node knows of, while the back end has not answered in this
-// life of the node.
+// applyPeerLimit applies the limit that the caller's node reports, until the back end answers for
+// the first time since the start of this process.
 func (a *arrival) applyPeerLimit() {
 	line := a.request.Header.Get(hop.HeaderLimit)
 	if line == "" || !a.handler.notices.noReplyYet.Load() {
@@ -135,14 +138,14 @@
 		a.handler.options.Logger.Warn("limit told by a node not read", zap.String("peer", a.request.RemoteAddr), zap.Error(err))
 		return
 	}
-	// Of what several nodes know the strictest holds.
+	// If several nodes report limits, the strictest applies.
 	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: reported.PerSecond}, time.Time{}, clock.Now()); changed {
 		a.handler.options.Logger.Info("limit of the back end told by a node", zap.String("endpoint", a.endpoint.ID),
 			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", reported.PerSecond))
 	}
 }
 
-// logLimit tells of a change; the lock of the notices is held.
+// logLimit logs a change; the caller holds the lock of notices.
 func (h *Handler) logLimit(of *roster.Endpoint, before admission.Limit, advertised ratelimit.Advertised, now time.Time) {
 	if before.Named == advertised.Named && now.Sub(h.notices.lastLogged) < noticeLogInterval {
 		return
@@ -154,14 +157,14 @@
 		zap.Duration("for", before.Age), zap.Int("recent", before.Recent))
 }
 
-// announcedDraining reports whether an incarnation has said with an answer that it leaves.
+// announcedDraining reports whether an incarnation announced in an answer that it is draining.
 func (n *notices) announcedDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.draining && n.of == of
 }
 
-// setNoticeHeaders adds to a reply what the back end asks for.
+// setNoticeHeaders sets the headers for the back end's announcements.
 func (a *arrival) setNoticeHeaders(header http.Header) {
 	if a.handler.gate.Limited() {
 		a.setLimitHeader(header)
@@ -171,7 +174,7 @@
 	}
 }
 
-// setLimitHeader adds the limit of the back end to a reply.
+// setLimitHeader sets the header for the back end's rate limit.
 func (a *arrival) setLimitHeader(header http.Header) {
 	if perSecond, room, limited := a.handler.gate.Room(a.ticket(), a.limited); limited {
 		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: perSecond, Room: room}.Format()}
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -17,7 +17,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// decodeNotice reads the headers that these tests use.
+// decodeNotice decodes the headers used in these tests.
 func decodeNotice(header http.Header) (notice hop.Notice, err error) {
 	notice.Draining = header.Get("Leaving") != ""
 	if text := header.Get("Limit"); text != "" {
@@ -27,7 +27,7 @@
 	return notice, err
 }
 
-// noticeFixture is a handler whose back end asks for something with its answers.
+// noticeFixture is a handler whose back end makes announcements in its answers.
 type noticeFixture struct {
 	*fixture
 	left atomic.Int64
@@ -44,7 +44,7 @@
 	return f
 }
 
-// setLimit answers with a limit in the manner given.
+// setLimit makes the back end answer with the given limit.
 func (n *noticeFixture) setLimit(limit string, answer http.HandlerFunc) {
 	limited := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", limit)
@@ -53,8 +53,9 @@
 	n.answer.Store(&limited)
 }
 
-// TestWhichAnswersNameALimit: those that are provably of the back end that was meant.
-func TestWhichAnswersNameALimit(t *testing.T) {
+// TestAnswersThatAnnounceALimit checks that only answers that are provably from the intended back
+// end count.
+func TestAnswersThatAnnounceALimit(t *testing.T) {
 	cases := []struct {
 		name    string
 		answer  http.HandlerFunc
@@ -66,7 +67,7 @@
 			w.Header().Set(vocabulary.NotProcessed, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, true},
-		{"a status that denies the run", signed(http.StatusTooManyRequests), true},
+		{"a status that means not run", signed(http.StatusTooManyRequests), true},
 		{"an answer to another request", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(vocabulary.RequestID, "q") }, false},
 		{"another back end", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(vocabulary.InstanceID, "i-2")
@@ -85,8 +86,9 @@
 	}
 }
 
-// TestARequestWithoutRoomIsRefusedWithATime and the node tells its peer of the limit.
-func TestARequestWithoutRoomIsRefusedWithATime(t *testing.T) {
+// TestRateLimitedRequestIsRefused checks that the refusal has a Retry-After and reports the limit
+// to the caller's node.
+func TestRateLimitedRequestIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	f := newNoticeFixture(t, false)
 	f.reported = func(reported *hop.Request) { reported.MaximumWait = 10 * time.Millisecond }
@@ -103,8 +105,9 @@
 	g.Expect(reported.Room).To(BeNumerically("<", 0.5))
 }
 
-// TestALimitThatCannotBeReadLeavesTheOneThatHolds.
-func TestALimitThatCannotBeReadLeavesTheOneThatHolds(t *testing.T) {
+// TestUnreadableLimitKeepsTheCurrentOne checks that an undecodable limit does not replace the one
+// in force.
+func TestUnreadableLimitKeepsTheCurrentOne(t *testing.T) {
 	g := NewWithT(t)
 	f := newNoticeFixture(t, false)
 	f.setLimit("7", signed(http.StatusOK))
@@ -114,8 +117,9 @@
 	g.Expect(f.handler.Limit().PerSecond).To(Equal(7.0))
 }
 
-// TestANodeThatHasJustStartedIsToldOfALimit by the requests that it bounds, until the first answer.
-func TestANodeThatHasJustStartedIsToldOfALimit(t *testing.T) {
+// TestRestartedNodeAppliesLimitOfCallers checks that a limit sent with requests applies until the
+// first answer of the back end.
+func TestRestartedNodeAppliesLimitOfCallers(t *testing.T) {
 	for _, restarted := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newNoticeFixture(t, restarted)
@@ -131,12 +135,13 @@
 			g.Expect(ran.Load()).To(BeZero(), "the bucket is empty")
 			continue
 		}
-		g.Expect(ran.Load()).To(BeNumerically(">", 0), "its own word counts")
+		g.Expect(ran.Load()).To(BeNumerically(">", 0), "a peer's limit is ignored")
 	}
 }
 
-// TestABackEndThatLeavesByWordOfAnAnswerIsToldOnce.
-func TestABackEndThatLeavesByWordOfAnAnswerIsToldOnce(t *testing.T) {
+// TestDrainingByAnswerIsReportedOnce checks that all replies carry the header but the callback runs
+// once.
+func TestDrainingByAnswerIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := newNoticeFixture(t, false)
 	leaving := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -8,14 +8,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// contended reports whether requests compete for room.
+// contended reports whether requests compete for capacity.
 func (a *arrival) contended() bool {
 	contended := a.handler.options.Contended
 	return contended != nil && contended()
 }
 
-// tenant names whose request it is, by the header that nodes alone set; empty without a tenant, and
-// where tenants have no shares.
+// tenant returns the tenant of the request from a header that only nodes set; empty without a
+// tenant and while tenants have no shares.
 func (a *arrival) tenant() string {
 	if !a.contended() {
 		return ""
@@ -31,8 +31,8 @@
 	return a.tenant()
 }
 
-// countOffered has the meter count the request. Those above their tenant's share are counted by the others,
-// which tell for how many they stand.
+// countOffered counts the request in the meter. Requests above their tenant's share are not
+// counted; the others report how many they represent.
 func (a *arrival) countOffered() {
 	tenant := a.shareTenant()
 	a.countedInShare = tenant != ""
@@ -42,15 +42,15 @@
 	}
 }
 
-// countAdmitted has the meter count that the request has a slot.
+// countAdmitted counts in the meter that the request got a slot.
 func (a *arrival) countAdmitted() {
 	if a.countedInShare {
 		a.handler.meter.Served(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
 	}
 }
 
-// setShareHeader tells the caller's node what the tenant may have of the room here. A request that was refused
-// for another reason says nothing of the room.
+// setShareHeader reports the tenant's share of the capacity here to the caller's node. A request
+// that was refused for another reason says nothing about the capacity.
 func (a *arrival) setShareHeader(header http.Header) {
 	if a.countedInShare {
 		reported := a.handler.meter.Standing(a.reported.Priority, a.shareTenant(), clock.Now())
--- a/internal/sidecar/ingress/suspension_test.go
+++ b/internal/sidecar/ingress/suspension_test.go
@@ -13,9 +13,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestASuspendedNodeStillDrains: the time in which a back end that leaves gets new work goes
-// on while the machine is suspended.
-func TestASuspendedNodeStillDrains(t *testing.T) {
+// TestDrainDelayDuringSuspension checks that the drain delay elapses while the machine is
+// suspended.
+func TestDrainDelayDuringSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
 	f := newCrashFixture(t)
@@ -30,9 +30,9 @@
 	g.Expect(refusedAt(f.receive(t.Context()))).To(Equal("step=drain"))
 }
 
-// TestADeadlineIsNotLengthened: a request that waited while the machine was suspended is
-// passed on with what its caller still has.
-func TestADeadlineIsNotLengthened(t *testing.T) {
+// TestDeadlineDuringSuspension checks that a request that waited while the machine was suspended is
+// forwarded with the time that its caller has left.
+func TestDeadlineDuringSuspension(t *testing.T) {
 	g := NewWithT(t)
 	suspend := clocktest.Suspendable(t)
 	f := newCrashFixture(t)
--- a/internal/sidecar/ingress/tenant_test.go
+++ b/internal/sidecar/ingress/tenant_test.go
@@ -12,9 +12,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-// TestTurnsOfTenantsWhereRoomIsScarce: a slot goes to the tenant that has had less, where requests
-// compete for room; elsewhere to the newest.
-func TestTurnsOfTenantsWhereRoomIsScarce(t *testing.T) {
+// TestSlotsByTenant checks that a free slot goes to the tenant that used less while requests
+// compete for capacity, and otherwise to the newest request.
+func TestSlotsByTenant(t *testing.T) {
 	for _, contended := range []bool{true, false} {
 		g := NewWithT(t)
 		f := newFixture(t, func() bool { return contended })
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestRepliesTellOfShares where requests compete and shares are marked, and of nothing that no queue saw.
-func TestRepliesTellOfShares(t *testing.T) {
+// TestRepliesReportShares checks that shares are reported only under contention, with the option
+// set, and for requests that were queued.
+func TestRepliesReportShares(t *testing.T) {
 	cases := []struct {
 		name             string
 		contended, marks bool
--- a/internal/sidecar/ingress/transfer.go
+++ b/internal/sidecar/ingress/transfer.go
@@ -14,28 +14,27 @@
 )
 
 const (
-	// maximumBuffered bounds the bodies that are received whole, in bytes; of a longer one
-	// the rest streams in while a slot is held.
+	// maximumBuffered bounds the bodies that are received completely before admission, in bytes.
+	// The rest of a longer one is streamed while a slot is held.
 	maximumBuffered = 512 << 10
-	// transferWindow says how many bytes are received at once: as many as the link
-	// carries in that time. With more each takes longer, and what else needs the link
-	// waits behind them. Measured on links of 10 Mbit/s: 0.05 s and 0.2 s serve fewer.
+	// transferWindow determines how many bytes are received concurrently: as many as the link
+	// carries in that time. With more, each transfer takes longer and delays other traffic on the
+	// link. Windows of 0.05 s and 0.2 s served fewer requests on links of 10 Mbit/s.
 	transferWindow = 100 * time.Millisecond
-	// reservationTimeout is how long a body keeps its room at most: its sender may be slow, and
-	// what it does not send takes nothing of the link.
+	// reservationTimeout is how long a body reserves its capacity at most: a slow sender does not
+	// use the link.
 	reservationTimeout = 10 * transferWindow
-	// linkWaitShare is the part of its maximum wait that a request may wait for room;
-	// the rest is left for the transfer and the slot. Measured against the whole.
+	// linkWaitShare is the part of its maximum wait that a request may wait for the link; the rest
+	// is left for the transfer and the slot. It was compared with the whole wait.
 	linkWaitShare = 0.5
-	// assumedLinkMbps stands in for a link of unknown speed.
+	// assumedLinkMbps is used for a link of unknown speed.
 	assumedLinkMbps = 1000
 	bytesPerMegabit = 1000 * 1000 / 8
 )
 
-// transfers bounds the large bodies that are received at once. It is safe for
-// concurrent use.
+// transfers limits the large bodies that are received concurrently. It is safe for concurrent use.
 type transfers struct {
-	// capacity is in bytes of body, size of them in all.
+	// capacity counts bytes of bodies; size is the total.
 	capacity *semaphore.Weighted
 	size     int64
 }
@@ -48,9 +47,9 @@
 	return &transfers{capacity: semaphore.NewWeighted(size), size: size}
 }
 
-// acquire waits until a body of that length may be sent, and returns how to free
-// its room, which happens by itself after roomTime. A body longer than all the room
-// goes alone.
+// acquire waits until a body of the given length may be sent and returns the function that releases
+// its capacity, which also happens after reservationTimeout. A body longer than the total capacity
+// is sent alone.
 func (t *transfers) acquire(ctx context.Context, length int64) (release func(), err error) {
 	weight := min(length, t.size)
 	if err := t.capacity.Acquire(ctx, weight); err != nil {
@@ -64,14 +63,14 @@
 	}, nil
 }
 
-// buffersBeforeAdmission reports whether the body is received before a slot is taken: a slot
-// would be held idle for as long as the link takes.
+// buffersBeforeAdmission reports whether the body is received before a slot is taken, which would
+// otherwise be held during the transfer.
 func (a *arrival) buffersBeforeAdmission() bool {
 	return a.expectsContinue && a.request.ContentLength > hop.LargeBodyBytes && a.request.ContentLength <= maximumBuffered
 }
 
-// receiveBody has the caller's node send the body once there is room on the link. Who
-// would wait too long is refused before anything was sent.
+// receiveBody lets the caller's node send the body once the link has capacity. A request that would
+// wait too long is refused before its body is sent.
 func (a *arrival) receiveBody() (*forward.Body, *outcome.Failure) {
 	maximum := time.Duration(float64(a.reported.MaximumWait) * linkWaitShare)
 	waiting, cancel := context.WithTimeout(a.context, maximum)
--- a/internal/sidecar/ingress/transfer_test.go
+++ b/internal/sidecar/ingress/transfer_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestTransfers: on a link of 10 Mbit/s as many bodies are received at once as it
-// carries in a tenth of a second, in the order in which they came; a longer one goes
-// alone, and on a fast link none waits.
+// TestTransfers checks that on a link of 10 Mbit/s as many bodies are received concurrently as it
+// carries in a tenth of a second, in the order of arrival. A longer body is received alone, and on
+// a fast link none waits.
 func TestTransfers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -47,7 +47,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		began := time.Now()
 		free, err := slow.acquire(t.Context(), slow.size)
-		g.Expect(time.Since(began)).To(Equal(reservationTimeout), "a slow sender does not keep its room")
+		g.Expect(time.Since(began)).To(Equal(reservationTimeout), "the reservation of a slow sender expires")
 		g.Expect(err).NotTo(HaveOccurred())
 		impatient, cancel := context.WithTimeout(t.Context(), reservationTimeout/2)
 		defer cancel()
--- a/internal/sidecar/ingress/trial.go
+++ b/internal/sidecar/ingress/trial.go
@@ -9,17 +9,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// Causes of refusals for what a request does to back ends.
+// Causes of refusals of requests that crash back ends.
 var (
 	errQuarantined = errors.New("the request ends the back ends that run it")
-	errTrial       = errors.New("another request that may have ended a back end is at work")
+	errTrial       = errors.New("another request that may have crashed a back end is active")
 )
 
-// propagationTime is within which nodes hear of an end by the next exchange at the latest.
+// propagationTime is the time within which all nodes learn of a crash, at the latest by the next
+// exchange.
 const propagationTime = time.Second
 
-// checkQuarantine refuses a request that ends back ends, and has one that may do so wait until no
-// other such request is at work. Both have not run.
+// checkQuarantine refuses a quarantined request and makes a suspected one wait until no other
+// suspected request is active. A refused request was not run.
 func (a *arrival) checkQuarantine() *outcome.Failure {
 	quarantine := a.handler.options.Quarantine
 	if quarantine.Idle() && !a.reported.Suspect {
@@ -38,26 +39,26 @@
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, a.retryAfter(), errTrial)
 	}
 	a.onTrial = true
-	// The one that was at work before may have been this request at another caller.
+	// The previous holder of the trial may have been the same request from another caller.
 	if quarantine.Holds(print) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 	}
 	return nil
 }
 
-// endTrial lets the next suspected request have its turn.
+// endTrial releases the trial for the next suspected request.
 func (a *arrival) endTrial() {
 	if a.onTrial {
 		a.handler.trial.Release(1)
 	}
 }
 
-// survivedBodyLimit bounds the bodies of requests whose good ends are noted while nobody is
-// suspected, in bytes: it takes 0.5 microseconds to identify one without a body, and 3.7
-// more for each 4 KB (BenchmarkOf).
+// survivedBodyLimit bounds the bodies, in bytes, of requests that are reported as survived while
+// there are no suspects: a fingerprint takes 0.5 microseconds without a body and 3.7 more for each
+// 4 KB (BenchmarkOf).
 const survivedBodyLimit = 4 << 10
 
-// reportSurvived takes in that the back end has answered the request.
+// reportSurvived reports to the quarantine that the back end answered the request.
 func (a *arrival) reportSurvived() {
 	quarantine := a.handler.options.Quarantine
 	beginning, _ := a.body.Held()
@@ -67,7 +68,7 @@
 	print := a.print()
 	quarantine.Survived(print)
 	if a.reported.Suspect {
-		// Who saw the back end end may not have told this node yet.
+		// The node that saw the crash may not have reported it to this one yet.
 		time.AfterFunc(propagationTime, func() { quarantine.Survived(print) })
 	}
 }
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -15,7 +15,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// fakeQuarantine is a quarantine that says what it is reported to.
+// fakeQuarantine returns preset answers.
 type fakeQuarantine struct {
 	holds, suspects atomic.Bool
 	survived        atomic.Int64
@@ -30,8 +30,8 @@
 func (s *fakeQuarantine) Ended(crash roster.Crash)         { s.crashes <- crash }
 func (s *fakeQuarantine) Survived(print fingerprint.Print) { s.survived.Add(1) }
 
-// refusedAt returns the step at which a request was refused as not run, empty when it was
-// not.
+// refusedAt returns the step at which a request was refused without being run, empty if it was not
+// refused.
 func refusedAt(recorder *httptest.ResponseRecorder) string {
 	if recorder.Header().Get(outcome.HeaderOutcome) != string(outcome.NotRun) {
 		return ""
@@ -39,8 +39,9 @@
 	return recorder.Header().Get(outcome.HeaderError)
 }
 
-// TestAHeldRequestIsNotRun whatever brought it here.
-func TestAHeldRequestIsNotRun(t *testing.T) {
+// TestQuarantinedRequestIsNotRun checks that the node beside the back end refuses a quarantined
+// request.
+func TestQuarantinedRequestIsNotRun(t *testing.T) {
 	g := NewWithT(t)
 	f := newCrashFixture(t)
 	runs := f.countRequests()
@@ -52,8 +53,8 @@
 	g.Expect(runs.Load()).To(BeEquivalentTo(1))
 }
 
-// TestSuspectsRunOneAtATime: an end tells which of them f it. Others wait, and run in
-// their turn.
+// TestSuspectsRunOneAtATime checks that suspected requests wait for each other, so that a crash
+// identifies one, and that all are run.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	g := NewWithT(t)
 	f := newCrashFixture(t)
@@ -80,8 +81,9 @@
 	g.Expect(f.quarantine.survived.Load()).To(BeEquivalentTo(requests))
 }
 
-// TestAnEndUnderASuspect names it apart from what was beside it.
-func TestAnEndUnderASuspect(t *testing.T) {
+// TestCrashDuringTrial checks that a crash report names the suspected request separately from the
+// others.
+func TestCrashDuringTrial(t *testing.T) {
 	g := NewWithT(t)
 	f := newCrashFixture(t)
 	beside := f.startRequests(t, 2, abort)
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -16,13 +16,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-var errCold = errors.New("the back end is, or may be, cold and has got what it bears")
+var errCold = errors.New("the warm-up rate of a back end that is, or may be, cold is used up")
 
-// healthTimeout bounds the question whether the back end is cold: it is on the same machine,
-// and answers at once or waits for a slot.
+// healthTimeout bounds the health check. The back end is on the same machine and answers at once or
+// waits for a slot.
 const healthTimeout = 300 * time.Millisecond
 
-// SetService takes in what the configuration says of the back end's service, nil for nothing.
+// SetService applies the configuration of the back end's service, nil for none.
 func (h *Handler) SetService(service *route.Service) {
 	if service == nil {
 		return
@@ -32,13 +32,13 @@
 	h.warmup.Configure(service.WarmupRate, service.WarmupTime)
 }
 
-// SetWarmupRemaining takes in the back end's word that it is cold for that much longer.
+// SetWarmupRemaining records the remaining warm-up time that the back end reports.
 func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
 
-// MarkPossiblyCold takes in that the back end may have turned cold unheard.
+// MarkPossiblyCold records that the back end may have restarted cold without a report.
 func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
 
-// checkWarmup refuses a request that a cold back end would not checkWarmup. It has not run.
+// checkWarmup refuses a request that exceeds the capacity of a cold back end. It was not run.
 func (a *arrival) checkWarmup() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
 	if verdict.Ask {
@@ -50,8 +50,8 @@
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, defaultRetryAfter/2), errCold)
 }
 
-// newHealthClient returns the client of the back end's health path. Each question has a
-// connection of its own: those of requests tell nothing of a process that was replaced.
+// newHealthClient returns the client for the back end's health check. It opens a new connection
+// each time, since a kept one could belong to a process that was replaced.
 func newHealthClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Timeout:   healthTimeout,
@@ -59,8 +59,8 @@
 	}
 }
 
-// askHealth asks the back end for how much longer it is cold. Without an answer of the back
-// end that is meant nothing is known.
+// askHealth asks the back end for its remaining warm-up time. An answer of another instance is
+// ignored.
 func (h *Handler) askHealth() {
 	path, endpoint := h.health.Load(), h.options.Endpoint()
 	if path == nil || *path == "" || endpoint == nil {
--- a/internal/sidecar/ingress/warmup_test.go
+++ b/internal/sidecar/ingress/warmup_test.go
@@ -12,9 +12,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// TestAColdBackEndIsNotOverrun: what it would not bear is refused unrun and says when to come
-// back, until the back end itself says that it is warm.
-func TestAColdBackEndIsNotOverrun(t *testing.T) {
+// TestColdBackEndIsNotOverloaded checks that excess requests are refused without being run, with a
+// Retry-After, until the back end reports that it is warm.
+func TestColdBackEndIsNotOverloaded(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
 	var ran, asked atomic.Int64
@@ -50,8 +50,9 @@
 	g.Eventually(func() int { return f.receive(t.Context()).Code }).Should(Equal(http.StatusOK))
 }
 
-// TestAColdBackEndIsNotOverrunBeforeAConfigurationCame, as after a loss of power while the store is away.
-func TestAColdBackEndIsNotOverrunBeforeAConfigurationCame(t *testing.T) {
+// TestColdBackEndBeforeAConfiguration covers a start after a power failure while the store is
+// unavailable.
+func TestColdBackEndBeforeAConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	f := newUnconfigured(t)
 	ran := f.countRequests()
@@ -66,8 +67,8 @@
 	g.Expect(ran.Load()).To(BeNumerically("<=", 3))
 }
 
-// TestAnEmptiedZoneTakesNothing, as the node beside the back end sees it.
-func TestAnEmptiedZoneTakesNothing(t *testing.T) {
+// TestEvacuatedZoneRejectsRequests checks the node beside the back end.
+func TestEvacuatedZoneRejectsRequests(t *testing.T) {
 	g := NewWithT(t)
 	f := newFixture(t)
 	ran := f.countRequests()
