--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -142,7 +142,7 @@
 }
 
 // DecayedPace returns the value of a factor that was reported that long ago. sourceHalfLife is the
-// half-life of load reports at their source: a back end that is heard of rarely keeps its reported
+// half-life of load reports at their source: a back end with rare reports keeps its reported
 // pace for longer.
 func DecayedPace(factor float64, age, sourceHalfLife time.Duration) float64 {
 	if factor <= 0 {
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -124,9 +124,9 @@
 	t.Run("the end was planned", func(t *testing.T) {
 		g := NewWithT(t)
 		f := newCrashFixture(t)
-		leaving := *f.endpoint.Load()
-		leaving.State = roster.Draining
-		f.endpoint.Store(&leaving)
+		draining := *f.endpoint.Load()
+		draining.State = roster.Draining
+		f.endpoint.Store(&draining)
 		release := f.startRequests(t, 2, abort)
 		g.Expect(f.server.Listener.Close()).To(Succeed())
 		release()
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// readNotice decodes the announcements and returns false if the limit cannot be decoded. It passes
+// read decodes the announcements and returns false if the limit cannot be decoded. It passes
 // on that the back end is draining.
 func (h *Handler) read(header http.Header, of *roster.Endpoint) (notice hop.Notice, read bool) {
 	if h.options.DecodeNotice == nil {
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -144,11 +144,11 @@
 func TestDrainingByAnswerIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := newNoticeFixture(t, false)
-	leaving := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	draining := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
 		signed(http.StatusOK)(w, r)
 	})
-	f.answer.Store(&leaving)
+	f.answer.Store(&draining)
 	for range 3 {
 		g.Expect(f.receive(t.Context()).Header().Get(hop.HeaderLeaving)).To(Equal("i-1"))
 	}
--- a/internal/sidecar/ingress/suspension_test.go
+++ b/internal/sidecar/ingress/suspension_test.go
@@ -21,10 +21,10 @@
 	f := newCrashFixture(t)
 	answer := signed(http.StatusOK)
 	f.answer.Store(&answer)
-	leaving := *f.endpoint.Load()
-	leaving.State = roster.Draining
-	f.endpoint.Store(&leaving)
-	f.handler.Follow(&leaving)
+	draining := *f.endpoint.Load()
+	draining.State = roster.Draining
+	f.endpoint.Store(&draining)
+	f.handler.Follow(&draining)
 	g.Expect(refusedAt(f.receive(t.Context()))).To(BeEmpty())
 	suspend(2 * time.Second)
 	g.Expect(refusedAt(f.receive(t.Context()))).To(Equal("step=drain"))
--- a/internal/sidecar/ingress/transfer.go
+++ b/internal/sidecar/ingress/transfer.go
@@ -25,7 +25,7 @@
 	// use the link.
 	reservationTimeout = 10 * transferWindow
 	// linkWaitShare is the part of its maximum wait that a request may wait for the link; the rest
-	// is left for the transfer and the slot. It was compared with the whole wait.
+	// is left for the transfer and the slot. It was preferred to the whole wait after a measurement.
 	linkWaitShare = 0.5
 	// assumedLinkMbps is used for a link of unknown speed.
 	assumedLinkMbps = 1000
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -86,7 +86,7 @@
 func TestCrashDuringTrial(t *testing.T) {
 	g := NewWithT(t)
 	f := newCrashFixture(t)
-	beside := f.startRequests(t, 2, abort)
+	releaseOthers := f.startRequests(t, 2, abort)
 	f.reported = func(reported *hop.Request) { reported.Suspect = true }
 	trial := make(chan struct{})
 	go func() {
@@ -95,7 +95,7 @@
 	}()
 	<-f.started
 	g.Expect(f.server.Listener.Close()).To(Succeed())
-	beside()
+	releaseOthers()
 	<-trial
 	crash := <-f.quarantine.crashes
 	g.Expect(crash.Running).To(HaveLen(3))
