--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -15,52 +15,53 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// noticeLogInterval is the least time between two lines of the log on a limit that changes.
+// noticeLogInterval is the minimum time between two log lines on a changing limit.
 const noticeLogInterval = time.Second
 
-// notices takes in what the back end asks for with its answers. It is safe for concurrent use.
+// notices tracks the announcements in the back end's answers. It is safe for concurrent use.
 type notices struct {
-	// unheard: no answer of this life of the node has told whether there is a limit. Callers' nodes tell
-	// of one that they know.
-	unheard atomic.Bool
+	// noReplyYet: no answer has been received since the start of this process that shows whether
+	// there is a limit. Until then a limit that callers' nodes report is applied.
+	noReplyYet atomic.Bool
 
 	mu sync.Mutex // guards all below
-	// of is the incarnation that is there; leaving: it leaves by what an answer says.
-	of      roster.Incarnation
-	leaving bool
-	// unreadable: the last notice could not be read.
+	// of is the current incarnation; draining: it announced that it is draining.
+	of       roster.Incarnation
+	draining bool
+	// unreadable: the last notice could not be decoded.
 	unreadable bool
-	// logged is when the log last told of the limit.
-	logged time.Time
+	// lastLogged is when the limit was last logged.
+	lastLogged time.Time
 }
 
-// follow takes in which incarnation is there.
-func (n *notices) follow(of roster.Incarnation, gate *admission.Gate) {
+// setIncarnation records the current incarnation.
+func (n *notices) setIncarnation(of roster.Incarnation, gate *admission.Gate) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.of == of {
 		return
 	}
 	if n.of != (roster.Incarnation{}) {
-		n.unheard.Store(false) // what has just started has named nothing before
+		n.noReplyYet.Store(false) // a new process has announced no limit before
 	}
-	n.of, n.leaving = of, false
+	n.of, n.draining = of, false
 	gate.ResetLimit()
 }
 
-// leaves takes in that an incarnation leaves, and reports whether that is new.
-func (n *notices) leaves(of roster.Incarnation) bool {
+// markDraining records that an incarnation is draining and reports whether that is new.
+func (n *notices) markDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.of != of || n.leaving {
+	if n.of != of || n.draining {
 		return false
 	}
-	n.leaving = true
+	n.draining = true
 	return true
 }
 
-// failed takes in that a notice could not be read, and reports whether the one before could.
-func (n *notices) failed() (first bool) {
+// markUnreadable records that a notice could not be decoded and reports whether the one before
+// could.
+func (n *notices) markUnreadable() (first bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	first = !n.unreadable
@@ -68,33 +69,35 @@
 	return first
 }
 
-// Limit returns the limit that the back end has named.
+// Limit returns the rate limit that the back end announced.
 func (h *Handler) Limit() admission.Limit { return h.gate.Limit() }
 
-// LeavesByAnswer reports whether an incarnation has said with an answer that it leaves.
-func (h *Handler) LeavesByAnswer(of roster.Incarnation) bool { return h.notices.leavesByAnswer(of) }
+// LeavesByAnswer reports whether an incarnation announced in an answer that it is draining.
+func (h *Handler) LeavesByAnswer(of roster.Incarnation) bool { return h.notices.announcedDraining(of) }
 
-// hear takes in what the back end asks for with an answer to a request sent at that moment.
-func (h *Handler) hear(header http.Header, of *roster.Endpoint, sent time.Time) {
+// applyNotice applies the announcements in an answer to a request sent at the given time.
+func (h *Handler) applyNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read {
-		h.hearLimit(ratelimit.Advertised{HasLimit: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{HasLimit: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
-// hearHealth is hear for the answer to a health check. It may leave a limit out that holds.
-func (h *Handler) hearHealth(header http.Header, of *roster.Endpoint, sent time.Time) {
+// applyHealthNotice is applyNotice for the answer to a health check, which may omit a limit that is
+// in force.
+func (h *Handler) applyHealthNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read && notice.Limited {
-		h.hearLimit(ratelimit.Advertised{HasLimit: true, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{HasLimit: true, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
-// read returns what the back end asks for, false when its limit cannot be read. That it leaves is passed on.
+// read decodes the announcements and returns false if the limit cannot be decoded. It passes
+// on that the back end is draining.
 func (h *Handler) read(header http.Header, of *roster.Endpoint) (notice hop.Notice, read bool) {
 	if h.options.DecodeNotice == nil {
 		return hop.Notice{}, false
 	}
 	notice, err := h.options.DecodeNotice(header)
-	if notice.Draining && h.notices.leaves(of.Incarnation()) {
+	if notice.Draining && h.notices.markDraining(of.Incarnation()) {
 		h.options.Logger.Info("back end leaves by word of an answer", zap.String("endpoint", of.ID), zap.String("service", of.Service))
 		h.options.OnDraining(of.Incarnation())
 	}
@@ -102,14 +105,14 @@
 		return notice, true
 	}
 	h.options.Observer.NoticeUnreadable()
-	if h.notices.failed() {
+	if h.notices.markUnreadable() {
 		h.options.Logger.Warn("notice of the back end not read", zap.String("endpoint", of.ID), zap.Error(err))
 	}
 	return notice, false
 }
 
-// hearLimit takes in the limit that an answer names. A late answer of an earlier incarnation says nothing.
-func (h *Handler) hearLimit(advertised ratelimit.Advertised, of *roster.Endpoint, sent time.Time) {
+// applyLimit applies the limit of an answer. A late answer of a former incarnation is ignored.
+func (h *Handler) applyLimit(advertised ratelimit.Advertised, of *roster.Endpoint, sent time.Time) {
 	h.notices.mu.Lock()
 	defer h.notices.mu.Unlock()
 	if h.notices.of != of.Incarnation() {
@@ -120,59 +123,59 @@
 	if before, changed := h.gate.UpdateLimit(advertised, sent, now); changed {
 		h.logLimit(of, before, advertised, now)
 	}
-	h.notices.unheard.Store(false)
+	h.notices.noReplyYet.Store(false)
 }
 
-// hearPeer takes in the limit that the caller's node knows of, while the back end has not answered in this
-// life of the node.
-func (a *arrival) hearPeer() {
+// applyPeerLimit applies the limit that the caller's node reports, until the back end answers for
+// the first time since the start of this process.
+func (a *arrival) applyPeerLimit() {
 	line := a.request.Header.Get(hop.HeaderLimit)
-	if line == "" || !a.handler.notices.unheard.Load() {
+	if line == "" || !a.handler.notices.noReplyYet.Load() {
 		return
 	}
-	told, err := hop.ParseLimit(line)
+	reported, err := hop.ParseLimit(line)
 	if err != nil {
 		a.handler.options.Logger.Warn("limit told by a node not read", zap.String("peer", a.request.RemoteAddr), zap.Error(err))
 		return
 	}
-	// Of what several nodes know the strictest holds.
-	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: told.PerSecond}, time.Time{}, clock.Now()); changed {
+	// If several nodes report limits, the strictest applies.
+	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: reported.PerSecond}, time.Time{}, clock.Now()); changed {
 		a.handler.options.Logger.Info("limit of the back end told by a node", zap.String("endpoint", a.endpoint.ID),
-			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", told.PerSecond))
+			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", reported.PerSecond))
 	}
 }
 
-// logLimit tells of a change; the lock of the notices is held.
+// logLimit logs a change; the caller holds the lock of notices.
 func (h *Handler) logLimit(of *roster.Endpoint, before admission.Limit, advertised ratelimit.Advertised, now time.Time) {
-	if before.HasLimit == advertised.HasLimit && now.Sub(h.notices.logged) < noticeLogInterval {
+	if before.HasLimit == advertised.HasLimit && now.Sub(h.notices.lastLogged) < noticeLogInterval {
 		return
 	}
-	h.notices.logged = now
+	h.notices.lastLogged = now
 	h.options.Logger.Info("limit of the back end", zap.String("endpoint", of.ID), zap.String("service", of.Service),
 		zap.Bool("limited", advertised.HasLimit), zap.Float64("perSecond", advertised.PerSecond),
 		zap.Bool("limitedBefore", before.HasLimit), zap.Float64("perSecondBefore", before.PerSecond),
 		zap.Duration("for", before.Age), zap.Int("recent", before.Recent))
 }
 
-// leavesByAnswer reports whether an incarnation has said with an answer that it leaves.
-func (n *notices) leavesByAnswer(of roster.Incarnation) bool {
+// announcedDraining reports whether an incarnation announced in an answer that it is draining.
+func (n *notices) announcedDraining(of roster.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leaving && n.of == of
+	return n.draining && n.of == of
 }
 
-// tellNotices adds to a reply what the back end asks for.
-func (a *arrival) tellNotices(header http.Header) {
+// setNoticeHeaders sets the headers for the back end's announcements.
+func (a *arrival) setNoticeHeaders(header http.Header) {
 	if a.handler.gate.Limited() {
-		a.tellLimit(header)
+		a.setLimitHeader(header)
 	}
-	if a.endpoint != nil && a.handler.notices.leavesByAnswer(a.endpoint.Incarnation()) {
+	if a.endpoint != nil && a.handler.notices.announcedDraining(a.endpoint.Incarnation()) {
 		header[hop.HeaderLeaving] = []string{a.endpoint.Incarnation().String()}
 	}
 }
 
-// tellLimit adds the limit of the back end to a reply.
-func (a *arrival) tellLimit(header http.Header) {
+// setLimitHeader sets the header for the back end's rate limit.
+func (a *arrival) setLimitHeader(header http.Header) {
 	if perSecond, room, limited := a.handler.gate.Room(a.ticket(), a.limited); limited {
 		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: perSecond, Room: room}.Format()}
 	}
--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -1,9 +1,9 @@
-// Package nested tells the calls that a back end makes while it works on a request from the
-// requests of clients. A nested call ends with the request that it serves: its deadline is that
-// request's. So a request whose deadline is later than those of all that is at work at the back end
-// of the machine where it begins is a client's. A route
-// counts as called by back ends once leastSeen of its requests are known and at most strayShare of them
-// were certainly clients'. The package is pure: the caller brings the time.
+// Package nested distinguishes the calls that a back end makes while it works on a request from
+// requests of clients. A nested call inherits the deadline of the request that it serves. So a
+// request whose deadline is later than those of all active requests at the local back end comes
+// from a client. A route counts as called by back ends once at least minimumRequests of its
+// requests were seen and at most maximumClientShare of them certainly came from clients. The
+// package is pure: callers pass the time.
 package nested
 
 import (
@@ -11,148 +11,151 @@
 	"time"
 )
 
-// ActiveRequests knows until when what a back end works on is of use. It is safe for concurrent use.
+// ActiveRequests tracks the deadlines of the requests that a back end works on. It is safe for
+// concurrent use.
 type ActiveRequests struct {
-	mu sync.Mutex // guards runs
-	// runs holds the requests at work by when their deadline is.
-	runs map[*run]struct{}
+	mu sync.Mutex // guards requests
+	// requests holds the active requests.
+	requests map[*activeRequest]struct{}
 }
 
-type run struct {
+type activeRequest struct {
 	deadline time.Time
 	repeated bool
 }
 
-// Begin notes a request that is of use until the deadline; repeated says that it has reached a
-// back end before. The result notes its end.
-func (w *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
-	begun := &run{deadline: deadline, repeated: repeated}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.runs == nil {
-		w.runs = map[*run]struct{}{}
+// Begin records a request with its deadline; repeated says that it reached a back end before. The
+// result must be called when the request ends.
+func (a *ActiveRequests) Begin(deadline time.Time, repeated bool) (end func()) {
+	request := &activeRequest{deadline: deadline, repeated: repeated}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.requests == nil {
+		a.requests = map[*activeRequest]struct{}{}
 	}
-	w.runs[begun] = struct{}{}
-	return func() { w.end(begun) }
+	a.requests[request] = struct{}{}
+	return func() { a.end(request) }
 }
 
-func (w *ActiveRequests) end(ended *run) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.runs, ended)
+func (a *ActiveRequests) end(request *activeRequest) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.requests, request)
 }
 
-// LatestDeadline returns the latest deadline of what is at work, the zero time when nothing is.
-func (w *ActiveRequests) LatestDeadline() (latest time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for begun := range w.runs {
-		if begun.deadline.After(latest) {
-			latest = begun.deadline
+// LatestDeadline returns the latest deadline of the active requests, the zero time if there are
+// none.
+func (a *ActiveRequests) LatestDeadline() (latest time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for request := range a.requests {
+		if request.deadline.After(latest) {
+			latest = request.deadline
 		}
 	}
 	return latest
 }
 
-// Repeated returns how likely it is that the run which makes a call with that deadline is a
-// repeat: the part of those that are, among the runs with about that deadline or, where there are
+// Repeated returns the probability that a call with that deadline is made by a repeated request:
+// the share of repeated ones among the active requests with about that deadline or, if there are
 // none, among all.
-func (w *ActiveRequests) Repeated(deadline time.Time) float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	about, all := &likelihood{}, &likelihood{}
-	for begun := range w.runs {
-		all.add(begun)
-		if deadline.Sub(begun.deadline).Abs() <= readDelay {
-			about.add(begun)
+func (a *ActiveRequests) Repeated(deadline time.Time) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	matching, all := &repeatCounter{}, &repeatCounter{}
+	for request := range a.requests {
+		all.add(request)
+		if deadline.Sub(request.deadline).Abs() <= maximumReadDelay {
+			matching.add(request)
 		}
 	}
-	if about.runs > 0 {
-		return about.share()
+	if matching.requests > 0 {
+		return matching.probability()
 	}
-	return all.share()
+	return all.probability()
 }
 
-// likelihood counts runs and those that are repeats.
-type likelihood struct{ runs, repeated float64 }
+// repeatCounter counts requests and the repeated ones among them.
+type repeatCounter struct{ requests, repeated float64 }
 
-func (l *likelihood) add(begun *run) {
-	l.runs++
-	if begun.repeated {
-		l.repeated++
+func (c *repeatCounter) add(request *activeRequest) {
+	c.requests++
+	if request.repeated {
+		c.repeated++
 	}
 }
 
-func (l *likelihood) share() float64 { return l.repeated / max(l.runs, 1) }
+func (c *repeatCounter) probability() float64 { return c.repeated / max(c.requests, 1) }
 
 const (
-	// readDelay is how much later than it was sent a call may be read: a busy machine takes that
-	// long, and its deadline counts from then.
-	readDelay = 100 * time.Millisecond
-	// leastSeen is how many requests of a route say something of it.
-	leastSeen = 8
-	// strayShare is the part of a called route's requests that may seem to be clients': calls
-	// that cross the end of the request that they serve.
-	strayShare = 0.02
-	// remembered is how many requests of a route count: older ones fade.
-	remembered = 256
-	// settleTime is how long after its start a node does not know what its back end works on: requests
-	// that began before are not in Work.
-	settleTime = time.Second
+	// maximumReadDelay is how long after its sending a call may be read on a busy machine. Its
+	// deadline is computed from the time of reading.
+	maximumReadDelay = 100 * time.Millisecond
+	// minimumRequests is how many requests of a route must be seen before it is classified.
+	minimumRequests = 8
+	// maximumClientShare is the share of a called route's requests that may look like requests of
+	// clients: calls that overlap with the end of the request that they serve.
+	maximumClientShare = 0.02
+	// windowRequests is how many requests of a route are counted before the counts are halved.
+	windowRequests = 256
+	// startupDelay is how long after its start a node cannot classify requests, since requests that
+	// began before are not in ActiveRequests.
+	startupDelay = time.Second
 )
 
-// Classifier learns which routes back ends call. It is safe for concurrent use.
+// Classifier learns which routes are called by back ends. It is safe for concurrent use.
 type Classifier struct {
-	work    *ActiveRequests
+	active  *ActiveRequests
 	started time.Time
-	routes  sync.Map // of *seen by route name
+	routes  sync.Map // route name to *routeCounter
 }
 
-// seen counts the requests of one route.
-type seen struct {
+// routeCounter counts the requests of one route.
+type routeCounter struct {
 	mu sync.Mutex // guards all below
-	// total counts them, clients those that were certainly a client's.
+	// total counts all requests, clients those that certainly came from a client.
 	total, clients float64
 }
 
-// NewClassifier returns one that has seen no route. started is when the node started.
-func NewClassifier(work *ActiveRequests, started time.Time) *Classifier {
-	return &Classifier{work: work, started: started}
+// NewClassifier returns a classifier without observations. started is the start time of the node.
+func NewClassifier(active *ActiveRequests, started time.Time) *Classifier {
+	return &Classifier{active: active, started: started}
 }
 
-// Nested takes in a request that begins at this machine and reports whether it is a call of what
-// its back end works on. identified says that the request bears what only clients have.
-func (r *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
-	if now.Sub(r.started) < settleTime {
+// Nested records a request that enters the mesh at this node and reports whether it is a nested
+// call of the local back end. identified says that the request carries credentials that only
+// clients have.
+func (c *Classifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
+	if now.Sub(c.started) < startupDelay {
 		return false
 	}
-	client := identified || deadline.After(r.work.LatestDeadline().Add(readDelay))
-	called := r.of(route).add(client)
+	client := identified || deadline.After(c.active.LatestDeadline().Add(maximumReadDelay))
+	called := c.counterOf(route).add(client)
 	return called && !client
 }
 
-// Repeated is as of the work at the node's back end.
-func (r *Classifier) Repeated(deadline time.Time) float64 { return r.work.Repeated(deadline) }
+// Repeated returns the result of ActiveRequests.Repeated for the local back end.
+func (c *Classifier) Repeated(deadline time.Time) float64 { return c.active.Repeated(deadline) }
 
-func (r *Classifier) of(route string) *seen {
-	if held, found := r.routes.Load(route); found {
-		return held.(*seen)
+func (c *Classifier) counterOf(route string) *routeCounter {
+	if counter, found := c.routes.Load(route); found {
+		return counter.(*routeCounter)
 	}
-	held, _ := r.routes.LoadOrStore(route, &seen{})
-	return held.(*seen)
+	counter, _ := c.routes.LoadOrStore(route, &routeCounter{})
+	return counter.(*routeCounter)
 }
 
 // add counts one request and reports whether back ends call the route.
-func (s *seen) add(client bool) (called bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.total++
+func (c *routeCounter) add(client bool) (called bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.total++
 	if client {
-		s.clients++
+		c.clients++
 	}
-	if s.total > remembered {
-		s.total /= 2
-		s.clients /= 2
+	if c.total > windowRequests {
+		c.total /= 2
+		c.clients /= 2
 	}
-	return s.total >= leastSeen && s.clients <= s.total*strayShare
+	return c.total >= minimumRequests && c.clients <= c.total*maximumClientShare
 }
