--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -65,8 +65,8 @@
 	slots   int
 	running int
 	waiting queue
-	// grants counts the slots given, overdueAt is what it was when a kind that was overdue last had one.
-	grants, overdueAt int
+	// grants counts the slots given, lastOverdueGrant is what it was when a kind that was overdue last had one.
+	grants, lastOverdueGrant int
 	// service is the smoothed time a slot is held.
 	service time.Duration
 	// correction is how much longer requests wait than the work before them
@@ -74,8 +74,8 @@
 	correction float64
 	reserve    reserve
 	// limit is the one that the back end has named, wake grants slots once it has room again.
-	limit ratelimit.Limit
-	wake  *time.Timer
+	limit     ratelimit.Limit
+	wakeTimer *time.Timer
 	// closed: no slot is given any more.
 	closed bool
 }
@@ -132,8 +132,8 @@
 
 // Acquire waits for a slot. The context bounds the wait; its error is returned
 // when it ends first.
-func (g *Gate) Acquire(ctx context.Context, ticket RequestInfo) (*Slot, error) {
-	entry, err := g.enter(ticket)
+func (g *Gate) Acquire(ctx context.Context, info RequestInfo) (*Slot, error) {
+	entry, err := g.enter(info)
 	if err != nil {
 		return nil, err
 	}
@@ -151,15 +151,15 @@
 		return err
 	default:
 	}
-	timer := time.NewTimer(entry.ticket.MaximumWait)
+	timer := time.NewTimer(entry.info.MaximumWait)
 	defer timer.Stop()
 	select {
 	case err := <-entry.result:
 		return err
 	case <-timer.C:
 		g.mutex.Lock()
-		g.learn(entry)
-		cause := g.tooLate(entry)
+		g.updateCorrection(entry)
+		cause := g.timeoutError(entry)
 		g.mutex.Unlock()
 		return g.withdraw(entry, cause)
 	case <-ctx.Done():
@@ -168,50 +168,50 @@
 }
 
 // enter takes a slot at once, joins the queue or refuses.
-func (g *Gate) enter(ticket RequestInfo) (*waiter, error) {
+func (g *Gate) enter(info RequestInfo) (*waiter, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.closed {
 		return nil, ErrClosed
 	}
 	now := g.now()
-	g.reserve.note(ticket.Priority, now)
-	entry := &waiter{ticket: ticket, work: g.workOf(ticket), result: make(chan error, 1), entered: now}
-	entry.standing = g.waiting.standings.join(ticket, now)
-	entry.kind = entry.standing.class.kind(magnitude(ticket.Work))
-	if ticket.PreventStarvation {
-		entry.kind.comes(now)
+	g.reserve.observeArrival(info.Priority, now)
+	entry := &waiter{info: info, work: g.workOf(info), result: make(chan error, 1), entered: now}
+	entry.account = g.waiting.accounts.accountFor(info, now)
+	entry.kind = entry.account.class.kind(magnitude(info.Work))
+	if info.PreventStarvation {
+		entry.kind.recordArrival(now)
 	}
-	entry.behind = g.limitBinds(ticket)
-	if g.running < g.open(ticket) && g.limit.Ready(now) && !g.yields(entry) {
+	entry.fifo = g.onlyRateLimited(info)
+	if g.running < g.slotsFor(info) && g.limit.Ready(now) && !g.yields(entry) {
 		g.start(entry)
 		return entry, nil
 	}
-	if err := g.withinLimit(entry, g.waiting.lengthBefore(entry), now); err != nil {
-		if g.running < g.open(ticket) && g.limit.TakeMinimumShare(ticket.class(), now) {
+	if err := g.checkRateLimit(entry, g.waiting.lengthBefore(entry), now); err != nil {
+		if g.running < g.slotsFor(info) && g.limit.TakeMinimumShare(info.class(), now) {
 			g.start(entry)
 			return entry, nil
 		}
 		return nil, err
 	}
-	entry.predicted = g.expectedWait(g.waiting.workBefore(entry), ticket)
-	if entry.predicted > ticket.MaximumWait && !entry.kind.kept(0, now) {
-		g.reserve.began(ticket.Priority, true, g.slots, now)
+	entry.predicted = g.expectedWait(g.waiting.workBefore(entry), info)
+	if entry.predicted > info.MaximumWait && !entry.kind.exempt(0, now) {
+		g.reserve.observeStart(info.Priority, true, g.slots, now)
 		return nil, ErrWaitTooLong
 	}
 	g.waiting.add(entry)
 	g.displace()
-	g.wakeLater(now)
+	g.scheduleWake(now)
 	return entry, nil
 }
 
-// open returns how many slots there are for such requests. Nested calls may have all: requests that
+// slotsFor returns how many slots there are for such requests. Nested calls may have all: requests that
 // are at work wait for them.
-func (g *Gate) open(ticket RequestInfo) int {
-	if ticket.Nested {
+func (g *Gate) slotsFor(info RequestInfo) int {
+	if info.Nested {
 		return g.slots
 	}
-	return g.slots - g.reserve.kept(ticket.Priority, g.now())
+	return g.slots - g.reserve.reservedAgainst(info.Priority, g.now())
 }
 
 // yields reports whether a request that waits comes before the new entry.
@@ -222,17 +222,17 @@
 
 // start gives the entry a slot.
 func (g *Gate) start(entry *waiter) {
-	g.reserve.began(entry.ticket.Priority, false, g.slots, g.now())
-	g.limit.Consume(entry.ticket.class(), g.now())
+	g.reserve.observeStart(entry.info.Priority, false, g.slots, g.now())
+	g.limit.Consume(entry.info.class(), g.now())
 	g.running++
 	g.grants++
-	entry.kind.since = g.now()
-	beside, byTurn := 0, g.waiting.inTurn(entry)
+	entry.kind.lastGrant = g.now()
+	queued, byTurn := 0, g.waiting.inTurn(entry)
 	if g.waiting.holds(entry) {
-		beside = entry.group.flow.length
+		queued = entry.group.flow.length
 		g.waiting.remove(entry)
 	}
-	entry.standing.begin(entry, beside, byTurn)
+	entry.account.begin(entry, queued, byTurn)
 	entry.result <- nil
 }
 
@@ -240,36 +240,36 @@
 // that, and the work of one that runs, over all slots. It is corrected by how
 // long others waited compared to what was expected of them, since back ends
 // differ in pace and more urgent requests keep coming.
-func (g *Gate) expectedWait(before time.Duration, ticket RequestInfo) time.Duration {
+func (g *Gate) expectedWait(before time.Duration, info RequestInfo) time.Duration {
 	if g.slots == 0 {
 		return time.Hour
 	}
 	ahead := float64(g.service + before)
-	return time.Duration(ahead / float64(max(g.open(ticket), 1)) * g.correction)
+	return time.Duration(ahead / float64(max(g.slotsFor(info), 1)) * g.correction)
 }
 
 // workOf returns how long a request is expected to hold a slot.
-func (g *Gate) workOf(ticket RequestInfo) time.Duration {
-	if ticket.Work > 0 {
-		return ticket.Work
+func (g *Gate) workOf(info RequestInfo) time.Duration {
+	if info.Work > 0 {
+		return info.Work
 	}
 	return g.service
 }
 
 const (
 	// A single wait moves the correction by no more than these bounds allow.
-	leastCorrection, mostCorrection = 0.3, 5
-	// shortestPrediction is the shortest one that says something.
-	shortestPrediction = 2 * time.Millisecond
+	minCorrection, maxCorrection = 0.3, 5
+	// minPrediction is the shortest one that says something.
+	minPrediction = 2 * time.Millisecond
 )
 
-// learn takes in how long an entry waited.
-func (g *Gate) learn(entry *waiter) {
-	if entry.predicted < shortestPrediction {
+// updateCorrection takes in how long an entry waited.
+func (g *Gate) updateCorrection(entry *waiter) {
+	if entry.predicted < minPrediction {
 		return
 	}
 	ratio := float64(g.now().Sub(entry.entered)) / float64(entry.predicted) * g.correction
-	ratio = min(max(ratio, leastCorrection), mostCorrection)
+	ratio = min(max(ratio, minCorrection), maxCorrection)
 	g.correction += (ratio - g.correction) / smoothing
 }
 
@@ -281,14 +281,14 @@
 		if last == nil {
 			return
 		}
-		left := last.ticket.MaximumWait - g.now().Sub(last.entered)
-		limited := g.limit.WaitForClass(last.ticket.class(), g.waiting.length-1, g.now()) > left
-		if !limited && g.expectedWait(g.waiting.work()-last.work, last.ticket) <= left {
+		left := last.info.MaximumWait - g.now().Sub(last.entered)
+		limited := g.limit.WaitForClass(last.info.class(), g.waiting.length-1, g.now()) > left
+		if !limited && g.expectedWait(g.waiting.work()-last.work, last.info) <= left {
 			return
 		}
 		g.waiting.remove(last)
 		if limited {
-			last.result <- g.limitedError(last.ticket, g.waiting.length, g.now())
+			last.result <- g.rateLimitError(last.info, g.waiting.length, g.now())
 			continue
 		}
 		last.result <- ErrDisplaced
@@ -307,7 +307,7 @@
 		return err
 	}
 	g.running--
-	entry.standing.end(entry, 0, g.now())
+	entry.account.end(entry, 0, g.now())
 	g.limit.Refund(g.now())
 	g.grant()
 	return cause
@@ -322,7 +322,7 @@
 	g.running--
 	now := g.now()
 	held := now.Sub(s.started)
-	s.entry.standing.end(s.entry, held, now)
+	s.entry.account.end(s.entry, held, now)
 	if served {
 		g.service += (held - g.service) / smoothing
 	}
@@ -342,13 +342,13 @@
 // have any, but not before nested calls, and not more than a small part of all slots given.
 func (g *Gate) next() *waiter {
 	next := g.waiting.next()
-	if !next.ticket.Nested && g.running < g.slots && g.grants-g.overdueAt >= grantsPerOverdue {
+	if !next.info.Nested && g.running < g.slots && g.grants-g.lastOverdueGrant >= grantsPerOverdue {
 		if overdue := g.waiting.overdue(g.now()); overdue != nil {
-			g.overdueAt = g.grants
+			g.lastOverdueGrant = g.grants
 			return overdue
 		}
 	}
-	if g.running < g.open(next.ticket) {
+	if g.running < g.slotsFor(next.info) {
 		return next
 	}
 	return nil
@@ -358,14 +358,14 @@
 func (g *Gate) grant() {
 	for g.waiting.length > 0 {
 		if now := g.now(); !g.limit.Ready(now) {
-			g.wakeLater(now)
+			g.scheduleWake(now)
 			return
 		}
 		next := g.next()
 		if next == nil {
 			return
 		}
-		g.learn(next)
+		g.updateCorrection(next)
 		g.start(next)
 	}
 }
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -12,25 +12,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-func ticket(priority int, wait time.Duration) admission.RequestInfo {
+func info(priority int, wait time.Duration) admission.RequestInfo {
 	return admission.RequestInfo{Priority: priority, MaximumWait: wait}
 }
 
-// TestOrder: the more urgent first, then those that come for the first time,
+// TestQueueOrder: the more urgent first, then those that come for the first time,
 // then the shorter by order of magnitude, then the newest.
-func TestOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		first, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		first, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		served := make(chan string, 11)
 		waiters := []struct {
-			name   string
-			ticket admission.RequestInfo
+			name string
+			info admission.RequestInfo
 		}{
-			{"least urgent", ticket(2, time.Minute)},
+			{"least urgent", info(2, time.Minute)},
 			{"long", admission.RequestInfo{Priority: 1, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"as long, newer", admission.RequestInfo{Priority: 1, Work: 70 * time.Millisecond, MaximumWait: time.Minute}},
 			{"nested", admission.RequestInfo{Priority: 2, Nested: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
@@ -38,13 +38,13 @@
 			{"came back", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
 			{"came back later", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
 			{"long, came back", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
-			{"older", ticket(1, time.Minute)},
-			{"newer", ticket(1, time.Minute)},
-			{"most urgent", ticket(0, time.Minute)},
+			{"older", info(1, time.Minute)},
+			{"newer", info(1, time.Minute)},
+			{"most urgent", info(0, time.Minute)},
 		}
 		for _, waiter := range waiters {
 			go func() {
-				slot, err := gate.Acquire(t.Context(), waiter.ticket)
+				slot, err := gate.Acquire(t.Context(), waiter.info)
 				g.Expect(err).NotTo(HaveOccurred())
 				served <- waiter.name
 				slot.Release(true)
@@ -65,22 +65,22 @@
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		held, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		held, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 
-		_, err = gate.Acquire(t.Context(), ticket(1, 10*time.Millisecond))
+		_, err = gate.Acquire(t.Context(), info(1, 10*time.Millisecond))
 		g.Expect(err).To(MatchError(admission.ErrWaitTooLong))
 
 		refused := make(chan error, 2)
 		for range 2 {
 			go func() {
-				_, err := gate.Acquire(t.Context(), ticket(1, 110*time.Millisecond))
+				_, err := gate.Acquire(t.Context(), info(1, 110*time.Millisecond))
 				refused <- err
 			}()
 			synctest.Wait()
 		}
 		go func() {
-			slot, err := gate.Acquire(t.Context(), ticket(0, time.Minute))
+			slot, err := gate.Acquire(t.Context(), info(0, time.Minute))
 			g.Expect(err).NotTo(HaveOccurred())
 			slot.Release(true)
 		}()
@@ -96,19 +96,19 @@
 	})
 }
 
-// TestACallerThatLeavesHoldsNothing: neither a place in the queue nor a slot
+// TestCanceledAcquireReleasesQueueEntryAndSlot: neither a place in the queue nor a slot
 // that was granted in the same moment.
-func TestACallerThatLeavesHoldsNothing(t *testing.T) {
+func TestCanceledAcquireReleasesQueueEntryAndSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		held, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		held, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		leaving, leave := context.WithCancel(t.Context())
 		left := make(chan error, 1)
 		go func() {
-			_, err := gate.Acquire(leaving, ticket(0, time.Minute))
+			_, err := gate.Acquire(leaving, info(0, time.Minute))
 			left <- err
 		}()
 		synctest.Wait()
@@ -120,19 +120,19 @@
 	})
 }
 
-func TestServiceTimeIsLearned(t *testing.T) {
+func TestServiceTimeEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(2)
 		for range 100 {
-			slot, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+			slot, err := gate.Acquire(t.Context(), info(0, time.Second))
 			g.Expect(err).NotTo(HaveOccurred())
 			time.Sleep(200 * time.Millisecond)
 			slot.Release(true)
 		}
 		g.Expect(gate.Load().ServiceTime).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
-		slot, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		slot, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		before := gate.Load().ServiceTime
 		time.Sleep(time.Hour)
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestLongWorkAheadIsCounted: a queue of long requests takes long, whatever
+// TestExpectedWaitUsesWorkOfQueuedRequests: a queue of long requests takes long, whatever
 // short ones have made of the mean.
-func TestLongWorkAheadIsCounted(t *testing.T) {
+func TestExpectedWaitUsesWorkOfQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
@@ -190,9 +190,9 @@
 	})
 }
 
-// TestTheEstimateIsCorrected by how long requests really waited: here a back end
+// TestExpectedWaitIsCorrectedByMeasuredWaits by how long requests really waited: here a back end
 // that works three times as long as is said of it.
-func TestTheEstimateIsCorrected(t *testing.T) {
+func TestExpectedWaitIsCorrectedByMeasuredWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
@@ -222,10 +222,10 @@
 	})
 }
 
-// TestALastingOverload: callers come at one and a half times the pace of a back
+// TestSustainedOverload: callers come at one and a half times the pace of a back
 // end and come back once when they are refused. Most of those who are served
 // are served in time, also of those who have come back, and no slot stays free.
-func TestALastingOverload(t *testing.T) {
+func TestSustainedOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			work  = 100 * time.Millisecond
--- a/internal/sidecar/admission/flow.go
+++ b/internal/sidecar/admission/flow.go
@@ -11,8 +11,8 @@
 // tenant has had the least; the request that is refused for want of room is of the flow whose tenant
 // would have had the most if all of its requests were served.
 type flow struct {
-	standing *standing
-	level    *level
+	account *account
+	level   *level
 	// groups are ordered by magnitude; none is empty.
 	groups []*group
 	length int
@@ -22,10 +22,10 @@
 	turn, excess int
 }
 
-// groupOf returns the group that the request belongs to.
-func (f *flow) groupOf(ticket RequestInfo, unused *spare[group]) *group {
-	wanted := magnitude(ticket.Work)
-	index, found := slices.BinarySearchFunc(f.groups, wanted, func(held *group, wanted int) int { return cmp.Compare(held.magnitude, wanted) })
+// ensureGroup returns the group that the request belongs to.
+func (f *flow) ensureGroup(info RequestInfo, unused *freeList[group]) *group {
+	wanted := magnitude(info.Work)
+	index, found := slices.BinarySearchFunc(f.groups, wanted, func(existing *group, wanted int) int { return cmp.Compare(existing.magnitude, wanted) })
 	if !found {
 		created := unused.get()
 		created.flow, created.magnitude = f, wanted
@@ -34,28 +34,28 @@
 	return f.groups[index]
 }
 
-// holds returns the group of the magnitude, nil when there is none.
-func (f *flow) holds(magnitude int) *group {
-	for _, held := range f.groups {
-		if held.magnitude == magnitude {
-			return held
+// findGroup returns the group of the magnitude, nil when there is none.
+func (f *flow) findGroup(magnitude int) *group {
+	for _, existing := range f.groups {
+		if existing.magnitude == magnitude {
+			return existing
 		}
 	}
 	return nil
 }
 
-// drop takes out an empty group.
-func (f *flow) drop(empty *group, unused *spare[group]) {
+// removeGroup takes out an empty group.
+func (f *flow) removeGroup(empty *group, unused *freeList[group]) {
 	index := slices.Index(f.groups, empty)
 	f.groups = slices.Delete(f.groups, index, index+1)
 	empty.flow = nil
 	unused.put(empty)
 }
 
-// changed takes in that requests with so much work have come to the group, or have left it. The
+// adjust takes in that requests with so much work have come to the group, or have left it. The
 // flow's place in the heap of excesses is mended by its caller.
-func (f *flow) changed(in *group, work time.Duration, requests int) {
-	in.work += work
+func (f *flow) adjust(changed *group, work time.Duration, requests int) {
+	changed.work += work
 	f.work += work
 	f.length += requests
 	f.level.work += work
@@ -67,26 +67,26 @@
 
 func (f *flow) last(now time.Time) *waiter {
 	for i := len(f.groups) - 1; i >= 0; i-- {
-		if last := f.groups[i].waiters.Back().Value.(*waiter); !last.kind.kept(1, now) {
+		if last := f.groups[i].waiters.Back().Value.(*waiter); !last.kind.exempt(1, now) {
 			return last
 		}
 	}
 	return nil
 }
 
-// asked is what the tenant would have had if all requests of the flow were served.
-func (f *flow) asked() time.Duration {
-	if f.standing.named() {
-		return f.standing.had + f.work
+// projectedTime is what the tenant would have had if all requests of the flow were served.
+func (f *flow) projectedTime() time.Duration {
+	if f.account.hasTenant() {
+		return f.account.virtualTime + f.work
 	}
-	return f.standing.had + f.work/time.Duration(max(f.length, 1))
+	return f.account.virtualTime + f.work/time.Duration(max(f.length, 1))
 }
 
 // workBefore returns the work of the flow's requests of smaller magnitudes.
-func (f *flow) workBefore(wanted int) time.Duration {
+func (f *flow) workBefore(limit int) time.Duration {
 	total := time.Duration(0)
 	for _, held := range f.groups {
-		if held.magnitude >= wanted {
+		if held.magnitude >= limit {
 			break
 		}
 		total += held.work
@@ -100,8 +100,8 @@
 	// turns and excess hold the same flows: the next to be served in front, and the first to be refused.
 	turns  turns
 	excess excess
-	// work is the sum over all requests, had what the tenants of the flows have had.
-	work, had time.Duration
+	// work is the sum over all requests, virtualTime what the tenants of the flows have virtualTime.
+	work, virtualTime time.Duration
 	// length is how many requests there are.
 	length int
 }
@@ -112,9 +112,9 @@
 		return last
 	}
 	var most *flow
-	for _, held := range l.excess[1:] {
-		if (most == nil || held.asked() > most.asked()) && held.last(now) != nil {
-			most = held
+	for _, candidate := range l.excess[1:] {
+		if (most == nil || candidate.projectedTime() > most.projectedTime()) && candidate.last(now) != nil {
+			most = candidate
 		}
 	}
 	if most == nil {
@@ -124,49 +124,49 @@
 }
 
 func (l *level) add(added *flow) {
-	l.had += added.standing.had
+	l.virtualTime += added.account.virtualTime
 	heap.Push(&l.turns, added)
 	heap.Push(&l.excess, added)
 }
 
 func (l *level) remove(removed *flow) {
-	l.had -= removed.standing.had
+	l.virtualTime -= removed.account.virtualTime
 	heap.Remove(&l.turns, removed.turn)
 	heap.Remove(&l.excess, removed.excess)
 }
 
-// charged takes in that the flow's tenant has had more, or less, than was known.
-func (l *level) charged(of *flow, change time.Duration) {
-	l.had += change
-	heap.Fix(&l.turns, of.turn)
-	heap.Fix(&l.excess, of.excess)
+// recordCharge takes in that the flow's tenant has had more, or less, than was known.
+func (l *level) recordCharge(owned *flow, change time.Duration) {
+	l.virtualTime += change
+	heap.Fix(&l.turns, owned.turn)
+	heap.Fix(&l.excess, owned.excess)
 }
 
 // workBefore returns the work at the level that is served before a new request. Each other tenant
 // gets slots until it has had as much as the new request's: by the mean over them, so that it takes
 // the same time whatever their number.
 func (l *level) workBefore(entry *waiter) time.Duration {
-	others, work, had := len(l.turns), l.work, l.had
+	others, work, virtualTime := len(l.turns), l.work, l.virtualTime
 	own := time.Duration(0)
-	if waitsIn := entry.standing.flow(l.number); waitsIn != nil {
-		others, work, had = others-1, work-waitsIn.work, had-entry.standing.had
-		own = waitsIn.workBefore(magnitude(entry.ticket.Work))
+	if tenantFlow := entry.account.flow(l.number); tenantFlow != nil {
+		others, work, virtualTime = others-1, work-tenantFlow.work, virtualTime-entry.account.virtualTime
+		own = tenantFlow.workBefore(magnitude(entry.info.Work))
 	}
-	behind := time.Duration(others)*entry.standing.had - had
-	return own + min(max(behind, 0), work)
+	deficit := time.Duration(others)*entry.account.virtualTime - virtualTime
+	return own + min(max(deficit, 0), work)
 }
 
 // lengthBefore returns how many requests of the level are served before a new request, at most: those of
 // other tenants, and of its own those that it follows.
 func (l *level) lengthBefore(entry *waiter) int {
-	waitsIn := entry.standing.flow(l.number)
-	if waitsIn == nil {
+	tenantFlow := entry.account.flow(l.number)
+	if tenantFlow == nil {
 		return l.length
 	}
-	before := l.length - waitsIn.length
-	for _, held := range waitsIn.groups {
-		if entry.follows(held) {
-			before += held.waiters.Len()
+	before := l.length - tenantFlow.length
+	for _, waitingGroup := range tenantFlow.groups {
+		if entry.follows(waitingGroup) {
+			before += waitingGroup.waiters.Len()
 		}
 	}
 	return before
@@ -179,7 +179,7 @@
 func (t turns) Len() int { return len(t) }
 
 // Less implements heap.Interface.
-func (t turns) Less(i, j int) bool { return t[i].standing.had < t[j].standing.had }
+func (t turns) Less(i, j int) bool { return t[i].account.virtualTime < t[j].account.virtualTime }
 
 // Swap implements heap.Interface.
 func (t turns) Swap(i, j int) {
@@ -209,7 +209,7 @@
 func (e excess) Len() int { return len(e) }
 
 // Less implements heap.Interface.
-func (e excess) Less(i, j int) bool { return e[i].asked() > e[j].asked() }
+func (e excess) Less(i, j int) bool { return e[i].projectedTime() > e[j].projectedTime() }
 
 // Swap implements heap.Interface.
 func (e excess) Swap(i, j int) {
--- a/internal/sidecar/admission/flow_test.go
+++ b/internal/sidecar/admission/flow_test.go
@@ -16,13 +16,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// manual is a clock that is set by hand.
-type manual struct{ at time.Time }
+// manualClock is a clock that is set by hand.
+type manualClock struct{ at time.Time }
 
-func (m *manual) now() time.Time { return m.at }
+func (m *manualClock) now() time.Time { return m.at }
 
-// await returns the ticket of whoever got the slot that was freed.
-func await(waiting []*waiter) (got *waiter, left []*waiter) {
+// takeGranted returns the ticket of whoever got the slot that was freed.
+func takeGranted(waiting []*waiter) (got *waiter, left []*waiter) {
 	for i, entry := range waiting {
 		select {
 		case err := <-entry.result:
@@ -35,12 +35,12 @@
 	return nil, waiting
 }
 
-// TestWithoutTenantsTheOrderIsByLevelMagnitudeAndAge: without tenants there are no turns, whatever
+// TestOrderWithoutTenants: without tenants there are no turns, whatever
 // comes and goes meanwhile.
-func TestWithoutTenantsTheOrderIsByLevelMagnitudeAndAge(t *testing.T) {
+func TestOrderWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 0))
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
 	running, err := gate.enter(RequestInfo{MaximumWait: time.Hour})
@@ -62,20 +62,20 @@
 		// The newest first: of equal ones that which joined last.
 		wanted := waiting[0]
 		for _, other := range waiting[1:] {
-			if cmp.Or(cmp.Compare(other.ticket.precedence().Level(), wanted.ticket.precedence().Level()),
-				cmp.Compare(magnitude(other.ticket.Work), magnitude(wanted.ticket.Work))) <= 0 {
+			if cmp.Or(cmp.Compare(other.info.precedence().Level(), wanted.info.precedence().Level()),
+				cmp.Compare(magnitude(other.info.Work), magnitude(wanted.info.Work))) <= 0 {
 				wanted = other
 			}
 		}
 		(&Slot{gate: gate, entry: running, started: clock.at}).Release(true)
-		running, waiting = await(waiting)
+		running, waiting = takeGranted(waiting)
 		g.Expect(running).To(BeIdenticalTo(wanted), "step %d", step)
 	}
 }
 
-// TestTurnsGoByTimeNotByNumber: of two tenants that always wait, one with work four times as long,
+// TestTenantsShareSlotTimeNotRequestCount: of two tenants that always wait, one with work four times as long,
 // each holds slots for the same time.
-func TestTurnsGoByTimeNotByNumber(t *testing.T) {
+func TestTenantsShareSlotTimeNotRequestCount(t *testing.T) {
 	g := NewWithT(t)
 	held := compete(t, map[string]demand{
 		"long":  {every: 20 * time.Millisecond, work: 200 * time.Millisecond},
@@ -84,9 +84,9 @@
 	g.Expect(held["short"].Seconds() / held["long"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestRoomThatOneDoesNotUseIsThereForTheOthers: a small tenant has all that it asks for, two that
+// TestUnusedShareGoesToOtherTenants: a small tenant has all that it asks for, two that
 // ask for more than their shares have equal parts of the rest.
-func TestRoomThatOneDoesNotUseIsThereForTheOthers(t *testing.T) {
+func TestUnusedShareGoesToOtherTenants(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
 	held := compete(t, map[string]demand{
@@ -98,23 +98,23 @@
 	g.Expect(held["larger"].Seconds() / held["large"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestWhoWasAwayGainsNoCredit: a tenant that comes after ten seconds has its share from then on,
+// TestIdleTenantGainsNoCredit: a tenant that comes after ten seconds has its share from then on,
 // and not what it did not ask for before.
-func TestWhoWasAwayGainsNoCredit(t *testing.T) {
+func TestIdleTenantGainsNoCredit(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
 	held := compete(t, map[string]demand{
 		"there": {every: 10 * time.Millisecond, work: work},
-		"away":  {every: 10 * time.Millisecond, work: work, from: 10 * time.Second},
+		"away":  {every: 10 * time.Millisecond, work: work, start: 10 * time.Second},
 	}, 4, 12*time.Second)
 	g.Expect(held["away"].Seconds()).To(BeNumerically("~", 2*4/2, 0.5))
 }
 
-// TestRequestsWithoutATenantAreNotOneTenant: four requests without a tenant that wait beside one of a
+// TestRequestsWithoutTenantCountSeparately: four requests without a tenant that wait beside one of a
 // tenant have four parts of five.
-func TestRequestsWithoutATenantAreNotOneTenant(t *testing.T) {
+func TestRequestsWithoutTenantCountSeparately(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
 	running, _ := gate.enter(RequestInfo{MaximumWait: time.Hour})
@@ -132,17 +132,17 @@
 	for range 100 {
 		clock.at = clock.at.Add(100 * time.Millisecond)
 		(&Slot{gate: gate, entry: running, started: clock.at.Add(-100 * time.Millisecond)}).Release(true)
-		running, waiting = await(waiting)
-		served[running.ticket.Tenant]++
-		join(running.ticket.Tenant, 1)
+		running, waiting = takeGranted(waiting)
+		served[running.info.Tenant]++
+		join(running.info.Tenant, 1)
 	}
 	g.Expect(served[""]).To(BeNumerically("~", 80, 2))
 }
 
-// TestRefusedIsWhoHasAskedForTheMost: not who came last.
-func TestRefusedIsWhoHasAskedForTheMost(t *testing.T) {
+// TestDisplacedIsTenantWithLargestExcess: not who came last.
+func TestDisplacedIsTenantWithLargestExcess(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
 	_, _ = gate.enter(RequestInfo{MaximumWait: time.Hour})
@@ -159,10 +159,10 @@
 	g.Expect(gate.waiting.holds(flood[3])).To(BeTrue())
 }
 
-// TestTenantsThatComeAndGoAreForgotten: memory stays bounded.
-func TestTenantsThatComeAndGoAreForgotten(t *testing.T) {
+// TestTenantAccountsAreBounded: memory stays bounded.
+func TestTenantAccountsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 100_000 {
@@ -171,16 +171,16 @@
 		clock.at = clock.at.Add(time.Millisecond)
 		(&Slot{gate: gate, entry: entry, started: clock.at.Add(-time.Millisecond)}).Release(true)
 	}
-	g.Expect(len(gate.waiting.standings.classes[0].tenants)).To(BeNumerically("<=", mostTenants))
+	g.Expect(len(gate.waiting.accounts.classes[0].tenants)).To(BeNumerically("<=", maxTenants))
 	top, others := gate.Usage(3)
 	g.Expect(top).To(HaveLen(3))
 	g.Expect(others).To(Equal(99_997*time.Millisecond), "what the forgotten ones had is counted")
 }
 
-// TestPrioritiesThatComeAndGoAreForgotten: memory stays bounded whatever nodes tell.
-func TestPrioritiesThatComeAndGoAreForgotten(t *testing.T) {
+// TestClassesAreBounded: memory stays bounded whatever nodes tell.
+func TestClassesAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 10_000 {
@@ -188,12 +188,12 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		(&Slot{gate: gate, entry: entry, started: clock.at}).Release(true)
 	}
-	g.Expect(len(gate.waiting.standings.classes)).To(BeNumerically("<=", mostClasses))
+	g.Expect(len(gate.waiting.accounts.classes)).To(BeNumerically("<=", maxClasses))
 }
 
 // demand is how often a tenant's requests come, and how long they take.
 type demand struct {
-	every, work, from time.Duration
+	every, work, start time.Duration
 }
 
 // compete plays tenants at one back end and returns for how long each held slots.
@@ -206,7 +206,7 @@
 		results := make(chan string, 1<<16)
 		for name, asks := range tenants {
 			go func() {
-				time.Sleep(asks.from)
+				time.Sleep(asks.start)
 				for time.Now().Before(end) {
 					go func() {
 						slot, err := gate.Acquire(context.Background(), RequestInfo{Tenant: name, PreventStarvation: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
@@ -236,7 +236,7 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, tenants := range []int{0, 77, 2000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			clock := &manual{at: time.Unix(1, 0)}
+			clock := &manualClock{at: time.Unix(1, 0)}
 			gate := New(clock.now)
 			names := make([]string, max(tenants, 1))
 			for i := range tenants {
@@ -244,19 +244,19 @@
 			}
 			waiting := make([]*waiter, 2000)
 			for i := range waiting {
-				ticket := RequestInfo{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
-				of := gate.waiting.standings.join(ticket, clock.at)
-				waiting[i] = &waiter{ticket: ticket, work: ticket.Work, standing: of, kind: of.class.kind(magnitude(ticket.Work))}
+				info := RequestInfo{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
+				owner := gate.waiting.accounts.accountFor(info, clock.at)
+				waiting[i] = &waiter{info: info, work: info.Work, account: owner, kind: owner.class.kind(magnitude(info.Work))}
 				gate.waiting.add(waiting[i])
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				next := gate.waiting.next()
-				beside := next.group.flow.length
+				queued := next.group.flow.length
 				gate.waiting.remove(next)
-				next.standing.begin(next, beside, true)
-				next.standing.end(next, 90*time.Millisecond, clock.at)
-				next.standing = gate.waiting.standings.join(next.ticket, clock.at)
+				next.account.begin(next, queued, true)
+				next.account.end(next, 90*time.Millisecond, clock.at)
+				next.account = gate.waiting.accounts.accountFor(next.info, clock.at)
 				gate.waiting.workBefore(next)
 				gate.waiting.add(next)
 				gate.waiting.last(clock.at)
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestManyTenantsAtOneBackEnd: 77 tenants by a skew ask for one and a half times the room. None that asks
+// TestMaxMinSharesOfManyTenants: 77 tenants by a skew ask for one and a half times the room. None that asks
 // for enough to say so has less than nine tenths of its max-min share.
-func TestManyTenantsAtOneBackEnd(t *testing.T) {
+func TestMaxMinSharesOfManyTenants(t *testing.T) {
 	const (
 		tenants = 77
 		skew    = 1.2
@@ -287,7 +287,7 @@
 	for i := range tenants {
 		part := math.Pow(float64(i+1), -skew) / total * 1.5 * slots
 		wanted = append(wanted, part*last.Seconds())
-		asks[fmt.Sprint(i)] = demand{every: time.Duration(float64(work) / part), work: work, from: time.Duration(i) * time.Millisecond}
+		asks[fmt.Sprint(i)] = demand{every: time.Duration(float64(work) / part), work: work, start: time.Duration(i) * time.Millisecond}
 	}
 	held := compete(t, asks, slots, last)
 	served := 0.0
--- a/internal/sidecar/admission/kind.go
+++ b/internal/sidecar/admission/kind.go
@@ -8,15 +8,15 @@
 type kind struct {
 	class     *class
 	magnitude int
-	// since is when it got a slot last, or began to come; came is when it came last. Both are zero
+	// lastGrant is when it got a slot last, or began to come; lastArrival is when it lastArrival last. Both are zero
 	// before the first request that is bounded.
-	since, came time.Time
+	lastGrant, lastArrival time.Time
 	// waiting is how many of its requests wait.
 	waiting int
 }
 
-// mostInVain is for how long requests of a kind may come without one getting a slot.
-const mostInVain = time.Second
+// starvationBound is for how long requests of a kind may come without one getting a slot.
+const starvationBound = time.Second
 
 // grantsPerOverdue is for how many slots given one may go to a kind that is overdue: with many kinds
 // and few slots they would otherwise take them all.
@@ -24,9 +24,9 @@
 
 // kind returns that of the magnitude.
 func (c *class) kind(magnitude int) *kind {
-	for _, held := range c.kinds {
-		if held.magnitude == magnitude {
-			return held
+	for _, existing := range c.kinds {
+		if existing.magnitude == magnitude {
+			return existing
 		}
 	}
 	added := &kind{class: c, magnitude: magnitude}
@@ -34,48 +34,48 @@
 	return added
 }
 
-// comes takes in that a request comes that is bounded.
-func (k *kind) comes(now time.Time) {
-	if k.since.IsZero() || now.Sub(k.came) >= mostInVain {
-		k.since = now
+// recordArrival takes in that a request recordArrival that is bounded.
+func (k *kind) recordArrival(now time.Time) {
+	if k.lastGrant.IsZero() || now.Sub(k.lastArrival) >= starvationBound {
+		k.lastGrant = now
 	}
-	k.came = now
+	k.lastArrival = now
 }
 
 // overdue reports whether the kind is to get the next slot.
 func (k *kind) overdue(now time.Time) bool {
-	return !k.since.IsZero() && now.Sub(k.since) >= mostInVain && now.Sub(k.came) < mostInVain
+	return !k.lastGrant.IsZero() && now.Sub(k.lastGrant) >= starvationBound && now.Sub(k.lastArrival) < starvationBound
 }
 
-// kept reports whether a request of the kind stays in the queue though it would wait too long: it is
+// exempt reports whether a request of the kind stays in the queue though it would wait too long: it is
 // overdue, and no more of it wait than the given number.
-func (k *kind) kept(most int, now time.Time) bool { return k.waiting <= most && k.overdue(now) }
+func (k *kind) exempt(limit int, now time.Time) bool { return k.waiting <= limit && k.overdue(now) }
 
 // overdue returns the request of the kind that is overdue for the longest time, nil when there is none.
 func (q *queue) overdue(now time.Time) *waiter {
 	var longest *kind
-	for _, competes := range q.standings.classes {
-		for _, held := range competes.kinds {
-			if held.waiting > 0 && held.overdue(now) && (longest == nil || held.since.Before(longest.since)) {
-				longest = held
+	for _, class := range q.accounts.classes {
+		for _, candidate := range class.kinds {
+			if candidate.waiting > 0 && candidate.overdue(now) && (longest == nil || candidate.lastGrant.Before(longest.lastGrant)) {
+				longest = candidate
 			}
 		}
 	}
 	if longest == nil {
 		return nil
 	}
-	return q.firstOf(longest)
+	return q.firstOfKind(longest)
 }
 
-// firstOf returns the waiting request of a kind that is served first.
-func (q *queue) firstOf(wanted *kind) *waiter {
-	for _, held := range q.levels {
+// firstOfKind returns the waiting request of a kind that is served first.
+func (q *queue) firstOfKind(wanted *kind) *waiter {
+	for _, currentLevel := range q.levels {
 		var best *group
-		for _, waits := range held.turns {
-			if waits.standing.class != wanted.class || best != nil && waits.standing.had >= best.flow.standing.had {
+		for _, tenantFlow := range currentLevel.turns {
+			if tenantFlow.account.class != wanted.class || best != nil && tenantFlow.account.virtualTime >= best.flow.account.virtualTime {
 				continue
 			}
-			if found := waits.holds(wanted.magnitude); found != nil {
+			if found := tenantFlow.findGroup(wanted.magnitude); found != nil {
 				best = found
 			}
 		}
--- a/internal/sidecar/admission/kind_test.go
+++ b/internal/sidecar/admission/kind_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestNoKindWaitsInVain: beside a kind that alone takes all slots, one that is less urgent, or takes longer at
+// TestNoKindStarves: beside a kind that alone takes all slots, one that is less urgent, or takes longer at
 // the same priority, gets a slot at least every so often, and no more than that. Where requests are not
 // bounded it gets none.
-func TestNoKindWaitsInVain(t *testing.T) {
+func TestNoKindStarves(t *testing.T) {
 	flooding := RequestInfo{Priority: 1, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}
 	cases := []struct {
 		name    string
@@ -22,9 +22,9 @@
 		{"less urgent", RequestInfo{Priority: 2, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
 		{"longer", RequestInfo{Priority: 1, Work: 200 * time.Millisecond, MaximumWait: 300 * time.Millisecond}},
 	}
-	for _, played := range cases {
+	for _, test := range cases {
 		for _, bounded := range []bool{true, false} {
-			t.Run(played.name, func(t *testing.T) {
+			t.Run(test.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					const last = 20 * time.Second
 					g := NewWithT(t)
@@ -33,23 +33,23 @@
 					var mu sync.Mutex // guards all below
 					var got []time.Time
 					flooded := 0
-					serve := func(ticket RequestInfo, began func()) {
-						ticket.PreventStarvation = bounded
-						slot, err := gate.Acquire(t.Context(), ticket)
+					serve := func(info RequestInfo, began func()) {
+						info.PreventStarvation = bounded
+						slot, err := gate.Acquire(t.Context(), info)
 						if err != nil {
 							return
 						}
 						mu.Lock()
 						began()
 						mu.Unlock()
-						time.Sleep(ticket.Work)
+						time.Sleep(info.Work)
 						slot.Release(true)
 					}
 					start := time.Now()
 					for tick := 0; time.Since(start) < last; tick++ {
 						go serve(flooding, func() { flooded++ })
 						if tick%5 == 0 {
-							go serve(played.starved, func() { got = append(got, time.Now()) })
+							go serve(test.starved, func() { got = append(got, time.Now()) })
 						}
 						time.Sleep(8 * time.Millisecond)
 					}
@@ -61,7 +61,7 @@
 						return
 					}
 					for i := 1; i < len(got); i++ {
-						g.Expect(got[i].Sub(got[i-1])).To(BeNumerically("<=", mostInVain+300*time.Millisecond))
+						g.Expect(got[i].Sub(got[i-1])).To(BeNumerically("<=", starvationBound+300*time.Millisecond))
 					}
 					g.Expect(len(got)).To(And(BeNumerically(">=", 15), BeNumerically("<=", 30)))
 					g.Expect(flooded).To(BeNumerically(">", 1400), "of the 1,600 that there is room for")
@@ -71,17 +71,17 @@
 	}
 }
 
-// TestWhoComesBesideAnOverdueKindHasItsShare: slots that are given to a kind since it is overdue leave the
+// TestOverdueGrantsLeaveTenantSharesIntact: slots that are given to a kind since it is overdue leave the
 // turns of tenants as they are, also for one that comes later.
-func TestWhoComesBesideAnOverdueKindHasItsShare(t *testing.T) {
+func TestOverdueGrantsLeaveTenantSharesIntact(t *testing.T) {
 	g := NewWithT(t)
 	const last, joins = 30 * time.Second, 20 * time.Second
 	asks := map[string]demand{
 		"long": {every: 100 * time.Millisecond, work: 500 * time.Millisecond},
-		"late": {every: 250 * time.Millisecond, work: 50 * time.Millisecond, from: joins},
+		"late": {every: 250 * time.Millisecond, work: 50 * time.Millisecond, start: joins},
 	}
 	for i := range 20 {
-		asks[fmt.Sprint(i)] = demand{every: 50 * time.Millisecond, work: 50 * time.Millisecond, from: time.Duration(i) * time.Millisecond}
+		asks[fmt.Sprint(i)] = demand{every: 50 * time.Millisecond, work: 50 * time.Millisecond, start: time.Duration(i) * time.Millisecond}
 	}
 	held := compete(t, asks, 4, last)
 	perSecond := float64(held["late"]) / float64(asks["late"].work) / (last - joins).Seconds()
@@ -89,7 +89,7 @@
 }
 
 // overdueQueue returns a full gate with a kind that is overdue and has one request waiting.
-func overdueQueue(g *WithT, clock *manual) (gate *Gate, running, waiting *waiter) {
+func overdueQueue(g *WithT, clock *manualClock) (gate *Gate, running, waiting *waiter) {
 	gate = New(clock.now)
 	gate.Resize(1)
 	running, err := gate.enter(RequestInfo{Priority: 1, MaximumWait: time.Hour})
@@ -99,18 +99,18 @@
 	first, err := gate.enter(late)
 	g.Expect(err).NotTo(HaveOccurred())
 	gate.waiting.remove(first)
-	clock.at = clock.at.Add(mostInVain)
-	first.kind.came = clock.at.Add(-mostInVain / 2)
+	clock.at = clock.at.Add(starvationBound)
+	first.kind.lastArrival = clock.at.Add(-starvationBound / 2)
 	waiting, err = gate.enter(late)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(waiting.kind.overdue(clock.at)).To(BeTrue())
 	return gate, running, waiting
 }
 
-// TestNestedCallsComeBeforeAnOverdueKind.
-func TestNestedCallsComeBeforeAnOverdueKind(t *testing.T) {
+// TestNestedCallsPrecedeOverdueKind.
+func TestNestedCallsPrecedeOverdueKind(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate, running, late := overdueQueue(g, clock)
 	nested, err := gate.enter(RequestInfo{Nested: true, MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -119,15 +119,15 @@
 	waiting := []*waiter{late, nested, urgent}
 	for _, wanted := range []*waiter{nested, late, urgent} {
 		(&Slot{gate: gate, entry: running, started: clock.at}).Release(true)
-		running, waiting = await(waiting)
+		running, waiting = takeGranted(waiting)
 		g.Expect(running).To(BeIdenticalTo(wanted))
 	}
 }
 
-// TestWhoWaitsTooLongIsRefusedBesideAnOverdueKind: the request that is kept protects no other.
-func TestWhoWaitsTooLongIsRefusedBesideAnOverdueKind(t *testing.T) {
+// TestOverdueRequestDoesNotProtectOthersFromDisplacement: the request that is kept protects no other.
+func TestOverdueRequestDoesNotProtectOthersFromDisplacement(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate, _, late := overdueQueue(g, clock)
 	var urgent []*waiter
 	for range 6 {
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -74,7 +74,7 @@
 // Room returns the rate of the back end's limit, in requests a second, and how many requests like the
 // ticket's it has room for, below zero for those that wait; false without a limit. An error that refused
 // the request tells the time that its peer was told.
-func (g *Gate) Room(ticket RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
+func (g *Gate) Room(info RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
@@ -84,56 +84,56 @@
 	case refused != nil:
 		return advertised.PerSecond, g.limit.RoomIn(refused.Wait), true
 	}
-	ahead := g.waiting.lengthUpTo(ticket.precedence().Level())
-	return advertised.PerSecond, g.limit.Room(ticket.Peer, ticket.class(), ahead, g.now()), true
+	ahead := g.waiting.lengthUpTo(info.precedence().Level())
+	return advertised.PerSecond, g.limit.Room(info.Peer, info.class(), ahead, g.now()), true
 }
 
-// limitBinds reports whether a request waits for the limit alone: what is ahead of it is worked off at a
+// onlyRateLimited reports whether a request waits for the limit alone: what is ahead of it is worked off at a
 // known rate, so that the oldest may go first and others are refused when they come. The lock is held.
-func (g *Gate) limitBinds(ticket RequestInfo) bool {
-	return g.limited.Load() && g.running < g.open(ticket)
+func (g *Gate) onlyRateLimited(info RequestInfo) bool {
+	return g.limited.Load() && g.running < g.slotsFor(info)
 }
 
-// withinLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
+// checkRateLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
 // is held.
-func (g *Gate) withinLimit(entry *waiter, ahead int, now time.Time) error {
-	if g.limit.WaitForClass(entry.ticket.class(), ahead, now) <= entry.ticket.MaximumWait {
+func (g *Gate) checkRateLimit(entry *waiter, ahead int, now time.Time) error {
+	if g.limit.WaitForClass(entry.info.class(), ahead, now) <= entry.info.MaximumWait {
 		return nil
 	}
-	return g.limitedError(entry.ticket, ahead, now)
+	return g.rateLimitError(entry.info, ahead, now)
 }
 
-// limitedError returns the error for a request before which so many others pass; the lock is held.
-func (g *Gate) limitedError(ticket RequestInfo, ahead int, now time.Time) *RateLimitError {
-	return &RateLimitError{Wait: g.limit.RetryAfter(ticket.Peer, ticket.class(), ahead, now)}
+// rateLimitError returns the error for a request before which so many others pass; the lock is held.
+func (g *Gate) rateLimitError(info RequestInfo, ahead int, now time.Time) *RateLimitError {
+	return &RateLimitError{Wait: g.limit.RetryAfter(info.Peer, info.class(), ahead, now)}
 }
 
 // class is the ticket's among those that a limit tells apart.
 func (t RequestInfo) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
 
-// tooLate returns why an entry has waited for too long; the lock is held.
-func (g *Gate) tooLate(entry *waiter) error {
+// timeoutError returns why an entry has waited for too long; the lock is held.
+func (g *Gate) timeoutError(entry *waiter) error {
 	now := g.now()
 	if !g.limit.Ready(now) {
-		return g.limitedError(entry.ticket, g.waiting.lengthBefore(entry), now)
+		return g.rateLimitError(entry.info, g.waiting.lengthBefore(entry), now)
 	}
-	g.reserve.began(entry.ticket.Priority, true, g.slots, now)
+	g.reserve.observeStart(entry.info.Priority, true, g.slots, now)
 	return ErrWaitTooLong
 }
 
-// wakeLater grants slots once the limit has room for a request that waits; the lock is held.
-func (g *Gate) wakeLater(now time.Time) {
+// scheduleWake grants slots once the limit has room for a request that waits; the lock is held.
+func (g *Gate) scheduleWake(now time.Time) {
 	wait := g.limit.Wait(0, now)
 	switch {
 	case wait == 0 || g.waiting.length == 0:
-	case g.wake == nil:
-		g.wake = time.AfterFunc(wait, g.awake)
+	case g.wakeTimer == nil:
+		g.wakeTimer = time.AfterFunc(wait, g.onWake)
 	default:
-		g.wake.Reset(wait)
+		g.wakeTimer.Reset(wait)
 	}
 }
 
-func (g *Gate) awake() {
+func (g *Gate) onWake() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.grant()
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -21,42 +21,42 @@
 	return gate
 }
 
-// TestAGateKeepsALimit: slots are free, and requests wait for the limit, or are told when it has room.
-func TestAGateKeepsALimit(t *testing.T) {
+// TestGateEnforcesRateLimit: slots are free, and requests wait for the limit, or are told when it has room.
+func TestGateEnforcesRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := newLimitedGate(100, 10)
 		for range 10 {
-			_, err := gate.Acquire(t.Context(), ticket(1, 0))
+			_, err := gate.Acquire(t.Context(), info(1, 0))
 			g.Expect(err).NotTo(HaveOccurred())
 		}
-		_, err := gate.Acquire(t.Context(), ticket(1, 50*time.Millisecond))
+		_, err := gate.Acquire(t.Context(), info(1, 50*time.Millisecond))
 		var limited *admission.RateLimitError
 		g.Expect(err).To(BeAssignableToTypeOf(limited))
 		g.Expect(err.(*admission.RateLimitError).Wait).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 		began := time.Now()
-		_, err = gate.Acquire(t.Context(), ticket(1, 200*time.Millisecond))
+		_, err = gate.Acquire(t.Context(), info(1, 200*time.Millisecond))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(time.Since(began)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 	})
 }
 
-// TestALimitGoesToTheMoreUrgent: room goes by the order of the queue, and who comes last is told so at once.
-func TestALimitGoesToTheMoreUrgent(t *testing.T) {
+// TestRateLimitServesMoreUrgentFirst: room goes by the order of the queue, and who comes last is told so at once.
+func TestRateLimitServesMoreUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := newLimitedGate(100, 1)
-		_, err := gate.Acquire(t.Context(), ticket(1, 0))
+		_, err := gate.Acquire(t.Context(), info(1, 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		displaced := make(chan error, 1)
 		go func() {
-			_, err := gate.Acquire(t.Context(), ticket(2, 1500*time.Millisecond))
+			_, err := gate.Acquire(t.Context(), info(2, 1500*time.Millisecond))
 			displaced <- err
 		}()
 		synctest.Wait()
 		var served atomic.Bool
 		go func() {
-			_, err := gate.Acquire(t.Context(), ticket(0, 1500*time.Millisecond))
+			_, err := gate.Acquire(t.Context(), info(0, 1500*time.Millisecond))
 			served.Store(err == nil)
 		}()
 		synctest.Wait()
@@ -67,35 +67,35 @@
 	})
 }
 
-// TestALoweredLimitRefusesWhatWaits, and one that ends lets it pass.
-func TestALoweredLimitRefusesWhatWaits(t *testing.T) {
-	for _, held := range []struct {
+// TestLimitChangeAffectsQueuedRequests, and one that ends lets it pass.
+func TestLimitChangeAffectsQueuedRequests(t *testing.T) {
+	for _, test := range []struct {
 		name   string
-		word   ratelimit.Advertised
+		update ratelimit.Advertised
 		passes bool
 	}{
 		{"lowered", ratelimit.Advertised{HasLimit: true, PerSecond: 0.5}, false},
 		{"ended", ratelimit.Advertised{}, true},
 	} {
-		t.Run(held.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				gate := newLimitedGate(100, 2)
 				for range 2 {
-					_, err := gate.Acquire(t.Context(), ticket(1, 0))
+					_, err := gate.Acquire(t.Context(), info(1, 0))
 					g.Expect(err).NotTo(HaveOccurred())
 				}
 				results := make(chan error, 2)
 				for range 2 {
 					go func() {
-						_, err := gate.Acquire(t.Context(), ticket(1, 1100*time.Millisecond))
+						_, err := gate.Acquire(t.Context(), info(1, 1100*time.Millisecond))
 						results <- err
 					}()
 					synctest.Wait()
 				}
-				gate.UpdateLimit(held.word, time.Now(), time.Now())
+				gate.UpdateLimit(test.update, time.Now(), time.Now())
 				synctest.Wait()
-				if held.passes {
+				if test.passes {
 					g.Expect(<-results).NotTo(HaveOccurred())
 					g.Expect(<-results).NotTo(HaveOccurred())
 					return
@@ -106,47 +106,47 @@
 	}
 }
 
-// TestAClosedGateRefusesWhatWaits.
-func TestAClosedGateRefusesWhatWaits(t *testing.T) {
+// TestCloseRefusesQueuedRequests.
+func TestCloseRefusesQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := newLimitedGate(100, 1)
-		_, err := gate.Acquire(t.Context(), ticket(1, 0))
+		_, err := gate.Acquire(t.Context(), info(1, 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		waited := make(chan error, 1)
 		go func() {
-			_, err := gate.Acquire(t.Context(), ticket(1, time.Minute))
+			_, err := gate.Acquire(t.Context(), info(1, time.Minute))
 			waited <- err
 		}()
 		synctest.Wait()
 		gate.Close()
 		g.Expect(<-waited).To(MatchError(admission.ErrClosed))
-		_, err = gate.Acquire(t.Context(), ticket(1, time.Minute))
+		_, err = gate.Acquire(t.Context(), info(1, time.Minute))
 		g.Expect(err).To(MatchError(admission.ErrClosed))
 	})
 }
 
-// TestASlotThatIsReturnedCountsForNothing.
-func TestASlotThatIsReturnedCountsForNothing(t *testing.T) {
+// TestRefundedSlotDoesNotCountTowardLimit.
+func TestRefundedSlotDoesNotCountTowardLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := newLimitedGate(1, 1)
 		for range 5 {
-			slot, err := gate.Acquire(t.Context(), ticket(1, 0))
+			slot, err := gate.Acquire(t.Context(), info(1, 0))
 			g.Expect(err).NotTo(HaveOccurred())
 			slot.Refund()
 		}
 	})
 }
 
-// TestTheOldestGoesFirstWhereALimitBinds: what has no room is refused when it comes, not after a wait.
-func TestTheOldestGoesFirstWhereALimitBinds(t *testing.T) {
+// TestFIFOOrderUnderRateLimit: what has no room is refused when it comes, not after a wait.
+func TestFIFOOrderUnderRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const patience = 350 * time.Millisecond
 		gate := newLimitedGate(100, 10)
 		for range 10 {
-			_, err := gate.Acquire(t.Context(), ticket(1, 0))
+			_, err := gate.Acquire(t.Context(), info(1, 0))
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		began := time.Now()
@@ -154,7 +154,7 @@
 		var mu sync.Mutex
 		for range 8 {
 			go func() {
-				_, err := gate.Acquire(t.Context(), ticket(1, patience))
+				_, err := gate.Acquire(t.Context(), info(1, patience))
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
--- a/internal/sidecar/admission/overload_test.go
+++ b/internal/sidecar/admission/overload_test.go
@@ -17,24 +17,24 @@
 // The load of TestLeavingOverload: three seconds at 1.8 times what the back end
 // can do, then a demand of nine tenths of it.
 const (
-	overloadSlots   = 12
-	overloadWork    = 100 * time.Millisecond
-	overloadAim     = 400 * time.Millisecond
-	overloadLast    = 3 * time.Second
-	overloadSeconds = 20
-	// overloadTries is how often a caller comes in all, overloadRest how long it
+	overloadSlots         = 12
+	overloadWork          = 100 * time.Millisecond
+	overloadTargetLatency = 400 * time.Millisecond
+	overloadDuration      = 3 * time.Second
+	overloadSeconds       = 20
+	// overloadAttempts is how often a caller comes in all, overloadRest how long it
 	// rests after a refusal.
-	overloadTries = 3
-	overloadRest  = 150 * time.Millisecond
+	overloadAttempts   = 3
+	overloadRetryDelay = 150 * time.Millisecond
 )
 
 // overloadPolicy waits for a slot, at most as long as it allows, and returns how
 // to free it; nil when the request is refused.
 type overloadPolicy func(returning bool) (release func())
 
-// oldestFirst is the policy before: in the order of arrival, each waiting up to
+// fifoPolicy is the policy before: in the order of arrival, each waiting up to
 // half of the time in which its answer is of any use.
-func oldestFirst() overloadPolicy {
+func fifoPolicy() overloadPolicy {
 	const maximumWait = 600 * time.Millisecond
 	slots := make(chan struct{}, overloadSlots)
 	return func(bool) func() {
@@ -47,12 +47,12 @@
 	}
 }
 
-func newestFirst() overloadPolicy {
+func lifoPolicy() overloadPolicy {
 	gate := admission.New(time.Now)
 	gate.Resize(overloadSlots)
 	return func(returning bool) func() {
 		slot, err := gate.Acquire(context.Background(), admission.RequestInfo{
-			Returning: returning, Work: overloadWork, MaximumWait: overloadAim - overloadWork*3/2,
+			Returning: returning, Work: overloadWork, MaximumWait: overloadTargetLatency - overloadWork*3/2,
 		})
 		if err != nil {
 			return nil
@@ -80,7 +80,7 @@
 		came[second]++
 		callers.Go(func() {
 			counted := time.Now()
-			for try := range overloadTries {
+			for try := range overloadAttempts {
 				tried := time.Now()
 				release := acquire(try > 0)
 				if release != nil {
@@ -88,22 +88,22 @@
 					release()
 					break
 				}
-				if time.Since(tried) <= overloadAim/4 {
-					counted = time.Now().Add(overloadRest)
+				if time.Since(tried) <= overloadTargetLatency/4 {
+					counted = time.Now().Add(overloadRetryDelay)
 				}
-				time.Sleep(overloadRest)
-				if try == overloadTries-1 {
+				time.Sleep(overloadRetryDelay)
+				if try == overloadAttempts-1 {
 					return
 				}
 			}
-			if time.Since(counted) <= overloadAim {
+			if time.Since(counted) <= overloadTargetLatency {
 				mu.Lock()
 				inTime[second]++
 				mu.Unlock()
 			}
 		})
 		rate := capacity * 0.9
-		if time.Since(began) < overloadLast {
+		if time.Since(began) < overloadDuration {
 			rate = capacity * 1.8
 		}
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
@@ -119,7 +119,7 @@
 // tenths of a second's callers are in time again, and of all who come from then
 // on: arrivals are random, and a single later second may fall short.
 func secondsToRecover(shares []float64) int {
-	last := int(overloadLast / time.Second)
+	last := int(overloadDuration / time.Second)
 	for second := last; second < len(shares); second++ {
 		if shares[second] >= 0.9 && stat.Mean(shares[second:], nil) >= 0.9 {
 			return second - last
@@ -128,15 +128,15 @@
 	return len(shares) - last
 }
 
-// TestLeavingOverload: the backlog of an overload goes within two seconds of its
+// TestRecoveryFromOverload: the backlog of an overload goes within two seconds of its
 // end. The policy before does not get rid of it: everyone is served, too late.
-func TestLeavingOverload(t *testing.T) {
+func TestRecoveryFromOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			before := inTimeBySecond(oldestFirst(), seed)
+			before := inTimeBySecond(fifoPolicy(), seed)
 			g.Expect(secondsToRecover(before)).To(BeNumerically(">", 5), "the load shows the bad state: %.2f", before)
-			after := inTimeBySecond(newestFirst(), seed)
+			after := inTimeBySecond(lifoPolicy(), seed)
 			g.Expect(secondsToRecover(after)).To(BeNumerically("<=", 2), "%.2f", after)
 		})
 	}
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -11,22 +11,22 @@
 
 // waiter is a request in the queue.
 type waiter struct {
-	ticket RequestInfo
+	info   RequestInfo
 	result chan error
 	// entered is when it joined the queue, predicted the wait expected then.
 	entered   time.Time
 	predicted time.Duration
 	// work is how long it is expected to hold a slot, charged what its tenant was charged for it.
 	work, charged time.Duration
-	// standing is that of its tenant.
-	standing *standing
-	kind     *kind
-	// behind: it comes after those of its group that wait already.
-	behind bool
+	// account is that of its tenant.
+	account *account
+	kind    *kind
+	// fifo: it comes after those of its group that wait already.
+	fifo bool
 	// group is the one that it waits in, place its place there; nil while it does
 	// not wait.
-	group *group
-	place *list.Element
+	group   *group
+	element *list.Element
 }
 
 // magnitude is the number of binary digits of the work in milliseconds.
@@ -52,62 +52,62 @@
 // the tenants that wait.
 type queue struct {
 	// levels are ordered; none is empty.
-	levels    []*level
-	length    int
-	standings standings
+	levels   []*level
+	length   int
+	accounts accounts
 	// flows and groups are kept for use again.
-	flows  spare[flow]
-	groups spare[group]
+	flows  freeList[flow]
+	groups freeList[group]
 }
 
-// spare holds values for use again. With tenants flows come and go with nearly every request.
-type spare[T any] struct{ held []*T }
+// freeList holds values for use again. With tenants flows come and go with nearly every request.
+type freeList[T any] struct{ items []*T }
 
-// mostSpare bounds the values that are kept.
-const mostSpare = 256
+// maxFree bounds the values that are kept.
+const maxFree = 256
 
-func (s *spare[T]) get() *T {
-	last := len(s.held) - 1
+func (s *freeList[T]) get() *T {
+	last := len(s.items) - 1
 	if last < 0 {
 		return new(T)
 	}
-	taken := s.held[last]
-	s.held = s.held[:last]
+	taken := s.items[last]
+	s.items = s.items[:last]
 	return taken
 }
 
-func (s *spare[T]) put(unused *T) {
-	if len(s.held) < mostSpare {
-		s.held = append(s.held, unused)
+func (s *freeList[T]) put(unused *T) {
+	if len(s.items) < maxFree {
+		s.items = append(s.items, unused)
 	}
 }
 
-// find returns the index of the level, or where it belongs.
-func (q *queue) find(number int) (int, bool) {
-	return slices.BinarySearchFunc(q.levels, number, func(held *level, wanted int) int { return cmp.Compare(held.number, wanted) })
+// findLevel returns the index of the level, or where it belongs.
+func (q *queue) findLevel(number int) (int, bool) {
+	return slices.BinarySearchFunc(q.levels, number, func(existing *level, wanted int) int { return cmp.Compare(existing.number, wanted) })
 }
 
 // add puts a request into the queue.
 func (q *queue) add(entry *waiter) {
-	number := entry.ticket.precedence().Level()
-	waitsIn := entry.standing.flow(number)
-	known := waitsIn != nil
+	number := entry.info.precedence().Level()
+	tenantFlow := entry.account.flow(number)
+	known := tenantFlow != nil
 	if !known {
-		waitsIn = q.newFlow(entry.standing, number)
+		tenantFlow = q.newFlow(entry.account, number)
 	}
-	entry.group = waitsIn.groupOf(entry.ticket, &q.groups)
-	if entry.behind {
-		entry.place = entry.group.waiters.PushBack(entry)
+	entry.group = tenantFlow.ensureGroup(entry.info, &q.groups)
+	if entry.fifo {
+		entry.element = entry.group.waiters.PushBack(entry)
 	} else {
-		entry.place = entry.group.waiters.PushFront(entry)
+		entry.element = entry.group.waiters.PushFront(entry)
 	}
-	waitsIn.changed(entry.group, entry.work, 1)
+	tenantFlow.adjust(entry.group, entry.work, 1)
 	if known {
-		heap.Fix(&waitsIn.level.excess, waitsIn.excess)
+		heap.Fix(&tenantFlow.level.excess, tenantFlow.excess)
 	} else {
-		waitsIn.level.add(waitsIn)
+		tenantFlow.level.add(tenantFlow)
 	}
-	entry.standing.waiting++
+	entry.account.waiting++
 	entry.kind.waiting++
 	q.length++
 }
@@ -117,54 +117,54 @@
 
 // remove takes a request out of the queue, in which it is.
 func (q *queue) remove(entry *waiter) {
-	left := entry.group
-	waitedIn := left.flow
-	left.waiters.Remove(entry.place)
-	waitedIn.changed(left, -entry.work, -1)
-	entry.group, entry.place = nil, nil
-	entry.standing.waiting--
+	oldGroup := entry.group
+	oldFlow := oldGroup.flow
+	oldGroup.waiters.Remove(entry.element)
+	oldFlow.adjust(oldGroup, -entry.work, -1)
+	entry.group, entry.element = nil, nil
+	entry.account.waiting--
 	entry.kind.waiting--
 	q.length--
-	if left.waiters.Len() == 0 {
-		waitedIn.drop(left, &q.groups)
+	if oldGroup.waiters.Len() == 0 {
+		oldFlow.removeGroup(oldGroup, &q.groups)
 	}
-	if waitedIn.length > 0 {
-		heap.Fix(&waitedIn.level.excess, waitedIn.excess)
+	if oldFlow.length > 0 {
+		heap.Fix(&oldFlow.level.excess, oldFlow.excess)
 		return
 	}
-	q.retire(waitedIn)
+	q.removeFlow(oldFlow)
 }
 
 // newFlow returns an empty flow of the tenant, which is not yet in the level's heaps.
-func (q *queue) newFlow(of *standing, number int) *flow {
-	index, found := q.find(number)
+func (q *queue) newFlow(owner *account, number int) *flow {
+	index, found := q.findLevel(number)
 	if !found {
 		q.levels = slices.Insert(q.levels, index, &level{number: number})
 	}
 	created := q.flows.get()
-	created.standing, created.level = of, q.levels[index]
-	of.flows = append(of.flows, created)
+	created.account, created.level = owner, q.levels[index]
+	owner.flows = append(owner.flows, created)
 	return created
 }
 
-// retire takes an empty flow out of its level, and the level out when it is empty.
-func (q *queue) retire(empty *flow) {
-	emptied, of := empty.level, empty.standing
-	emptied.remove(empty)
-	index := slices.Index(of.flows, empty)
-	of.flows = slices.Delete(of.flows, index, index+1)
-	empty.standing, empty.level = nil, nil
+// removeFlow takes an empty flow out of its level, and the level out when it is empty.
+func (q *queue) removeFlow(empty *flow) {
+	oldLevel, owner := empty.level, empty.account
+	oldLevel.remove(empty)
+	index := slices.Index(owner.flows, empty)
+	owner.flows = slices.Delete(owner.flows, index, index+1)
+	empty.account, empty.level = nil, nil
 	q.flows.put(empty)
-	if len(emptied.turns) == 0 {
-		index, _ := q.find(emptied.number)
+	if len(oldLevel.turns) == 0 {
+		index, _ := q.findLevel(oldLevel.number)
 		q.levels = slices.Delete(q.levels, index, index+1)
 	}
 }
 
 // inTurn reports whether a request gets its slot by turn: no tenant waits at its level that has had less.
 func (q *queue) inTurn(entry *waiter) bool {
-	index, found := q.find(entry.ticket.precedence().Level())
-	return !found || q.levels[index].turns[0].standing.had >= entry.standing.had
+	index, found := q.findLevel(entry.info.precedence().Level())
+	return !found || q.levels[index].turns[0].account.virtualTime >= entry.account.virtualTime
 }
 
 // next returns the request that is served first; nil when the queue is empty.
@@ -188,25 +188,25 @@
 
 // before reports whether a waiting request is served before a new one.
 func (q *queue) before(waiting, entry *waiter) bool {
-	order := cmp.Compare(waiting.group.flow.level.number, entry.ticket.precedence().Level())
+	order := cmp.Compare(waiting.group.flow.level.number, entry.info.precedence().Level())
 	switch {
 	case order != 0:
 		return order < 0
-	case waiting.standing != entry.standing:
-		return waiting.standing.had < entry.standing.had
+	case waiting.account != entry.account:
+		return waiting.account.virtualTime < entry.account.virtualTime
 	}
 	return entry.follows(waiting.group)
 }
 
 // follows reports whether a new request comes after those of a group of its flow.
 func (w *waiter) follows(waiting *group) bool {
-	own := magnitude(w.ticket.Work)
-	return waiting.magnitude < own || waiting.magnitude == own && w.behind
+	own := magnitude(w.info.Work)
+	return waiting.magnitude < own || waiting.magnitude == own && w.fifo
 }
 
 // workBefore returns the work of the requests that are served before a new one.
 func (q *queue) workBefore(entry *waiter) time.Duration {
-	wanted := entry.ticket.precedence().Level()
+	wanted := entry.info.precedence().Level()
 	total := time.Duration(0)
 	for _, held := range q.levels {
 		switch {
@@ -226,9 +226,9 @@
 	if q.length == 0 {
 		return 0
 	}
-	wanted := entry.ticket.precedence().Level()
+	wanted := entry.info.precedence().Level()
 	total := q.lengthUpTo(wanted - 1)
-	if index, found := q.find(wanted); found {
+	if index, found := q.findLevel(wanted); found {
 		total += q.levels[index].lengthBefore(entry)
 	}
 	return total
--- a/internal/sidecar/admission/reserve.go
+++ b/internal/sidecar/admission/reserve.go
@@ -16,52 +16,52 @@
 	urgent int
 	seen   time.Time
 	// size is the reserve in slots at the moment set.
-	size float64
-	set  time.Time
+	size    float64
+	updated time.Time
 }
 
 const (
-	// reserveGrows and reserveShrinks are by how much one urgent request that
+	// reserveIncrement and reserveShrinks are by how much one urgent request that
 	// began late, or in time, changes the reserve: one late in 25 keeps it.
-	reserveGrows   = 0.25
-	reserveShrinks = 0.01
-	// reserveMost is the largest part of the slots.
-	reserveMost = 1.0 / 3
+	reserveIncrement = 0.25
+	reserveDecrement = 0.01
+	// maxReserveShare is the largest part of the slots.
+	maxReserveShare = 1.0 / 3
 	// reserveHalfLife is how fast it is given up by itself.
 	reserveHalfLife = 3 * time.Second
-	// urgentMemory is how long a priority is remembered as the most urgent.
-	urgentMemory = 5 * time.Second
+	// urgentRetention is how long a priority is remembered as the most urgent.
+	urgentRetention = 5 * time.Second
 )
 
-// note takes in that a request of the priority came.
-func (r *reserve) note(priority int, now time.Time) {
-	if r.seen.IsZero() || priority <= r.urgent || now.Sub(r.seen) > urgentMemory {
+// observeArrival takes in that a request of the priority came.
+func (r *reserve) observeArrival(priority int, now time.Time) {
+	if r.seen.IsZero() || priority <= r.urgent || now.Sub(r.seen) > urgentRetention {
 		r.urgent, r.seen = priority, now
 	}
 }
 
-// began takes in whether a request of the priority began late.
-func (r *reserve) began(priority int, late bool, slots int, now time.Time) {
+// observeStart takes in whether a request of the priority observeStart late.
+func (r *reserve) observeStart(priority int, late bool, slots int, now time.Time) {
 	if priority > r.urgent {
 		return
 	}
-	change := -reserveShrinks
+	change := -reserveDecrement
 	if late {
-		change = reserveGrows
+		change = reserveIncrement
 	}
-	r.size = min(max(r.at(now)+change, 0), float64(slots)*reserveMost)
-	r.set = now
+	r.size = min(max(r.sizeAt(now)+change, 0), float64(slots)*maxReserveShare)
+	r.updated = now
 }
 
-// kept returns how many slots a request of the priority leaves free.
-func (r *reserve) kept(priority int, now time.Time) int {
+// reservedAgainst returns how many slots a request of the priority leaves free.
+func (r *reserve) reservedAgainst(priority int, now time.Time) int {
 	if priority <= r.urgent {
 		return 0
 	}
-	return int(r.at(now))
+	return int(r.sizeAt(now))
 }
 
-// at returns the size at that moment.
-func (r *reserve) at(now time.Time) float64 {
-	return r.size * math.Exp2(-float64(now.Sub(r.set))/float64(reserveHalfLife))
+// sizeAt returns the size sizeAt that moment.
+func (r *reserve) sizeAt(now time.Time) float64 {
+	return r.size * math.Exp2(-float64(now.Sub(r.updated))/float64(reserveHalfLife))
 }
--- a/internal/sidecar/admission/reserve_test.go
+++ b/internal/sidecar/admission/reserve_test.go
@@ -11,10 +11,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// TestShortUrgentWorkBesideLongWork: less urgent requests that take long come
+// TestReserveKeepsSlotsForShortUrgentRequests: less urgent requests that take long come
 // faster than they can be served; urgent short ones mostly begin in time all the
 // same, and once they cease every slot serves the others.
-func TestShortUrgentWorkBesideLongWork(t *testing.T) {
+func TestReserveKeepsSlotsForShortUrgentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			slots  = 6
@@ -29,9 +29,9 @@
 		var late, urgent, running, most atomic.Int64
 		began := time.Now()
 		learned := func() bool { return time.Since(began) > period/4 }
-		serve := func(ticket admission.RequestInfo, work time.Duration) {
-			slot, err := gate.Acquire(t.Context(), ticket)
-			if ticket.Priority == 1 && learned() {
+		serve := func(info admission.RequestInfo, work time.Duration) {
+			slot, err := gate.Acquire(t.Context(), info)
+			if info.Priority == 1 && learned() {
 				urgent.Add(1)
 				if err != nil {
 					late.Add(1)
@@ -66,15 +66,15 @@
 	})
 }
 
-// TestOnePriorityReservesNothing: all slots are used.
-func TestOnePriorityReservesNothing(t *testing.T) {
+// TestNoReserveWithOnePriority: all slots are used.
+func TestNoReserveWithOnePriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(3)
 		for range 50 {
 			go func() {
-				slot, err := gate.Acquire(t.Context(), ticket(3, time.Second))
+				slot, err := gate.Acquire(t.Context(), info(3, time.Second))
 				if err == nil {
 					time.Sleep(50 * time.Millisecond)
 					slot.Release(true)
--- a/internal/sidecar/admission/usage.go
+++ b/internal/sidecar/admission/usage.go
@@ -16,7 +16,7 @@
 // that were forgotten meanwhile. Requests without a tenant are left out.
 func (g *Gate) Usage(most int) (top []Usage, others time.Duration) {
 	g.mutex.Lock()
-	all, others := g.waiting.standings.usage()
+	all, others := g.waiting.accounts.usage()
 	g.mutex.Unlock()
 	slices.SortFunc(all, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.SlotTime, a.SlotTime), cmp.Compare(a.Tenant, b.Tenant))
@@ -28,12 +28,12 @@
 }
 
 // usage returns that of all tenants, each added up over the classes, and that of those who were forgotten.
-func (s *standings) usage() (all []Usage, forgotten time.Duration) {
+func (s *accounts) usage() (all []Usage, forgotten time.Duration) {
 	held := map[string]time.Duration{}
-	for _, competes := range s.classes {
-		forgotten += competes.forgotten
-		for tenant, of := range competes.tenants {
-			held[tenant] += of.held
+	for _, class := range s.classes {
+		forgotten += class.forgotten
+		for tenant, entry := range class.tenants {
+			held[tenant] += entry.held
 		}
 	}
 	for tenant, sum := range held {
