--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission bounds what a back end works on at once and orders what
-// waits for it: the more urgent first, then that of the tenant which has had the least, then the shorter,
-// then the newest. It knows how long requests take and refuses early what would wait too long.
+// Package admission limits the concurrency of a back end and orders the requests that wait for it: by
+// urgency, then by fair queueing between tenants (the tenant that has used the least slot time first),
+// then shorter requests before longer ones, then the newest first. It estimates how long requests take
+// and rejects early those that would wait too long.
 package admission
 
 import (
@@ -14,69 +15,71 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/ratelimit"
 )
 
-// Refusals. A refused request has not run.
+// Errors with which a request is refused. A refused request has not run.
 var (
-	// ErrWaitTooLong: the request would wait longer than it may.
+	// ErrWaitTooLong: the request would wait longer than its maximum wait.
 	ErrWaitTooLong = errors.New("admission: the queue is too long")
-	// ErrDisplaced: requests that come before it took its place: more urgent ones, those of tenants
-	// that have had less, or shorter ones.
-	ErrDisplaced = errors.New("admission: displaced by requests that come before it")
-	// ErrClosed: no slot is given any more.
-	ErrClosed = errors.New("admission: the node takes no requests any more")
+	// ErrDisplaced: the request was removed from the queue in favor of requests that precede it: more
+	// urgent ones, those of tenants that have used less, or shorter ones.
+	ErrDisplaced = errors.New("admission: displaced by requests of higher precedence")
+	// ErrClosed: the gate is closed and grants no more slots.
+	ErrClosed = errors.New("admission: the gate is closed")
 )
 
-// RequestInfo describes a request that wants a slot.
+// RequestInfo describes a request that asks for a slot.
 type RequestInfo struct {
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
-	// Returning requests were refused before. They come after those that come for
-	// the first time: a server that is behind would otherwise serve everyone
-	// late for as long as callers come back.
+	// Returning marks a request that was refused before and is retried by its caller. It is served after
+	// requests that arrive for the first time: otherwise an overloaded server would serve everyone late
+	// for as long as callers keep retrying.
 	Returning bool
 	// Nested and OverShare are as in precedence.Precedence.
 	Nested, OverShare bool
-	// Tenant is whose request it is; empty where nobody is told apart.
+	// Tenant is the tenant that the request belongs to; empty where tenants are not distinguished.
 	Tenant string
-	// PreventStarvation: no kind of request is to wait in vain for long, however urgent others are.
+	// PreventStarvation guarantees requests of this kind a slot after a bounded time, however urgent the
+	// others are.
 	PreventStarvation bool
-	// Work is how long the back end is expected to work on the request. Of equal
-	// urgency the much shorter go first: more of them are served, and calls that
-	// back ends make while they work are short.
+	// Work is the expected time for which the back end works on the request. Among requests of equal
+	// urgency much shorter ones go first: more requests are served that way, and calls that back ends
+	// make while they work are short.
 	Work time.Duration
-	// MaximumWait is how long the request may wait: work that begins later comes too
-	// late for an answer in time.
+	// MaximumWait is how long the request may wait: if it started later, its response would be too late.
 	MaximumWait time.Duration
 	// Peer is the node that sent the request.
 	Peer string
 }
 
-// precedence is the request's among those that compete for slots.
+// precedence returns the precedence of the request among those that compete for slots.
 func (t RequestInfo) precedence() precedence.Precedence {
 	return precedence.Precedence{Nested: t.Nested, Priority: t.Priority, OverShare: t.OverShare, Returning: t.Returning}
 }
 
-// Gate hands out slots, no faster than the back end's own limit allows. It is safe for concurrent use.
+// Gate grants slots, no faster than the rate limit that the back end has advertised. It is safe for
+// concurrent use.
 type Gate struct {
 	now func() time.Time
-	// limited: the back end has named a limit. It is changed with the lock held.
+	// limited reports whether the back end has advertised a rate limit. It is written with the lock held.
 	limited atomic.Bool
 
 	mutex   sync.Mutex // guards all below
 	slots   int
 	running int
 	waiting queue
-	// grants counts the slots given, lastOverdueGrant is what it was when a kind that was overdue last had one.
+	// grants counts the slots granted; lastOverdueGrant is its value when a request of an overdue kind
+	// was last granted one.
 	grants, lastOverdueGrant int
-	// service is the smoothed time a slot is held.
+	// service is the smoothed time for which a slot is held.
 	service time.Duration
-	// correction is how much longer requests wait than the work before them
-	// makes expect.
+	// correction is the factor by which actual waits exceed those computed from the work queued ahead.
 	correction float64
 	reserve    reserve
-	// limit is the one that the back end has named, wake grants slots once it has room again.
+	// limit is the rate limit that the back end has advertised; wakeTimer grants slots once it allows
+	// requests again.
 	limit     ratelimit.Limit
 	wakeTimer *time.Timer
-	// closed: no slot is given any more.
+	// closed: no more slots are granted.
 	closed bool
 }
 
@@ -86,11 +89,11 @@
 const (
 	// initialService is assumed before the first request has ended.
 	initialService = 50 * time.Millisecond
-	// smoothing is the weight of one request in the service time, as 1/n.
+	// smoothing is the inverse of the weight that one request has in the smoothed service time.
 	smoothing = 16
 )
 
-// Resize sets how many slots there are.
+// Resize sets the number of slots.
 func (g *Gate) Resize(slots int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -98,7 +101,7 @@
 	g.grant()
 }
 
-// Close refuses what waits and whatever comes.
+// Close refuses all waiting and all future requests.
 func (g *Gate) Close() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -110,28 +113,27 @@
 	}
 }
 
-// Load is a moment's state of a gate.
+// Load is a snapshot of the state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
 	ServiceTime             time.Duration
 }
 
-// Load returns the present state.
+// Load returns the current state.
 func (g *Gate) Load() Load {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, ServiceTime: g.service}
 }
 
-// Slot is a held slot.
+// Slot is a slot held by a request.
 type Slot struct {
 	gate    *Gate
 	entry   *waiter
 	started time.Time
 }
 
-// Acquire waits for a slot. The context bounds the wait; its error is returned
-// when it ends first.
+// Acquire waits for a slot. If the context ends first, its error is returned.
 func (g *Gate) Acquire(ctx context.Context, info RequestInfo) (*Slot, error) {
 	entry, err := g.enter(info)
 	if err != nil {
@@ -144,7 +146,7 @@
 	return &Slot{gate: g, entry: entry, started: g.now()}, nil
 }
 
-// wait returns once the entry has a slot, or why it has none.
+// wait blocks until the entry has a slot, or returns the reason why it gets none.
 func (g *Gate) wait(ctx context.Context, entry *waiter) error {
 	select {
 	case err := <-entry.result:
@@ -167,7 +169,7 @@
 	}
 }
 
-// enter takes a slot at once, joins the queue or refuses.
+// enter grants a slot at once, adds the request to the queue or refuses it.
 func (g *Gate) enter(info RequestInfo) (*waiter, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -205,8 +207,8 @@
 	return entry, nil
 }
 
-// slotsFor returns how many slots there are for such requests. Nested calls may have all: requests that
-// are at work wait for them.
+// slotsFor returns the number of slots that such requests may use. Nested calls may use all of them,
+// because running requests wait for them.
 func (g *Gate) slotsFor(info RequestInfo) int {
 	if info.Nested {
 		return g.slots
@@ -214,13 +216,13 @@
 	return g.slots - g.reserve.reservedAgainst(info.Priority, g.now())
 }
 
-// yields reports whether a request that waits comes before the new entry.
+// yields reports whether a waiting request precedes the new entry.
 func (g *Gate) yields(entry *waiter) bool {
 	next := g.waiting.next()
 	return next != nil && g.waiting.before(next, entry)
 }
 
-// start gives the entry a slot.
+// start grants the entry a slot.
 func (g *Gate) start(entry *waiter) {
 	g.reserve.observeStart(entry.info.Priority, false, g.slots, g.now())
 	g.limit.Consume(entry.info.class(), g.now())
@@ -236,10 +238,10 @@
 	entry.result <- nil
 }
 
-// expectedWait is the time until a slot for a request with that work before it:
-// that, and the work of one that runs, over all slots. It is corrected by how
-// long others waited compared to what was expected of them, since back ends
-// differ in pace and more urgent requests keep coming.
+// expectedWait estimates the time until a request with that work ahead of it gets a slot: that work plus
+// one service time for a running request, divided by the number of slots. The estimate is corrected by
+// the ratio of actual to predicted waits of earlier requests, because back ends differ in speed and more
+// urgent requests keep arriving.
 func (g *Gate) expectedWait(before time.Duration, info RequestInfo) time.Duration {
 	if g.slots == 0 {
 		return time.Hour
@@ -257,13 +259,13 @@
 }
 
 const (
-	// A single wait moves the correction by no more than these bounds allow.
+	// Bounds of the ratio that a single wait contributes to the correction.
 	minCorrection, maxCorrection = 0.3, 5
-	// minPrediction is the shortest one that says something.
+	// minPrediction is the shortest predicted wait that contributes to the correction.
 	minPrediction = 2 * time.Millisecond
 )
 
-// updateCorrection takes in how long an entry waited.
+// updateCorrection updates the correction from the time for which an entry has waited.
 func (g *Gate) updateCorrection(entry *waiter) {
 	if entry.predicted < minPrediction {
 		return
@@ -273,8 +275,8 @@
 	g.correction += (ratio - g.correction) / smoothing
 }
 
-// displace refuses requests at the end of the queue that would now wait longer
-// than they may, since others came before them.
+// displace refuses requests at the end of the queue that would now wait longer than they may, because
+// others were queued ahead of them.
 func (g *Gate) displace() {
 	for g.waiting.length > 1 {
 		last := g.waiting.last(g.now())
@@ -295,7 +297,7 @@
 	}
 }
 
-// withdraw takes an entry out. When it was granted meanwhile its slot is freed.
+// withdraw removes an entry from the queue. If it was granted a slot in the meantime, the slot is freed.
 func (g *Gate) withdraw(entry *waiter, cause error) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -313,8 +315,8 @@
 	return cause
 }
 
-// Release frees the slot. served says that the time it was held tells how long
-// requests take.
+// Release frees the slot. served reports whether the time for which it was held is representative and
+// counts toward the service time.
 func (s *Slot) Release(served bool) {
 	g := s.gate
 	g.mutex.Lock()
@@ -329,7 +331,8 @@
 	g.grant()
 }
 
-// Refund frees the slot of a request that was not sent to the back end.
+// Refund frees the slot of a request that was not sent to the back end, and returns its token to the rate
+// limit.
 func (s *Slot) Refund() {
 	g := s.gate
 	g.mutex.Lock()
@@ -338,8 +341,8 @@
 	s.Release(false)
 }
 
-// next returns the request that gets a slot now, nil when none does. One of a kind that is overdue may
-// have any, but not before nested calls, and not more than a small part of all slots given.
+// next returns the request that gets a slot now, nil if none does. An overdue request may take any slot
+// that is not needed by a nested call, but only once in grantsPerOverdue grants.
 func (g *Gate) next() *waiter {
 	next := g.waiting.next()
 	if !next.info.Nested && g.running < g.slots && g.grants-g.lastOverdueGrant >= grantsPerOverdue {
@@ -354,7 +357,7 @@
 	return nil
 }
 
-// grant gives free slots to those that wait; the lock is held.
+// grant gives free slots to waiting requests; the lock is held.
 func (g *Gate) grant() {
 	for g.waiting.length > 0 {
 		if now := g.now(); !g.limit.Ready(now) {
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -16,8 +16,8 @@
 	return admission.RequestInfo{Priority: priority, MaximumWait: wait}
 }
 
-// TestQueueOrder: the more urgent first, then those that come for the first time,
-// then the shorter by order of magnitude, then the newest.
+// TestQueueOrder checks that waiting requests are served by urgency, first-time requests before retried
+// ones, then the shorter by order of magnitude, then the newest.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -35,9 +35,9 @@
 			{"as long, newer", admission.RequestInfo{Priority: 1, Work: 70 * time.Millisecond, MaximumWait: time.Minute}},
 			{"nested", admission.RequestInfo{Priority: 2, Nested: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"over its share", admission.RequestInfo{Priority: 1, OverShare: true, MaximumWait: time.Minute}},
-			{"came back", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"came back later", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"long, came back", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
+			{"a retry", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"a later retry", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"a long retry", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"older", info(1, time.Minute)},
 			{"newer", info(1, time.Minute)},
 			{"most urgent", info(0, time.Minute)},
@@ -52,14 +52,14 @@
 			synctest.Wait()
 		}
 		first.Release(true)
-		for _, want := range []string{"nested", "most urgent", "newer", "older", "as long, newer", "long", "came back later", "came back", "long, came back", "over its share", "least urgent"} {
+		for _, want := range []string{"nested", "most urgent", "newer", "older", "as long, newer", "long", "a later retry", "a retry", "a long retry", "over its share", "least urgent"} {
 			g.Expect(<-served).To(Equal(want))
 		}
 	})
 }
 
-// TestRefusals: a request is refused when it would wait too long, when a more
-// urgent one takes its place, when it has waited too long and at the close.
+// TestRefusals checks that a request is refused when it would wait too long, when a more urgent one
+// displaces it and when it has waited too long.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestCanceledAcquireReleasesQueueEntryAndSlot: neither a place in the queue nor a slot
-// that was granted in the same moment.
+// TestCanceledAcquireReleasesQueueEntryAndSlot checks that a caller that gives up keeps neither its place
+// in the queue nor a slot that was granted at the same moment.
 func TestCanceledAcquireReleasesQueueEntryAndSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestExpectedWaitUsesWorkOfQueuedRequests: a queue of long requests takes long, whatever
-// short ones have made of the mean.
+// TestExpectedWaitUsesWorkOfQueuedRequests checks that the expected wait behind long requests is long,
+// even if the mean service time is short because of earlier short requests.
 func TestExpectedWaitUsesWorkOfQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -183,15 +183,15 @@
 			}
 			longest = max(longest, wait)
 		}
-		time.Sleep(time.Second) // lets the last ones end
+		time.Sleep(time.Second) // let the last requests end
 		g.Expect(longest).To(BeNumerically("<=", 500*time.Millisecond))
 		g.Expect(refused).To(BeNumerically("~", 14, 1))
-		g.Expect(refusedAtOnce.Load()).To(BeNumerically(">=", 12), "without waiting for nothing")
+		g.Expect(refusedAtOnce.Load()).To(BeNumerically(">=", 12), "refused without waiting")
 	})
 }
 
-// TestExpectedWaitIsCorrectedByMeasuredWaits by how long requests really waited: here a back end
-// that works three times as long as is said of it.
+// TestExpectedWaitIsCorrectedByMeasuredWaits has a back end work three times as long as the requests
+// declare, and checks that few requests wait longer than they may once the correction has adapted.
 func TestExpectedWaitIsCorrectedByMeasuredWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -222,9 +222,9 @@
 	})
 }
 
-// TestSustainedOverload: callers come at one and a half times the pace of a back
-// end and come back once when they are refused. Most of those who are served
-// are served in time, also of those who have come back, and no slot stays free.
+// TestSustainedOverload has callers arrive at one and a half times the capacity and retry once after a
+// refusal. Most requests that are served, including retried ones, must be served in time, and the slots
+// must be used.
 func TestSustainedOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -258,8 +258,8 @@
 		for i := range calls {
 			go func() {
 				defer func() { ended <- struct{}{} }()
-				// A part of the callers comes for the first time; with them alone the
-				// back end would not be busy.
+				// Some of the callers arrive for the first time; they alone would not keep the back end
+				// busy.
 				if i%5 >= 2 || !attempt(false) {
 					time.Sleep(work / 2)
 					attempt(true)
--- a/internal/sidecar/admission/flow.go
+++ b/internal/sidecar/admission/flow.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// flow holds the waiting requests of one tenant at one level. The next slot goes to the flow whose
-// tenant has had the least; the request that is refused for want of room is of the flow whose tenant
-// would have had the most if all of its requests were served.
+// flow holds the waiting requests of one tenant at one precedence level. The next slot goes to the flow
+// whose tenant has the lowest virtual time. A request that must be refused is taken from the flow whose
+// tenant would have the highest virtual time if all of its requests were served.
 type flow struct {
 	account *account
 	level   *level
@@ -18,11 +18,11 @@
 	length int
 	// work is the sum over the requests.
 	work time.Duration
-	// turn and excess are the flow's places in the heaps of its level.
+	// turn and excess are the indexes of the flow in the two heaps of its level.
 	turn, excess int
 }
 
-// ensureGroup returns the group that the request belongs to.
+// ensureGroup returns the group that the request belongs to and creates it if it is missing.
 func (f *flow) ensureGroup(info RequestInfo, unused *freeList[group]) *group {
 	wanted := magnitude(info.Work)
 	index, found := slices.BinarySearchFunc(f.groups, wanted, func(existing *group, wanted int) int { return cmp.Compare(existing.magnitude, wanted) })
@@ -34,7 +34,7 @@
 	return f.groups[index]
 }
 
-// findGroup returns the group of the magnitude, nil when there is none.
+// findGroup returns the group of the magnitude, nil if there is none.
 func (f *flow) findGroup(magnitude int) *group {
 	for _, existing := range f.groups {
 		if existing.magnitude == magnitude {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// removeGroup takes out an empty group.
+// removeGroup removes an empty group.
 func (f *flow) removeGroup(empty *group, unused *freeList[group]) {
 	index := slices.Index(f.groups, empty)
 	f.groups = slices.Delete(f.groups, index, index+1)
@@ -52,8 +52,8 @@
 	unused.put(empty)
 }
 
-// adjust takes in that requests with so much work have come to the group, or have left it. The
-// flow's place in the heap of excesses is mended by its caller.
+// adjust updates the sums after requests with that total work were added to the group, or removed from
+// it. The caller restores the order of the excess heap.
 func (f *flow) adjust(changed *group, work time.Duration, requests int) {
 	changed.work += work
 	f.work += work
@@ -62,9 +62,10 @@
 	f.level.length += requests
 }
 
-// first returns the request that is served first, last the one that is refused first.
+// first returns the request that is served first.
 func (f *flow) first() *waiter { return f.groups[0].waiters.Front().Value.(*waiter) }
 
+// last returns the request of the flow that is refused first, nil if all are exempt.
 func (f *flow) last(now time.Time) *waiter {
 	for i := len(f.groups) - 1; i >= 0; i-- {
 		if last := f.groups[i].waiters.Back().Value.(*waiter); !last.kind.exempt(1, now) {
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// projectedTime is what the tenant would have had if all requests of the flow were served.
+// projectedTime returns the virtual time that the tenant would have if all requests of the flow were
+// served.
 func (f *flow) projectedTime() time.Duration {
 	if f.account.hasTenant() {
 		return f.account.virtualTime + f.work
@@ -97,16 +99,18 @@
 // level holds the waiting requests of one precedence level.
 type level struct {
 	number int
-	// turns and excess hold the same flows: the next to be served in front, and the first to be refused.
+	// turns and excess hold the same flows: one with the next flow to be served at the top, the other
+	// with the first to be refused.
 	turns  turns
 	excess excess
-	// work is the sum over all requests, virtualTime what the tenants of the flows have virtualTime.
+	// work is the sum over all requests, virtualTime the sum of the virtual times of the tenants of the
+	// flows.
 	work, virtualTime time.Duration
-	// length is how many requests there are.
+	// length is the number of waiting requests.
 	length int
 }
 
-// last returns the request of the level that is refused first, nil when all are kept.
+// last returns the request of the level that is refused first, nil if all are exempt.
 func (l *level) last(now time.Time) *waiter {
 	if last := l.excess[0].last(now); last != nil {
 		return last
@@ -135,16 +139,16 @@
 	heap.Remove(&l.excess, removed.excess)
 }
 
-// recordCharge takes in that the flow's tenant has had more, or less, than was known.
+// recordCharge updates the level after the virtual time of the flow's tenant has changed.
 func (l *level) recordCharge(owned *flow, change time.Duration) {
 	l.virtualTime += change
 	heap.Fix(&l.turns, owned.turn)
 	heap.Fix(&l.excess, owned.excess)
 }
 
-// workBefore returns the work at the level that is served before a new request. Each other tenant
-// gets slots until it has had as much as the new request's: by the mean over them, so that it takes
-// the same time whatever their number.
+// workBefore estimates the work at the level that is served before a new request. Every other tenant is
+// served until it has reached the virtual time of the new request's tenant. This is computed from the
+// mean over the tenants, so that it takes constant time whatever their number.
 func (l *level) workBefore(entry *waiter) time.Duration {
 	others, work, virtualTime := len(l.turns), l.work, l.virtualTime
 	own := time.Duration(0)
@@ -156,8 +160,8 @@
 	return own + min(max(deficit, 0), work)
 }
 
-// lengthBefore returns how many requests of the level are served before a new request, at most: those of
-// other tenants, and of its own those that it follows.
+// lengthBefore returns an upper bound of the number of requests of the level that are served before a new
+// request: all of other tenants, and those of its own tenant that it follows.
 func (l *level) lengthBefore(entry *waiter) int {
 	tenantFlow := entry.account.flow(l.number)
 	if tenantFlow == nil {
@@ -172,7 +176,7 @@
 	return before
 }
 
-// turns is a heap of flows by what their tenants have had.
+// turns is a min-heap of flows by the virtual times of their tenants.
 type turns []*flow
 
 // Len implements heap.Interface.
@@ -202,7 +206,7 @@
 	return popped
 }
 
-// excess is a heap of flows by what their tenants would have had with all of their requests, the most first.
+// excess is a max-heap of flows by their projected times.
 type excess []*flow
 
 // Len implements heap.Interface.
--- a/internal/sidecar/admission/flow_test.go
+++ b/internal/sidecar/admission/flow_test.go
@@ -16,12 +16,12 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// manualClock is a clock that is set by hand.
+// manualClock is a clock that is set by the test.
 type manualClock struct{ at time.Time }
 
 func (m *manualClock) now() time.Time { return m.at }
 
-// takeGranted returns the ticket of whoever got the slot that was freed.
+// takeGranted returns the waiter that got the freed slot, and the remaining ones.
 func takeGranted(waiting []*waiter) (got *waiter, left []*waiter) {
 	for i, entry := range waiting {
 		select {
@@ -35,8 +35,8 @@
 	return nil, waiting
 }
 
-// TestOrderWithoutTenants: without tenants there are no turns, whatever
-// comes and goes meanwhile.
+// TestOrderWithoutTenants checks that without tenants there is no fair queueing: the order is by level,
+// magnitude and age under random arrivals and departures.
 func TestOrderWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 0))
@@ -59,7 +59,7 @@
 		if step < 200 || len(waiting) == 0 {
 			continue
 		}
-		// The newest first: of equal ones that which joined last.
+		// Among equal requests the newest is expected, the one that joined last.
 		wanted := waiting[0]
 		for _, other := range waiting[1:] {
 			if cmp.Or(cmp.Compare(other.info.precedence().Level(), wanted.info.precedence().Level()),
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestTenantsShareSlotTimeNotRequestCount: of two tenants that always wait, one with work four times as long,
-// each holds slots for the same time.
+// TestTenantsShareSlotTimeNotRequestCount checks that two tenants that always have requests waiting hold
+// slots for the same time, although the requests of one take four times as long.
 func TestTenantsShareSlotTimeNotRequestCount(t *testing.T) {
 	g := NewWithT(t)
 	held := compete(t, map[string]demand{
@@ -84,8 +84,8 @@
 	g.Expect(held["short"].Seconds() / held["long"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestUnusedShareGoesToOtherTenants: a small tenant has all that it asks for, two that
-// ask for more than their shares have equal parts of the rest.
+// TestUnusedShareGoesToOtherTenants checks that a small tenant gets all that it asks for, and that two
+// that ask for more than their shares get equal parts of the rest.
 func TestUnusedShareGoesToOtherTenants(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
@@ -98,8 +98,8 @@
 	g.Expect(held["larger"].Seconds() / held["large"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestIdleTenantGainsNoCredit: a tenant that comes after ten seconds has its share from then on,
-// and not what it did not ask for before.
+// TestIdleTenantGainsNoCredit checks that a tenant that arrives after ten seconds gets its share from
+// then on, without compensation for the time before.
 func TestIdleTenantGainsNoCredit(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
@@ -110,8 +110,8 @@
 	g.Expect(held["away"].Seconds()).To(BeNumerically("~", 2*4/2, 0.5))
 }
 
-// TestRequestsWithoutTenantCountSeparately: four requests without a tenant that wait beside one of a
-// tenant have four parts of five.
+// TestRequestsWithoutTenantCountSeparately checks that four waiting requests without a tenant beside
+// those of one tenant get four fifths of the slots.
 func TestRequestsWithoutTenantCountSeparately(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
@@ -139,7 +139,8 @@
 	g.Expect(served[""]).To(BeNumerically("~", 80, 2))
 }
 
-// TestDisplacedIsTenantWithLargestExcess: not who came last.
+// TestDisplacedIsTenantWithLargestExcess checks that a request of the tenant that has asked for the most
+// is displaced, not the request that arrived last.
 func TestDisplacedIsTenantWithLargestExcess(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
@@ -155,11 +156,12 @@
 	small, err := gate.enter(RequestInfo{Tenant: "small", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(gate.waiting.holds(small)).To(BeTrue())
-	g.Expect(flood[0].result).To(Receive(MatchError(ErrDisplaced)), "the oldest of the tenant with the most")
+	g.Expect(flood[0].result).To(Receive(MatchError(ErrDisplaced)), "the oldest request of the tenant with the largest excess")
 	g.Expect(gate.waiting.holds(flood[3])).To(BeTrue())
 }
 
-// TestTenantAccountsAreBounded: memory stays bounded.
+// TestTenantAccountsAreBounded checks that accounts of tenants without requests are removed, so that
+// memory stays bounded.
 func TestTenantAccountsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
@@ -174,10 +176,10 @@
 	g.Expect(len(gate.waiting.accounts.classes[0].tenants)).To(BeNumerically("<=", maxTenants))
 	top, others := gate.Usage(3)
 	g.Expect(top).To(HaveLen(3))
-	g.Expect(others).To(Equal(99_997*time.Millisecond), "what the forgotten ones had is counted")
+	g.Expect(others).To(Equal(99_997*time.Millisecond), "slot time of removed accounts is counted")
 }
 
-// TestClassesAreBounded: memory stays bounded whatever nodes tell.
+// TestClassesAreBounded checks that memory stays bounded whatever priorities other nodes send.
 func TestClassesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
@@ -191,12 +193,12 @@
 	g.Expect(len(gate.waiting.accounts.classes)).To(BeNumerically("<=", maxClasses))
 }
 
-// demand is how often a tenant's requests come, and how long they take.
+// demand is how often a tenant sends requests, how long they take and when it starts.
 type demand struct {
 	every, work, start time.Duration
 }
 
-// compete plays tenants at one back end and returns for how long each held slots.
+// compete simulates tenants at one back end and returns the slot time of each.
 func compete(t *testing.T, tenants map[string]demand, slots int, last time.Duration) map[string]time.Duration {
 	held := map[string]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
@@ -227,12 +229,13 @@
 			name := <-results
 			held[name] += tenants[name].work
 		}
-		time.Sleep(5 * time.Second) // lets the last ones end
+		time.Sleep(5 * time.Second) // let the last requests end
 	})
 	return held
 }
 
-// BenchmarkTurn: a request of one of 2,000 tenants that wait joins the queue, and the next one gets the slot.
+// BenchmarkTurn adds a request to a queue of 2,000 waiting requests, of none, 77 or 2,000 tenants, and
+// grants the next one a slot.
 func BenchmarkTurn(b *testing.B) {
 	for _, tenants := range []int{0, 77, 2000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
@@ -265,8 +268,9 @@
 	}
 }
 
-// TestMaxMinSharesOfManyTenants: 77 tenants by a skew ask for one and a half times the room. None that asks
-// for enough to say so has less than nine tenths of its max-min share.
+// TestMaxMinSharesOfManyTenants has 77 tenants with skewed demands ask for one and a half times the
+// capacity. Each tenant with enough demand to be measured must get at least nine tenths of its max-min
+// fair share.
 func TestMaxMinSharesOfManyTenants(t *testing.T) {
 	const (
 		tenants = 77
@@ -274,7 +278,8 @@
 		slots   = 18
 		work    = 100 * time.Millisecond
 		last    = 20 * time.Second
-		// enough is how much a tenant asks for, for the last of its requests to matter little.
+		// enough is the demand above which the last request of a tenant has little influence on its
+		// measured share.
 		enough = 2 * time.Second
 	)
 	g := NewWithT(t)
@@ -294,7 +299,7 @@
 	for _, had := range held {
 		served += had.Seconds()
 	}
-	g.Expect(served).To(BeNumerically(">", slots*last.Seconds()*0.97), "the room is used")
+	g.Expect(served).To(BeNumerically(">", slots*last.Seconds()*0.97), "the capacity is used")
 	share := shares.MaxMin(slices.Sorted(slices.Values(wanted)), served)
 	least := math.Inf(1)
 	for i, asked := range wanted {
@@ -302,6 +307,6 @@
 			least = min(least, held[fmt.Sprint(i)].Seconds()/min(share, asked))
 		}
 	}
-	t.Logf("least served to max-min share: %.3f", least)
+	t.Logf("lowest ratio of served to max-min share: %.3f", least)
 	g.Expect(least).To(BeNumerically(">=", 0.9))
 }
--- a/internal/sidecar/admission/kind.go
+++ b/internal/sidecar/admission/kind.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// kind is what requests of one class and of one order of magnitude of work have in common: those of one
-// route, mostly. A more urgent class, or shorter work, may take all slots for as long as it lasts; a
-// kind that has come for mostInVain without a slot gets the next one.
+// kind groups the requests of one class and one order of magnitude of work; mostly those of one route. A
+// more urgent class, or shorter work, may take all slots for as long as its load lasts. A kind whose
+// requests have kept arriving for starvationBound without a slot gets the next one.
 type kind struct {
 	class     *class
 	magnitude int
-	// lastGrant is when it got a slot last, or began to come; lastArrival is when it lastArrival last. Both are zero
-	// before the first request that is bounded.
+	// lastGrant is when the kind last got a slot, or began to arrive; lastArrival is when its last
+	// request arrived. Both are zero before the first request with PreventStarvation.
 	lastGrant, lastArrival time.Time
-	// waiting is how many of its requests wait.
+	// waiting is the number of its waiting requests.
 	waiting int
 }
 
-// starvationBound is for how long requests of a kind may come without one getting a slot.
+// starvationBound is how long requests of a kind may keep arriving without one getting a slot.
 const starvationBound = time.Second
 
-// grantsPerOverdue is for how many slots given one may go to a kind that is overdue: with many kinds
-// and few slots they would otherwise take them all.
+// grantsPerOverdue is the number of grants of which one may go to an overdue kind: with many kinds and
+// few slots, overdue kinds would otherwise take all slots.
 const grantsPerOverdue = 20
 
-// kind returns that of the magnitude.
+// kind returns the kind of the magnitude and creates it if it is missing.
 func (c *class) kind(magnitude int) *kind {
 	for _, existing := range c.kinds {
 		if existing.magnitude == magnitude {
@@ -34,7 +34,7 @@
 	return added
 }
 
-// recordArrival takes in that a request recordArrival that is bounded.
+// recordArrival records the arrival of a request with PreventStarvation.
 func (k *kind) recordArrival(now time.Time) {
 	if k.lastGrant.IsZero() || now.Sub(k.lastArrival) >= starvationBound {
 		k.lastGrant = now
@@ -47,11 +47,12 @@
 	return !k.lastGrant.IsZero() && now.Sub(k.lastGrant) >= starvationBound && now.Sub(k.lastArrival) < starvationBound
 }
 
-// exempt reports whether a request of the kind stays in the queue though it would wait too long: it is
-// overdue, and no more of it wait than the given number.
+// exempt reports whether a request of the kind stays in the queue although it would wait too long: the
+// kind is overdue, and no more than that many of its requests wait.
 func (k *kind) exempt(limit int, now time.Time) bool { return k.waiting <= limit && k.overdue(now) }
 
-// overdue returns the request of the kind that is overdue for the longest time, nil when there is none.
+// overdue returns the first request of the kind that has been overdue for the longest time, nil if there
+// is none.
 func (q *queue) overdue(now time.Time) *waiter {
 	var longest *kind
 	for _, class := range q.accounts.classes {
--- a/internal/sidecar/admission/kind_test.go
+++ b/internal/sidecar/admission/kind_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestNoKindStarves: beside a kind that alone takes all slots, one that is less urgent, or takes longer at
-// the same priority, gets a slot at least every so often, and no more than that. Where requests are not
-// bounded it gets none.
+// TestNoKindStarves has one kind of request flood all slots. Another kind, which is less urgent or takes
+// longer at the same priority, must get slots at bounded intervals, but not many more. Without starvation
+// protection it gets none.
 func TestNoKindStarves(t *testing.T) {
 	flooding := RequestInfo{Priority: 1, Work: 50 * time.Millisecond, MaximumWait: 300 * time.Millisecond}
 	cases := []struct {
@@ -57,22 +57,22 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if !bounded {
-						g.Expect(len(got)).To(BeNumerically("<=", 8), "at the beginning and at the end alone")
+						g.Expect(len(got)).To(BeNumerically("<=", 8), "only at the beginning and at the end")
 						return
 					}
 					for i := 1; i < len(got); i++ {
 						g.Expect(got[i].Sub(got[i-1])).To(BeNumerically("<=", starvationBound+300*time.Millisecond))
 					}
 					g.Expect(len(got)).To(And(BeNumerically(">=", 15), BeNumerically("<=", 30)))
-					g.Expect(flooded).To(BeNumerically(">", 1400), "of the 1,600 that there is room for")
+					g.Expect(flooded).To(BeNumerically(">", 1400), "of a capacity of 1,600")
 				})
 			})
 		}
 	}
 }
 
-// TestOverdueGrantsLeaveTenantSharesIntact: slots that are given to a kind since it is overdue leave the
-// turns of tenants as they are, also for one that comes later.
+// TestOverdueGrantsLeaveTenantSharesIntact checks that slots granted to an overdue kind do not distort
+// the fair shares of tenants, including one that arrives later.
 func TestOverdueGrantsLeaveTenantSharesIntact(t *testing.T) {
 	g := NewWithT(t)
 	const last, joins = 30 * time.Second, 20 * time.Second
@@ -88,7 +88,7 @@
 	g.Expect(perSecond).To(And(BeNumerically(">=", 3), BeNumerically("<=", 5)))
 }
 
-// overdueQueue returns a full gate with a kind that is overdue and has one request waiting.
+// overdueQueue returns a full gate with an overdue kind that has one request waiting.
 func overdueQueue(g *WithT, clock *manualClock) (gate *Gate, running, waiting *waiter) {
 	gate = New(clock.now)
 	gate.Resize(1)
@@ -107,7 +107,8 @@
 	return gate, running, waiting
 }
 
-// TestNestedCallsPrecedeOverdueKind.
+// TestNestedCallsPrecedeOverdueKind checks that a nested call is served before a request of an overdue
+// kind.
 func TestNestedCallsPrecedeOverdueKind(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
@@ -124,7 +125,8 @@
 	}
 }
 
-// TestOverdueRequestDoesNotProtectOthersFromDisplacement: the request that is kept protects no other.
+// TestOverdueRequestDoesNotProtectOthersFromDisplacement checks that the exemption of an overdue request
+// from displacement does not extend to other requests.
 func TestOverdueRequestDoesNotProtectOthersFromDisplacement(t *testing.T) {
 	g := NewWithT(t)
 	clock := &manualClock{at: time.Unix(1, 0)}
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -7,20 +7,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/ratelimit"
 )
 
-// RateLimitError says that the back end's own limit has no room for a request within its maximum wait.
-// The request has not run.
+// RateLimitError reports that the rate limit of the back end does not allow a request within its maximum
+// wait. The request has not run.
 type RateLimitError struct {
-	// Wait is the time until there is likely to be room.
+	// Wait is the estimated time until the limit allows the request.
 	Wait time.Duration
 }
 
 // Error implements error.
 func (e *RateLimitError) Error() string {
-	return fmt.Sprintf("admission: the back end's limit has no room for %v", e.Wait)
+	return fmt.Sprintf("admission: the back end's rate limit allows no request for %v", e.Wait)
 }
 
-// UpdateLimit takes in what an answer says of the back end's limit, as ratelimit.Limit does. After a change it
-// returns what held before.
+// UpdateLimit updates the rate limit from a response of the back end, as ratelimit.Limit.Update does. If
+// the limit has changed, it returns the previous one.
 func (g *Gate) UpdateLimit(advertised ratelimit.Advertised, sent, answered time.Time) (before Limit, changed bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -34,14 +34,14 @@
 	return Limit{Advertised: held, Age: answered.Sub(since), Recent: g.limit.Recent(answered)}, true
 }
 
-// Restarted takes in that the back end may have named a limit before this life of the node.
+// Restarted records that the node has restarted: the back end may have advertised a limit before.
 func (g *Gate) Restarted() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.limit.Restarted()
 }
 
-// ResetLimit forgets the limit: another incarnation is there.
+// ResetLimit removes the limit because another incarnation of the back end is running.
 func (g *Gate) ResetLimit() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -50,16 +50,16 @@
 	g.grant()
 }
 
-// Limit is a moment's state of the back end's limit.
+// Limit is a snapshot of the rate limit of the back end.
 type Limit struct {
 	ratelimit.Advertised
-	// Age is the time since the back end first said so.
+	// Age is the time since the back end first advertised this limit.
 	Age time.Duration
-	// Recent is how many requests it got in the last ratelimit.Window.
+	// Recent is the number of requests that it got within the last ratelimit.Window.
 	Recent int
 }
 
-// Limit returns the present state of the limit.
+// Limit returns the current rate limit.
 func (g *Gate) Limit() Limit {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -68,12 +68,13 @@
 	return Limit{Advertised: advertised, Age: now.Sub(since), Recent: g.limit.Recent(now)}
 }
 
-// Limited reports whether the back end has named a limit.
+// Limited reports whether the back end has advertised a rate limit.
 func (g *Gate) Limited() bool { return g.limited.Load() }
 
-// Room returns the rate of the back end's limit, in requests a second, and how many requests like the
-// ticket's it has room for, below zero for those that wait; false without a limit. An error that refused
-// the request tells the time that its peer was told.
+// Room returns the rate of the limit, in requests per second, and the remaining number of requests like
+// this one that it allows, which is negative if requests wait for it; limited is false if there is no
+// limit. If the request was refused with an error, the result is consistent with the wait that the error
+// tells its peer.
 func (g *Gate) Room(info RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -88,14 +89,15 @@
 	return advertised.PerSecond, g.limit.Room(info.Peer, info.class(), ahead, g.now()), true
 }
 
-// onlyRateLimited reports whether a request waits for the limit alone: what is ahead of it is worked off at a
-// known rate, so that the oldest may go first and others are refused when they come. The lock is held.
+// onlyRateLimited reports whether a request waits for the rate limit alone. The requests ahead are then
+// served at a known rate, so that the queue can be first in, first out, and excess requests are refused
+// on arrival. The lock is held.
 func (g *Gate) onlyRateLimited(info RequestInfo) bool {
 	return g.limited.Load() && g.running < g.slotsFor(info)
 }
 
-// checkRateLimit returns an error when the limit has no room for an entry within its maximum wait; the lock
-// is held.
+// checkRateLimit returns an error if the rate limit does not allow an entry within its maximum wait; the
+// lock is held.
 func (g *Gate) checkRateLimit(entry *waiter, ahead int, now time.Time) error {
 	if g.limit.WaitForClass(entry.info.class(), ahead, now) <= entry.info.MaximumWait {
 		return nil
@@ -103,15 +105,15 @@
 	return g.rateLimitError(entry.info, ahead, now)
 }
 
-// rateLimitError returns the error for a request before which so many others pass; the lock is held.
+// rateLimitError returns the error for a request that has that many others ahead of it; the lock is held.
 func (g *Gate) rateLimitError(info RequestInfo, ahead int, now time.Time) *RateLimitError {
 	return &RateLimitError{Wait: g.limit.RetryAfter(info.Peer, info.class(), ahead, now)}
 }
 
-// class is the ticket's among those that a limit tells apart.
+// class returns the class of the request within the rate limit.
 func (t RequestInfo) class() ratelimit.Class { return ratelimit.ClassOf(t.Nested, t.Priority) }
 
-// timeoutError returns why an entry has waited for too long; the lock is held.
+// timeoutError returns the reason why an entry has exceeded its maximum wait; the lock is held.
 func (g *Gate) timeoutError(entry *waiter) error {
 	now := g.now()
 	if !g.limit.Ready(now) {
@@ -121,7 +123,8 @@
 	return ErrWaitTooLong
 }
 
-// scheduleWake grants slots once the limit has room for a request that waits; the lock is held.
+// scheduleWake sets the timer that grants slots once the rate limit allows a waiting request; the lock is
+// held.
 func (g *Gate) scheduleWake(now time.Time) {
 	wait := g.limit.Wait(0, now)
 	switch {
--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -13,7 +13,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/ratelimit"
 )
 
-// newLimitedGate returns a gate with many slots whose back end has just named that limit.
+// newLimitedGate returns a gate whose back end has just advertised that rate limit.
 func newLimitedGate(slots int, perSecond float64) *admission.Gate {
 	gate := admission.New(time.Now)
 	gate.Resize(slots)
@@ -21,7 +21,8 @@
 	return gate
 }
 
-// TestGateEnforcesRateLimit: slots are free, and requests wait for the limit, or are told when it has room.
+// TestGateEnforcesRateLimit checks that, with free slots, requests wait for the rate limit or are told
+// when to retry.
 func TestGateEnforcesRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -41,7 +42,8 @@
 	})
 }
 
-// TestRateLimitServesMoreUrgentFirst: room goes by the order of the queue, and who comes last is told so at once.
+// TestRateLimitServesMoreUrgentFirst checks that the rate limit serves requests in the order of the
+// queue, and that a displaced request is refused at once.
 func TestRateLimitServesMoreUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -67,7 +69,8 @@
 	})
 }
 
-// TestLimitChangeAffectsQueuedRequests, and one that ends lets it pass.
+// TestLimitChangeAffectsQueuedRequests checks that waiting requests are refused when the limit is
+// lowered, and served when it ends.
 func TestLimitChangeAffectsQueuedRequests(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -106,7 +109,8 @@
 	}
 }
 
-// TestCloseRefusesQueuedRequests.
+// TestCloseRefusesQueuedRequests checks that waiting and later requests are refused once the gate is
+// closed.
 func TestCloseRefusesQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -126,7 +130,7 @@
 	})
 }
 
-// TestRefundedSlotDoesNotCountTowardLimit.
+// TestRefundedSlotDoesNotCountTowardLimit checks that a refunded slot uses up no part of the rate limit.
 func TestRefundedSlotDoesNotCountTowardLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -139,7 +143,8 @@
 	})
 }
 
-// TestFIFOOrderUnderRateLimit: what has no room is refused when it comes, not after a wait.
+// TestFIFOOrderUnderRateLimit checks that requests that wait only for the rate limit are served oldest
+// first, and that excess requests are refused on arrival instead of after a wait.
 func TestFIFOOrderUnderRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/admission/overload_test.go
+++ b/internal/sidecar/admission/overload_test.go
@@ -14,32 +14,32 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// The load of TestLeavingOverload: three seconds at 1.8 times what the back end
-// can do, then a demand of nine tenths of it.
+// The load of TestRecoveryFromOverload: three seconds at 1.8 times the capacity of the back end, followed
+// by a demand of nine tenths of it.
 const (
 	overloadSlots         = 12
 	overloadWork          = 100 * time.Millisecond
 	overloadTargetLatency = 400 * time.Millisecond
 	overloadDuration      = 3 * time.Second
 	overloadSeconds       = 20
-	// overloadAttempts is how often a caller comes in all, overloadRest how long it
-	// rests after a refusal.
+	// overloadAttempts is the total number of attempts of a caller, overloadRetryDelay the delay after a
+	// refusal.
 	overloadAttempts   = 3
 	overloadRetryDelay = 150 * time.Millisecond
 )
 
-// overloadPolicy waits for a slot, at most as long as it allows, and returns how
-// to free it; nil when the request is refused.
+// overloadPolicy waits for a slot for as long as the policy allows and returns a function that frees it;
+// nil if the request is refused.
 type overloadPolicy func(returning bool) (release func())
 
-// fifoPolicy is the policy before: in the order of arrival, each waiting up to
-// half of the time in which its answer is of any use.
+// fifoPolicy is the former policy: in order of arrival, each request waiting up to half of the time
+// within which its response is useful.
 func fifoPolicy() overloadPolicy {
 	const maximumWait = 600 * time.Millisecond
 	slots := make(chan struct{}, overloadSlots)
 	return func(bool) func() {
 		select {
-		case slots <- struct{}{}: // those that wait are let in as they came
+		case slots <- struct{}{}: // waiters are admitted in order of arrival
 			return func() { <-slots }
 		case <-time.After(maximumWait):
 			return nil
@@ -61,9 +61,9 @@
 	}
 }
 
-// inTimeBySecond plays the load and returns the share of the callers of each
-// second that had their answer within the target latency of their first try or,
-// after a refusal within a quarter of it, of the try that was served.
+// inTimeBySecond simulates the load and returns, for each second, the share of the callers that were
+// served within the target latency. The latency counts from the first attempt or, after refusals within a
+// quarter of the target latency, from the attempt that was served.
 func inTimeBySecond(acquire overloadPolicy, seed uint64) []float64 {
 	var (
 		mu      sync.Mutex
@@ -115,9 +115,9 @@
 	return inTime
 }
 
-// secondsToRecover returns how many seconds after the overload it takes until nine
-// tenths of a second's callers are in time again, and of all who come from then
-// on: arrivals are random, and a single later second may fall short.
+// secondsToRecover returns the number of seconds after the overload until nine tenths of the callers of
+// one second are served in time again, and of all callers from then on: arrivals are random, so a single
+// later second may fall short.
 func secondsToRecover(shares []float64) int {
 	last := int(overloadDuration / time.Second)
 	for second := last; second < len(shares); second++ {
@@ -128,14 +128,14 @@
 	return len(shares) - last
 }
 
-// TestRecoveryFromOverload: the backlog of an overload goes within two seconds of its
-// end. The policy before does not get rid of it: everyone is served, too late.
+// TestRecoveryFromOverload checks that the backlog of an overload is gone within two seconds of its end.
+// Under the former policy it persists: everyone is served, but too late.
 func TestRecoveryFromOverload(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			before := inTimeBySecond(fifoPolicy(), seed)
-			g.Expect(secondsToRecover(before)).To(BeNumerically(">", 5), "the load shows the bad state: %.2f", before)
+			g.Expect(secondsToRecover(before)).To(BeNumerically(">", 5), "the former policy does not recover: %.2f", before)
 			after := inTimeBySecond(lifoPolicy(), seed)
 			g.Expect(secondsToRecover(after)).To(BeNumerically("<=", 2), "%.2f", after)
 		})
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -13,57 +13,58 @@
 type waiter struct {
 	info   RequestInfo
 	result chan error
-	// entered is when it joined the queue, predicted the wait expected then.
+	// entered is when the request arrived, predicted the wait that was expected then.
 	entered   time.Time
 	predicted time.Duration
-	// work is how long it is expected to hold a slot, charged what its tenant was charged for it.
+	// work is how long it is expected to hold a slot, charged how much its tenant was charged for it.
 	work, charged time.Duration
-	// account is that of its tenant.
+	// account is the account of its tenant.
 	account *account
 	kind    *kind
-	// fifo: it comes after those of its group that wait already.
+	// fifo: the request is queued behind the requests of its group that already wait, instead of ahead of
+	// them.
 	fifo bool
-	// group is the one that it waits in, place its place there; nil while it does
-	// not wait.
+	// group is the group in which it waits, element its position there; both are nil while it does not
+	// wait.
 	group   *group
 	element *list.Element
 }
 
-// magnitude is the number of binary digits of the work in milliseconds.
+// magnitude returns the number of binary digits of the work in milliseconds.
 func magnitude(work time.Duration) int { return bits.Len64(uint64(max(work, 0) / time.Millisecond)) }
 
 // group holds the waiting requests of one flow whose work is of one order of magnitude.
 type group struct {
 	flow      *flow
 	magnitude int
-	// waiters are *waiter, the newest in front.
+	// waiters holds *waiter in the order in which they are served, by default the newest first.
 	waiters list.List
 	// work is the sum over the waiters.
 	work time.Duration
 }
 
-// queue holds the waiting requests: by the level of their precedence, within one by whose turn it
-// is (see flow), within that by the order of magnitude of the work, and then the newest first. A
-// back end that is behind and takes the oldest first serves everyone at the last
-// moment, and late as soon as anything takes longer than expected; so it goes on
-// after the cause of the backlog has passed. Taking the newest first it serves
-// most at once and refuses the rest. Without tenants there is one flow a level. Each operation takes
-// time in proportion to the number of levels and magnitudes, which is small, and to the logarithm of that of
-// the tenants that wait.
+// queue holds the waiting requests. They are ordered by precedence level, within a level by fair queueing
+// (see flow), within a flow by order of magnitude of the work, and then the newest first. An overloaded
+// back end that serves the oldest first serves everyone at the last moment, and late as soon as anything
+// takes longer than expected; this persists after the cause of the backlog is gone. With the newest
+// first, most requests are served at once and the rest is refused. Without tenants there is one flow per
+// level. Each operation takes time proportional to the number of levels and magnitudes, which is small,
+// and to the logarithm of the number of waiting tenants.
 type queue struct {
-	// levels are ordered; none is empty.
+	// levels are ordered by number; none is empty.
 	levels   []*level
 	length   int
 	accounts accounts
-	// flows and groups are kept for use again.
+	// flows and groups hold unused values for reuse.
 	flows  freeList[flow]
 	groups freeList[group]
 }
 
-// freeList holds values for use again. With tenants flows come and go with nearly every request.
+// freeList keeps unused values for reuse: with tenants, flows are created and removed with nearly every
+// request.
 type freeList[T any] struct{ items []*T }
 
-// maxFree bounds the values that are kept.
+// maxFree bounds the number of values kept.
 const maxFree = 256
 
 func (s *freeList[T]) get() *T {
@@ -82,12 +83,12 @@
 	}
 }
 
-// findLevel returns the index of the level, or where it belongs.
+// findLevel returns the index of the level, or the index at which to insert it.
 func (q *queue) findLevel(number int) (int, bool) {
 	return slices.BinarySearchFunc(q.levels, number, func(existing *level, wanted int) int { return cmp.Compare(existing.number, wanted) })
 }
 
-// add puts a request into the queue.
+// add adds a request to the queue.
 func (q *queue) add(entry *waiter) {
 	number := entry.info.precedence().Level()
 	tenantFlow := entry.account.flow(number)
@@ -115,7 +116,7 @@
 // holds reports whether the request is still in the queue.
 func (q *queue) holds(entry *waiter) bool { return entry.group != nil }
 
-// remove takes a request out of the queue, in which it is.
+// remove removes a request that is in the queue.
 func (q *queue) remove(entry *waiter) {
 	oldGroup := entry.group
 	oldFlow := oldGroup.flow
@@ -135,7 +136,7 @@
 	q.removeFlow(oldFlow)
 }
 
-// newFlow returns an empty flow of the tenant, which is not yet in the level's heaps.
+// newFlow returns an empty flow of the tenant, which is not in the heaps of the level yet.
 func (q *queue) newFlow(owner *account, number int) *flow {
 	index, found := q.findLevel(number)
 	if !found {
@@ -147,7 +148,7 @@
 	return created
 }
 
-// removeFlow takes an empty flow out of its level, and the level out when it is empty.
+// removeFlow removes an empty flow from its level, and the level if it is empty then.
 func (q *queue) removeFlow(empty *flow) {
 	oldLevel, owner := empty.level, empty.account
 	oldLevel.remove(empty)
@@ -161,13 +162,14 @@
 	}
 }
 
-// inTurn reports whether a request gets its slot by turn: no tenant waits at its level that has had less.
+// inTurn reports whether granting the request a slot follows the fair order: no tenant with a lower
+// virtual time waits at its level.
 func (q *queue) inTurn(entry *waiter) bool {
 	index, found := q.findLevel(entry.info.precedence().Level())
 	return !found || q.levels[index].turns[0].account.virtualTime >= entry.account.virtualTime
 }
 
-// next returns the request that is served first; nil when the queue is empty.
+// next returns the request that is served first, nil if the queue is empty.
 func (q *queue) next() *waiter {
 	if q.length == 0 {
 		return nil
@@ -175,8 +177,8 @@
 	return q.levels[0].turns[0].first()
 }
 
-// last returns the request that is refused first: the one that is served after all others, but for
-// those that are kept since their kind is overdue. It is nil when there is none.
+// last returns the request that is refused first: the one that is served last, except for those that are
+// exempt because their kind is overdue. It is nil if there is none.
 func (q *queue) last(now time.Time) *waiter {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		if last := q.levels[i].last(now); last != nil {
@@ -198,7 +200,7 @@
 	return entry.follows(waiting.group)
 }
 
-// follows reports whether a new request comes after those of a group of its flow.
+// follows reports whether a new request is served after those of a group of its flow.
 func (w *waiter) follows(waiting *group) bool {
 	own := magnitude(w.info.Work)
 	return waiting.magnitude < own || waiting.magnitude == own && w.fifo
@@ -221,7 +223,7 @@
 	return total
 }
 
-// lengthBefore returns how many requests are served before a new one, at most.
+// lengthBefore returns an upper bound of the number of requests that are served before a new one.
 func (q *queue) lengthBefore(entry *waiter) int {
 	if q.length == 0 {
 		return 0
@@ -234,7 +236,7 @@
 	return total
 }
 
-// lengthUpTo returns how many requests wait at the level and at those before it.
+// lengthUpTo returns the number of requests that wait at the level and at those before it.
 func (q *queue) lengthUpTo(number int) (total int) {
 	for _, held := range q.levels {
 		if held.number > number {
--- a/internal/sidecar/admission/reserve_test.go
+++ b/internal/sidecar/admission/reserve_test.go
@@ -11,9 +11,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// TestReserveKeepsSlotsForShortUrgentRequests: less urgent requests that take long come
-// faster than they can be served; urgent short ones mostly begin in time all the
-// same, and once they cease every slot serves the others.
+// TestReserveKeepsSlotsForShortUrgentRequests has long, less urgent requests arrive faster than they can
+// be served. Short urgent requests must mostly start in time nevertheless, and all slots must serve the
+// others once the urgent ones stop arriving.
 func TestReserveKeepsSlotsForShortUrgentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -48,7 +48,7 @@
 		for i := 0; time.Since(began) < 2*period; i++ {
 			go serve(admission.RequestInfo{Priority: 2, Work: long, MaximumWait: long}, long)
 			if time.Since(began) < period {
-				// Urgent ones come in pairs, at uneven times.
+				// Urgent requests arrive in pairs at irregular intervals.
 				time.Sleep(time.Duration(i%7) * time.Millisecond)
 				for range i % 3 {
 					go serve(admission.RequestInfo{Priority: 1, Work: short, MaximumWait: slack}, short)
@@ -61,12 +61,12 @@
 		synctest.Wait()
 		g.Expect(urgent.Load()).To(BeNumerically(">", 300))
 		g.Expect(late.Load()).To(BeNumerically("<", urgent.Load()*12/100))
-		g.Expect(most.Load()).To(BeEquivalentTo(slots), "the reserve is given up")
-		time.Sleep(time.Second) // lets the last ones end
+		g.Expect(most.Load()).To(BeEquivalentTo(slots), "the reserve is released")
+		time.Sleep(time.Second) // let the last requests end
 	})
 }
 
-// TestNoReserveWithOnePriority: all slots are used.
+// TestNoReserveWithOnePriority checks that all slots are used.
 func TestNoReserveWithOnePriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/admission/standing.go
+++ b/internal/sidecar/admission/standing.go
@@ -5,57 +5,60 @@
 	"time"
 )
 
-// account is what one tenant's requests of one class have had of the back end.
+// account records the use of the back end by the requests of one tenant in one class.
 type account struct {
 	class  *class
 	tenant string
-	// virtualTime is for how long its requests have held slots, by the virtual clock of its class: a tenant
-	// that comes anew begins where those are who are being served.
+	// virtualTime is the slot time that its requests have used, relative to the virtual clock of its
+	// class: a tenant that arrives anew starts at the clock, like the tenants being served.
 	virtualTime time.Duration
-	// held is for how long they have held slots in all.
+	// held is the total slot time of its requests.
 	held time.Duration
-	// running and waiting are its requests, idle is since when it has had none.
+	// running and waiting count its requests; idleSince is since when it has had none.
 	running, waiting int
 	idleSince        time.Time
-	// flows are those in which it waits, at most one a level.
+	// flows are those in which the tenant waits, at most one per level.
 	flows []*flow
 }
 
-// class holds the standings of tenants that compete with each other: those of one priority, or of
-// calls that running requests wait for.
+// class holds the accounts of tenants that compete with each other: those of one priority, or of nested
+// calls.
 type class struct {
-	// virtualClock is what the tenant had had whose request got a slot last, and never goes back.
+	// virtualClock is the virtual time of the tenant that was last granted a slot in turn. It never
+	// decreases.
 	virtualClock time.Duration
 	tenants      map[string]*account
-	// kinds are those that have come, one a magnitude.
+	// kinds are the kinds of requests seen, one per magnitude.
 	kinds []*kind
-	// forgotten is for how long requests held slots whose tenants are forgotten.
+	// forgotten is the total slot time of tenants whose accounts were removed.
 	forgotten time.Duration
-	// sweepThreshold is how many tenants there are when the next sweep is due.
+	// sweepThreshold is the number of tenants at which the next sweep is due.
 	sweepThreshold int
-	// unnamed is of all requests without a tenant. Each of them counts as a tenant of its own.
+	// unnamed is the account of all requests without a tenant. Each of them counts as a tenant of its
+	// own.
 	unnamed account
 }
 
-// accounts are those of all tenants at one back end. Their owner holds the lock.
+// accounts holds those of all tenants at one back end. The caller holds the lock.
 type accounts struct {
 	classes map[int]*class
 }
 
 const (
-	// nestedClass is the class of calls that running requests wait for; others go by priority.
+	// nestedClass is the class of nested calls, which running requests wait for; others are classified by
+	// priority.
 	nestedClass = -1
-	// accountRetention is after what time without requests a tenant is forgotten: what it has had
-	// before says nothing of the room there is now.
+	// accountRetention is how long a tenant without requests is remembered: its earlier use is irrelevant
+	// to the capacity available now.
 	accountRetention = 10 * time.Second
-	// Between minSweepThreshold and maxTenants a sweep is due when the tenants of a class have doubled;
-	// one of maxTenants forgets all without requests.
+	// Between minSweepThreshold and maxTenants a sweep is due whenever the tenants of a class have
+	// doubled; from maxTenants on, a sweep removes all tenants without requests.
 	minSweepThreshold, maxTenants = 256, 4096
-	// maxClasses is from how many classes on those without requests are forgotten.
+	// maxClasses is the number of classes from which those without requests are removed.
 	maxClasses = 64
 )
 
-// accountFor returns the standing of the ticket's tenant for a request that comes now.
+// accountFor returns the account of the request's tenant for a request that arrives now.
 func (s *accounts) accountFor(info RequestInfo, now time.Time) *account {
 	class := s.classOf(info)
 	found := &class.unnamed
@@ -88,7 +91,7 @@
 	return candidate
 }
 
-// idle reports whether no request of the class is there.
+// idle reports whether the class has no requests.
 func (c *class) idle() bool {
 	for _, held := range c.tenants {
 		if held.running > 0 || held.waiting > 0 {
@@ -98,7 +101,7 @@
 	return c.unnamed.running == 0 && c.unnamed.waiting == 0
 }
 
-// tenantAccount returns the standing tenantAccount a tenant.
+// tenantAccount returns the account of a tenant and creates it if it is missing.
 func (c *class) tenantAccount(tenant string, now time.Time) *account {
 	found := c.tenants[tenant]
 	if found != nil {
@@ -112,7 +115,8 @@
 	return found
 }
 
-// sweep forgets tenants without requests: those whose standing says nothing, or is old.
+// sweep removes tenants without requests: those that are not ahead of the virtual clock, and those that
+// have been idle for accountRetention.
 func (c *class) sweep(now time.Time) {
 	full := len(c.tenants) >= maxTenants
 	maps.DeleteFunc(c.tenants, func(_ string, held *account) bool {
@@ -131,10 +135,10 @@
 	}
 }
 
-// hasTenant reports whether the standing is that of one tenant.
+// hasTenant reports whether the account belongs to a single tenant.
 func (s *account) hasTenant() bool { return s.tenant != "" }
 
-// flow returns the one of the level, nil when the tenant does not wait there.
+// flow returns the flow of the level, nil if the tenant does not wait there.
 func (s *account) flow(level int) *flow {
 	for _, candidate := range s.flows {
 		if candidate.level.number == level {
@@ -144,9 +148,10 @@
 	return nil
 }
 
-// begin charges the tenant for a request that gets a slot. beside is how many of its requests waited
-// with it, itself included; zero when it did not wait. byTurn: no other tenant whose turn it was
-// waits. Otherwise the clock stays: a tenant that comes then would begin behind all of those.
+// begin charges the tenant for a request that is granted a slot. queued is the number of its requests
+// that waited together with it, itself included; zero if it did not wait. byTurn is false if a tenant
+// with a lower virtual time waits. The virtual clock stays in that case: a tenant that arrives then would
+// otherwise start behind all of those that wait.
 func (s *account) begin(entry *waiter, queued int, byTurn bool) {
 	if byTurn {
 		s.class.virtualClock = max(s.class.virtualClock, s.virtualTime)
@@ -171,7 +176,7 @@
 	}
 }
 
-// charge adds to what the tenant has had.
+// charge adds to the virtual time of the tenant.
 func (s *account) charge(change time.Duration) {
 	s.virtualTime += change
 	for _, tenantFlow := range s.flows {
--- a/internal/sidecar/admission/usage.go
+++ b/internal/sidecar/admission/usage.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Usage is for how long a tenant's requests have held slots.
+// Usage is the slot time that the requests of a tenant have used.
 type Usage struct {
 	Tenant   string
 	SlotTime time.Duration
 }
 
-// Usage returns that of the tenants with the most, and what all others add up to, those included
-// that were forgotten meanwhile. Requests without a tenant are left out.
+// Usage returns the tenants that have used the most slot time, and the sum of all others, including
+// tenants whose accounts were removed. Requests without a tenant are left out.
 func (g *Gate) Usage(most int) (top []Usage, others time.Duration) {
 	g.mutex.Lock()
 	all, others := g.waiting.accounts.usage()
@@ -27,7 +27,8 @@
 	return all[:min(most, len(all))], others
 }
 
-// usage returns that of all tenants, each added up over the classes, and that of those who were forgotten.
+// usage returns the slot time of each tenant, summed over the classes, and that of tenants whose accounts
+// were removed.
 func (s *accounts) usage() (all []Usage, forgotten time.Duration) {
 	held := map[string]time.Duration{}
 	for _, class := range s.classes {
