--- a/internal/sidecar/contention/contention_test.go
+++ b/internal/sidecar/contention/contention_test.go
@@ -21,15 +21,15 @@
 		{contention.On, false, false, true},
 		{contention.Off, true, true, false},
 	}
-	for _, given := range cases {
+	for _, test := range cases {
 		g := NewWithT(t)
-		made := contention.NewSwitch(given.mode)
-		made.SetTenantsConfigured(given.tenants)
-		if given.shared {
-			g.Expect(made.SetShared()).To(BeTrue())
-			g.Expect(made.SetShared()).To(BeFalse(), "it is no news")
+		control := contention.NewSwitch(test.mode)
+		control.SetTenantsConfigured(test.tenants)
+		if test.shared {
+			g.Expect(control.SetShared()).To(BeTrue())
+			g.Expect(control.SetShared()).To(BeFalse(), "it is no news")
 		}
-		g.Expect(made.On()).To(Equal(given.on), "%+v", given)
-		g.Expect(made.Shared()).To(Equal(given.shared))
+		g.Expect(control.On()).To(Equal(test.on), "%+v", test)
+		g.Expect(control.Shared()).To(Equal(test.shared))
 	}
 }
--- a/internal/sidecar/evenly/evenly.go
+++ b/internal/sidecar/evenly/evenly.go
@@ -19,9 +19,9 @@
 // NewSequence returns a sequence that begins at a random place: many nodes with few requests
 // each are not all off in one direction.
 func NewSequence() *Sequence {
-	created := &Sequence{}
-	created.position.Store(rand.Uint64())
-	return created
+	sequence := &Sequence{}
+	sequence.position.Store(rand.Uint64())
+	return sequence
 }
 
 // Next returns the next place, in units of 2^-64.
@@ -29,6 +29,6 @@
 
 // NextFraction returns the next place between zero and one.
 func (s *Sequence) NextFraction() float64 {
-	const kept, scale = 53, 1.0 / (1 << 53)
-	return float64(s.Next()>>(64-kept)) * scale
+	const mantissaBits, scale = 53, 1.0 / (1 << 53)
+	return float64(s.Next()>>(64-mantissaBits)) * scale
 }
--- a/internal/sidecar/evenly/evenly_test.go
+++ b/internal/sidecar/evenly/evenly_test.go
@@ -9,9 +9,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/evenly"
 )
 
-// TestEveryRunIsDivided: of each run of requests, wherever it begins, a share goes one way that
+// TestRunsAreSplitByShare: of each run of requests, wherever it begins, a share goes one way that
 // is at most three requests off.
-func TestEveryRunIsDivided(t *testing.T) {
+func TestRunsAreSplitByShare(t *testing.T) {
 	g := NewWithT(t)
 	for _, share := range []float64{0.01, 0.1, 0.5, 0.9} {
 		sequence := evenly.NewSequence()
--- a/internal/sidecar/pause/pause_test.go
+++ b/internal/sidecar/pause/pause_test.go
@@ -20,8 +20,8 @@
 			backoff.Pause(t.Context())
 			return time.Since(started)
 		}
-		for _, most := range []time.Duration{100, 200, 300, 300} {
-			g.Expect(waited()).To(And(BeNumerically(">=", most*time.Millisecond/2), BeNumerically("<=", most*time.Millisecond)))
+		for _, longest := range []time.Duration{100, 200, 300, 300} {
+			g.Expect(waited()).To(And(BeNumerically(">=", longest*time.Millisecond/2), BeNumerically("<=", longest*time.Millisecond)))
 		}
 		backoff.Reset()
 		g.Expect(waited()).To(BeNumerically("<=", 100*time.Millisecond))
--- a/internal/sidecar/precedence/precedence.go
+++ b/internal/sidecar/precedence/precedence.go
@@ -16,15 +16,15 @@
 	Returning bool
 }
 
-// perPriority is how many levels there are for each priority.
-const perPriority = 4
+// levelsPerPriority is how many levels there are for each priority.
+const levelsPerPriority = 4
 
 // Level is a precedence as one number; zero comes first.
 func (p Precedence) Level() int {
 	if p.Nested {
 		return 0
 	}
-	level := 1 + p.Priority*perPriority
+	level := 1 + p.Priority*levelsPerPriority
 	if p.OverShare {
 		level += 2
 	}
--- a/internal/sidecar/precedence/precedence_test.go
+++ b/internal/sidecar/precedence/precedence_test.go
@@ -19,8 +19,8 @@
 		{Priority: 1},
 		{Priority: 1, Returning: true},
 	}
-	for i, one := range ordered {
-		g.Expect(one.Level()).To(Equal(i))
+	for i, level := range ordered {
+		g.Expect(level.Level()).To(Equal(i))
 	}
 	g.Expect(precedence.Precedence{Nested: true, Priority: 3}.Level()).To(BeZero(), "whatever its priority")
 }
--- a/internal/sidecar/ratelimit/bucket.go
+++ b/internal/sidecar/ratelimit/bucket.go
@@ -7,9 +7,9 @@
 import "time"
 
 const (
-	// leastRate is the lowest rate, in requests a second, at which a back end is sent to: nothing but an
+	// minRate is the lowest rate, in requests a second, at which a back end is sent to: nothing but an
 	// answer tells that its limit has ended.
-	leastRate = 0.25
+	minRate = 0.25
 	// burstTime is for how long a rate that was not used is kept for later, one request at least. A back
 	// end that gets no more in any second than its limit has none of them refused.
 	burstTime = time.Second
@@ -20,23 +20,23 @@
 	// perSecond is the rate, size the most tokens that are held.
 	perSecond, size float64
 	// tokens at the moment at; below zero for requests that wait.
-	tokens float64
-	at     time.Time
+	tokens  float64
+	updated time.Time
 }
 
 // setRate changes the rate. What the bucket holds stays, as far as there is room.
 func (b *bucket) setRate(perSecond float64, now time.Time) {
 	b.refill(now)
-	b.perSecond = max(perSecond, leastRate)
+	b.perSecond = max(perSecond, minRate)
 	b.size = max(b.perSecond*burstTime.Seconds(), 1)
 	b.tokens = min(b.tokens, b.size)
 }
 
 // refill adds the tokens of the time that has passed.
 func (b *bucket) refill(now time.Time) {
-	if passed := now.Sub(b.at); passed > 0 {
+	if passed := now.Sub(b.updated); passed > 0 {
 		b.tokens = min(b.tokens+b.perSecond*passed.Seconds(), b.size)
-		b.at = now
+		b.updated = now
 	}
 }
 
--- a/internal/sidecar/ratelimit/estimate.go
+++ b/internal/sidecar/ratelimit/estimate.go
@@ -9,41 +9,41 @@
 // node's own requests; those of others show in the next reply. It is safe for concurrent use.
 type Estimate struct {
 	mu sync.Mutex // guards all below
-	// rooms are by class: none has more than those before it.
-	rooms [classes]bucket
-	// next is the first time that no caller was told yet.
-	next time.Time
+	// buckets are by class: none has more than those before it.
+	buckets [classes]bucket
+	// nextRetry is the first time that no caller was told yet.
+	nextRetry time.Time
 }
 
 // NewEstimate returns what a reply to a request of the class says.
 func NewEstimate(perSecond, room float64, class Class, now time.Time) *Estimate {
-	created := &Estimate{}
-	for i := range created.rooms {
-		created.rooms[i] = bucket{at: now, tokens: room}
+	estimate := &Estimate{}
+	for i := range estimate.buckets {
+		estimate.buckets[i] = bucket{updated: now, tokens: room}
 		if Class(i) < class {
-			created.rooms[i].tokens = max(room, 1)
+			estimate.buckets[i].tokens = max(room, 1)
 		}
-		created.rooms[i].setRate(perSecond, now)
+		estimate.buckets[i].setRate(perSecond, now)
 	}
-	return created
+	return estimate
 }
 
 // Update takes in a reply to a request of the class: the rate, and how many requests like it may pass.
 func (e *Estimate) Update(perSecond, room float64, class Class, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i := range e.rooms {
-		held := &e.rooms[i]
-		held.setRate(perSecond, now)
+	for i := range e.buckets {
+		classBucket := &e.buckets[i]
+		classBucket.setRate(perSecond, now)
 		switch {
 		case Class(i) < class:
-			held.tokens = max(held.tokens, room)
+			classBucket.tokens = max(classBucket.tokens, room)
 		case Class(i) == class:
-			held.tokens = room
+			classBucket.tokens = room
 		default:
-			held.tokens = min(held.tokens, room)
+			classBucket.tokens = min(classBucket.tokens, room)
 		}
-		held.tokens = min(held.tokens, held.size)
+		classBucket.tokens = min(classBucket.tokens, classBucket.size)
 	}
 }
 
@@ -52,8 +52,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := class; i < classes; i++ {
-		e.rooms[i].refill(now)
-		e.rooms[i].tokens--
+		e.buckets[i].refill(now)
+		e.buckets[i].tokens--
 	}
 }
 
@@ -61,7 +61,7 @@
 func (e *Estimate) Wait(class Class, now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rooms[class].wait(1, now)
+	return e.buckets[class].wait(1, now)
 }
 
 // RetryAfter returns the wait that a caller is told whose request of the class is refused. Each is told a
@@ -69,13 +69,13 @@
 func (e *Estimate) RetryAfter(class Class, now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := now.Add(e.rooms[class].wait(1, now))
-	if e.next.After(at) {
-		at = e.next
+	at := now.Add(e.buckets[class].wait(1, now))
+	if e.nextRetry.After(at) {
+		at = e.nextRetry
 	}
 	if last := now.Add(maxRetryAfter); at.After(last) {
 		at = last
 	}
-	e.next = at.Add(e.rooms[class].interval())
+	e.nextRetry = at.Add(e.buckets[class].interval())
 	return at.Sub(now)
 }
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -15,10 +15,10 @@
 const (
 	// fleetLatency is the time to a node and back, fleetPatience how long requests wait for room.
 	fleetLatency  = 4 * time.Millisecond
-	fleetPatience = 100 * time.Millisecond
-	fleetLasts    = 30 * time.Second
-	// fleetSends is how many nodes may refuse a request.
-	fleetSends = 5
+	fleetMaxWait  = 100 * time.Millisecond
+	fleetDuration = 30 * time.Second
+	// fleetMaxSends is how many nodes may refuse a request.
+	fleetMaxSends = 5
 )
 
 // fleet plays nodes that send to back ends with limits. A request goes to the back end of which the
@@ -26,19 +26,19 @@
 type fleet struct {
 	limits    []*ratelimit.Limit
 	estimates [][]*ratelimit.Estimate
-	// served and refused count requests, vain the sends that were refused, first those of them that were a
-	// node's first to the back end.
-	served, refused, vain, first int
+	// served and refused count requests, rejected the sends that were refused, firstRejected those of them that were a
+	// node's firstRejected to the back end.
+	served, refused, rejected, firstRejected int
 	// servedBy holds the moments at which each back end got a request.
 	servedBy [][]time.Time
 }
 
 // pending is a request that arrives at a back end at some moment.
 type pending struct {
-	at         time.Time
-	node, back int
-	tried      []bool
-	sends      int
+	at            time.Time
+	node, backend int
+	tried         []bool
+	sends         int
 }
 
 type arrivals []pending
@@ -54,15 +54,15 @@
 	return one
 }
 
-func newFleet(nodes, backs int, perSecond float64) *fleet {
-	made := &fleet{servedBy: make([][]time.Time, backs), estimates: make([][]*ratelimit.Estimate, nodes)}
-	for range backs {
-		made.limits = append(made.limits, limited(perSecond))
+func newFleet(nodes, backends int, perSecond float64) *fleet {
+	created := &fleet{servedBy: make([][]time.Time, backends), estimates: make([][]*ratelimit.Estimate, nodes)}
+	for range backends {
+		created.limits = append(created.limits, newLimit(perSecond))
 	}
-	for i := range made.estimates {
-		made.estimates[i] = make([]*ratelimit.Estimate, backs)
+	for i := range created.estimates {
+		created.estimates[i] = make([]*ratelimit.Estimate, backends)
 	}
-	return made
+	return created
 }
 
 // choose returns the back end to send to, below zero when none is expected to have room in time. It
@@ -74,7 +74,7 @@
 		if estimate := f.estimates[node][back]; estimate != nil {
 			wait = estimate.Wait(1, now)
 		}
-		if !tried[back] && wait <= fleetPatience && (best < 0 || wait < shortest) {
+		if !tried[back] && wait <= fleetMaxWait && (best < 0 || wait < shortest) {
 			best, shortest = back, wait
 		}
 	}
@@ -82,54 +82,54 @@
 }
 
 // send sends a request where it may be served, or refuses it.
-func (f *fleet) send(one pending, now time.Time, random *rand.Rand, queue *arrivals) {
-	one.back = f.choose(one.node, one.tried, now, random)
-	if one.back < 0 || one.sends == fleetSends {
+func (f *fleet) send(request pending, now time.Time, random *rand.Rand, queue *arrivals) {
+	request.backend = f.choose(request.node, request.tried, now, random)
+	if request.backend < 0 || request.sends == fleetMaxSends {
 		f.refused++
 		return
 	}
-	if estimate := f.estimates[one.node][one.back]; estimate != nil {
+	if estimate := f.estimates[request.node][request.backend]; estimate != nil {
 		estimate.Consume(1, now)
 	}
-	one.at = now.Add(fleetLatency / 2)
-	one.sends++
-	heap.Push(queue, one)
+	request.at = now.Add(fleetLatency / 2)
+	request.sends++
+	heap.Push(queue, request)
 }
 
 // arrive decides on a request at its back end and tells its node of the room there.
-func (f *fleet) arrive(one pending, random *rand.Rand, queue *arrivals) {
-	limit, now := f.limits[one.back], one.at
+func (f *fleet) arrive(request pending, random *rand.Rand, queue *arrivals) {
+	limit, now := f.limits[request.backend], request.at
 	wait, room := limit.Wait(0, now), 0.0
-	served := wait <= fleetPatience
+	served := wait <= fleetMaxWait
 	if served {
 		limit.Consume(1, now) // what waits is counted at once: the bucket goes below zero
 		f.served++
-		f.servedBy[one.back] = append(f.servedBy[one.back], now.Add(wait))
-		room = limit.Room(fmt.Sprint(one.node), 1, 0, now)
+		f.servedBy[request.backend] = append(f.servedBy[request.backend], now.Add(wait))
+		room = limit.Room(fmt.Sprint(request.node), 1, 0, now)
 	} else {
-		f.vain++
-		if f.estimates[one.node][one.back] == nil {
-			f.first++
+		f.rejected++
+		if f.estimates[request.node][request.backend] == nil {
+			f.firstRejected++
 		}
-		room = limit.RoomIn(limit.RetryAfter(fmt.Sprint(one.node), 1, 0, now))
+		room = limit.RoomIn(limit.RetryAfter(fmt.Sprint(request.node), 1, 0, now))
 	}
 	advertised, _ := limit.Advertised()
-	if estimate := f.estimates[one.node][one.back]; estimate != nil {
+	if estimate := f.estimates[request.node][request.backend]; estimate != nil {
 		estimate.Update(advertised.PerSecond, room, 1, now)
 	} else {
-		f.estimates[one.node][one.back] = ratelimit.NewEstimate(advertised.PerSecond, room, 1, now)
+		f.estimates[request.node][request.backend] = ratelimit.NewEstimate(advertised.PerSecond, room, 1, now)
 	}
 	if !served {
-		one.tried[one.back] = true
-		f.send(one, now.Add(fleetLatency/2), random, queue)
+		request.tried[request.backend] = true
+		f.send(request, now.Add(fleetLatency/2), random, queue)
 	}
 }
 
-// play has requests come at that rate from all nodes together.
-func (f *fleet) play(demand float64, seed uint64) {
+// run has requests come at that rate from all nodes together.
+func (f *fleet) run(demand float64, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	queue := &arrivals{}
-	for now := start; now.Sub(start) < fleetLasts; now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second))) {
+	for now := start; now.Sub(start) < fleetDuration; now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second))) {
 		for queue.Len() > 0 && (*queue)[0].at.Before(now) {
 			f.arrive(heap.Pop(queue).(pending), random, queue)
 		}
@@ -137,33 +137,33 @@
 	}
 }
 
-// TestAWholeServiceWithLimits: all back ends of a service name limits whose sum is a third of the demand.
+// TestServiceWithLimits: all back ends of a service name limits whose sum is a third of the demand.
 // Their limits are used, no window gets more than is allowed, and fewer than one send for each request
 // served is in vain, whatever the number of nodes.
-func TestAWholeServiceWithLimits(t *testing.T) {
+func TestServiceWithLimits(t *testing.T) {
 	for _, size := range []struct{ nodes, backs int }{{10, 4}, {40, 10}, {300, 40}} {
 		for _, rate := range []float64{2, 12.8} {
 			t.Run(fmt.Sprintf("%d nodes, %d back ends, %v a second", size.nodes, size.backs, rate), func(t *testing.T) {
 				g := NewWithT(t)
-				played := newFleet(size.nodes, size.backs, rate)
+				simulated := newFleet(size.nodes, size.backs, rate)
 				room := rate * float64(size.backs)
-				played.play(3*room, 1)
-				for _, moments := range played.servedBy {
-					g.Expect(float64(mostIn(moments, ratelimit.Window))).To(BeNumerically("<=", 1.5*rate*ratelimit.Window.Seconds()+5))
+				simulated.run(3*room, 1)
+				for _, moments := range simulated.servedBy {
+					g.Expect(float64(maxInWindow(moments, ratelimit.Window))).To(BeNumerically("<=", 1.5*rate*ratelimit.Window.Seconds()+5))
 				}
-				used := float64(played.served) / (room * fleetLasts.Seconds())
-				vain := float64(played.vain-played.first) / float64(played.served)
+				used := float64(simulated.served) / (room * fleetDuration.Seconds())
+				rejected := float64(simulated.rejected-simulated.firstRejected) / float64(simulated.served)
 				t.Logf("used %.2f, sends in vain for each that is served %.2f, of all nodes' first ones %d, served %d, refused %d",
-					used, vain, played.first, played.served, played.refused)
+					used, rejected, simulated.firstRejected, simulated.served, simulated.refused)
 				g.Expect(used).To(BeNumerically(">", 0.8))
-				g.Expect(vain).To(BeNumerically("<", 1))
+				g.Expect(rejected).To(BeNumerically("<", 1))
 			})
 		}
 	}
 }
 
-// TestCallersThatAreRefusedComeBackOneByOne: those of one node are told times an interval apart.
-func TestCallersThatAreRefusedComeBackOneByOne(t *testing.T) {
+// TestEstimateSpreadsRetries: those of one node are told times an interval apart.
+func TestEstimateSpreadsRetries(t *testing.T) {
 	g := NewWithT(t)
 	estimate := ratelimit.NewEstimate(10, -4, 1, start)
 	for i := range 5 {
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -12,8 +12,8 @@
 	PerSecond float64
 }
 
-// looser reports whether it allows more than the other one.
-func (a Advertised) looser(other Advertised) bool {
+// looserThan reports whether it allows more than the other one.
+func (a Advertised) looserThan(other Advertised) bool {
 	return other.HasLimit && (!a.HasLimit || a.PerSecond > other.PerSecond)
 }
 
@@ -22,21 +22,21 @@
 // value lets everything pass. Its owner holds a lock.
 type Limit struct {
 	advertised Advertised
-	// since is when it was first heard, heard when it was last.
-	since, heard time.Time
-	// began is when a limit was named after a time without one, owed is when a request passed last before its
+	// changedAt is when it was first confirmedAt, confirmedAt when it was last.
+	changedAt, confirmedAt time.Time
+	// limitedSince is when a limit was named after a time without one, lastMinimumShare is when a request passed last before its
 	// turn.
-	began, owed time.Time
-	bucket      bucket
-	recent      recent
-	usage       usage
-	schedule    schedule
-	// unknown: what passed before the first limit is not known.
-	unknown bool
+	limitedSince, lastMinimumShare time.Time
+	bucket                         bucket
+	recent                         recent
+	usage                          usage
+	schedule                       schedule
+	// historyUnknown: what passed before the first limit is not known.
+	historyUnknown bool
 }
 
 // Restarted has the limit begin without room: what passed before this life of the node is not known.
-func (l *Limit) Restarted() { l.unknown = true }
+func (l *Limit) Restarted() { l.historyUnknown = true }
 
 // Update takes in what an answer names, to a request that was sent, and answered, at these moments. Of two
 // answers the later written holds. Where that is not known, as for answers to requests that were
@@ -44,48 +44,50 @@
 func (l *Limit) Update(advertised Advertised, sent, answered time.Time) (changed bool) {
 	switch {
 	case advertised == l.advertised:
-		l.heard, l.unknown = answered, false
+		l.confirmedAt, l.historyUnknown = answered, false
 		return false
-	case advertised.looser(l.advertised) && sent.Before(l.heard):
+	case advertised.looserThan(l.advertised) && sent.Before(l.confirmedAt):
 		return false
 	}
 	if !l.advertised.HasLimit {
-		l.begin(advertised.PerSecond, answered)
+		l.initialize(advertised.PerSecond, answered)
 	}
 	if advertised.HasLimit {
 		l.bucket.setRate(advertised.PerSecond, answered)
 	}
-	l.advertised, l.since, l.heard = advertised, answered, answered
+	l.advertised, l.changedAt, l.confirmedAt = advertised, answered, answered
 	return true
 }
 
-// begin fills the bucket as if the limit had held in the last burstTime.
-func (l *Limit) begin(perSecond float64, now time.Time) {
-	l.bucket, l.began = bucket{at: now}, now
+// initialize fills the bucket as if the limit had held in the last burstTime.
+func (l *Limit) initialize(perSecond float64, now time.Time) {
+	l.bucket, l.limitedSince = bucket{updated: now}, now
 	l.bucket.setRate(perSecond, now)
 	l.schedule = schedule{}
-	if !l.unknown {
+	if !l.historyUnknown {
 		l.bucket.tokens = max(l.bucket.size-float64(l.recent.within(burstTime, now)), 0)
 	}
-	l.unknown = false
+	l.historyUnknown = false
 }
 
 // Reset forgets the limit: another incarnation of the back end has named none.
 func (l *Limit) Reset() {
-	l.advertised, l.since, l.heard = Advertised{}, time.Time{}, time.Time{}
+	l.advertised, l.changedAt, l.confirmedAt = Advertised{}, time.Time{}, time.Time{}
 }
 
 // Advertised returns the limit that holds, and since when.
-func (l *Limit) Advertised() (advertised Advertised, since time.Time) { return l.advertised, l.since }
+func (l *Limit) Advertised() (advertised Advertised, changedAt time.Time) {
+	return l.advertised, l.changedAt
+}
 
 // Ready reports whether a request may pass now.
 func (l *Limit) Ready(now time.Time) bool { return l.Wait(0, now) == 0 }
 
 // Consume counts a request of the class that passes.
 func (l *Limit) Consume(class Class, now time.Time) {
-	l.recent.note(now)
+	l.recent.record(now)
 	if l.advertised.HasLimit {
-		l.usage.note(class, now)
+		l.usage.record(class, now)
 		l.bucket.refill(now)
 		l.bucket.tokens--
 	}
@@ -107,14 +109,14 @@
 	return l.bucket.wait(float64(ahead+1), now)
 }
 
-// leastShare is the part of the limit that less urgent classes get however many more urgent requests come:
+// minimumShare is the part of the limit that less urgent classes get however many more urgent requests come:
 // none is starved.
-const leastShare = 0.2
+const minimumShare = 0.2
 
-// left is the part of the limit that is expected to be left for a class by the more urgent ones that keep
+// shareLeft is the part of the limit that is expected to be shareLeft for a class by the more urgent ones that keep
 // coming.
-func (l *Limit) left(class Class, now time.Time) float64 {
-	return max(1-l.usage.before(class, now)/l.bucket.perSecond, leastShare)
+func (l *Limit) shareLeft(class Class, now time.Time) float64 {
+	return max(1-l.usage.moreUrgentRate(class, now)/l.bucket.perSecond, minimumShare)
 }
 
 // WaitForClass returns the time until a request of the class is likely to pass, before which so many others do
@@ -124,7 +126,7 @@
 	if wait == 0 {
 		return 0
 	}
-	return time.Duration(float64(wait) / l.left(class, now))
+	return time.Duration(float64(wait) / l.shareLeft(class, now))
 }
 
 // TakeMinimumShare reports whether a request of the class, which is about to pass, may do so before its turn: none of
@@ -135,13 +137,13 @@
 		return false
 	}
 	l.bucket.refill(now)
-	l.usage.ask(class, now)
-	interval := time.Duration(float64(l.bucket.interval()) / leastShare)
-	last := latest(l.usage.last[class], l.began, l.owed)
-	if l.bucket.tokens <= 0 || now.Sub(last) < interval || !l.usage.waitsLongest(class, 2*interval, now) {
+	l.usage.recordAttempt(class, now)
+	interval := time.Duration(float64(l.bucket.interval()) / minimumShare)
+	lastConsumed := latest(l.usage.lastConsumed[class], l.limitedSince, l.lastMinimumShare)
+	if l.bucket.tokens <= 0 || now.Sub(lastConsumed) < interval || !l.usage.hasWaitedLongest(class, 2*interval, now) {
 		return false
 	}
-	l.owed = now
+	l.lastMinimumShare = now
 	return true
 }
 
@@ -167,7 +169,7 @@
 // RetryAfter returns when a request that is refused now will have room, for a peer to come back then. Each
 // peer is told a time of its own, so that they do not come back together.
 func (l *Limit) RetryAfter(peer string, class Class, ahead int, now time.Time) time.Duration {
-	interval := time.Duration(float64(l.bucket.interval()) / l.left(class, now))
+	interval := time.Duration(float64(l.bucket.interval()) / l.shareLeft(class, now))
 	return l.schedule.next(peer, class, l.WaitForClass(class, ahead, now), interval, now)
 }
 
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -16,19 +16,19 @@
 	rates = []float64{0, 0.1, 0.3, 1, 2, 12.8, 1000}
 )
 
-func named(perSecond float64) ratelimit.Advertised {
+func advertise(perSecond float64) ratelimit.Advertised {
 	return ratelimit.Advertised{HasLimit: true, PerSecond: perSecond}
 }
 
-// limited returns a limit that was named at start.
-func limited(perSecond float64) *ratelimit.Limit {
+// newLimit returns a limit that was named at start.
+func newLimit(perSecond float64) *ratelimit.Limit {
 	limit := &ratelimit.Limit{}
-	limit.Update(named(perSecond), start, start)
+	limit.Update(advertise(perSecond), start, start)
 	return limit
 }
 
-// mostIn returns the most moments within any window.
-func mostIn(moments []time.Time, window time.Duration) (most int) {
+// maxInWindow returns the most moments within any window.
+func maxInWindow(moments []time.Time, window time.Duration) (most int) {
 	first := 0
 	for last := range moments {
 		for moments[last].Sub(moments[first]) >= window {
@@ -39,12 +39,12 @@
 	return most
 }
 
-// TestNoWindowGetsMoreThanAllowed: for every rate, with arrivals of any pattern and pauses before bursts.
-func TestNoWindowGetsMoreThanAllowed(t *testing.T) {
+// TestRateInAnyWindow: for every rate, with arrivals of any pattern and pauses before bursts.
+func TestRateInAnyWindow(t *testing.T) {
 	for _, rate := range rates {
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			limit, now := limited(rate), start
+			limit, now := newLimit(rate), start
 			var passed []time.Time
 			for range 4000 {
 				gap := random.ExpFloat64() / max(rate, 1) / 3
@@ -59,16 +59,16 @@
 				}
 			}
 			allowed := 1.5*rate*ratelimit.Window.Seconds() + 5
-			NewWithT(t).Expect(float64(mostIn(passed, ratelimit.Window))).To(BeNumerically("<=", allowed), "rate %v, seed %d", rate, seed)
+			NewWithT(t).Expect(float64(maxInWindow(passed, ratelimit.Window))).To(BeNumerically("<=", allowed), "rate %v, seed %d", rate, seed)
 		}
 	}
 }
 
-// TestFewerThanTheLimitPass: up to the limit in any second, evenly or at once, nothing waits.
-func TestFewerThanTheLimitPass(t *testing.T) {
+// TestNoWaitBelowLimit: up to the limit in any second, evenly or at once, nothing waits.
+func TestNoWaitBelowLimit(t *testing.T) {
 	for _, rate := range []float64{1, 2, 12.8, 1000} {
 		for _, together := range []int{1, int(rate)} {
-			limit, now := limited(rate), start.Add(time.Second)
+			limit, now := newLimit(rate), start.Add(time.Second)
 			for range 50 {
 				for range together {
 					NewWithT(t).Expect(limit.Wait(0, now)).To(BeZero(), "rate %v, %d together", rate, together)
@@ -80,15 +80,15 @@
 	}
 }
 
-// TestALimitCountsWhatPassedBeforeItWasNamed, within the time of a burst.
-func TestALimitCountsWhatPassedBeforeItWasNamed(t *testing.T) {
+// TestNewLimitCountsEarlierRequests, within the time of a burst.
+func TestNewLimitCountsEarlierRequests(t *testing.T) {
 	g := NewWithT(t)
 	limit := &ratelimit.Limit{}
 	for range 7 {
 		limit.Consume(1, start)
 	}
 	now := start.Add(500 * time.Millisecond)
-	limit.Update(named(10), now, now)
+	limit.Update(advertise(10), now, now)
 	for range 3 {
 		g.Expect(limit.Ready(now)).To(BeTrue())
 		limit.Consume(1, now)
@@ -97,8 +97,8 @@
 	g.Expect(limit.Recent(now)).To(Equal(10))
 }
 
-// TestWhichAnswerHolds: the later written one; where that is not known, the stricter one.
-func TestWhichAnswerHolds(t *testing.T) {
+// TestUpdatePrecedence: the later written one; where that is not known, the stricter one.
+func TestUpdatePrecedence(t *testing.T) {
 	type answer struct {
 		advertised     ratelimit.Advertised
 		sent, answered int // in milliseconds
@@ -106,38 +106,38 @@
 	cases := []struct {
 		name    string
 		answers []answer
-		holds   ratelimit.Advertised
+		want    ratelimit.Advertised
 	}{
-		{"named", []answer{{named(10), 0, 5}}, named(10)},
-		{"ended", []answer{{named(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}}, ratelimit.Advertised{}},
-		{"an answer that was begun before", []answer{{named(10), 0, 5}, {ratelimit.Advertised{}, 4, 9}}, named(10)},
-		{"ended by one begun after all that named it", []answer{{named(10), 0, 5}, {named(10), 1, 12}, {ratelimit.Advertised{}, 6, 13}}, named(10)},
-		{"raised", []answer{{named(10), 0, 5}, {named(20), 5, 9}}, named(20)},
-		{"raised by an answer that crossed", []answer{{named(10), 0, 5}, {named(20), 1, 9}}, named(10)},
-		{"lowered by an answer that crossed", []answer{{named(10), 0, 5}, {named(2), 1, 9}}, named(2)},
-		{"lowered to nothing", []answer{{named(10), 0, 5}, {named(0), 6, 9}}, named(0)},
-		{"ended and named anew", []answer{{named(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}, {named(3), 8, 10}}, named(3)},
+		{"named", []answer{{advertise(10), 0, 5}}, advertise(10)},
+		{"ended", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}}, ratelimit.Advertised{}},
+		{"an answer that was begun before", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 4, 9}}, advertise(10)},
+		{"ended by one begun after all that named it", []answer{{advertise(10), 0, 5}, {advertise(10), 1, 12}, {ratelimit.Advertised{}, 6, 13}}, advertise(10)},
+		{"raised", []answer{{advertise(10), 0, 5}, {advertise(20), 5, 9}}, advertise(20)},
+		{"raised by an answer that crossed", []answer{{advertise(10), 0, 5}, {advertise(20), 1, 9}}, advertise(10)},
+		{"lowered by an answer that crossed", []answer{{advertise(10), 0, 5}, {advertise(2), 1, 9}}, advertise(2)},
+		{"lowered to nothing", []answer{{advertise(10), 0, 5}, {advertise(0), 6, 9}}, advertise(0)},
+		{"ended and named anew", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}, {advertise(3), 8, 10}}, advertise(3)},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			limit := &ratelimit.Limit{}
-			for _, given := range held.answers {
+			for _, given := range test.answers {
 				at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 				limit.Update(given.advertised, at(given.sent), at(given.answered))
 			}
 			advertised, _ := limit.Advertised()
-			NewWithT(t).Expect(advertised).To(Equal(held.holds))
+			NewWithT(t).Expect(advertised).To(Equal(test.want))
 		})
 	}
 }
 
-// TestALimitThatEndsLetsAllPass, and so does another incarnation.
-func TestALimitThatEndsLetsAllPass(t *testing.T) {
+// TestEndedLimitAllowsEverything, and so does another incarnation.
+func TestEndedLimitAllowsEverything(t *testing.T) {
 	for name, end := range map[string]func(*ratelimit.Limit){
 		"by its word":         func(limit *ratelimit.Limit) { limit.Update(ratelimit.Advertised{}, start, start) },
 		"another incarnation": (*ratelimit.Limit).Reset,
 	} {
-		limit := limited(0)
+		limit := newLimit(0)
 		limit.Consume(1, start)
 		limit.Consume(1, start)
 		NewWithT(t).Expect(limit.Ready(start)).To(BeFalse(), name)
@@ -146,15 +146,15 @@
 	}
 }
 
-// TestAWindowAcrossAChange holds what the higher of the two rates allows.
-func TestAWindowAcrossAChange(t *testing.T) {
+// TestWindowAcrossRateChange holds what the higher of the two rates allows.
+func TestWindowAcrossRateChange(t *testing.T) {
 	for _, rates := range [][2]float64{{100, 1}, {1, 100}, {0, 12.8}, {12.8, 0}} {
-		limit, now := limited(rates[0]), start
+		limit, now := newLimit(rates[0]), start
 		var passed []time.Time
 		for i := range 8000 {
 			now = now.Add(time.Millisecond)
 			if i == 4000 {
-				limit.Update(named(rates[1]), now, now)
+				limit.Update(advertise(rates[1]), now, now)
 			}
 			if limit.Ready(now) {
 				limit.Consume(1, now)
@@ -162,47 +162,47 @@
 			}
 		}
 		most := 1.5*max(rates[0], rates[1])*ratelimit.Window.Seconds() + 5
-		NewWithT(t).Expect(float64(mostIn(passed, ratelimit.Window))).To(BeNumerically("<=", most), "%v", rates)
+		NewWithT(t).Expect(float64(maxInWindow(passed, ratelimit.Window))).To(BeNumerically("<=", most), "%v", rates)
 	}
 }
 
-// TestWhatWasNotSentDoesNotCount.
-func TestWhatWasNotSentDoesNotCount(t *testing.T) {
-	limit, now := limited(1), start.Add(time.Second)
+// TestRefund.
+func TestRefund(t *testing.T) {
+	limit, now := newLimit(1), start.Add(time.Second)
 	limit.Consume(1, now)
 	limit.Refund(now)
 	NewWithT(t).Expect(limit.Ready(now)).To(BeTrue())
 }
 
-// TestPeersAreToldTimesOfTheirOwn, one interval apart, a peer always the same until it has passed.
-func TestPeersAreToldTimesOfTheirOwn(t *testing.T) {
+// TestRetryAfterIsSpreadOverPeers, one interval apart, a peer always the same until it has passed.
+func TestRetryAfterIsSpreadOverPeers(t *testing.T) {
 	g := NewWithT(t)
-	limit, now := limited(10), start
-	told := map[time.Duration]bool{}
+	limit, now := newLimit(10), start
+	assigned := map[time.Duration]bool{}
 	for peer := range 20 {
 		wait := limit.RetryAfter(fmt.Sprint("peer-", peer), 1, 0, now)
-		g.Expect(told[wait.Round(time.Millisecond)]).To(BeFalse())
-		told[wait.Round(time.Millisecond)] = true
+		g.Expect(assigned[wait.Round(time.Millisecond)]).To(BeFalse())
+		assigned[wait.Round(time.Millisecond)] = true
 		g.Expect(limit.RetryAfter(fmt.Sprint("peer-", peer), 1, 0, now)).To(Equal(wait))
 	}
 	g.Expect(limit.RetryAfter("another", 1, 0, now)).To(BeNumerically("~", 2*time.Second, time.Millisecond))
 	g.Expect(limit.RetryAfter("urgent", 0, 0, now)).To(BeZero(), "does not wait for the less urgent")
 }
 
-// TestALimitOfANodeThatHasJustStartedBeginsWithoutRoom.
-func TestALimitOfANodeThatHasJustStartedBeginsWithoutRoom(t *testing.T) {
+// TestLimitAfterRestartStartsEmpty.
+func TestLimitAfterRestartStartsEmpty(t *testing.T) {
 	limit := &ratelimit.Limit{}
 	limit.Restarted()
 	limit.Consume(1, start)
-	limit.Update(named(10), start, start)
+	limit.Update(advertise(10), start, start)
 	NewWithT(t).Expect(limit.Wait(0, start)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// TestTheLessUrgentAreNotStarved: while the urgent ask for more than the limit, others get about a fifth of it.
-func TestTheLessUrgentAreNotStarved(t *testing.T) {
+// TestMinimumShareOfLessUrgentClasses: while the urgent ask for more than the limit, others get about a fifth of it.
+func TestMinimumShareOfLessUrgentClasses(t *testing.T) {
 	g := NewWithT(t)
 	const perSecond, seconds = 10.0, 60
-	limit, now := limited(perSecond), start
+	limit, now := newLimit(perSecond), start
 	var passed [3]int
 	for range seconds * 100 {
 		now = now.Add(10 * time.Millisecond)
@@ -218,10 +218,10 @@
 	g.Expect(passed[0]).To(BeNumerically(">=", 0.75*perSecond*seconds))
 }
 
-// TestWhatTheUrgentTakeIsNotExpected by others, which are told the longer wait.
-func TestWhatTheUrgentTakeIsNotExpected(t *testing.T) {
+// TestWaitAccountsForMoreUrgentClasses by others, which are told the longer wait.
+func TestWaitAccountsForMoreUrgentClasses(t *testing.T) {
 	g := NewWithT(t)
-	limit, now := limited(10), start
+	limit, now := newLimit(10), start
 	for range 100 { // half of the limit
 		now = now.Add(200 * time.Millisecond)
 		limit.Consume(0, now)
--- a/internal/sidecar/ratelimit/recent.go
+++ b/internal/sidecar/ratelimit/recent.go
@@ -18,8 +18,8 @@
 	newest int
 }
 
-// note counts a request.
-func (r *recent) note(now time.Time) {
+// record counts a request.
+func (r *recent) record(now time.Time) {
 	if r.first.IsZero() {
 		r.first = now
 	}
--- a/internal/sidecar/ratelimit/schedule.go
+++ b/internal/sidecar/ratelimit/schedule.go
@@ -43,13 +43,13 @@
 }
 
 // next returns the wait to tell a peer whose request could pass after the least wait.
-func (s *schedule) next(peer string, class Class, least, interval time.Duration, now time.Time) time.Duration {
-	key, at := peerClass{peer, class}, now.Add(least)
-	if told, known := s.byPeer[key]; known && !told.Before(at) {
-		return told.Sub(now)
+func (s *schedule) next(peer string, class Class, minWait, interval time.Duration, now time.Time) time.Duration {
+	key, at := peerClass{peer, class}, now.Add(minWait)
+	if scheduled, known := s.byPeer[key]; known && !scheduled.Before(at) {
+		return scheduled.Sub(now)
 	}
-	for _, told := range s.latest[:class+1] {
-		if following := told.Add(interval); following.After(at) {
+	for _, scheduled := range s.latest[:class+1] {
+		if following := scheduled.Add(interval); following.After(at) {
 			at = following
 		}
 	}
@@ -63,8 +63,8 @@
 
 // outstanding reports whether a request of the class, or a more urgent one, was told a time to come.
 func (s *schedule) outstanding(class Class, now time.Time) bool {
-	for _, told := range s.latest[:class+1] {
-		if told.After(now) {
+	for _, scheduled := range s.latest[:class+1] {
+		if scheduled.After(now) {
 			return true
 		}
 	}
@@ -73,7 +73,7 @@
 
 func (s *schedule) remember(key peerClass, at, now time.Time) {
 	if len(s.byPeer) >= maxPeers {
-		maps.DeleteFunc(s.byPeer, func(_ peerClass, told time.Time) bool { return told.Before(now) })
+		maps.DeleteFunc(s.byPeer, func(_ peerClass, scheduled time.Time) bool { return scheduled.Before(now) })
 	}
 	if len(s.byPeer) >= maxPeers {
 		s.byPeer = nil
--- a/internal/sidecar/ratelimit/usage.go
+++ b/internal/sidecar/ratelimit/usage.go
@@ -11,30 +11,30 @@
 // usage is how many requests of each class pass, as counts that fade over usageTime. The zero value has
 // seen none.
 type usage struct {
-	counts [classes]float64
-	at     time.Time
-	// last is when a request of the class passed last, asked is when one asked last to pass before its turn.
-	last, asked [classes]time.Time
+	counts  [classes]float64
+	updated time.Time
+	// lastConsumed is when a request of the class passed lastConsumed, lastAsked is when one lastAsked lastConsumed to pass before its turn.
+	lastConsumed, lastAsked [classes]time.Time
 }
 
-// note counts a request of the class.
-func (u *usage) note(class Class, now time.Time) {
-	u.fade(now)
+// record counts a request of the class.
+func (u *usage) record(class Class, now time.Time) {
+	u.decay(now)
 	u.counts[class]++
-	u.last[class] = now
+	u.lastConsumed[class] = now
 }
 
-// before returns how many requests a second of the more urgent classes pass.
-func (u *usage) before(class Class, now time.Time) (perSecond float64) {
-	u.fade(now)
+// moreUrgentRate returns how many requests a second of the more urgent classes pass.
+func (u *usage) moreUrgentRate(class Class, now time.Time) (perSecond float64) {
+	u.decay(now)
 	for _, count := range u.counts[:class] {
 		perSecond += count / usageTime.Seconds()
 	}
 	return perSecond
 }
 
-func (u *usage) fade(now time.Time) {
-	passed := now.Sub(u.at)
+func (u *usage) decay(now time.Time) {
+	passed := now.Sub(u.updated)
 	if passed <= 0 {
 		return
 	}
@@ -42,16 +42,16 @@
 	for i := range u.counts {
 		u.counts[i] *= left
 	}
-	u.at = now
+	u.updated = now
 }
 
-// ask notes that a request of the class asks to pass before its turn.
-func (u *usage) ask(class Class, now time.Time) { u.asked[class] = now }
+// recordAttempt notes that a request of the class asks to pass before its turn.
+func (u *usage) recordAttempt(class Class, now time.Time) { u.lastAsked[class] = now }
 
-// waitsLongest reports whether no other class that has asked within that time has waited longer.
-func (u *usage) waitsLongest(class Class, within time.Duration, now time.Time) bool {
-	for other, asked := range u.asked {
-		if now.Sub(asked) < within && u.last[other].Before(u.last[class]) {
+// hasWaitedLongest reports whether no other class that has asked within that time has waited longer.
+func (u *usage) hasWaitedLongest(class Class, within time.Duration, now time.Time) bool {
+	for other, lastAsked := range u.lastAsked {
+		if now.Sub(lastAsked) < within && u.lastConsumed[other].Before(u.lastConsumed[class]) {
 			return false
 		}
 	}
--- a/internal/sidecar/stall/stall.go
+++ b/internal/sidecar/stall/stall.go
@@ -7,8 +7,8 @@
 const (
 	// Interval is the time between two ticks, and the shortest stall that counts.
 	Interval = 20 * time.Millisecond
-	// kept is how many stalls are remembered.
-	kept = 32
+	// maxStalls is how many stalls are remembered.
+	maxStalls = 32
 )
 
 // Tracker remembers stalls by ticks that came late. It is pure: it is told the time. The zero value has
@@ -16,15 +16,15 @@
 type Tracker struct {
 	// last is the last tick.
 	last   time.Time
-	stalls [kept]stretch
+	stalls [maxStalls]interval
 	next   int
 }
 
-// stretch is the time between two moments.
-type stretch struct{ from, to time.Time }
+// interval is the time between two moments.
+type interval struct{ from, to time.Time }
 
-// within returns how much of it lies between two moments.
-func (s stretch) within(from, to time.Time) time.Duration {
+// overlap returns how much of it lies between two moments.
+func (s interval) overlap(from, to time.Time) time.Duration {
 	if s.from.After(from) {
 		from = s.from
 	}
@@ -41,26 +41,26 @@
 func (r *Tracker) Tick(now time.Time) {
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
 		r.stalls[r.next] = late
-		r.next = (r.next + 1) % kept
+		r.next = (r.next + 1) % maxStalls
 	}
 	r.last = now
 }
 
 // late is the time by which the next tick is late now.
-func (r *Tracker) late(now time.Time) stretch {
+func (r *Tracker) late(now time.Time) interval {
 	if r.last.IsZero() {
-		return stretch{from: now, to: now}
+		return interval{from: now, to: now}
 	}
-	return stretch{from: r.last.Add(Interval), to: now}
+	return interval{from: r.last.Add(Interval), to: now}
 }
 
 // Stalled returns for how long the node did not run between two moments, the later of which is now.
 func (r *Tracker) Stalled(from, now time.Time) (total time.Duration) {
-	for _, one := range r.stalls {
-		total += one.within(from, now)
+	for _, past := range r.stalls {
+		total += past.overlap(from, now)
 	}
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
-		total += late.within(from, now)
+		total += late.overlap(from, now)
 	}
 	return total
 }
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/stall"
 )
 
-func TestStallsWithin(t *testing.T) {
+func TestTrackerStalled(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	cases := []struct {
@@ -29,29 +29,29 @@
 		{"begun after the stall", []int{0, 20, 540}, 541, 560, 0},
 		{"several", []int{0, 120, 140, 260}, 0, 270, 200 * time.Millisecond},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
-			var record stall.Tracker
-			for _, tick := range held.ticks {
-				record.Tick(at(tick))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			var tracker stall.Tracker
+			for _, tick := range test.ticks {
+				tracker.Tick(at(tick))
 			}
-			NewWithT(t).Expect(record.Stalled(at(held.from), at(held.now))).To(Equal(held.want))
+			NewWithT(t).Expect(tracker.Stalled(at(test.from), at(test.now))).To(Equal(test.want))
 		})
 	}
 }
 
-// TestATimeWithoutWatchIsNoStall: nobody asked for ticks.
-func TestATimeWithoutWatchIsNoStall(t *testing.T) {
+// TestTimeWithoutMonitoringIsNoStall: nobody asked for ticks.
+func TestTimeWithoutMonitoringIsNoStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		watch := &stall.Monitor{}
+		monitor := &stall.Monitor{}
 		began := clock.Now()
-		watch.Extend()
+		monitor.Extend()
 		time.Sleep(time.Minute)
-		g.Expect(watch.Stalled(began)).To(BeZero())
-		watch.Extend()
+		g.Expect(monitor.Stalled(began)).To(BeZero())
+		monitor.Extend()
 		time.Sleep(time.Second)
-		g.Expect(watch.Stalled(began)).To(BeZero())
+		g.Expect(monitor.Stalled(began)).To(BeZero())
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -7,13 +7,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// watchTime is for how long a watch goes on after it was last asked to.
-const watchTime = 2 * time.Second
+// monitorTime is for how long a watch goes on after it was last asked to.
+const monitorTime = 2 * time.Second
 
 // Monitor ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
 type Monitor struct {
-	mu     sync.Mutex // guards all below
-	record Tracker
+	mu      sync.Mutex // guards all below
+	tracker Tracker
 	// until is when the watch ends, zero while it does not tick.
 	until time.Time
 }
@@ -23,9 +23,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ticks := !w.until.IsZero()
-	w.until = clock.Now().Add(watchTime)
+	w.until = clock.Now().Add(monitorTime)
 	if !ticks {
-		w.record.Reset()
+		w.tracker.Reset()
 		go w.run()
 	}
 }
@@ -43,12 +43,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	w.record.Tick(now)
+	w.tracker.Tick(now)
 	if now.Before(w.until) {
 		return true
 	}
 	w.until = time.Time{}
-	w.record.Reset()
+	w.tracker.Reset()
 	return false
 }
 
@@ -56,5 +56,5 @@
 func (w *Monitor) Stalled(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.record.Stalled(from, clock.Now())
+	return w.tracker.Stalled(from, clock.Now())
 }
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -13,17 +13,17 @@
 const (
 	// window is the time over which requests to a cold back end are counted.
 	window = time.Second
-	// quietGap is how long without any answer a back end may have ended and started again
+	// maxSilence is how long without any answer a back end may have ended and started again
 	// unheard: what is down for less is seen by connections that are refused.
-	quietGap = 500 * time.Millisecond
-	// askInterval is the least time between two questions of whether the back end is cold.
-	askInterval = 100 * time.Millisecond
-	// askShare is the part of what a cold back end bears that passes before it is asked: one
+	maxSilence = 500 * time.Millisecond
+	// probeInterval is the least time between two questions of whether the back end is cold.
+	probeInterval = 100 * time.Millisecond
+	// probeThreshold is the part of what a cold back end bears that passes before it is asked: one
 	// with little to do needs no question.
-	askShare = 0.5
-	// mostUnknown is how many requests a back end that is, or may be, cold gets in a window while the
+	probeThreshold = 0.5
+	// unconfiguredLimit is how many requests a back end that is, or may be, cold gets in a window while the
 	// configuration has not told what it bears: the least that it can tell.
-	mostUnknown = 1
+	unconfiguredLimit = 1
 )
 
 // Limit bounds the requests to one back end. The zero value knows of no configuration and takes the
@@ -32,21 +32,21 @@
 	mu sync.Mutex // guards all below
 	// configured: the configuration has told of the back end's service.
 	configured bool
-	// most is how many requests a cold back end bears in a window, zero for any number.
-	most int
-	// lasts is how long a back end stays cold after its start.
-	lasts time.Duration
-	// passed holds the moments of the last requests that passed, at most as many as a cold back
+	// maxPerWindow is how many requests a cold back end bears in a window, zero for any number.
+	maxPerWindow int
+	// warmupTime is how long a back end stays cold after its start.
+	warmupTime time.Duration
+	// admitted holds the moments of the last requests that admitted, at most as many as a cold back
 	// end bears, next where the next one goes: the oldest.
-	passed []time.Time
-	next   int
+	admitted []time.Time
+	next     int
 	// coldUntil is when a warm-up that was told of is over, suspectedUntil when one would be that
 	// may have begun unheard.
 	coldUntil, suspectedUntil time.Time
-	// suspected is when that was last suspected.
-	suspected time.Time
-	// answered is when the back end last answered, asked when it was last asked.
-	answered, asked time.Time
+	// suspectedAt is when that was last suspectedAt.
+	suspectedAt time.Time
+	// lastResponse is when the back end last lastResponse, lastProbe when it was last lastProbe.
+	lastResponse, lastProbe time.Time
 }
 
 // Decision says what becomes of one request.
@@ -61,41 +61,41 @@
 
 // Configure sets how many requests a second a cold back end bears, zero for any number, and how
 // long it stays cold.
-func (l *Limit) Configure(perSecond float64, lasts time.Duration) {
+func (l *Limit) Configure(perSecond float64, warmupTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := 0
+	maxPerWindow := 0
 	if perSecond > 0 {
-		most = max(int(perSecond*window.Seconds()), 1)
+		maxPerWindow = max(int(perSecond*window.Seconds()), 1)
 	}
-	l.lasts = lasts
-	if l.configured && most == l.most {
+	l.warmupTime = warmupTime
+	if l.configured && maxPerWindow == l.maxPerWindow {
 		return
 	}
 	l.configured = true
-	l.resize(most)
-	l.answered = time.Time{}
+	l.resize(maxPerWindow)
+	l.lastResponse = time.Time{}
 }
 
 // resize sets how many requests pass in a window. The last that have passed go on counting; the lock is
 // held.
-func (l *Limit) resize(most int) {
-	kept := slices.Clone(l.passed)
-	slices.SortFunc(kept, time.Time.Compare)
-	kept = kept[max(0, len(kept)-most):]
-	l.most, l.passed = most, make([]time.Time, most)
-	copy(l.passed, kept)
+func (l *Limit) resize(maxPerWindow int) {
+	recent := slices.Clone(l.admitted)
+	slices.SortFunc(recent, time.Time.Compare)
+	recent = recent[max(0, len(recent)-maxPerWindow):]
+	l.maxPerWindow, l.admitted = maxPerWindow, make([]time.Time, maxPerWindow)
+	copy(l.admitted, recent)
 	l.next = 0
-	if most > 0 {
-		l.next = len(kept) % most
+	if maxPerWindow > 0 {
+		l.next = len(recent) % maxPerWindow
 	}
 }
 
 // ExtendWarmup takes in the back end's word that it is cold for that much longer.
-func (l *Limit) ExtendWarmup(left time.Duration, now time.Time) {
+func (l *Limit) ExtendWarmup(remaining time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until := now.Add(left); left > 0 && until.After(l.coldUntil) {
+	if until := now.Add(remaining); remaining > 0 && until.After(l.coldUntil) {
 		l.coldUntil = until
 	}
 }
@@ -107,15 +107,15 @@
 	l.suspect(now)
 }
 
-func (l *Limit) suspect(now time.Time) { l.suspected, l.suspectedUntil = now, now.Add(l.lasts) }
+func (l *Limit) suspect(now time.Time) { l.suspectedAt, l.suspectedUntil = now, now.Add(l.warmupTime) }
 
 // SetProbeResult takes in what the back end itself answered to a question of a moment: for how much
 // longer it is cold, zero when it is not.
-func (l *Limit) SetProbeResult(left time.Duration, asked, now time.Time) {
+func (l *Limit) SetProbeResult(remaining time.Duration, probedAt, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coldUntil, l.answered = now.Add(left), now
-	if !l.suspected.After(asked) {
+	l.coldUntil, l.lastResponse = now.Add(remaining), now
+	if !l.suspectedAt.After(probedAt) {
 		l.suspectedUntil = time.Time{}
 	}
 }
@@ -124,43 +124,43 @@
 func (l *Limit) RecordResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.most > 0 {
-		l.answered = now
+	if l.maxPerWindow > 0 {
+		l.lastResponse = now
 	}
 }
 
 // Admit decides on one request, and counts it when it passes.
-func (l *Limit) Admit(now time.Time) (verdict Decision) {
+func (l *Limit) Admit(now time.Time) (decision Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.configured && l.most == 0 {
-		l.resize(mostUnknown)
+	if !l.configured && l.maxPerWindow == 0 {
+		l.resize(unconfiguredLimit)
 	}
-	if l.most == 0 {
+	if l.maxPerWindow == 0 {
 		return Decision{}
 	}
-	if now.Sub(l.answered) > quietGap && !now.Before(l.suspectedUntil) {
+	if now.Sub(l.lastResponse) > maxSilence && !now.Before(l.suspectedUntil) {
 		l.suspect(now)
 	}
-	cold, doubtful := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
-	if doubtful && l.recent(now) >= int(askShare*float64(l.most)) && now.Sub(l.asked) >= askInterval {
-		l.asked, verdict.Probe = now, true
+	cold, maybeCold := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
+	if maybeCold && l.recent(now) >= int(probeThreshold*float64(l.maxPerWindow)) && now.Sub(l.lastProbe) >= probeInterval {
+		l.lastProbe, decision.Probe = now, true
 	}
-	oldest := l.passed[l.next]
-	if wait := window - now.Sub(oldest); (cold || doubtful) && wait > 0 && !oldest.IsZero() {
-		verdict.Refused, verdict.RetryAfter = true, wait
-		return verdict
+	oldest := l.admitted[l.next]
+	if wait := window - now.Sub(oldest); (cold || maybeCold) && wait > 0 && !oldest.IsZero() {
+		decision.Refused, decision.RetryAfter = true, wait
+		return decision
 	}
-	l.passed[l.next] = now
-	l.next = (l.next + 1) % l.most
-	return verdict
+	l.admitted[l.next] = now
+	l.next = (l.next + 1) % l.maxPerWindow
+	return decision
 }
 
 // recent returns how many requests passed within the last window, at most as many as a cold
 // back end bears; the lock is held.
 func (l *Limit) recent(now time.Time) int {
 	count := 0
-	for _, at := range l.passed {
+	for _, at := range l.admitted {
 		if !at.IsZero() && now.Sub(at) < window {
 			count++
 		}
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	perSecond = 12
-	lasts     = 3 * time.Second
+	perSecond  = 12
+	warmupTime = 3 * time.Second
 )
 
 var start = time.Unix(1_000, 0)
@@ -22,22 +22,22 @@
 
 func configured() *warmup.Limit {
 	limit := &warmup.Limit{}
-	limit.Configure(perSecond, lasts)
+	limit.Configure(perSecond, warmupTime)
 	return limit
 }
 
-// passes counts how many of requests a millisecond apart pass from one moment on.
-func passes(limit *warmup.Limit, from, requests int) (passed int) {
+// countAdmitted counts how many of requests a millisecond apart pass from one moment on.
+func countAdmitted(limit *warmup.Limit, from, requests int) (admitted int) {
 	for i := range requests {
 		if !limit.Admit(at(from + i)).Refused {
-			passed++
+			admitted++
 		}
 	}
-	return passed
+	return admitted
 }
 
-// TestWhenABackEndIsBounded for each way in which it may be cold.
-func TestWhenABackEndIsBounded(t *testing.T) {
+// TestAdmitByWarmupState for each way in which it may be cold.
+func TestAdmitByWarmupState(t *testing.T) {
 	const many = 100
 	cases := []struct {
 		name string
@@ -61,20 +61,20 @@
 		{"was quiet", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
 		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.RecordResponse(at(3000)) }, 3001, many},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			limit := configured()
-			played.tell(limit)
-			NewWithT(t).Expect(passes(limit, played.from, many)).To(Equal(played.pass))
+			test.tell(limit)
+			NewWithT(t).Expect(countAdmitted(limit, test.from, many)).To(Equal(test.pass))
 		})
 	}
 }
 
-// TestABackEndThatBearsAnything is never bounded nor asked.
-func TestABackEndThatBearsAnything(t *testing.T) {
+// TestUnlimitedBackEnd is never bounded nor asked.
+func TestUnlimitedBackEnd(t *testing.T) {
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
-	limit.Configure(0, lasts)
+	limit.Configure(0, warmupTime)
 	limit.ExtendWarmup(time.Minute, at(0))
 	limit.SuspectCold(at(0))
 	for i := range 1000 {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestQuestionsAreFew: a back end with little to do is not asked, a busy one at most ten times
+// TestProbeRateIsBounded: a back end with little to do is not asked, a busy one at most ten times
 // a second, and one that answers that it is warm not again.
-func TestQuestionsAreFew(t *testing.T) {
+func TestProbeRateIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	asked := func(limit *warmup.Limit, gap, requests int) (count int) {
 		for i := range requests {
@@ -102,9 +102,9 @@
 	g.Expect(asked(warm, 1, 400)).To(Equal(0))
 }
 
-// TestNoWindowHoldsMore: whatever comes when, no second holds more than a cold back end bears,
+// TestRateInAnyWindow: whatever comes when, no second holds more than a cold back end bears,
 // and a refusal says when the next may come.
-func TestNoWindowHoldsMore(t *testing.T) {
+func TestRateInAnyWindow(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		g := NewWithT(t)
@@ -114,10 +114,10 @@
 		now := at(0)
 		for range 3000 {
 			now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
-			verdict := limit.Admit(now)
-			if verdict.Refused {
-				g.Expect(verdict.RetryAfter).To(BeNumerically(">", 0))
-				g.Expect(verdict.RetryAfter).To(BeNumerically("<=", time.Second))
+			decision := limit.Admit(now)
+			if decision.Refused {
+				g.Expect(decision.RetryAfter).To(BeNumerically(">", 0))
+				g.Expect(decision.RetryAfter).To(BeNumerically("<=", time.Second))
 				continue
 			}
 			passed = append(passed, now)
@@ -129,23 +129,23 @@
 	}
 }
 
-// TestBeforeAConfigurationCame a cold back end gets the least that one can allow, and what it got counts
+// TestLimitBeforeConfiguration a cold back end gets the least that one can allow, and what it got counts
 // for the bound that comes.
-func TestBeforeAConfigurationCame(t *testing.T) {
+func TestLimitBeforeConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
-	g.Expect(passes(limit, 0, 100)).To(Equal(1))
-	limit.Configure(perSecond, lasts)
-	g.Expect(passes(limit, 100, 100)).To(Equal(perSecond - 1))
+	g.Expect(countAdmitted(limit, 0, 100)).To(Equal(1))
+	limit.Configure(perSecond, warmupTime)
+	g.Expect(countAdmitted(limit, 100, 100)).To(Equal(perSecond - 1))
 }
 
-// TestAChangedBoundCountsWhatPassedBefore.
-func TestAChangedBoundCountsWhatPassedBefore(t *testing.T) {
+// TestChangedLimitCountsEarlierRequests.
+func TestChangedLimitCountsEarlierRequests(t *testing.T) {
 	g := NewWithT(t)
 	limit := configured()
-	g.Expect(passes(limit, 0, 100)).To(Equal(perSecond))
-	limit.Configure(perSecond+3, lasts)
-	g.Expect(passes(limit, 100, 100)).To(Equal(3))
-	limit.Configure(perSecond/2, lasts)
-	g.Expect(passes(limit, 200, 100)).To(BeZero())
+	g.Expect(countAdmitted(limit, 0, 100)).To(Equal(perSecond))
+	limit.Configure(perSecond+3, warmupTime)
+	g.Expect(countAdmitted(limit, 100, 100)).To(Equal(3))
+	limit.Configure(perSecond/2, warmupTime)
+	g.Expect(countAdmitted(limit, 200, 100)).To(BeZero())
 }
