--- a/internal/sidecar/contention/contention.go
+++ b/internal/sidecar/contention/contention.go
@@ -1,32 +1,32 @@
-// Package contention decides whether overload control is on: nested calls first, slots shared
-// between tenants, back ends chosen by load and, where it is asked for, repeats lent between nodes. The
-// package is pure.
+// Package contention decides whether overload control is on: nested calls first, slots shared between
+// tenants, load-based choice of back ends and, where enabled, retry tokens lent between nodes. The
+// package does no I/O.
 package contention
 
 import (
 	"sync/atomic"
 )
 
-// Mode is what the settings say.
+// Mode is the configured mode of overload control.
 type Mode string
 
-// Modes.
+// Modes of overload control.
 const (
-	// Auto: on where the configuration names tenants or some back end tells that it shares its
-	// machine with others.
+	// Auto: on if the configuration defines tenants or some back end reports that it shares its machine
+	// with others.
 	Auto Mode = "auto"
 	On   Mode = "on"
 	Off  Mode = "off"
 )
 
-// Switch holds whether overload control is on. It is safe for concurrent use.
+// Switch reports whether overload control is on. It is safe for concurrent use.
 type Switch struct {
 	mode Mode
-	// tenants and shared are what is known of the deployment.
+	// tenants: the configuration defines tenants. shared: a back end shares its machine.
 	tenants, shared atomic.Bool
 }
 
-// NewSwitch returns a switch that knows of no reason. An empty mode is Auto.
+// NewSwitch returns a switch for a deployment without tenants and shared machines. An empty mode is Auto.
 func NewSwitch(mode Mode) *Switch {
 	if mode == "" {
 		mode = Auto
@@ -34,17 +34,17 @@
 	return &Switch{mode: mode}
 }
 
-// SetTenantsConfigured takes in whether the configuration in force names tenants.
+// SetTenantsConfigured sets whether the configuration in force defines tenants.
 func (s *Switch) SetTenantsConfigured(named bool) { s.tenants.Store(named) }
 
-// SetShared takes in that a back end shares its machine with others, and reports whether that is
-// news. It holds for the life of the process.
+// SetShared records that a back end shares its machine with others, and reports whether this was not
+// known before. It holds for the lifetime of the process.
 func (s *Switch) SetShared() (news bool) { return s.shared.CompareAndSwap(false, true) }
 
 // Shared reports whether some back end is known to share its machine.
 func (s *Switch) Shared() bool { return s.shared.Load() }
 
-// On reports whether requests compete for room.
+// On reports whether overload control is on.
 func (s *Switch) On() bool {
 	switch s.mode {
 	case On:
--- a/internal/sidecar/contention/contention_test.go
+++ b/internal/sidecar/contention/contention_test.go
@@ -27,7 +27,7 @@
 		control.SetTenantsConfigured(test.tenants)
 		if test.shared {
 			g.Expect(control.SetShared()).To(BeTrue())
-			g.Expect(control.SetShared()).To(BeFalse(), "it is no news")
+			g.Expect(control.SetShared()).To(BeFalse(), "already known")
 		}
 		g.Expect(control.On()).To(Equal(test.on), "%+v", test)
 		g.Expect(control.Shared()).To(Equal(test.shared))
--- a/internal/sidecar/evenly/evenly_test.go
+++ b/internal/sidecar/evenly/evenly_test.go
@@ -9,8 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/evenly"
 )
 
-// TestRunsAreSplitByShare: of each run of requests, wherever it begins, a share goes one way that
-// is at most three requests off.
+// TestRunsAreSplitByShare checks that the split of any contiguous run of requests deviates from the share
+// by at most three requests.
 func TestRunsAreSplitByShare(t *testing.T) {
 	g := NewWithT(t)
 	for _, share := range []float64{0.01, 0.1, 0.5, 0.9} {
--- a/internal/sidecar/pause/pause.go
+++ b/internal/sidecar/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits between tries, longer after each failure.
+// Package pause provides jittered waits between attempts and an exponential backoff.
 package pause
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Wait pauses for half to all of the duration, or until the context ends.
+// Wait waits for a random time between half and all of the duration, or until the context ends.
 func Wait(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration/2 + rand.N(duration/2+1))
 	defer timer.Stop()
@@ -17,8 +17,8 @@
 	}
 }
 
-// Backoff is the wait after failures in a row: Base after the first, twice as
-// long after each further one, up to Most.
+// Backoff is an exponential backoff: it waits for Base after the first failure in a row and twice as long
+// after each further one, up to Max.
 type Backoff struct {
 	Base, Max time.Duration
 	next      time.Duration
@@ -31,5 +31,5 @@
 	Wait(ctx, wait)
 }
 
-// Reset ends the failures in a row.
+// Reset resets the backoff after a success.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/sidecar/precedence/precedence.go
+++ b/internal/sidecar/precedence/precedence.go
@@ -1,25 +1,24 @@
-// Package precedence orders requests that compete for a back end's slots. A caller's node tells
-// with the request what it goes by (package hop); the queue at the back end's node orders by it. The
-// package is pure.
+// Package precedence orders requests that compete for the slots of a back end. The caller's node sends
+// the precedence with the request (package hop); the queue at the back end's node orders requests by it.
+// The package does no I/O.
 package precedence
 
-// Precedence is what of a request decides when it gets room.
+// Precedence holds the properties of a request that determine when it gets a slot.
 type Precedence struct {
-	// Nested: a request that is at work waits for it. Refused, it would throw away what that has
-	// worked.
+	// Nested: a running request waits for this one. Refusing it would waste the work done so far.
 	Nested bool
-	// Priority is that of the route or tenant; zero is the most urgent.
+	// Priority is the priority of the route or tenant; zero is the most urgent.
 	Priority int
-	// OverShare: the request's tenant has more than its share of the service's room.
+	// OverShare: the tenant of the request uses more than its share of the service's capacity.
 	OverShare bool
-	// Returning: the caller was refused before and has come back.
+	// Returning: the caller was refused before and retries.
 	Returning bool
 }
 
-// levelsPerPriority is how many levels there are for each priority.
+// levelsPerPriority is the number of levels of each priority.
 const levelsPerPriority = 4
 
-// Level is a precedence as one number; zero comes first.
+// Level returns the precedence as a single number; zero comes first.
 func (p Precedence) Level() int {
 	if p.Nested {
 		return 0
--- a/internal/sidecar/precedence/precedence_test.go
+++ b/internal/sidecar/precedence/precedence_test.go
@@ -22,5 +22,5 @@
 	for i, level := range ordered {
 		g.Expect(level.Level()).To(Equal(i))
 	}
-	g.Expect(precedence.Precedence{Nested: true, Priority: 3}.Level()).To(BeZero(), "whatever its priority")
+	g.Expect(precedence.Precedence{Nested: true, Priority: 3}.Level()).To(BeZero(), "regardless of priority")
 }
--- a/internal/sidecar/ratelimit/bucket.go
+++ b/internal/sidecar/ratelimit/bucket.go
@@ -1,30 +1,30 @@
-// Package ratelimit keeps to the rate that a back end names for itself, in requests a second from
+// Package ratelimit enforces the rate that a back end advertises for itself, in requests per second from
 // all nodes together. Limit decides: it is kept by the node beside the back end, which every request
-// passes. Estimate is what another node knows of it, so as not to send in vain. The package is pure: it
-// is told the time.
+// passes. Estimate is what another node knows of the limit, so that it sends few requests that would be
+// refused. The package does no I/O and takes the time as an argument.
 package ratelimit
 
 import "time"
 
 const (
-	// minRate is the lowest rate, in requests a second, at which a back end is sent to: nothing but an
-	// answer tells that its limit has ended.
+	// minRate is the lowest rate, in requests per second, at which requests are sent to a back end: only
+	// a response can tell that its limit has ended.
 	minRate = 0.25
-	// burstTime is for how long a rate that was not used is kept for later, one request at least. A back
-	// end that gets no more in any second than its limit has none of them refused.
+	// burstTime is how much unused rate is kept for a burst; at least one request. A back end that gets
+	// no more requests in any second than its limit has none of them refused.
 	burstTime = time.Second
 )
 
-// bucket holds the requests that a rate allows now. The zero value is empty and stays so.
+// bucket is a token bucket. The zero value is empty and stays empty.
 type bucket struct {
-	// perSecond is the rate, size the most tokens that are held.
+	// perSecond is the refill rate, size the capacity in tokens.
 	perSecond, size float64
-	// tokens at the moment at; below zero for requests that wait.
+	// tokens is the fill level at the time updated; negative if requests wait.
 	tokens  float64
 	updated time.Time
 }
 
-// setRate changes the rate. What the bucket holds stays, as far as there is room.
+// setRate changes the rate. The tokens in the bucket are kept, up to its new size.
 func (b *bucket) setRate(perSecond float64, now time.Time) {
 	b.refill(now)
 	b.perSecond = max(perSecond, minRate)
@@ -32,7 +32,7 @@
 	b.tokens = min(b.tokens, b.size)
 }
 
-// refill adds the tokens of the time that has passed.
+// refill adds the tokens for the time that has passed.
 func (b *bucket) refill(now time.Time) {
 	if passed := now.Sub(b.updated); passed > 0 {
 		b.tokens = min(b.tokens+b.perSecond*passed.Seconds(), b.size)
@@ -47,7 +47,7 @@
 	if missing <= 0 {
 		return 0
 	}
-	// A timer of that length must not be early by the part of a nanosecond.
+	// The conversion truncates to whole nanoseconds; a timer must not fire early by a fraction of one.
 	return time.Duration(missing/b.perSecond*float64(time.Second)) + time.Nanosecond
 }
 
--- a/internal/sidecar/ratelimit/estimate.go
+++ b/internal/sidecar/ratelimit/estimate.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Estimate is what a node knows of a back end's limit by the replies of the node beside it. It counts the
-// node's own requests; those of others show in the next reply. It is safe for concurrent use.
+// Estimate is a node's estimate of a back end's rate limit, based on the responses of the node beside it.
+// It counts the requests of this node; those of others become visible with the next response. It is safe
+// for concurrent use.
 type Estimate struct {
 	mu sync.Mutex // guards all below
-	// buckets are by class: none has more than those before it.
+	// buckets are indexed by class; none holds more tokens than those before it.
 	buckets [classes]bucket
-	// nextRetry is the first time that no caller was told yet.
+	// nextRetry is the earliest retry time that no caller was given yet.
 	nextRetry time.Time
 }
 
-// NewEstimate returns what a reply to a request of the class says.
+// NewEstimate returns the estimate after a first response to a request of the class.
 func NewEstimate(perSecond, room float64, class Class, now time.Time) *Estimate {
 	estimate := &Estimate{}
 	for i := range estimate.buckets {
@@ -28,7 +29,8 @@
 	return estimate
 }
 
-// Update takes in a reply to a request of the class: the rate, and how many requests like it may pass.
+// Update applies a response to a request of the class: the rate, and the remaining number of requests of
+// that class.
 func (e *Estimate) Update(perSecond, room float64, class Class, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,15 +59,15 @@
 	}
 }
 
-// Wait returns the time until there is likely to be room for a request of the class.
+// Wait returns the estimated time until the limit allows a request of the class.
 func (e *Estimate) Wait(class Class, now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.buckets[class].wait(1, now)
 }
 
-// RetryAfter returns the wait that a caller is told whose request of the class is refused. Each is told a
-// time of its own.
+// RetryAfter returns the retry delay for a caller whose request of the class is refused. Each caller gets
+// a different retry time.
 func (e *Estimate) RetryAfter(class Class, now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// fleetLatency is the time to a node and back, fleetPatience how long requests wait for room.
+	// fleetLatency is the round-trip time to a node, fleetMaxWait how long requests wait for the limit.
 	fleetLatency  = 4 * time.Millisecond
 	fleetMaxWait  = 100 * time.Millisecond
 	fleetDuration = 30 * time.Second
-	// fleetMaxSends is how many nodes may refuse a request.
+	// fleetMaxSends is how many nodes a request is sent to before it is refused.
 	fleetMaxSends = 5
 )
 
-// fleet plays nodes that send to back ends with limits. A request goes to the back end of which the
-// node expects the shortest wait, and to another one after a refusal.
+// fleet simulates nodes that send to back ends with limits. A request goes to the back end with the
+// shortest expected wait, and to another one after a refusal.
 type fleet struct {
 	limits    []*ratelimit.Limit
 	estimates [][]*ratelimit.Estimate
-	// served and refused count requests, rejected the sends that were refused, firstRejected those of them that were a
-	// node's firstRejected to the back end.
+	// served and refused count requests, rejected counts the sends that were refused by a back end,
+	// firstRejected those of them that were a node's first to that back end.
 	served, refused, rejected, firstRejected int
-	// servedBy holds the moments at which each back end got a request.
+	// servedBy holds, for each back end, the times at which it got requests.
 	servedBy [][]time.Time
 }
 
-// pending is a request that arrives at a back end at some moment.
+// pending is a request that arrives at a back end at some time.
 type pending struct {
 	at            time.Time
 	node, backend int
@@ -65,8 +65,8 @@
 	return created
 }
 
-// choose returns the back end to send to, below zero when none is expected to have room in time. It
-// compares a few that are drawn, as nodes do.
+// choose returns the back end with the shortest expected wait, -1 if none is expected to allow the
+// request in time. Ties are broken at random.
 func (f *fleet) choose(node int, tried []bool, now time.Time, random *rand.Rand) int {
 	best, shortest := -1, time.Duration(0)
 	for _, back := range random.Perm(len(f.limits)) {
@@ -81,7 +81,7 @@
 	return best
 }
 
-// send sends a request where it may be served, or refuses it.
+// send sends a request to a back end that may serve it, or refuses it.
 func (f *fleet) send(request pending, now time.Time, random *rand.Rand, queue *arrivals) {
 	request.backend = f.choose(request.node, request.tried, now, random)
 	if request.backend < 0 || request.sends == fleetMaxSends {
@@ -96,13 +96,13 @@
 	heap.Push(queue, request)
 }
 
-// arrive decides on a request at its back end and tells its node of the room there.
+// arrive decides on a request at its back end and updates the estimate of the sending node.
 func (f *fleet) arrive(request pending, random *rand.Rand, queue *arrivals) {
 	limit, now := f.limits[request.backend], request.at
 	wait, room := limit.Wait(0, now), 0.0
 	served := wait <= fleetMaxWait
 	if served {
-		limit.Consume(1, now) // what waits is counted at once: the bucket goes below zero
+		limit.Consume(1, now) // waiting requests are counted at once, so the bucket may become negative
 		f.served++
 		f.servedBy[request.backend] = append(f.servedBy[request.backend], now.Add(wait))
 		room = limit.Room(fmt.Sprint(request.node), 1, 0, now)
@@ -125,7 +125,7 @@
 	}
 }
 
-// run has requests come at that rate from all nodes together.
+// run generates requests at the given rate from all nodes together.
 func (f *fleet) run(demand float64, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	queue := &arrivals{}
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestServiceWithLimits: all back ends of a service name limits whose sum is a third of the demand.
-// Their limits are used, no window gets more than is allowed, and fewer than one send for each request
-// served is in vain, whatever the number of nodes.
+// TestServiceWithLimits checks a service whose back ends all advertise limits, with a total of a third of
+// the demand. The limits are used, no window gets more than is allowed, and there is less than one
+// rejected send per served request, whatever the number of nodes.
 func TestServiceWithLimits(t *testing.T) {
 	for _, size := range []struct{ nodes, backs int }{{10, 4}, {40, 10}, {300, 40}} {
 		for _, rate := range []float64{2, 12.8} {
@@ -153,7 +153,7 @@
 				}
 				used := float64(simulated.served) / (room * fleetDuration.Seconds())
 				rejected := float64(simulated.rejected-simulated.firstRejected) / float64(simulated.served)
-				t.Logf("used %.2f, sends in vain for each that is served %.2f, of all nodes' first ones %d, served %d, refused %d",
+				t.Logf("utilization %.2f, rejected sends per served request %.2f, first sends rejected %d, served %d, refused %d",
 					used, rejected, simulated.firstRejected, simulated.served, simulated.refused)
 				g.Expect(used).To(BeNumerically(">", 0.8))
 				g.Expect(rejected).To(BeNumerically("<", 1))
@@ -162,13 +162,13 @@
 	}
 }
 
-// TestEstimateSpreadsRetries: those of one node are told times an interval apart.
+// TestEstimateSpreadsRetries checks that refused callers of one node get retry times one interval apart.
 func TestEstimateSpreadsRetries(t *testing.T) {
 	g := NewWithT(t)
 	estimate := ratelimit.NewEstimate(10, -4, 1, start)
 	for i := range 5 {
 		g.Expect(estimate.RetryAfter(1, start)).To(BeNumerically("~", 500*time.Millisecond+time.Duration(i)*100*time.Millisecond, time.Millisecond))
 	}
-	g.Expect(estimate.Wait(0, start)).To(BeZero(), "nothing is known of the more urgent")
+	g.Expect(estimate.Wait(0, start)).To(BeZero(), "the limit of more urgent classes is unknown")
 	g.Expect(estimate.Wait(2, start)).To(BeNumerically(">", 0))
 }
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Advertised is the limit that an answer of a back end names. The zero value names none.
+// Advertised is the rate limit that a response of a back end advertises. The zero value is no limit.
 type Advertised struct {
 	HasLimit bool
-	// PerSecond is how many requests a second the back end takes.
+	// PerSecond is the number of requests per second that the back end accepts.
 	PerSecond float64
 }
 
@@ -17,30 +17,32 @@
 	return other.HasLimit && (!a.HasLimit || a.PerSecond > other.PerSecond)
 }
 
-// Limit is the limit that a back end has named. In any Window it lets pass no more than four times the
-// rate, one burst and one that is ahead of its turn: 5 N + 1, or 3 for a rate below leastRate. The zero
-// value lets everything pass. Its owner holds a lock.
+// Limit is the rate limit that a back end has advertised. In any Window it allows no more than four times
+// the rate N, one burst and one request by minimum share: 5 N + 1, or 3 for a rate below minRate. The
+// zero value allows everything. The caller holds a lock.
 type Limit struct {
 	advertised Advertised
-	// changedAt is when it was first confirmedAt, confirmedAt when it was last.
+	// changedAt is when this limit was first advertised, confirmedAt when it was last.
 	changedAt, confirmedAt time.Time
-	// limitedSince is when a limit was named after a time without one, lastMinimumShare is when a request passed last before its
-	// turn.
+	// limitedSince is when a limit was advertised after a time without one; lastMinimumShare is when a
+	// request last passed by its minimum share.
 	limitedSince, lastMinimumShare time.Time
 	bucket                         bucket
 	recent                         recent
 	usage                          usage
 	schedule                       schedule
-	// historyUnknown: what passed before the first limit is not known.
+	// historyUnknown: it is not known which requests passed before the first limit.
 	historyUnknown bool
 }
 
-// Restarted has the limit begin without room: what passed before this life of the node is not known.
+// Restarted makes the limit start with an empty bucket: requests that passed before the node restarted
+// are not known.
 func (l *Limit) Restarted() { l.historyUnknown = true }
 
-// Update takes in what an answer names, to a request that was sent, and answered, at these moments. Of two
-// answers the later written holds. Where that is not known, as for answers to requests that were
-// under way together, the stricter one does. It reports whether the limit has changed.
+// Update applies the limit advertised in a response, given the times at which the request was sent and
+// the response was received. Of two responses, the one written later applies. Where the order is not
+// known, as for responses to concurrent requests, the stricter limit applies. Update reports whether the
+// limit has changed.
 func (l *Limit) Update(advertised Advertised, sent, answered time.Time) (changed bool) {
 	switch {
 	case advertised == l.advertised:
@@ -59,7 +61,7 @@
 	return true
 }
 
-// initialize fills the bucket as if the limit had held in the last burstTime.
+// initialize fills the bucket as if the limit had applied during the last burstTime.
 func (l *Limit) initialize(perSecond float64, now time.Time) {
 	l.bucket, l.limitedSince = bucket{updated: now}, now
 	l.bucket.setRate(perSecond, now)
@@ -70,12 +72,12 @@
 	l.historyUnknown = false
 }
 
-// Reset forgets the limit: another incarnation of the back end has named none.
+// Reset removes the limit: another incarnation of the back end has advertised none.
 func (l *Limit) Reset() {
 	l.advertised, l.changedAt, l.confirmedAt = Advertised{}, time.Time{}, time.Time{}
 }
 
-// Advertised returns the limit that holds, and since when.
+// Advertised returns the limit in force and since when it applies.
 func (l *Limit) Advertised() (advertised Advertised, changedAt time.Time) {
 	return l.advertised, l.changedAt
 }
@@ -93,7 +95,7 @@
 	}
 }
 
-// Refund takes back the count of a request that passed and was not sent.
+// Refund takes back a token of a request that passed but was not sent.
 func (l *Limit) Refund(now time.Time) {
 	if l.advertised.HasLimit {
 		l.bucket.refill(now)
@@ -101,7 +103,7 @@
 	}
 }
 
-// Wait returns the time until a request may pass before which so many others do.
+// Wait returns the time until a request may pass that has that many others ahead of it.
 func (l *Limit) Wait(ahead int, now time.Time) time.Duration {
 	if !l.advertised.HasLimit {
 		return 0
@@ -109,18 +111,18 @@
 	return l.bucket.wait(float64(ahead+1), now)
 }
 
-// minimumShare is the part of the limit that less urgent classes get however many more urgent requests come:
-// none is starved.
+// minimumShare is the part of the limit that less urgent classes get however many more urgent requests
+// arrive, so that none is starved.
 const minimumShare = 0.2
 
-// shareLeft is the part of the limit that is expected to be shareLeft for a class by the more urgent ones that keep
-// coming.
+// shareLeft estimates the part of the limit that more urgent classes, at their current rates, leave for a
+// class.
 func (l *Limit) shareLeft(class Class, now time.Time) float64 {
 	return max(1-l.usage.moreUrgentRate(class, now)/l.bucket.perSecond, minimumShare)
 }
 
-// WaitForClass returns the time until a request of the class is likely to pass, before which so many others do
-// and the more urgent ones that keep coming.
+// WaitForClass estimates the time until a request of the class may pass, with that many others ahead of
+// it and more urgent ones arriving at their current rate.
 func (l *Limit) WaitForClass(class Class, ahead int, now time.Time) time.Duration {
 	wait := l.Wait(ahead, now)
 	if wait == 0 {
@@ -129,9 +131,10 @@
 	return time.Duration(float64(wait) / l.shareLeft(class, now))
 }
 
-// TakeMinimumShare reports whether a request of the class, which is about to pass, may do so before its turn: none of
-// the class has passed for the interval of the least share, nor has another one before its turn, and no class
-// that asks as well has waited longer. At most one is ahead of the limit.
+// TakeMinimumShare reports whether a request of the class, which is about to pass, may do so ahead of its
+// turn. This requires that for the interval of the minimum share no request of the class has passed and
+// no other one has passed ahead of its turn, and that no other class that has asked recently has waited
+// longer. At most one request is ahead of the limit.
 func (l *Limit) TakeMinimumShare(class Class, now time.Time) bool {
 	if !l.advertised.HasLimit {
 		return false
@@ -147,12 +150,12 @@
 	return true
 }
 
-// latest returns the last of the moments.
+// latest returns the latest of the times.
 func latest(moments ...time.Time) time.Time { return slices.MaxFunc(moments, time.Time.Compare) }
 
-// Room returns how many requests of a peer may pass now after so many others, below zero for those that
-// wait. While other peers have been told times to come, it is told one behind them. It means something
-// while a limit is named.
+// Room returns the remaining number of requests of a peer that may pass now after that many others,
+// negative if requests wait. While other peers have been given future retry times, the result is
+// consistent with a retry time after theirs. It is meaningful only while a limit is advertised.
 func (l *Limit) Room(peer string, class Class, ahead int, now time.Time) float64 {
 	if l.schedule.outstanding(class, now) {
 		return l.RoomIn(l.RetryAfter(peer, class, ahead, now))
@@ -163,15 +166,16 @@
 	return l.bucket.tokens - float64(ahead)
 }
 
-// RoomIn returns the room at a back end with a request for which there will be room after that time.
+// RoomIn returns the remaining number of requests at a back end that allows the next request after that
+// time.
 func (l *Limit) RoomIn(wait time.Duration) float64 { return 1 - wait.Seconds()*l.bucket.perSecond }
 
-// RetryAfter returns when a request that is refused now will have room, for a peer to come back then. Each
-// peer is told a time of its own, so that they do not come back together.
+// RetryAfter returns the delay after which a peer may retry a request that is refused now. Each peer gets
+// a different retry time, so that they do not retry all at once.
 func (l *Limit) RetryAfter(peer string, class Class, ahead int, now time.Time) time.Duration {
 	interval := time.Duration(float64(l.bucket.interval()) / l.shareLeft(class, now))
 	return l.schedule.next(peer, class, l.WaitForClass(class, ahead, now), interval, now)
 }
 
-// Recent returns how many requests passed in the last Window.
+// Recent returns the number of requests that passed within the last Window.
 func (l *Limit) Recent(now time.Time) int { return l.recent.within(Window, now) }
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -20,14 +20,14 @@
 	return ratelimit.Advertised{HasLimit: true, PerSecond: perSecond}
 }
 
-// newLimit returns a limit that was named at start.
+// newLimit returns a limit that was advertised at start.
 func newLimit(perSecond float64) *ratelimit.Limit {
 	limit := &ratelimit.Limit{}
 	limit.Update(advertise(perSecond), start, start)
 	return limit
 }
 
-// maxInWindow returns the most moments within any window.
+// maxInWindow returns the largest number of moments within any window.
 func maxInWindow(moments []time.Time, window time.Duration) (most int) {
 	first := 0
 	for last := range moments {
@@ -39,7 +39,8 @@
 	return most
 }
 
-// TestRateInAnyWindow: for every rate, with arrivals of any pattern and pauses before bursts.
+// TestRateInAnyWindow checks the bound of requests per window for each rate, with random arrivals, bursts
+// and pauses before them.
 func TestRateInAnyWindow(t *testing.T) {
 	for _, rate := range rates {
 		for seed := range uint64(20) {
@@ -64,7 +65,8 @@
 	}
 }
 
-// TestNoWaitBelowLimit: up to the limit in any second, evenly or at once, nothing waits.
+// TestNoWaitBelowLimit checks that nothing waits while no second holds more requests than the limit,
+// whether they arrive evenly or at once.
 func TestNoWaitBelowLimit(t *testing.T) {
 	for _, rate := range []float64{1, 2, 12.8, 1000} {
 		for _, together := range []int{1, int(rate)} {
@@ -80,7 +82,8 @@
 	}
 }
 
-// TestNewLimitCountsEarlierRequests, within the time of a burst.
+// TestNewLimitCountsEarlierRequests checks that requests within burstTime before a limit was first
+// advertised count toward it.
 func TestNewLimitCountsEarlierRequests(t *testing.T) {
 	g := NewWithT(t)
 	limit := &ratelimit.Limit{}
@@ -97,7 +100,8 @@
 	g.Expect(limit.Recent(now)).To(Equal(10))
 }
 
-// TestUpdatePrecedence: the later written one; where that is not known, the stricter one.
+// TestUpdatePrecedence checks which of several responses applies: the one written later; where the order
+// is not known, the stricter one.
 func TestUpdatePrecedence(t *testing.T) {
 	type answer struct {
 		advertised     ratelimit.Advertised
@@ -110,13 +114,13 @@
 	}{
 		{"named", []answer{{advertise(10), 0, 5}}, advertise(10)},
 		{"ended", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}}, ratelimit.Advertised{}},
-		{"an answer that was begun before", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 4, 9}}, advertise(10)},
-		{"ended by one begun after all that named it", []answer{{advertise(10), 0, 5}, {advertise(10), 1, 12}, {ratelimit.Advertised{}, 6, 13}}, advertise(10)},
+		{"end in a response to an older request", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 4, 9}}, advertise(10)},
+		{"end in a response to a request sent before the last confirmation", []answer{{advertise(10), 0, 5}, {advertise(10), 1, 12}, {ratelimit.Advertised{}, 6, 13}}, advertise(10)},
 		{"raised", []answer{{advertise(10), 0, 5}, {advertise(20), 5, 9}}, advertise(20)},
-		{"raised by an answer that crossed", []answer{{advertise(10), 0, 5}, {advertise(20), 1, 9}}, advertise(10)},
-		{"lowered by an answer that crossed", []answer{{advertise(10), 0, 5}, {advertise(2), 1, 9}}, advertise(2)},
-		{"lowered to nothing", []answer{{advertise(10), 0, 5}, {advertise(0), 6, 9}}, advertise(0)},
-		{"ended and named anew", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}, {advertise(3), 8, 10}}, advertise(3)},
+		{"raised in a concurrent response", []answer{{advertise(10), 0, 5}, {advertise(20), 1, 9}}, advertise(10)},
+		{"lowered in a concurrent response", []answer{{advertise(10), 0, 5}, {advertise(2), 1, 9}}, advertise(2)},
+		{"lowered to zero", []answer{{advertise(10), 0, 5}, {advertise(0), 6, 9}}, advertise(0)},
+		{"ended and advertised again", []answer{{advertise(10), 0, 5}, {ratelimit.Advertised{}, 6, 9}, {advertise(3), 8, 10}}, advertise(3)},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -131,11 +135,12 @@
 	}
 }
 
-// TestEndedLimitAllowsEverything, and so does another incarnation.
+// TestEndedLimitAllowsEverything checks that everything passes once the back end ends its limit or
+// another incarnation of it is running.
 func TestEndedLimitAllowsEverything(t *testing.T) {
 	for name, end := range map[string]func(*ratelimit.Limit){
-		"by its word":         func(limit *ratelimit.Limit) { limit.Update(ratelimit.Advertised{}, start, start) },
-		"another incarnation": (*ratelimit.Limit).Reset,
+		"ended by the back end": func(limit *ratelimit.Limit) { limit.Update(ratelimit.Advertised{}, start, start) },
+		"another incarnation":   (*ratelimit.Limit).Reset,
 	} {
 		limit := newLimit(0)
 		limit.Consume(1, start)
@@ -146,7 +151,8 @@
 	}
 }
 
-// TestWindowAcrossRateChange holds what the higher of the two rates allows.
+// TestWindowAcrossRateChange checks that a window across a change of the rate holds no more than the
+// higher of the two rates allows.
 func TestWindowAcrossRateChange(t *testing.T) {
 	for _, rates := range [][2]float64{{100, 1}, {1, 100}, {0, 12.8}, {12.8, 0}} {
 		limit, now := newLimit(rates[0]), start
@@ -166,7 +172,7 @@
 	}
 }
 
-// TestRefund.
+// TestRefund checks that a request that was not sent does not count.
 func TestRefund(t *testing.T) {
 	limit, now := newLimit(1), start.Add(time.Second)
 	limit.Consume(1, now)
@@ -174,7 +180,8 @@
 	NewWithT(t).Expect(limit.Ready(now)).To(BeTrue())
 }
 
-// TestRetryAfterIsSpreadOverPeers, one interval apart, a peer always the same until it has passed.
+// TestRetryAfterIsSpreadOverPeers checks that peers get retry times one interval apart, and each peer the
+// same one until it has passed.
 func TestRetryAfterIsSpreadOverPeers(t *testing.T) {
 	g := NewWithT(t)
 	limit, now := newLimit(10), start
@@ -189,7 +196,7 @@
 	g.Expect(limit.RetryAfter("urgent", 0, 0, now)).To(BeZero(), "does not wait for the less urgent")
 }
 
-// TestLimitAfterRestartStartsEmpty.
+// TestLimitAfterRestartStartsEmpty checks that the bucket of a restarted node starts empty.
 func TestLimitAfterRestartStartsEmpty(t *testing.T) {
 	limit := &ratelimit.Limit{}
 	limit.Restarted()
@@ -198,7 +205,8 @@
 	NewWithT(t).Expect(limit.Wait(0, start)).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 }
 
-// TestMinimumShareOfLessUrgentClasses: while the urgent ask for more than the limit, others get about a fifth of it.
+// TestMinimumShareOfLessUrgentClasses checks that while urgent requests exceed the limit, other classes
+// together get about a fifth of it.
 func TestMinimumShareOfLessUrgentClasses(t *testing.T) {
 	g := NewWithT(t)
 	const perSecond, seconds = 10.0, 60
@@ -213,12 +221,13 @@
 			}
 		}
 	}
-	g.Expect(passed[1]).To(BeNumerically("~", passed[2], 5), "each of them as much")
+	g.Expect(passed[1]).To(BeNumerically("~", passed[2], 5), "equal parts")
 	g.Expect(passed[1] + passed[2]).To(BeNumerically("~", 0.2*perSecond*seconds, 0.05*perSecond*seconds))
 	g.Expect(passed[0]).To(BeNumerically(">=", 0.75*perSecond*seconds))
 }
 
-// TestWaitAccountsForMoreUrgentClasses by others, which are told the longer wait.
+// TestWaitAccountsForMoreUrgentClasses checks that less urgent requests are told a longer wait by the
+// rate that more urgent ones use.
 func TestWaitAccountsForMoreUrgentClasses(t *testing.T) {
 	g := NewWithT(t)
 	limit, now := newLimit(10), start
--- a/internal/sidecar/ratelimit/recent.go
+++ b/internal/sidecar/ratelimit/recent.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// Window is the time over which requests are counted.
+	// Window is the period over which requests are counted.
 	Window = 4 * time.Second
-	// step is how exactly moments are kept.
+	// step is the resolution of the count.
 	step  = 100 * time.Millisecond
 	steps = int(Window / step)
 )
 
-// recent counts the requests of the last Window. The zero value has counted none.
+// recent counts the requests of the last Window in a ring of steps. The zero value has counted none.
 type recent struct {
 	counts [steps]int
-	// first is the moment of the first request, newest the step, counted from there, of the last one.
+	// first is the time of the first request; newest is the number of the last step, counted from there.
 	first  time.Time
 	newest int
 }
@@ -27,7 +27,7 @@
 	r.counts[r.newest%steps]++
 }
 
-// advance forgets what is older than Window.
+// advance clears the steps that are older than Window.
 func (r *recent) advance(now time.Time) {
 	reached := int(now.Sub(r.first) / step)
 	for skipped := max(r.newest, reached-steps); skipped < reached; {
@@ -37,7 +37,7 @@
 	r.newest = max(r.newest, reached)
 }
 
-// within returns how many requests there were in the last time of that length, at most Window.
+// within returns the number of requests within the last period of that length, at most Window.
 func (r *recent) within(length time.Duration, now time.Time) (count int) {
 	if r.first.IsZero() {
 		return 0
--- a/internal/sidecar/ratelimit/schedule.go
+++ b/internal/sidecar/ratelimit/schedule.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Class orders requests by urgency, the most urgent first. Room that a class has, those before it have
-// as well.
+// Class orders requests by urgency, the most urgent first. Capacity that is available to a class is
+// available to all more urgent ones as well.
 type Class int
 
-// classes is how many there are.
+// classes is the number of classes.
 const classes = 8
 
 // ClassOf returns the class of a request of that priority, zero for the most urgent one. Nested calls
@@ -22,27 +22,27 @@
 }
 
 const (
-	// maxRetryAfter is the longest time that is told: a limit may end sooner than its requests are due.
+	// maxRetryAfter bounds the retry delay: a limit may end before its requests are due.
 	maxRetryAfter = 30 * time.Second
-	// maxPeers bounds the peers that are remembered.
+	// maxPeers bounds the number of peers remembered.
 	maxPeers = 4096
 )
 
-// schedule holds the times at which peers were told that there will be room.
+// schedule assigns retry times to peers.
 type schedule struct {
-	// latest is the last time that was told to a request of the class.
+	// latest is the last retry time assigned to a request of each class.
 	latest [classes]time.Time
-	// byPeer holds the time that a peer was told; times that have passed say nothing.
+	// byPeer holds the retry time assigned to each peer; times that have passed are ignored.
 	byPeer map[peerClass]time.Time
 }
 
-// peerClass is a peer with the class of its request.
+// peerClass is a peer and the class of its request.
 type peerClass struct {
 	peer  string
 	class Class
 }
 
-// next returns the wait to tell a peer whose request could pass after the least wait.
+// next returns the retry delay for a peer whose request could pass after minWait at the earliest.
 func (s *schedule) next(peer string, class Class, minWait, interval time.Duration, now time.Time) time.Duration {
 	key, at := peerClass{peer, class}, now.Add(minWait)
 	if scheduled, known := s.byPeer[key]; known && !scheduled.Before(at) {
@@ -61,7 +61,8 @@
 	return at.Sub(now)
 }
 
-// outstanding reports whether a request of the class, or a more urgent one, was told a time to come.
+// outstanding reports whether a request of the class, or a more urgent one, was assigned a retry time in
+// the future.
 func (s *schedule) outstanding(class Class, now time.Time) bool {
 	for _, scheduled := range s.latest[:class+1] {
 		if scheduled.After(now) {
--- a/internal/sidecar/ratelimit/usage.go
+++ b/internal/sidecar/ratelimit/usage.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// usageTime is the time over which the use of a limit by class is averaged.
+// usageTime is the time constant with which the use of a limit by class is averaged.
 const usageTime = 2 * time.Second
 
-// usage is how many requests of each class pass, as counts that fade over usageTime. The zero value has
-// seen none.
+// usage holds the rate of requests by class, as counts that decay exponentially over usageTime. The zero
+// value has counted none.
 type usage struct {
 	counts  [classes]float64
 	updated time.Time
-	// lastConsumed is when a request of the class passed lastConsumed, lastAsked is when one lastAsked lastConsumed to pass before its turn.
+	// lastConsumed is when a request of each class last passed, lastAsked when one last asked to pass
+	// ahead of its turn.
 	lastConsumed, lastAsked [classes]time.Time
 }
 
@@ -24,7 +25,7 @@
 	u.lastConsumed[class] = now
 }
 
-// moreUrgentRate returns how many requests a second of the more urgent classes pass.
+// moreUrgentRate returns the requests per second of the more urgent classes.
 func (u *usage) moreUrgentRate(class Class, now time.Time) (perSecond float64) {
 	u.decay(now)
 	for _, count := range u.counts[:class] {
@@ -45,7 +46,7 @@
 	u.updated = now
 }
 
-// recordAttempt notes that a request of the class asks to pass before its turn.
+// recordAttempt records that a request of the class asks to pass ahead of its turn.
 func (u *usage) recordAttempt(class Class, now time.Time) { u.lastAsked[class] = now }
 
 // hasWaitedLongest reports whether no other class that has asked within that time has waited longer.
--- a/internal/sidecar/stall/stall.go
+++ b/internal/sidecar/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall tells for how long the node itself did not run: its process was stopped, or got no
-// processor. What is timed meanwhile says nothing of others.
+// Package stall measures for how long the node itself did not run, because its process was stopped or was
+// not scheduled. Durations measured across a stall say nothing about other processes.
 package stall
 
 import "time"
@@ -7,14 +7,14 @@
 const (
 	// Interval is the time between two ticks, and the shortest stall that counts.
 	Interval = 20 * time.Millisecond
-	// maxStalls is how many stalls are remembered.
+	// maxStalls is the number of stalls remembered.
 	maxStalls = 32
 )
 
-// Tracker remembers stalls by ticks that came late. It is pure: it is told the time. The zero value has
-// seen no tick. Its owner holds a lock.
+// Tracker detects stalls from ticks that arrive late. It takes the time as an argument. The zero value
+// has seen no tick. The caller holds a lock.
 type Tracker struct {
-	// last is the last tick.
+	// last is the time of the last tick.
 	last   time.Time
 	stalls [maxStalls]interval
 	next   int
@@ -23,7 +23,7 @@
 // interval is the time between two moments.
 type interval struct{ from, to time.Time }
 
-// overlap returns how much of it lies between two moments.
+// overlap returns the length of the part that lies between two moments.
 func (s interval) overlap(from, to time.Time) time.Duration {
 	if s.from.After(from) {
 		from = s.from
@@ -34,10 +34,10 @@
 	return max(to.Sub(from), 0)
 }
 
-// Reset forgets the last tick: none were due since.
+// Reset discards the last tick, so that the time until the next one does not count as a stall.
 func (r *Tracker) Reset() { r.last = time.Time{} }
 
-// Tick takes in a tick.
+// Tick records a tick.
 func (r *Tracker) Tick(now time.Time) {
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
 		r.stalls[r.next] = late
@@ -46,7 +46,7 @@
 	r.last = now
 }
 
-// late is the time by which the next tick is late now.
+// late returns the interval by which the next tick is overdue.
 func (r *Tracker) late(now time.Time) interval {
 	if r.last.IsZero() {
 		return interval{from: now, to: now}
@@ -54,7 +54,8 @@
 	return interval{from: r.last.Add(Interval), to: now}
 }
 
-// Stalled returns for how long the node did not run between two moments, the later of which is now.
+// Stalled returns for how long the node did not run between two moments, of which the later one must be
+// the current time.
 func (r *Tracker) Stalled(from, now time.Time) (total time.Duration) {
 	for _, past := range r.stalls {
 		total += past.overlap(from, now)
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -21,12 +21,12 @@
 		want      time.Duration
 	}{
 		{"no tick yet", nil, 0, 500, 0},
-		{"ticks in time", []int{0, 20, 41, 60}, 0, 70, 0},
-		{"late by less than counts", []int{0, 39}, 0, 39, 0},
+		{"ticks on time", []int{0, 20, 41, 60}, 0, 70, 0},
+		{"delay below the threshold", []int{0, 39}, 0, 39, 0},
 		{"one stall", []int{0, 20, 540, 560}, 10, 570, 500 * time.Millisecond},
-		{"the answer came during the stall's end, before the tick", []int{0, 20}, 10, 540, 500 * time.Millisecond},
-		{"begun during the stall", []int{0, 20, 540}, 340, 550, 200 * time.Millisecond},
-		{"begun after the stall", []int{0, 20, 540}, 541, 560, 0},
+		{"measured at the end of the stall, before the next tick", []int{0, 20}, 10, 540, 500 * time.Millisecond},
+		{"started during the stall", []int{0, 20, 540}, 340, 550, 200 * time.Millisecond},
+		{"started after the stall", []int{0, 20, 540}, 541, 560, 0},
 		{"several", []int{0, 120, 140, 260}, 0, 270, 200 * time.Millisecond},
 	}
 	for _, test := range cases {
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestTimeWithoutMonitoringIsNoStall: nobody asked for ticks.
+// TestTimeWithoutMonitoringIsNoStall checks that the time during which the monitor does not tick does not
+// count as a stall.
 func TestTimeWithoutMonitoringIsNoStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -7,18 +7,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// monitorTime is for how long a watch goes on after it was last asked to.
+// monitorTime is how long the monitor keeps ticking after the last call of Extend.
 const monitorTime = 2 * time.Second
 
-// Monitor ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
+// Monitor ticks for a limited time after each call of Extend and detects stalls. It is safe for
+// concurrent use; the zero value is ready.
 type Monitor struct {
 	mu      sync.Mutex // guards all below
 	tracker Tracker
-	// until is when the watch ends, zero while it does not tick.
+	// until is when the monitor stops, zero while it does not tick.
 	until time.Time
 }
 
-// Extend has the watch tick for a while.
+// Extend keeps the monitor ticking for monitorTime from now on.
 func (w *Monitor) Extend() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -38,7 +39,7 @@
 	}
 }
 
-// tick reports whether the watch goes on.
+// tick records a tick and reports whether the monitor continues.
 func (w *Monitor) tick() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,7 +53,7 @@
 	return false
 }
 
-// Stalled returns for how long the node did not run since a moment.
+// Stalled returns for how long the node did not run since the given time.
 func (w *Monitor) Stalled(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -1,7 +1,7 @@
-// Package warmup bounds what a back end gets while it is cold: one that has just started, or
-// turned cold for another reason, falls over at well above the rate that it bears then. The
-// node beside the back end is its only way in and keeps the bound alone. The package is pure:
-// it is told the time.
+// Package warmup limits the request rate of a back end while it is cold. A back end that has just
+// started, or has become cold for another reason, fails at rates well above what it can serve in that
+// state. All of its requests pass through the node beside it, so that this node enforces the limit alone.
+// The package does no I/O and takes the time as an argument.
 package warmup
 
 import (
@@ -11,55 +11,56 @@
 )
 
 const (
-	// window is the time over which requests to a cold back end are counted.
+	// window is the period over which requests to a cold back end are counted.
 	window = time.Second
-	// maxSilence is how long without any answer a back end may have ended and started again
-	// unheard: what is down for less is seen by connections that are refused.
+	// maxSilence is how long a back end may go without a response before it may have restarted unnoticed.
+	// Shorter outages are detected by refused connections.
 	maxSilence = 500 * time.Millisecond
-	// probeInterval is the least time between two questions of whether the back end is cold.
+	// probeInterval is the minimum time between two probes of whether the back end is cold.
 	probeInterval = 100 * time.Millisecond
-	// probeThreshold is the part of what a cold back end bears that passes before it is asked: one
-	// with little to do needs no question.
+	// probeThreshold is the part of a cold back end's limit that must be used before it is probed: a back
+	// end with little load needs no probe.
 	probeThreshold = 0.5
-	// unconfiguredLimit is how many requests a back end that is, or may be, cold gets in a window while the
-	// configuration has not told what it bears: the least that it can tell.
+	// unconfiguredLimit is the number of requests per window that a back end that is, or may be, cold
+	// gets while its limit is not configured yet. It is the lowest limit that can be configured.
 	unconfiguredLimit = 1
 )
 
-// Limit bounds the requests to one back end. The zero value knows of no configuration and takes the
-// back end for one that is cold. It is safe for concurrent use.
+// Limit limits the requests to one back end. The zero value has no configuration and assumes that the
+// back end is cold. It is safe for concurrent use.
 type Limit struct {
 	mu sync.Mutex // guards all below
-	// configured: the configuration has told of the back end's service.
+	// configured: the configuration of the back end's service has been applied.
 	configured bool
-	// maxPerWindow is how many requests a cold back end bears in a window, zero for any number.
+	// maxPerWindow is how many requests a cold back end can serve per window, zero for any number.
 	maxPerWindow int
 	// warmupTime is how long a back end stays cold after its start.
 	warmupTime time.Duration
-	// admitted holds the moments of the last requests that admitted, at most as many as a cold back
-	// end bears, next where the next one goes: the oldest.
+	// admitted is a ring buffer of the times of the last admitted requests, as many as maxPerWindow; next
+	// is the index of the oldest, which is overwritten next.
 	admitted []time.Time
 	next     int
-	// coldUntil is when a warm-up that was told of is over, suspectedUntil when one would be that
-	// may have begun unheard.
+	// coldUntil is when a reported warm-up ends, suspectedUntil when one would end that may have begun
+	// unnoticed.
 	coldUntil, suspectedUntil time.Time
-	// suspectedAt is when that was last suspectedAt.
+	// suspectedAt is when a restart was last suspected.
 	suspectedAt time.Time
-	// lastResponse is when the back end last lastResponse, lastProbe when it was last lastProbe.
+	// lastResponse is when the back end last responded, lastProbe when it was last probed.
 	lastResponse, lastProbe time.Time
 }
 
-// Decision says what becomes of one request.
+// Decision is the decision on one request.
 type Decision struct {
-	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
-	// bears another one.
+	// Refused: the back end may be cold and its limit is exhausted. RetryAfter is the time until the next
+	// request would be admitted.
 	Refused    bool
 	RetryAfter time.Duration
-	// Probe: the back end is to be asked whether it is cold. The answer goes to Answer.
+	// Probe: the caller is to probe whether the back end is cold and to pass the result to
+	// SetProbeResult.
 	Probe bool
 }
 
-// Configure sets how many requests a second a cold back end bears, zero for any number, and how
+// Configure sets how many requests per second a cold back end can serve, zero for any number, and how
 // long it stays cold.
 func (l *Limit) Configure(perSecond float64, warmupTime time.Duration) {
 	l.mu.Lock()
@@ -77,8 +78,8 @@
 	l.lastResponse = time.Time{}
 }
 
-// resize sets how many requests pass in a window. The last that have passed go on counting; the lock is
-// held.
+// resize sets the number of requests per window. The most recent admitted requests continue to count; the
+// lock is held.
 func (l *Limit) resize(maxPerWindow int) {
 	recent := slices.Clone(l.admitted)
 	slices.SortFunc(recent, time.Time.Compare)
@@ -91,7 +92,8 @@
 	}
 }
 
-// ExtendWarmup takes in the back end's word that it is cold for that much longer.
+// ExtendWarmup records a report of the back end that it stays cold for that long. A warm-up is never
+// shortened.
 func (l *Limit) ExtendWarmup(remaining time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// SuspectCold takes in that the back end may have turned cold, or started again.
+// SuspectCold records that the back end may have become cold or restarted.
 func (l *Limit) SuspectCold(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,8 +111,8 @@
 
 func (l *Limit) suspect(now time.Time) { l.suspectedAt, l.suspectedUntil = now, now.Add(l.warmupTime) }
 
-// SetProbeResult takes in what the back end itself answered to a question of a moment: for how much
-// longer it is cold, zero when it is not.
+// SetProbeResult records the result of a probe that was sent at the given time: how much longer the back
+// end stays cold, zero if it is warm.
 func (l *Limit) SetProbeResult(remaining time.Duration, probedAt, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +122,7 @@
 	}
 }
 
-// RecordResponse takes in that the back end has answered a request.
+// RecordResponse records that the back end has responded to a request.
 func (l *Limit) RecordResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,7 @@
 	}
 }
 
-// Admit decides on one request, and counts it when it passes.
+// Admit decides on one request and counts it if it is admitted.
 func (l *Limit) Admit(now time.Time) (decision Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,8 +158,8 @@
 	return decision
 }
 
-// recent returns how many requests passed within the last window, at most as many as a cold
-// back end bears; the lock is held.
+// recent returns how many requests were admitted within the last window, at most maxPerWindow; the lock
+// is held.
 func (l *Limit) recent(now time.Time) int {
 	count := 0
 	for _, at := range l.admitted {
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_000, 0)
 
-// at returns the moment so many milliseconds after the start.
+// at returns the time that many milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func configured() *warmup.Limit {
@@ -26,7 +26,7 @@
 	return limit
 }
 
-// countAdmitted counts how many of requests a millisecond apart pass from one moment on.
+// countAdmitted counts how many requests, a millisecond apart, are admitted from a time on.
 func countAdmitted(limit *warmup.Limit, from, requests int) (admitted int) {
 	for i := range requests {
 		if !limit.Admit(at(from + i)).Refused {
@@ -36,30 +36,31 @@
 	return admitted
 }
 
-// TestAdmitByWarmupState for each way in which it may be cold.
+// TestAdmitByWarmupState checks, for each way in which a back end can become cold or warm, whether
+// requests are limited.
 func TestAdmitByWarmupState(t *testing.T) {
 	const many = 100
 	cases := []struct {
 		name string
 		tell func(*warmup.Limit)
-		from int // the moment of the requests
+		from int // time of the first request, in milliseconds
 		pass int
 	}{
-		{"a node that has just started knows nothing", func(*warmup.Limit) {}, 0, perSecond},
-		{"one that answers is warm", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 0, many},
-		{"told by a heartbeat", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
-		{"a heartbeat that tells of less", func(l *warmup.Limit) {
+		{"initial state", func(*warmup.Limit) {}, 0, perSecond},
+		{"probe reports warm", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 0, many},
+		{"heartbeat reports warm-up", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.ExtendWarmup(2*time.Second, at(0)) }, 10, perSecond},
+		{"heartbeat with a shorter warm-up", func(l *warmup.Limit) {
 			l.SetProbeResult(0, at(-1), at(0))
 			l.ExtendWarmup(2*time.Second, at(0))
 			l.ExtendWarmup(time.Millisecond, at(1))
 		}, 10, perSecond},
-		{"told by the back end when asked", func(l *warmup.Limit) { l.SetProbeResult(2*time.Second, at(-1), at(0)) }, 10, perSecond},
-		{"the warm-up is over", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.RecordResponse(at(1000)) }, 1001, many},
-		{"may have started again", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
-		{"has answered since", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.SetProbeResult(0, at(1), at(5)) }, 10, many},
-		{"has answered a question from before", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.SetProbeResult(0, at(1), at(5)) }, 10, perSecond},
-		{"was quiet", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
-		{"any start would be over", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.RecordResponse(at(3000)) }, 3001, many},
+		{"probe reports warm-up", func(l *warmup.Limit) { l.SetProbeResult(2*time.Second, at(-1), at(0)) }, 10, perSecond},
+		{"warm-up has ended", func(l *warmup.Limit) { l.SetProbeResult(time.Second, at(-1), at(0)); l.RecordResponse(at(1000)) }, 1001, many},
+		{"restart suspected", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)); l.SuspectCold(at(5)) }, 10, perSecond},
+		{"probe sent after the suspicion", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.SetProbeResult(0, at(1), at(5)) }, 10, many},
+		{"probe sent before the suspicion", func(l *warmup.Limit) { l.SuspectCold(at(3)); l.SetProbeResult(0, at(1), at(5)) }, 10, perSecond},
+		{"no responses for a while", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 600, perSecond},
+		{"suspected warm-up has ended", func(l *warmup.Limit) { l.SuspectCold(at(0)); l.RecordResponse(at(3000)) }, 3001, many},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// TestUnlimitedBackEnd is never bounded nor asked.
+// TestUnlimitedBackEnd checks that a back end without a limit is neither limited nor probed.
 func TestUnlimitedBackEnd(t *testing.T) {
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestProbeRateIsBounded: a back end with little to do is not asked, a busy one at most ten times
-// a second, and one that answers that it is warm not again.
+// TestProbeRateIsBounded checks that a back end with little load is not probed, a busy one at most ten
+// times per second, and one that reports itself warm not again.
 func TestProbeRateIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	asked := func(limit *warmup.Limit, gap, requests int) (count int) {
@@ -102,8 +103,8 @@
 	g.Expect(asked(warm, 1, 400)).To(Equal(0))
 }
 
-// TestRateInAnyWindow: whatever comes when, no second holds more than a cold back end bears,
-// and a refusal says when the next may come.
+// TestRateInAnyWindow checks that, for random arrivals, no second holds more requests than a cold back
+// end can serve, and that refusals return a usable RetryAfter.
 func TestRateInAnyWindow(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -122,15 +123,15 @@
 			}
 			passed = append(passed, now)
 		}
-		g.Expect(len(passed)).To(BeNumerically(">", 3000*20/1000*perSecond/2), "what it bears is used")
+		g.Expect(len(passed)).To(BeNumerically(">", 3000*20/1000*perSecond/2), "the limit is used")
 		for i := perSecond; i < len(passed); i++ {
 			g.Expect(passed[i].Sub(passed[i-perSecond])).To(BeNumerically(">=", time.Second))
 		}
 	}
 }
 
-// TestLimitBeforeConfiguration a cold back end gets the least that one can allow, and what it got counts
-// for the bound that comes.
+// TestLimitBeforeConfiguration checks that a cold back end gets the lowest limit that can be configured
+// until the configuration arrives, and that requests admitted before count toward the configured limit.
 func TestLimitBeforeConfiguration(t *testing.T) {
 	g := NewWithT(t)
 	limit := &warmup.Limit{}
@@ -139,7 +140,8 @@
 	g.Expect(countAdmitted(limit, 100, 100)).To(Equal(perSecond - 1))
 }
 
-// TestChangedLimitCountsEarlierRequests.
+// TestChangedLimitCountsEarlierRequests checks that requests admitted before a change of the limit count
+// toward the new one.
 func TestChangedLimitCountsEarlierRequests(t *testing.T) {
 	g := NewWithT(t)
 	limit := configured()
