--- a/internal/sidecar/admission/flow.go
+++ b/internal/sidecar/admission/flow.go
@@ -87,11 +87,11 @@
 // workBefore returns the work of the flow's requests of smaller magnitudes.
 func (f *flow) workBefore(limit int) time.Duration {
 	total := time.Duration(0)
-	for _, held := range f.groups {
-		if held.magnitude >= limit {
+	for _, existing := range f.groups {
+		if existing.magnitude >= limit {
 			break
 		}
-		total += held.work
+		total += existing.work
 	}
 	return total
 }
@@ -115,16 +115,16 @@
 	if last := l.excess[0].last(now); last != nil {
 		return last
 	}
-	var most *flow
+	var largest *flow
 	for _, candidate := range l.excess[1:] {
-		if (most == nil || candidate.projectedTime() > most.projectedTime()) && candidate.last(now) != nil {
-			most = candidate
+		if (largest == nil || candidate.projectedTime() > largest.projectedTime()) && candidate.last(now) != nil {
+			largest = candidate
 		}
 	}
-	if most == nil {
+	if largest == nil {
 		return nil
 	}
-	return most.last(now)
+	return largest.last(now)
 }
 
 func (l *level) add(added *flow) {
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -210,14 +210,14 @@
 func (q *queue) workBefore(entry *waiter) time.Duration {
 	wanted := entry.info.precedence().Level()
 	total := time.Duration(0)
-	for _, held := range q.levels {
+	for _, current := range q.levels {
 		switch {
-		case held.number > wanted:
+		case current.number > wanted:
 			return total
-		case held.number < wanted:
-			total += held.work
+		case current.number < wanted:
+			total += current.work
 		default:
-			total += held.workBefore(entry)
+			total += current.workBefore(entry)
 		}
 	}
 	return total
@@ -238,11 +238,11 @@
 
 // lengthUpTo returns the number of requests that wait at the level and at those before it.
 func (q *queue) lengthUpTo(number int) (total int) {
-	for _, held := range q.levels {
-		if held.number > number {
+	for _, current := range q.levels {
+		if current.number > number {
 			break
 		}
-		total += held.length
+		total += current.length
 	}
 	return total
 }
@@ -250,8 +250,8 @@
 // work returns the work of all requests.
 func (q *queue) work() time.Duration {
 	total := time.Duration(0)
-	for _, held := range q.levels {
-		total += held.work
+	for _, current := range q.levels {
+		total += current.work
 	}
 	return total
 }
--- a/internal/sidecar/admission/standing.go
+++ b/internal/sidecar/admission/standing.go
@@ -93,8 +93,8 @@
 
 // idle reports whether the class has no requests.
 func (c *class) idle() bool {
-	for _, held := range c.tenants {
-		if held.running > 0 || held.waiting > 0 {
+	for _, candidate := range c.tenants {
+		if candidate.running > 0 || candidate.waiting > 0 {
 			return false
 		}
 	}
--- a/internal/sidecar/contention/contention.go
+++ b/internal/sidecar/contention/contention.go
@@ -35,11 +35,11 @@
 }
 
 // SetTenantsConfigured sets whether the configuration in force defines tenants.
-func (s *Switch) SetTenantsConfigured(named bool) { s.tenants.Store(named) }
+func (s *Switch) SetTenantsConfigured(configured bool) { s.tenants.Store(configured) }
 
 // SetShared records that a back end shares its machine with others, and reports whether this was not
 // known before. It holds for the lifetime of the process.
-func (s *Switch) SetShared() (news bool) { return s.shared.CompareAndSwap(false, true) }
+func (s *Switch) SetShared() (changed bool) { return s.shared.CompareAndSwap(false, true) }
 
 // Shared reports whether some back end is known to share its machine.
 func (s *Switch) Shared() bool { return s.shared.Load() }
--- a/internal/sidecar/evenly/evenly_test.go
+++ b/internal/sidecar/evenly/evenly_test.go
@@ -18,9 +18,9 @@
 		for _, run := range []int{1, 10, 100, 1000} {
 			taken := 0
 			for range run {
-				place := sequence.NextFraction()
-				g.Expect(place).To(And(BeNumerically(">=", 0), BeNumerically("<", 1)))
-				if place < share {
+				fraction := sequence.NextFraction()
+				g.Expect(fraction).To(And(BeNumerically(">=", 0), BeNumerically("<", 1)))
+				if fraction < share {
 					taken++
 				}
 			}
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -69,13 +69,13 @@
 // request in time. Ties are broken at random.
 func (f *fleet) choose(node int, tried []bool, now time.Time, random *rand.Rand) int {
 	best, shortest := -1, time.Duration(0)
-	for _, back := range random.Perm(len(f.limits)) {
+	for _, backend := range random.Perm(len(f.limits)) {
 		wait := time.Duration(0)
-		if estimate := f.estimates[node][back]; estimate != nil {
+		if estimate := f.estimates[node][backend]; estimate != nil {
 			wait = estimate.Wait(1, now)
 		}
-		if !tried[back] && wait <= fleetMaxWait && (best < 0 || wait < shortest) {
-			best, shortest = back, wait
+		if !tried[backend] && wait <= fleetMaxWait && (best < 0 || wait < shortest) {
+			best, shortest = backend, wait
 		}
 	}
 	return best
@@ -141,12 +141,12 @@
 // the demand. The limits are used, no window gets more than is allowed, and there is less than one
 // rejected send per served request, whatever the number of nodes.
 func TestServiceWithLimits(t *testing.T) {
-	for _, size := range []struct{ nodes, backs int }{{10, 4}, {40, 10}, {300, 40}} {
+	for _, size := range []struct{ nodes, backends int }{{10, 4}, {40, 10}, {300, 40}} {
 		for _, rate := range []float64{2, 12.8} {
-			t.Run(fmt.Sprintf("%d nodes, %d back ends, %v a second", size.nodes, size.backs, rate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d nodes, %d back ends, %v a second", size.nodes, size.backends, rate), func(t *testing.T) {
 				g := NewWithT(t)
-				simulated := newFleet(size.nodes, size.backs, rate)
-				room := rate * float64(size.backs)
+				simulated := newFleet(size.nodes, size.backends, rate)
+				room := rate * float64(size.backends)
 				simulated.run(3*room, 1)
 				for _, moments := range simulated.servedBy {
 					g.Expect(float64(maxInWindow(moments, ratelimit.Window))).To(BeNumerically("<=", 1.5*rate*ratelimit.Window.Seconds()+5))
--- a/internal/sidecar/warmup/warmup_test.go
+++ b/internal/sidecar/warmup/warmup_test.go
@@ -41,10 +41,10 @@
 func TestAdmitByWarmupState(t *testing.T) {
 	const many = 100
 	cases := []struct {
-		name string
-		tell func(*warmup.Limit)
-		from int // time of the first request, in milliseconds
-		pass int
+		name    string
+		prepare func(*warmup.Limit)
+		from    int // time of the first request, in milliseconds
+		want    int
 	}{
 		{"initial state", func(*warmup.Limit) {}, 0, perSecond},
 		{"probe reports warm", func(l *warmup.Limit) { l.SetProbeResult(0, at(-1), at(0)) }, 0, many},
@@ -65,8 +65,8 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			limit := configured()
-			test.tell(limit)
-			NewWithT(t).Expect(countAdmitted(limit, test.from, many)).To(Equal(test.pass))
+			test.prepare(limit)
+			NewWithT(t).Expect(countAdmitted(limit, test.from, many)).To(Equal(test.want))
 		})
 	}
 }
@@ -87,7 +87,7 @@
 // times per second, and one that reports itself warm not again.
 func TestProbeRateIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	asked := func(limit *warmup.Limit, gap, requests int) (count int) {
+	countProbes := func(limit *warmup.Limit, gap, requests int) (count int) {
 		for i := range requests {
 			if limit.Admit(at(i * gap)).Probe {
 				count++
@@ -95,12 +95,12 @@
 		}
 		return count
 	}
-	g.Expect(asked(configured(), 700, 50)).To(Equal(0))
-	g.Expect(asked(configured(), 1, 1000)).To(BeNumerically("<=", 10))
+	g.Expect(countProbes(configured(), 700, 50)).To(Equal(0))
+	g.Expect(countProbes(configured(), 1, 1000)).To(BeNumerically("<=", 10))
 	warm := configured()
-	g.Expect(asked(warm, 1, 10)).To(Equal(1))
+	g.Expect(countProbes(warm, 1, 10)).To(Equal(1))
 	warm.SetProbeResult(0, at(9), at(10))
-	g.Expect(asked(warm, 1, 400)).To(Equal(0))
+	g.Expect(countProbes(warm, 1, 400)).To(Equal(0))
 }
 
 // TestRateInAnyWindow checks that, for random arrivals, no second holds more requests than a cold back
