--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -12,39 +12,39 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-func ticket(priority int, wait time.Duration) admission.RequestInfo {
+func info(priority int, wait time.Duration) admission.RequestInfo {
 	return admission.RequestInfo{Priority: priority, MaximumWait: wait}
 }
 
-// TestOrder: the more urgent first, then those that come for the first time,
-// then the shorter by order of magnitude, then the newest.
-func TestOrder(t *testing.T) {
+// TestQueueOrder checks that waiting requests are served by urgency, first-time requests before retried
+// ones, then the shorter by order of magnitude, then the newest.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		first, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		first, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		served := make(chan string, 11)
 		waiters := []struct {
-			name   string
-			ticket admission.RequestInfo
+			name string
+			info admission.RequestInfo
 		}{
-			{"least urgent", ticket(2, time.Minute)},
+			{"least urgent", info(2, time.Minute)},
 			{"long", admission.RequestInfo{Priority: 1, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"as long, newer", admission.RequestInfo{Priority: 1, Work: 70 * time.Millisecond, MaximumWait: time.Minute}},
 			{"nested", admission.RequestInfo{Priority: 2, Nested: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
 			{"over its share", admission.RequestInfo{Priority: 1, OverShare: true, MaximumWait: time.Minute}},
-			{"came back", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"came back later", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
-			{"long, came back", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
-			{"older", ticket(1, time.Minute)},
-			{"newer", ticket(1, time.Minute)},
-			{"most urgent", ticket(0, time.Minute)},
+			{"a retry", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"a later retry", admission.RequestInfo{Priority: 1, Returning: true, MaximumWait: time.Minute}},
+			{"a long retry", admission.RequestInfo{Priority: 1, Returning: true, Work: 120 * time.Millisecond, MaximumWait: time.Minute}},
+			{"older", info(1, time.Minute)},
+			{"newer", info(1, time.Minute)},
+			{"most urgent", info(0, time.Minute)},
 		}
 		for _, waiter := range waiters {
 			go func() {
-				slot, err := gate.Acquire(t.Context(), waiter.ticket)
+				slot, err := gate.Acquire(t.Context(), waiter.info)
 				g.Expect(err).NotTo(HaveOccurred())
 				served <- waiter.name
 				slot.Release(true)
@@ -52,35 +52,35 @@
 			synctest.Wait()
 		}
 		first.Release(true)
-		for _, want := range []string{"nested", "most urgent", "newer", "older", "as long, newer", "long", "came back later", "came back", "long, came back", "over its share", "least urgent"} {
+		for _, want := range []string{"nested", "most urgent", "newer", "older", "as long, newer", "long", "a later retry", "a retry", "a long retry", "over its share", "least urgent"} {
 			g.Expect(<-served).To(Equal(want))
 		}
 	})
 }
 
-// TestRefusals: a request is refused when it would wait too long, when a more
-// urgent one takes its place, when it has waited too long and at the close.
+// TestRefusals checks that a request is refused when it would wait too long, when a more urgent one
+// displaces it and when it has waited too long.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		held, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		held, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 
-		_, err = gate.Acquire(t.Context(), ticket(1, 10*time.Millisecond))
+		_, err = gate.Acquire(t.Context(), info(1, 10*time.Millisecond))
 		g.Expect(err).To(MatchError(admission.ErrWaitTooLong))
 
 		refused := make(chan error, 2)
 		for range 2 {
 			go func() {
-				_, err := gate.Acquire(t.Context(), ticket(1, 110*time.Millisecond))
+				_, err := gate.Acquire(t.Context(), info(1, 110*time.Millisecond))
 				refused <- err
 			}()
 			synctest.Wait()
 		}
 		go func() {
-			slot, err := gate.Acquire(t.Context(), ticket(0, time.Minute))
+			slot, err := gate.Acquire(t.Context(), info(0, time.Minute))
 			g.Expect(err).NotTo(HaveOccurred())
 			slot.Release(true)
 		}()
@@ -96,19 +96,19 @@
 	})
 }
 
-// TestACallerThatLeavesHoldsNothing: neither a place in the queue nor a slot
-// that was granted in the same moment.
-func TestACallerThatLeavesHoldsNothing(t *testing.T) {
+// TestCanceledAcquireReleasesQueueEntryAndSlot checks that a caller that gives up keeps neither its place
+// in the queue nor a slot that was granted at the same moment.
+func TestCanceledAcquireReleasesQueueEntryAndSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(1)
-		held, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		held, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		leaving, leave := context.WithCancel(t.Context())
 		left := make(chan error, 1)
 		go func() {
-			_, err := gate.Acquire(leaving, ticket(0, time.Minute))
+			_, err := gate.Acquire(leaving, info(0, time.Minute))
 			left <- err
 		}()
 		synctest.Wait()
@@ -120,19 +120,19 @@
 	})
 }
 
-func TestServiceTimeIsLearned(t *testing.T) {
+func TestServiceTimeEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(2)
 		for range 100 {
-			slot, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+			slot, err := gate.Acquire(t.Context(), info(0, time.Second))
 			g.Expect(err).NotTo(HaveOccurred())
 			time.Sleep(200 * time.Millisecond)
 			slot.Release(true)
 		}
 		g.Expect(gate.Load().ServiceTime).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
-		slot, err := gate.Acquire(t.Context(), ticket(0, time.Second))
+		slot, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
 		before := gate.Load().ServiceTime
 		time.Sleep(time.Hour)
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestLongWorkAheadIsCounted: a queue of long requests takes long, whatever
-// short ones have made of the mean.
-func TestLongWorkAheadIsCounted(t *testing.T) {
+// TestExpectedWaitUsesWorkOfQueuedRequests checks that the expected wait behind long requests is long,
+// even if the mean service time is short because of earlier short requests.
+func TestExpectedWaitUsesWorkOfQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
@@ -183,16 +183,16 @@
 			}
 			longest = max(longest, wait)
 		}
-		time.Sleep(time.Second) // lets the last ones end
+		time.Sleep(time.Second) // let the last requests end
 		g.Expect(longest).To(BeNumerically("<=", 500*time.Millisecond))
 		g.Expect(refused).To(BeNumerically("~", 14, 1))
-		g.Expect(refusedAtOnce.Load()).To(BeNumerically(">=", 12), "without waiting for nothing")
+		g.Expect(refusedAtOnce.Load()).To(BeNumerically(">=", 12), "refused without waiting")
 	})
 }
 
-// TestTheEstimateIsCorrected by how long requests really waited: here a back end
-// that works three times as long as is said of it.
-func TestTheEstimateIsCorrected(t *testing.T) {
+// TestExpectedWaitIsCorrectedByMeasuredWaits has a back end work three times as long as the requests
+// declare, and checks that few requests wait longer than they may once the correction has adapted.
+func TestExpectedWaitIsCorrectedByMeasuredWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
@@ -222,10 +222,10 @@
 	})
 }
 
-// TestALastingOverload: callers come at one and a half times the pace of a back
-// end and come back once when they are refused. Most of those who are served
-// are served in time, also of those who have come back, and no slot stays free.
-func TestALastingOverload(t *testing.T) {
+// TestSustainedOverload has callers arrive at one and a half times the capacity and retry once after a
+// refusal. Most requests that are served, including retried ones, must be served in time, and the slots
+// must be used.
+func TestSustainedOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			work  = 100 * time.Millisecond
@@ -258,8 +258,8 @@
 		for i := range calls {
 			go func() {
 				defer func() { ended <- struct{}{} }()
-				// A part of the callers comes for the first time; with them alone the
-				// back end would not be busy.
+				// Some of the callers arrive for the first time; they alone would not keep the back end
+				// busy.
 				if i%5 >= 2 || !attempt(false) {
 					time.Sleep(work / 2)
 					attempt(true)
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -11,103 +11,104 @@
 
 // waiter is a request in the queue.
 type waiter struct {
-	ticket RequestInfo
+	info   RequestInfo
 	result chan error
-	// entered is when it joined the queue, predicted the wait expected then.
+	// entered is when the request arrived, predicted the wait that was expected then.
 	entered   time.Time
 	predicted time.Duration
-	// work is how long it is expected to hold a slot, charged what its tenant was charged for it.
+	// work is how long it is expected to hold a slot, charged how much its tenant was charged for it.
 	work, charged time.Duration
-	// standing is that of its tenant.
-	standing *standing
-	kind     *kind
-	// behind: it comes after those of its group that wait already.
-	behind bool
-	// group is the one that it waits in, place its place there; nil while it does
-	// not wait.
-	group *group
-	place *list.Element
-}
-
-// magnitude is the number of binary digits of the work in milliseconds.
+	// account is the account of its tenant.
+	account *account
+	kind    *kind
+	// fifo: the request is queued behind the requests of its group that already wait, instead of ahead of
+	// them.
+	fifo bool
+	// group is the group in which it waits, element its position there; both are nil while it does not
+	// wait.
+	group   *group
+	element *list.Element
+}
+
+// magnitude returns the number of binary digits of the work in milliseconds.
 func magnitude(work time.Duration) int { return bits.Len64(uint64(max(work, 0) / time.Millisecond)) }
 
 // group holds the waiting requests of one flow whose work is of one order of magnitude.
 type group struct {
 	flow      *flow
 	magnitude int
-	// waiters are *waiter, the newest in front.
+	// waiters holds *waiter in the order in which they are served, by default the newest first.
 	waiters list.List
 	// work is the sum over the waiters.
 	work time.Duration
 }
 
-// queue holds the waiting requests: by the level of their precedence, within one by whose turn it
-// is (see flow), within that by the order of magnitude of the work, and then the newest first. A
-// back end that is behind and takes the oldest first serves everyone at the last
-// moment, and late as soon as anything takes longer than expected; so it goes on
-// after the cause of the backlog has passed. Taking the newest first it serves
-// most at once and refuses the rest. Without tenants there is one flow a level. Each operation takes
-// time in proportion to the number of levels and magnitudes, which is small, and to the logarithm of that of
-// the tenants that wait.
+// queue holds the waiting requests. They are ordered by precedence level, within a level by fair queueing
+// (see flow), within a flow by order of magnitude of the work, and then the newest first. An overloaded
+// back end that serves the oldest first serves everyone at the last moment, and late as soon as anything
+// takes longer than expected; this persists after the cause of the backlog is gone. With the newest
+// first, most requests are served at once and the rest is refused. Without tenants there is one flow per
+// level. Each operation takes time proportional to the number of levels and magnitudes, which is small,
+// and to the logarithm of the number of waiting tenants.
 type queue struct {
-	// levels are ordered; none is empty.
-	levels    []*level
-	length    int
-	standings standings
-	// flows and groups are kept for use again.
-	flows  spare[flow]
-	groups spare[group]
+	// levels are ordered by number; none is empty.
+	levels   []*level
+	length   int
+	accounts accounts
+	// flows and groups hold unused values for reuse.
+	flows  freeList[flow]
+	groups freeList[group]
 }
 
-// spare holds values for use again. With tenants flows come and go with nearly every request.
-type spare[T any] struct{ held []*T }
+// freeList keeps unused values for reuse: with tenants, flows are created and removed with nearly every
+// request.
+type freeList[T any] struct{ items []*T }
 
-// mostSpare bounds the values that are kept.
-const mostSpare = 256
+// maxFree bounds the number of values kept.
+const maxFree = 256
 
-func (s *spare[T]) get() *T {
-	last := len(s.held) - 1
+func (s *freeList[T]) get() *T {
+	last := len(s.items) - 1
 	if last < 0 {
 		return new(T)
 	}
-	taken := s.held[last]
-	s.held = s.held[:last]
+	taken := s.items[last]
+	s.items = s.items[:last]
 	return taken
 }
 
-func (s *spare[T]) put(unused *T) {
-	if len(s.held) < mostSpare {
-		s.held = append(s.held, unused)
+func (s *freeList[T]) put(unused *T) {
+	if len(s.items) < maxFree {
+		s.items = append(s.items, unused)
 	}
 }
 
-// find returns the index of the level, or where it belongs.
-func (q *queue) find(number int) (int, bool) {
-	return slices.BinarySearchFunc(q.levels, number, func(held *level, wanted int) int { return cmp.Compare(held.number, wanted) })
+// findLevel returns the index of the level, or the index at which to insert it.
+func (q *queue) findLevel(number int) (int, bool) {
+	return slices.BinarySearchFunc(q.levels, number, func(existing *level, wanted int) int { return cmp.Compare(existing.number, wanted) })
 }
 
-// add puts a request into the queue.
+// add adds a request to the queue.
 func (q *queue) add(entry *waiter) {
-	number := entry.ticket.precedence().Level()
-	waitsIn := entry.standing.flow(number)
-	known := waitsIn != nil
+	number := entry.info.precedence().Level()
+	tenantFlow := entry.account.flow(number)
+	known := tenantFlow != nil
 	if !known {
-		waitsIn = q.newFlow(entry.standing, number)
+		tenantFlow = q.newFlow(entry.account, number)
 	}
-	entry.group = waitsIn.groupOf(entry.ticket, &q.groups)
-	if entry.behind {
-		entry.place = entry.group.waiters.PushBack(entry)
+	entry.group = tenantFlow.ensureGroup(entry.info, &q.groups)
+	if entry.fifo {
+		entry.element = entry.group.waiters.PushBack(entry)
 	} else {
-		entry.place = entry.group.waiters.PushFront(entry)
+		entry.element = entry.group.waiters.PushFront(entry)
 	}
-	waitsIn.changed(entry.group, entry.work, 1)
+	tenantFlow.adjust(entry.group, entry.work, 1)
 	if known {
-		heap.Fix(&waitsIn.level.excess, waitsIn.excess)
+		heap.Fix(&tenantFlow.level.excess, tenantFlow.excess)
 	} else {
-		waitsIn.level.add(waitsIn)
+		tenantFlow.level.add(tenantFlow)
 	}
-	entry.standing.waiting++
+	entry.account.waiting++
 	entry.kind.waiting++
 	q.length++
 }
@@ -115,59 +116,60 @@
 // holds reports whether the request is still in the queue.
 func (q *queue) holds(entry *waiter) bool { return entry.group != nil }
 
-// remove takes a request out of the queue, in which it is.
+// remove removes a request that is in the queue.
 func (q *queue) remove(entry *waiter) {
-	left := entry.group
-	waitedIn := left.flow
-	left.waiters.Remove(entry.place)
-	waitedIn.changed(left, -entry.work, -1)
-	entry.group, entry.place = nil, nil
-	entry.standing.waiting--
+	oldGroup := entry.group
+	oldFlow := oldGroup.flow
+	oldGroup.waiters.Remove(entry.element)
+	oldFlow.adjust(oldGroup, -entry.work, -1)
+	entry.group, entry.element = nil, nil
+	entry.account.waiting--
 	entry.kind.waiting--
 	q.length--
-	if left.waiters.Len() == 0 {
-		waitedIn.drop(left, &q.groups)
+	if oldGroup.waiters.Len() == 0 {
+		oldFlow.removeGroup(oldGroup, &q.groups)
 	}
-	if waitedIn.length > 0 {
-		heap.Fix(&waitedIn.level.excess, waitedIn.excess)
+	if oldFlow.length > 0 {
+		heap.Fix(&oldFlow.level.excess, oldFlow.excess)
 		return
 	}
-	q.retire(waitedIn)
+	q.removeFlow(oldFlow)
 }
 
-// newFlow returns an empty flow of the tenant, which is not yet in the level's heaps.
-func (q *queue) newFlow(of *standing, number int) *flow {
-	index, found := q.find(number)
+// newFlow returns an empty flow of the tenant, which is not in the heaps of the level yet.
+func (q *queue) newFlow(owner *account, number int) *flow {
+	index, found := q.findLevel(number)
 	if !found {
 		q.levels = slices.Insert(q.levels, index, &level{number: number})
 	}
 	created := q.flows.get()
-	created.standing, created.level = of, q.levels[index]
-	of.flows = append(of.flows, created)
+	created.account, created.level = owner, q.levels[index]
+	owner.flows = append(owner.flows, created)
 	return created
 }
 
-// retire takes an empty flow out of its level, and the level out when it is empty.
-func (q *queue) retire(empty *flow) {
-	emptied, of := empty.level, empty.standing
-	emptied.remove(empty)
-	index := slices.Index(of.flows, empty)
-	of.flows = slices.Delete(of.flows, index, index+1)
-	empty.standing, empty.level = nil, nil
+// removeFlow removes an empty flow from its level, and the level if it is empty then.
+func (q *queue) removeFlow(empty *flow) {
+	oldLevel, owner := empty.level, empty.account
+	oldLevel.remove(empty)
+	index := slices.Index(owner.flows, empty)
+	owner.flows = slices.Delete(owner.flows, index, index+1)
+	empty.account, empty.level = nil, nil
 	q.flows.put(empty)
-	if len(emptied.turns) == 0 {
-		index, _ := q.find(emptied.number)
+	if len(oldLevel.turns) == 0 {
+		index, _ := q.findLevel(oldLevel.number)
 		q.levels = slices.Delete(q.levels, index, index+1)
 	}
 }
 
-// inTurn reports whether a request gets its slot by turn: no tenant waits at its level that has had less.
+// inTurn reports whether granting the request a slot follows the fair order: no tenant with a lower
+// virtual time waits at its level.
 func (q *queue) inTurn(entry *waiter) bool {
-	index, found := q.find(entry.ticket.precedence().Level())
-	return !found || q.levels[index].turns[0].standing.had >= entry.standing.had
+	index, found := q.findLevel(entry.info.precedence().Level())
+	return !found || q.levels[index].turns[0].account.virtualTime >= entry.account.virtualTime
 }
 
-// next returns the request that is served first; nil when the queue is empty.
+// next returns the request that is served first, nil if the queue is empty.
 func (q *queue) next() *waiter {
 	if q.length == 0 {
 		return nil
@@ -175,8 +177,8 @@
 	return q.levels[0].turns[0].first()
 }
 
-// last returns the request that is refused first: the one that is served after all others, but for
-// those that are kept since their kind is overdue. It is nil when there is none.
+// last returns the request that is refused first: the one that is served last, except for those that are
+// exempt because their kind is overdue. It is nil if there is none.
 func (q *queue) last(now time.Time) *waiter {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		if last := q.levels[i].last(now); last != nil {
@@ -188,59 +190,59 @@
 
 // before reports whether a waiting request is served before a new one.
 func (q *queue) before(waiting, entry *waiter) bool {
-	order := cmp.Compare(waiting.group.flow.level.number, entry.ticket.precedence().Level())
+	order := cmp.Compare(waiting.group.flow.level.number, entry.info.precedence().Level())
 	switch {
 	case order != 0:
 		return order < 0
-	case waiting.standing != entry.standing:
-		return waiting.standing.had < entry.standing.had
+	case waiting.account != entry.account:
+		return waiting.account.virtualTime < entry.account.virtualTime
 	}
 	return entry.follows(waiting.group)
 }
 
-// follows reports whether a new request comes after those of a group of its flow.
+// follows reports whether a new request is served after those of a group of its flow.
 func (w *waiter) follows(waiting *group) bool {
-	own := magnitude(w.ticket.Work)
-	return waiting.magnitude < own || waiting.magnitude == own && w.behind
+	own := magnitude(w.info.Work)
+	return waiting.magnitude < own || waiting.magnitude == own && w.fifo
 }
 
 // workBefore returns the work of the requests that are served before a new one.
 func (q *queue) workBefore(entry *waiter) time.Duration {
-	wanted := entry.ticket.precedence().Level()
+	wanted := entry.info.precedence().Level()
 	total := time.Duration(0)
-	for _, held := range q.levels {
+	for _, current := range q.levels {
 		switch {
-		case held.number > wanted:
+		case current.number > wanted:
 			return total
-		case held.number < wanted:
-			total += held.work
+		case current.number < wanted:
+			total += current.work
 		default:
-			total += held.workBefore(entry)
+			total += current.workBefore(entry)
 		}
 	}
 	return total
 }
 
-// lengthBefore returns how many requests are served before a new one, at most.
+// lengthBefore returns an upper bound of the number of requests that are served before a new one.
 func (q *queue) lengthBefore(entry *waiter) int {
 	if q.length == 0 {
 		return 0
 	}
-	wanted := entry.ticket.precedence().Level()
+	wanted := entry.info.precedence().Level()
 	total := q.lengthUpTo(wanted - 1)
-	if index, found := q.find(wanted); found {
+	if index, found := q.findLevel(wanted); found {
 		total += q.levels[index].lengthBefore(entry)
 	}
 	return total
 }
 
-// lengthUpTo returns how many requests wait at the level and at those before it.
+// lengthUpTo returns the number of requests that wait at the level and at those before it.
 func (q *queue) lengthUpTo(number int) (total int) {
-	for _, held := range q.levels {
-		if held.number > number {
+	for _, current := range q.levels {
+		if current.number > number {
 			break
 		}
-		total += held.length
+		total += current.length
 	}
 	return total
 }
@@ -248,8 +250,8 @@
 // work returns the work of all requests.
 func (q *queue) work() time.Duration {
 	total := time.Duration(0)
-	for _, held := range q.levels {
-		total += held.work
+	for _, current := range q.levels {
+		total += current.work
 	}
 	return total
 }
--- a/internal/sidecar/evenly/evenly_test.go
+++ b/internal/sidecar/evenly/evenly_test.go
@@ -9,18 +9,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/evenly"
 )
 
-// TestEveryRunIsDivided: of each run of requests, wherever it begins, a share goes one way that
-// is at most three requests off.
-func TestEveryRunIsDivided(t *testing.T) {
+// TestRunsAreSplitByShare checks that the split of any contiguous run of requests deviates from the share
+// by at most three requests.
+func TestRunsAreSplitByShare(t *testing.T) {
 	g := NewWithT(t)
 	for _, share := range []float64{0.01, 0.1, 0.5, 0.9} {
 		sequence := evenly.NewSequence()
 		for _, run := range []int{1, 10, 100, 1000} {
 			taken := 0
 			for range run {
-				place := sequence.NextFraction()
-				g.Expect(place).To(And(BeNumerically(">=", 0), BeNumerically("<", 1)))
-				if place < share {
+				fraction := sequence.NextFraction()
+				g.Expect(fraction).To(And(BeNumerically(">=", 0), BeNumerically("<", 1)))
+				if fraction < share {
 					taken++
 				}
 			}
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// fleetLatency is the time to a node and back, fleetPatience how long requests wait for room.
+	// fleetLatency is the round-trip time to a node, fleetMaxWait how long requests wait for the limit.
 	fleetLatency  = 4 * time.Millisecond
-	fleetPatience = 100 * time.Millisecond
-	fleetLasts    = 30 * time.Second
-	// fleetSends is how many nodes may refuse a request.
-	fleetSends = 5
+	fleetMaxWait  = 100 * time.Millisecond
+	fleetDuration = 30 * time.Second
+	// fleetMaxSends is how many nodes a request is sent to before it is refused.
+	fleetMaxSends = 5
 )
 
-// fleet plays nodes that send to back ends with limits. A request goes to the back end of which the
-// node expects the shortest wait, and to another one after a refusal.
+// fleet simulates nodes that send to back ends with limits. A request goes to the back end with the
+// shortest expected wait, and to another one after a refusal.
 type fleet struct {
 	limits    []*ratelimit.Limit
 	estimates [][]*ratelimit.Estimate
-	// served and refused count requests, vain the sends that were refused, first those of them that were a
-	// node's first to the back end.
-	served, refused, vain, first int
-	// servedBy holds the moments at which each back end got a request.
+	// served and refused count requests, rejected counts the sends that were refused by a back end,
+	// firstRejected those of them that were a node's first to that back end.
+	served, refused, rejected, firstRejected int
+	// servedBy holds, for each back end, the times at which it got requests.
 	servedBy [][]time.Time
 }
 
-// pending is a request that arrives at a back end at some moment.
+// pending is a request that arrives at a back end at some time.
 type pending struct {
-	at         time.Time
-	node, back int
-	tried      []bool
-	sends      int
+	at            time.Time
+	node, backend int
+	tried         []bool
+	sends         int
 }
 
 type arrivals []pending
@@ -54,82 +54,82 @@
 	return one
 }
 
-func newFleet(nodes, backs int, perSecond float64) *fleet {
-	made := &fleet{servedBy: make([][]time.Time, backs), estimates: make([][]*ratelimit.Estimate, nodes)}
-	for range backs {
-		made.limits = append(made.limits, limited(perSecond))
+func newFleet(nodes, backends int, perSecond float64) *fleet {
+	created := &fleet{servedBy: make([][]time.Time, backends), estimates: make([][]*ratelimit.Estimate, nodes)}
+	for range backends {
+		created.limits = append(created.limits, newLimit(perSecond))
 	}
-	for i := range made.estimates {
-		made.estimates[i] = make([]*ratelimit.Estimate, backs)
+	for i := range created.estimates {
+		created.estimates[i] = make([]*ratelimit.Estimate, backends)
 	}
-	return made
+	return created
 }
 
-// choose returns the back end to send to, below zero when none is expected to have room in time. It
-// compares a few that are drawn, as nodes do.
+// choose returns the back end with the shortest expected wait, -1 if none is expected to allow the
+// request in time. Ties are broken at random.
 func (f *fleet) choose(node int, tried []bool, now time.Time, random *rand.Rand) int {
 	best, shortest := -1, time.Duration(0)
-	for _, back := range random.Perm(len(f.limits)) {
+	for _, backend := range random.Perm(len(f.limits)) {
 		wait := time.Duration(0)
-		if estimate := f.estimates[node][back]; estimate != nil {
+		if estimate := f.estimates[node][backend]; estimate != nil {
 			wait = estimate.Wait(1, now)
 		}
-		if !tried[back] && wait <= fleetPatience && (best < 0 || wait < shortest) {
-			best, shortest = back, wait
+		if !tried[backend] && wait <= fleetMaxWait && (best < 0 || wait < shortest) {
+			best, shortest = backend, wait
 		}
 	}
 	return best
 }
 
-// send sends a request where it may be served, or refuses it.
-func (f *fleet) send(one pending, now time.Time, random *rand.Rand, queue *arrivals) {
-	one.back = f.choose(one.node, one.tried, now, random)
-	if one.back < 0 || one.sends == fleetSends {
+// send sends a request to a back end that may serve it, or refuses it.
+func (f *fleet) send(request pending, now time.Time, random *rand.Rand, queue *arrivals) {
+	request.backend = f.choose(request.node, request.tried, now, random)
+	if request.backend < 0 || request.sends == fleetMaxSends {
 		f.refused++
 		return
 	}
-	if estimate := f.estimates[one.node][one.back]; estimate != nil {
+	if estimate := f.estimates[request.node][request.backend]; estimate != nil {
 		estimate.Consume(1, now)
 	}
-	one.at = now.Add(fleetLatency / 2)
-	one.sends++
-	heap.Push(queue, one)
+	request.at = now.Add(fleetLatency / 2)
+	request.sends++
+	heap.Push(queue, request)
 }
 
-// arrive decides on a request at its back end and tells its node of the room there.
-func (f *fleet) arrive(one pending, random *rand.Rand, queue *arrivals) {
-	limit, now := f.limits[one.back], one.at
+// arrive decides on a request at its back end and updates the estimate of the sending node.
+func (f *fleet) arrive(request pending, random *rand.Rand, queue *arrivals) {
+	limit, now := f.limits[request.backend], request.at
 	wait, room := limit.Wait(0, now), 0.0
-	served := wait <= fleetPatience
+	served := wait <= fleetMaxWait
 	if served {
-		limit.Consume(1, now) // what waits is counted at once: the bucket goes below zero
+		limit.Consume(1, now) // waiting requests are counted at once, so the bucket may become negative
 		f.served++
-		f.servedBy[one.back] = append(f.servedBy[one.back], now.Add(wait))
-		room = limit.Room(fmt.Sprint(one.node), 1, 0, now)
+		f.servedBy[request.backend] = append(f.servedBy[request.backend], now.Add(wait))
+		room = limit.Room(fmt.Sprint(request.node), 1, 0, now)
 	} else {
-		f.vain++
-		if f.estimates[one.node][one.back] == nil {
-			f.first++
+		f.rejected++
+		if f.estimates[request.node][request.backend] == nil {
+			f.firstRejected++
 		}
-		room = limit.RoomIn(limit.RetryAfter(fmt.Sprint(one.node), 1, 0, now))
+		room = limit.RoomIn(limit.RetryAfter(fmt.Sprint(request.node), 1, 0, now))
 	}
 	advertised, _ := limit.Advertised()
-	if estimate := f.estimates[one.node][one.back]; estimate != nil {
+	if estimate := f.estimates[request.node][request.backend]; estimate != nil {
 		estimate.Update(advertised.PerSecond, room, 1, now)
 	} else {
-		f.estimates[one.node][one.back] = ratelimit.NewEstimate(advertised.PerSecond, room, 1, now)
+		f.estimates[request.node][request.backend] = ratelimit.NewEstimate(advertised.PerSecond, room, 1, now)
 	}
 	if !served {
-		one.tried[one.back] = true
-		f.send(one, now.Add(fleetLatency/2), random, queue)
+		request.tried[request.backend] = true
+		f.send(request, now.Add(fleetLatency/2), random, queue)
 	}
 }
 
-// play has requests come at that rate from all nodes together.
-func (f *fleet) play(demand float64, seed uint64) {
+// run generates requests at the given rate from all nodes together.
+func (f *fleet) run(demand float64, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	queue := &arrivals{}
-	for now := start; now.Sub(start) < fleetLasts; now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second))) {
+	for now := start; now.Sub(start) < fleetDuration; now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second))) {
 		for queue.Len() > 0 && (*queue)[0].at.Before(now) {
 			f.arrive(heap.Pop(queue).(pending), random, queue)
 		}
@@ -137,38 +137,38 @@
 	}
 }
 
-// TestAWholeServiceWithLimits: all back ends of a service name limits whose sum is a third of the demand.
-// Their limits are used, no window gets more than is allowed, and fewer than one send for each request
-// served is in vain, whatever the number of nodes.
-func TestAWholeServiceWithLimits(t *testing.T) {
-	for _, size := range []struct{ nodes, backs int }{{10, 4}, {40, 10}, {300, 40}} {
+// TestServiceWithLimits checks a service whose back ends all advertise limits, with a total of a third of
+// the demand. The limits are used, no window gets more than is allowed, and there is less than one
+// rejected send per served request, whatever the number of nodes.
+func TestServiceWithLimits(t *testing.T) {
+	for _, size := range []struct{ nodes, backends int }{{10, 4}, {40, 10}, {300, 40}} {
 		for _, rate := range []float64{2, 12.8} {
-			t.Run(fmt.Sprintf("%d nodes, %d back ends, %v a second", size.nodes, size.backs, rate), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d nodes, %d back ends, %v a second", size.nodes, size.backends, rate), func(t *testing.T) {
 				g := NewWithT(t)
-				played := newFleet(size.nodes, size.backs, rate)
-				room := rate * float64(size.backs)
-				played.play(3*room, 1)
-				for _, moments := range played.servedBy {
-					g.Expect(float64(mostIn(moments, ratelimit.Window))).To(BeNumerically("<=", 1.5*rate*ratelimit.Window.Seconds()+5))
+				simulated := newFleet(size.nodes, size.backends, rate)
+				room := rate * float64(size.backends)
+				simulated.run(3*room, 1)
+				for _, moments := range simulated.servedBy {
+					g.Expect(float64(maxInWindow(moments, ratelimit.Window))).To(BeNumerically("<=", 1.5*rate*ratelimit.Window.Seconds()+5))
 				}
-				used := float64(played.served) / (room * fleetLasts.Seconds())
-				vain := float64(played.vain-played.first) / float64(played.served)
-				t.Logf("used %.2f, sends in vain for each that is served %.2f, of all nodes' first ones %d, served %d, refused %d",
-					used, vain, played.first, played.served, played.refused)
+				used := float64(simulated.served) / (room * fleetDuration.Seconds())
+				rejected := float64(simulated.rejected-simulated.firstRejected) / float64(simulated.served)
+				t.Logf("utilization %.2f, rejected sends per served request %.2f, first sends rejected %d, served %d, refused %d",
+					used, rejected, simulated.firstRejected, simulated.served, simulated.refused)
 				g.Expect(used).To(BeNumerically(">", 0.8))
-				g.Expect(vain).To(BeNumerically("<", 1))
+				g.Expect(rejected).To(BeNumerically("<", 1))
 			})
 		}
 	}
 }
 
-// TestCallersThatAreRefusedComeBackOneByOne: those of one node are told times an interval apart.
-func TestCallersThatAreRefusedComeBackOneByOne(t *testing.T) {
+// TestEstimateSpreadsRetries checks that refused callers of one node get retry times one interval apart.
+func TestEstimateSpreadsRetries(t *testing.T) {
 	g := NewWithT(t)
 	estimate := ratelimit.NewEstimate(10, -4, 1, start)
 	for i := range 5 {
 		g.Expect(estimate.RetryAfter(1, start)).To(BeNumerically("~", 500*time.Millisecond+time.Duration(i)*100*time.Millisecond, time.Millisecond))
 	}
-	g.Expect(estimate.Wait(0, start)).To(BeZero(), "nothing is known of the more urgent")
+	g.Expect(estimate.Wait(0, start)).To(BeZero(), "the limit of more urgent classes is unknown")
 	g.Expect(estimate.Wait(2, start)).To(BeNumerically(">", 0))
 }
--- a/internal/sidecar/stall/stall_test.go
+++ b/internal/sidecar/stall/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/stall"
 )
 
-func TestStallsWithin(t *testing.T) {
+func TestTrackerStalled(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	cases := []struct {
@@ -21,37 +21,38 @@
 		want      time.Duration
 	}{
 		{"no tick yet", nil, 0, 500, 0},
-		{"ticks in time", []int{0, 20, 41, 60}, 0, 70, 0},
-		{"late by less than counts", []int{0, 39}, 0, 39, 0},
+		{"ticks on time", []int{0, 20, 41, 60}, 0, 70, 0},
+		{"delay below the threshold", []int{0, 39}, 0, 39, 0},
 		{"one stall", []int{0, 20, 540, 560}, 10, 570, 500 * time.Millisecond},
-		{"the answer came during the stall's end, before the tick", []int{0, 20}, 10, 540, 500 * time.Millisecond},
-		{"begun during the stall", []int{0, 20, 540}, 340, 550, 200 * time.Millisecond},
-		{"begun after the stall", []int{0, 20, 540}, 541, 560, 0},
+		{"measured at the end of the stall, before the next tick", []int{0, 20}, 10, 540, 500 * time.Millisecond},
+		{"started during the stall", []int{0, 20, 540}, 340, 550, 200 * time.Millisecond},
+		{"started after the stall", []int{0, 20, 540}, 541, 560, 0},
 		{"several", []int{0, 120, 140, 260}, 0, 270, 200 * time.Millisecond},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
-			var record stall.Tracker
-			for _, tick := range held.ticks {
-				record.Tick(at(tick))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			var tracker stall.Tracker
+			for _, tick := range test.ticks {
+				tracker.Tick(at(tick))
 			}
-			NewWithT(t).Expect(record.Stalled(at(held.from), at(held.now))).To(Equal(held.want))
+			NewWithT(t).Expect(tracker.Stalled(at(test.from), at(test.now))).To(Equal(test.want))
 		})
 	}
 }
 
-// TestATimeWithoutWatchIsNoStall: nobody asked for ticks.
-func TestATimeWithoutWatchIsNoStall(t *testing.T) {
+// TestTimeWithoutMonitoringIsNoStall checks that the time during which the monitor does not tick does not
+// count as a stall.
+func TestTimeWithoutMonitoringIsNoStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		watch := &stall.Monitor{}
+		monitor := &stall.Monitor{}
 		began := clock.Now()
-		watch.Extend()
+		monitor.Extend()
 		time.Sleep(time.Minute)
-		g.Expect(watch.Stalled(began)).To(BeZero())
-		watch.Extend()
+		g.Expect(monitor.Stalled(began)).To(BeZero())
+		monitor.Extend()
 		time.Sleep(time.Second)
-		g.Expect(watch.Stalled(began)).To(BeZero())
+		g.Expect(monitor.Stalled(began)).To(BeZero())
 		time.Sleep(time.Minute)
 	})
 }
