--- a/internal/sidecar/body/body.go
+++ b/internal/sidecar/body/body.go
@@ -13,8 +13,8 @@
 // MaxBufferedBytes is the longest answer that is read whole before it is passed on.
 const MaxBufferedBytes = 64 << 10
 
-// readBytes is the size of the first read of an answer without a length.
-const readBytes = 4 << 10
+// initialReadBytes is the size of the first read of an answer without a length.
+const initialReadBytes = 4 << 10
 
 // BufferShort reads the response's body whole when it is short. Afterwards the
 // response either has a length and cannot break off any more, or streams what
@@ -23,36 +23,36 @@
 	if response.ContentLength > MaxBufferedBytes || response.Body == http.NoBody || response.ContentLength == 0 {
 		return nil
 	}
-	gathered, whole, err := readUpTo(response.Body, response.ContentLength)
+	buffered, whole, err := readUpTo(response.Body, response.ContentLength)
 	if err != nil {
 		_ = response.Body.Close()
 		return err
 	}
 	rest := response.Body
 	if !whole {
-		response.Body = joined{Reader: io.MultiReader(bytes.NewReader(gathered), rest), Closer: rest}
+		response.Body = readCloser{Reader: io.MultiReader(bytes.NewReader(buffered), rest), Closer: rest}
 		return nil
 	}
 	if len(response.Trailer) > 0 {
-		response.Body = joined{Reader: bytes.NewReader(gathered), Closer: rest}
+		response.Body = readCloser{Reader: bytes.NewReader(buffered), Closer: rest}
 		return nil
 	}
 	_ = rest.Close()
-	response.Body = io.NopCloser(bytes.NewReader(gathered))
-	response.ContentLength = int64(len(gathered))
+	response.Body = io.NopCloser(bytes.NewReader(buffered))
+	response.ContentLength = int64(len(buffered))
 	response.TransferEncoding = nil
-	response.Header["Content-Length"] = []string{strconv.Itoa(len(gathered))}
+	response.Header["Content-Length"] = []string{strconv.Itoa(len(buffered))}
 	return nil
 }
 
-type joined struct {
+type readCloser struct {
 	io.Reader
 	io.Closer
 }
 
 // readUpTo reads at most BufferedBytes and reports whether that was all.
-func readUpTo(from io.Reader, length int64) (gathered []byte, whole bool, err error) {
-	size := int64(readBytes)
+func readUpTo(from io.Reader, length int64) (buffered []byte, whole bool, err error) {
+	size := int64(initialReadBytes)
 	if length > 0 {
 		size = length + 1 // one more, to meet the end
 	}
--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -24,31 +24,31 @@
 	// WatchInterval is the time between two looks of Watch, and so how late a suspension is
 	// seen where nobody asks for the time.
 	WatchInterval = 200 * time.Millisecond
-	// uncertainFor is how long after a suspension a message may be read that came during it.
-	uncertainFor = 250 * time.Millisecond
+	// wakeUncertainty is how long after a suspension a message may be read that came during it.
+	wakeUncertainty = 250 * time.Millisecond
 )
 
-// base is the zero of stamps.
-var base = time.Now()
+// epoch is the zero of stamps.
+var epoch = time.Now()
 
-// shared is the clock of the process.
-var shared = newSource(readSuspended)
+// processClock is the clock of the process.
+var processClock = newSuspendClock(readSuspended)
 
-// source is a clock. It is safe for concurrent use.
-type source struct {
+// suspendClock is a clock. It is safe for concurrent use.
+type suspendClock struct {
 	// suspended is for how long it has been since the process started, in nanoseconds.
 	suspended atomic.Int64
-	// apart is how far time of day and the runtime's clock were apart when read was last
+	// wallOffset is how far time of day and the runtime's clock were wallOffset when read was last
 	// called, in nanoseconds. Both a suspension and a step of the time of day change that.
-	apart atomic.Int64
-	// woke is the last suspension, nil before the first.
-	woke atomic.Pointer[wake]
+	wallOffset atomic.Int64
+	// lastWake is the last suspension, nil before the first.
+	lastWake atomic.Pointer[wake]
 
 	mu sync.Mutex // guards all below
 	// read returns for how long the machine has been suspended since its start.
 	read func() (time.Duration, error)
-	// before is what read returned when the process started.
-	before    time.Duration
+	// initial is what read returned when the process started.
+	initial    time.Duration
 	listeners map[*wakeListener]struct{}
 	deadlines map[*deadline]struct{}
 }
@@ -68,12 +68,12 @@
 	cancel context.CancelFunc
 }
 
-func newSource(read func() (time.Duration, error)) *source {
-	created := &source{read: read, listeners: map[*wakeListener]struct{}{}, deadlines: map[*deadline]struct{}{}}
+func newSuspendClock(read func() (time.Duration, error)) *suspendClock {
+	created := &suspendClock{read: read, listeners: map[*wakeListener]struct{}{}, deadlines: map[*deadline]struct{}{}}
 	if before, err := read(); err == nil { // else see Check
-		created.before = before
+		created.initial = before
 	}
-	created.apart.Store(apart(time.Now()))
+	created.wallOffset.Store(wallOffset(time.Now()))
 	return created
 }
 
@@ -91,34 +91,34 @@
 // process may be preempted between two reads: the steady clock is read on both sides of the other, until
 // little time has passed between them.
 func compareClocks(read func(id int32) (time.Duration, error)) (ahead time.Duration, err error) {
-	const tries, narrow = 5, tolerance / 10
-	narrowest := time.Duration(math.MaxInt64)
-	for range tries {
+	const attempts, targetWindow = 5, tolerance / 10
+	window := time.Duration(math.MaxInt64)
+	for range attempts {
 		before, wrongBefore := read(unix.CLOCK_MONOTONIC)
 		counting, wrongCounting := read(unix.CLOCK_BOOTTIME)
 		after, wrongAfter := read(unix.CLOCK_MONOTONIC)
 		if err := errors.Join(wrongBefore, wrongCounting, wrongAfter); err != nil {
 			return 0, err
 		}
-		if passed := after - before; passed < narrowest {
-			narrowest, ahead = passed, counting-after
+		if passed := after - before; passed < window {
+			window, ahead = passed, counting-after
 		}
-		if narrowest <= narrow {
+		if window <= targetWindow {
 			break
 		}
 	}
 	return ahead, nil
 }
 
-// apart is how far time of day and the runtime's clock are apart, in nanoseconds.
-func apart(now time.Time) int64 {
-	return now.Round(0).Sub(base.Round(0)).Nanoseconds() - now.Sub(base).Nanoseconds()
+// wallOffset is how far time of day and the runtime's clock are wallOffset, in nanoseconds.
+func wallOffset(now time.Time) int64 {
+	return now.Round(0).Sub(epoch.Round(0)).Nanoseconds() - now.Sub(epoch).Nanoseconds()
 }
 
 // Now returns the present time, for differences only: its time of day is not that of the
 // machine. It costs about 10 ns more than time.Now (BenchmarkNow); the kernel is asked only when
 // the time of day has moved against the runtime's clock.
-func Now() time.Time { return shared.now() }
+func Now() time.Time { return processClock.now() }
 
 // Since returns the time since a moment of this clock.
 func Since(moment time.Time) time.Duration { return Now().Sub(moment) }
@@ -127,10 +127,10 @@
 func Until(moment time.Time) time.Duration { return moment.Sub(Now()) }
 
 // Stamp returns a moment of this clock as a number, in nanoseconds.
-func Stamp(moment time.Time) int64 { return moment.Sub(base).Nanoseconds() }
+func Stamp(moment time.Time) int64 { return moment.Sub(epoch).Nanoseconds() }
 
 // At returns the moment of a stamp.
-func At(stamp int64) time.Time { return base.Add(time.Duration(stamp)) }
+func At(stamp int64) time.Time { return epoch.Add(time.Duration(stamp)) }
 
 // WallTime returns the time of day of a moment of this clock, as others are told it.
 func WallTime(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
@@ -141,29 +141,29 @@
 // ReceiveTime returns from when on the time counts that a message grants that is read now. A
 // message that is read just after a suspension may have come at its beginning: a node that
 // slept must not lengthen anybody's time.
-func ReceiveTime() time.Time { return shared.received() }
+func ReceiveTime() time.Time { return processClock.receiveTime() }
 
 // WithDeadline returns a context that ends at a moment of this clock: after a suspension,
 // once that is seen.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	return shared.withDeadline(parent, at)
+	return processClock.withDeadline(parent, at)
 }
 
 // SetSuspensionSource has another source tell for how long the machine has been suspended since its start,
 // from that moment on, until it is restored.
 func SetSuspensionSource(read func() (time.Duration, error)) (restore func()) {
-	shared.replace(read)
-	return func() { shared.replace(readSuspended) }
+	processClock.setSource(read)
+	return func() { processClock.setSource(readSuspended) }
 }
 
-// replace goes on by another source without a jump.
-func (s *source) replace(read func() (time.Duration, error)) {
+// setSource goes on by another source without a jump.
+func (s *suspendClock) setSource(read func() (time.Duration, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.read = read
-	s.woke.Store(nil)
+	s.lastWake.Store(nil)
 	if started, err := read(); err == nil {
-		s.before = started - time.Duration(s.suspended.Load())
+		s.initial = started - time.Duration(s.suspended.Load())
 	}
 }
 
@@ -175,7 +175,7 @@
 }
 
 // DetectSuspension looks for a suspension since the last look.
-func DetectSuspension() { shared.look(time.Now()) }
+func DetectSuspension() { processClock.detect(time.Now()) }
 
 // Watch looks for suspensions until the context ends.
 func Watch(ctx context.Context) {
@@ -195,55 +195,55 @@
 // removed. Who finds out first waits for it: it must be quick.
 func OnWake(call func(slept time.Duration)) (remove func()) {
 	added := &wakeListener{call: call}
-	shared.mu.Lock()
-	defer shared.mu.Unlock()
-	shared.listeners[added] = struct{}{}
+	processClock.mu.Lock()
+	defer processClock.mu.Unlock()
+	processClock.listeners[added] = struct{}{}
 	return func() {
-		shared.mu.Lock()
-		defer shared.mu.Unlock()
-		delete(shared.listeners, added)
+		processClock.mu.Lock()
+		defer processClock.mu.Unlock()
+		delete(processClock.listeners, added)
 	}
 }
 
-func (s *source) now() time.Time {
+func (s *suspendClock) now() time.Time {
 	now := time.Now()
-	if moved := time.Duration(apart(now) - s.apart.Load()); moved > tolerance || moved < -tolerance {
-		s.look(now)
+	if moved := time.Duration(wallOffset(now) - s.wallOffset.Load()); moved > tolerance || moved < -tolerance {
+		s.detect(now)
 	}
 	return now.Add(time.Duration(s.suspended.Load()))
 }
 
-// look asks whether the machine was suspended since the last look, and tells.
-func (s *source) look(now time.Time) {
-	slept, told := s.wakeUp(now)
-	for _, listener := range told {
+// detect asks whether the machine was suspended since the last detect, and tells.
+func (s *suspendClock) detect(now time.Time) {
+	slept, listeners := s.recordSuspension(now)
+	for _, listener := range listeners {
 		listener.call(slept)
 	}
 }
 
-// wakeUp counts a suspension since the last look and returns who is to hear of it.
-func (s *source) wakeUp(now time.Time) (slept time.Duration, told []*wakeListener) {
-	s.apart.Store(apart(now))
+// recordSuspension counts a suspension since the last look and returns who is to hear of it.
+func (s *suspendClock) recordSuspension(now time.Time) (slept time.Duration, listeners []*wakeListener) {
+	s.wallOffset.Store(wallOffset(now))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total, err := s.read()
 	if err != nil {
 		return 0, nil // without the clocks no suspension is ever seen: see Check
 	}
-	counted := total - s.before
+	counted := total - s.initial
 	slept = counted - time.Duration(s.suspended.Load())
 	if slept < tolerance {
 		return 0, nil
 	}
 	s.suspended.Store(int64(counted))
-	s.woke.Store(&wake{at: now.Add(counted), slept: slept})
-	s.keepDeadlines(now.Add(counted))
+	s.lastWake.Store(&wake{at: now.Add(counted), slept: slept})
+	s.adjustDeadlines(now.Add(counted))
 	return slept, slices.Collect(maps.Keys(s.listeners))
 }
 
-// keepDeadlines ends what should have ended meanwhile, and has the others end in time: the
+// adjustDeadlines ends what should have ended meanwhile, and has the others end in time: the
 // runtime's timers did not count the suspension. The lock is held.
-func (s *source) keepDeadlines(now time.Time) {
+func (s *suspendClock) adjustDeadlines(now time.Time) {
 	for kept := range s.deadlines {
 		if left := kept.at.Sub(now); left > 0 {
 			time.AfterFunc(left, kept.cancel)
@@ -253,15 +253,15 @@
 	}
 }
 
-func (s *source) received() time.Time {
+func (s *suspendClock) receiveTime() time.Time {
 	now := s.now()
-	if last := s.woke.Load(); last != nil && now.Sub(last.at) < uncertainFor {
+	if last := s.lastWake.Load(); last != nil && now.Sub(last.at) < wakeUncertainty {
 		return now.Add(-last.slept)
 	}
 	return now
 }
 
-func (s *source) withDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
+func (s *suspendClock) withDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, at.Sub(s.now()))
 	kept := &deadline{at: at, cancel: cancel}
 	s.mu.Lock()
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -10,46 +10,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// machine is a source whose machine is suspended as told.
-type machine struct {
-	*source
+// testClock is a source whose testClock is suspended as told.
+type testClock struct {
+	*suspendClock
 	suspended time.Duration
 }
 
-func newMachine() *machine {
-	made := &machine{}
-	made.source = newSource(func() (time.Duration, error) { return made.suspended, nil })
+func newTestClock() *testClock {
+	made := &testClock{}
+	made.suspendClock = newSuspendClock(func() (time.Duration, error) { return made.suspended, nil })
 	return made
 }
 
-// sleep suspends the machine; somebody looks afterwards.
-func (m *machine) sleep(slept time.Duration) {
+// suspend suspends the machine; somebody looks afterwards.
+func (m *testClock) suspend(slept time.Duration) {
 	m.suspended += slept
-	m.look(time.Now())
+	m.detect(time.Now())
 }
 
-func TestASuspensionCounts(t *testing.T) {
+func TestNowCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		made := newMachine()
+		made := newTestClock()
 		began := made.now()
 		time.Sleep(time.Second)
 		g.Expect(made.now().Sub(began)).To(Equal(time.Second))
-		made.sleep(5 * time.Second)
+		made.suspend(5 * time.Second)
 		g.Expect(made.now().Sub(began)).To(Equal(6 * time.Second))
-		made.sleep(tolerance / 2)
+		made.suspend(tolerance / 2)
 		g.Expect(made.now().Sub(began)).To(Equal(6*time.Second), "clocks that are read one after the other")
-		made.sleep(2 * time.Second)
+		made.suspend(2 * time.Second)
 		g.Expect(made.now().Sub(began)).To(Equal(8*time.Second + tolerance/2))
 	})
 }
 
-// TestDeadlinesAreKept: what should have ended while the machine slept ends when it wakes,
+// TestDeadlinesCountSuspensions: what should have ended while the machine slept ends when it wakes,
 // the rest in time.
-func TestDeadlinesAreKept(t *testing.T) {
+func TestDeadlinesCountSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		made := newMachine()
+		made := newTestClock()
 		within := func(left time.Duration) (context.Context, context.CancelFunc) {
 			return made.withDeadline(t.Context(), made.now().Add(left))
 		}
@@ -62,7 +62,7 @@
 		g.Expect(over.Err()).To(HaveOccurred())
 		g.Expect(made.deadlines).To(HaveLen(2))
 
-		made.sleep(4 * time.Second)
+		made.suspend(4 * time.Second)
 		g.Expect(short.Err()).To(HaveOccurred())
 		g.Expect(long.Err()).NotTo(HaveOccurred())
 		time.Sleep(6*time.Second - time.Millisecond)
@@ -74,27 +74,27 @@
 	})
 }
 
-// TestWhatIsReadAfterASuspension may have come at its beginning.
-func TestWhatIsReadAfterASuspension(t *testing.T) {
+// TestReceiveTimeAfterSuspension may have come at its beginning.
+func TestReceiveTimeAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		made := newMachine()
-		g.Expect(made.received()).To(Equal(made.now()))
-		made.sleep(3 * time.Second)
-		g.Expect(made.now().Sub(made.received())).To(Equal(3 * time.Second))
-		time.Sleep(uncertainFor)
-		g.Expect(made.received()).To(Equal(made.now()))
+		made := newTestClock()
+		g.Expect(made.receiveTime()).To(Equal(made.now()))
+		made.suspend(3 * time.Second)
+		g.Expect(made.now().Sub(made.receiveTime())).To(Equal(3 * time.Second))
+		time.Sleep(wakeUncertainty)
+		g.Expect(made.receiveTime()).To(Equal(made.now()))
 	})
 }
 
-func TestStamps(t *testing.T) {
+func TestStampRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	now := Now()
 	g.Expect(At(Stamp(now)).Sub(now)).To(BeZero())
 }
 
-// TestTimesOfDay: a moment that others are told does not move by suspensions before.
-func TestTimesOfDay(t *testing.T) {
+// TestWallTimeIgnoresSuspensions: a moment that others are told does not move by suspensions before.
+func TestWallTimeIgnoresSuspensions(t *testing.T) {
 	g := NewWithT(t)
 	suspended := time.Duration(0)
 	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
@@ -105,8 +105,8 @@
 	g.Expect(FromWallTime(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
 }
 
-// TestListenersHearOfASuspension once each.
-func TestListenersHearOfASuspension(t *testing.T) {
+// TestOnWakeIsCalledOnce once each.
+func TestOnWakeIsCalledOnce(t *testing.T) {
 	g := NewWithT(t)
 	heard := make(chan time.Duration, 4)
 	defer OnWake(func(slept time.Duration) { heard <- slept })()
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestAPauseBetweenTwoReadsIsNoSuspension: a process that is preempted while it compares the kernel's clocks.
-func TestAPauseBetweenTwoReadsIsNoSuspension(t *testing.T) {
+// TestPreemptionIsNoSuspension: a process that is preempted while it compares the kernel's clocks.
+func TestPreemptionIsNoSuspension(t *testing.T) {
 	const slept, pause = 3 * time.Second, time.Second
 	for paused := range 3 {
 		for _, always := range []bool{false, true} {
--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -17,17 +17,17 @@
 const (
 	// readTimeout bounds one read of the store.
 	readTimeout = 2 * time.Second
-	// pauseBase and pauseMost bound the wait after a failure of the store.
-	pauseBase = 100 * time.Millisecond
-	pauseMost = 800 * time.Millisecond
-	// refusedMost bounds it for a node that has a configuration: a newer one comes
+	// minPause and pauseMost bound the wait after a failure of the store.
+	minPause = 100 * time.Millisecond
+	maxPause = 800 * time.Millisecond
+	// maxPauseInForce bounds it for a node that has a configuration: a newer one comes
 	// from its peers, and every refused call is paid for.
-	refusedMost = 3 * time.Second
-	// turnInterval is the time between two looks at whether it is the node's turn
+	maxPauseInForce = 3 * time.Second
+	// readerCheckInterval is the time between two looks at whether it is the node's turn
 	// to read.
-	turnInterval = 400 * time.Millisecond
-	// startInterval is that time while there is no configuration.
-	startInterval = 50 * time.Millisecond
+	readerCheckInterval = 400 * time.Millisecond
+	// startupCheckInterval is that time while there is no configuration.
+	startupCheckInterval = 50 * time.Millisecond
 )
 
 // Keyspace is where the store has what operators write.
@@ -44,31 +44,31 @@
 	OnListed func(found []store.KeyValue, revision uint64)
 }
 
-// take offers an item to whom it concerns. One that sets off a panic is left out, as one
+// deliver offers an item to whom it concerns. One that sets off a panic is left out, as one
 // that cannot be read is: the error is in the log. It reports whether the item is not a
 // configuration that was left out.
-func (p *Keyspace) take(item store.KeyValue, keeper *Keeper, source Source) bool {
+func (k *Keyspace) deliver(item store.KeyValue, keeper *Keeper, source Source) bool {
 	switch {
-	case item.Key == p.Key:
+	case item.Key == k.Key:
 		err := keeper.Offer(item.Value, source)
 		return err == nil || errors.Is(err, ErrNotNewer)
-	case p.OnOther != nil:
-		_ = contain.Run("order", keeper.logger, func() { p.OnOther(item) })
+	case k.OnOther != nil:
+		_ = contain.Run("order", keeper.logger, func() { k.OnOther(item) })
 	}
 	return true
 }
 
-// takeRemoved passes on that a key was removed. The configuration is never without a version.
-func (p *Keyspace) takeRemoved(key string, revision uint64, keeper *Keeper) {
-	if key != p.Key && p.OnRemoved != nil {
-		_ = contain.Run("removed order", keeper.logger, func() { p.OnRemoved(key, revision) })
+// deliverRemoved passes on that a key was removed. The configuration is never without a version.
+func (k *Keyspace) deliverRemoved(key string, revision uint64, keeper *Keeper) {
+	if key != k.Key && k.OnRemoved != nil {
+		_ = contain.Run("removed order", keeper.logger, func() { k.OnRemoved(key, revision) })
 	}
 }
 
-// takeList passes on what a read of the whole place has found.
-func (p *Keyspace) takeList(found []store.KeyValue, revision uint64, keeper *Keeper) {
-	if p.OnListed != nil {
-		_ = contain.Run("orders", keeper.logger, func() { p.OnListed(found, revision) })
+// deliverList passes on what a read of the whole place has found.
+func (k *Keyspace) deliverList(found []store.KeyValue, revision uint64, keeper *Keeper) {
+	if k.OnListed != nil {
+		_ = contain.Run("orders", keeper.logger, func() { k.OnListed(found, revision) })
 	}
 }
 
@@ -76,29 +76,29 @@
 // ends. After every end of a watch the place is read anew: what was missed
 // meanwhile must not stay unheard. While reads returns false the store is left
 // alone.
-func Follow(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper, reads func() bool, logger *zap.Logger) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+func Follow(ctx context.Context, reader store.Reader, keys Keyspace, keeper *Keeper, isReader func() bool, logger *zap.Logger) {
+	backoff := pause.Backoff{Base: minPause, Most: maxPause}
 	healthy := true
-	reading := true
+	wasReader := true
 	for ctx.Err() == nil {
-		if turn := reads(); turn != reading {
-			reading = turn
-			logger.Info("turn to read the store", zap.Bool("reads", reading), zap.Uint64("inForce", keeper.Version()))
+		if turn := isReader(); turn != wasReader {
+			wasReader = turn
+			logger.Info("turn to read the store", zap.Bool("reads", wasReader), zap.Uint64("inForce", keeper.Version()))
 		}
-		if !reading {
-			pause.Wait(ctx, interval(keeper))
+		if !wasReader {
+			pause.Wait(ctx, checkInterval(keeper))
 			continue
 		}
-		turn, end := whileReading(ctx, reads)
+		turn, end := whileReader(ctx, isReader)
 		var since time.Time // when the store answered, zero before
 		answered := func() {
 			if !healthy {
-				logger.Info("store regained", zap.String("key", place.Key), zap.Uint64("inForce", keeper.Version()))
+				logger.Info("store regained", zap.String("key", keys.Key), zap.Uint64("inForce", keeper.Version()))
 			}
 			healthy = true
 			since = clock.Now()
 		}
-		err := followOnce(turn, reader, &place, keeper, answered)
+		err := followOnce(turn, reader, &keys, keeper, answered)
 		ended := turn.Err() != nil
 		end()
 		if ctx.Err() != nil {
@@ -110,38 +110,38 @@
 		if err == nil || errors.Is(err, store.ErrCompacted) {
 			answered()
 			backoff.Succeeded()
-			pause.Wait(ctx, pauseBase/2)
+			pause.Wait(ctx, minPause/2)
 			continue
 		}
 		if healthy {
-			logger.Warn("store lost", zap.String("key", place.Key), zap.Uint64("inForce", keeper.Version()), zap.Error(err))
+			logger.Warn("store lost", zap.String("key", keys.Key), zap.Uint64("inForce", keeper.Version()), zap.Error(err))
 		}
 		healthy = false
-		if !since.IsZero() && clock.Since(since) >= refusedMost {
+		if !since.IsZero() && clock.Since(since) >= maxPauseInForce {
 			backoff.Succeeded()
 		}
-		if backoff.Most = pauseMost; keeper.Version() > 0 {
-			backoff.Most = refusedMost
+		if backoff.Most = maxPause; keeper.Version() > 0 {
+			backoff.Most = maxPauseInForce
 		}
 		backoff.Failed(ctx)
 	}
 }
 
-// interval is the time until the next look at whether it is the node's turn.
-func interval(keeper *Keeper) time.Duration {
+// checkInterval is the time until the next look at whether it is the node's turn.
+func checkInterval(keeper *Keeper) time.Duration {
 	if keeper.Version() == 0 {
-		return startInterval
+		return startupCheckInterval
 	}
-	return turnInterval
+	return readerCheckInterval
 }
 
-// whileReading returns a context that ends when the node's turn to read does.
-func whileReading(ctx context.Context, reads func() bool) (context.Context, context.CancelFunc) {
+// whileReader returns a context that ends when the node's turn to read does.
+func whileReader(ctx context.Context, isReader func() bool) (context.Context, context.CancelFunc) {
 	turn, end := context.WithCancel(ctx)
 	go func() {
 		for turn.Err() == nil {
-			pause.Wait(turn, turnInterval)
-			if !reads() {
+			pause.Wait(turn, readerCheckInterval)
+			if !isReader() {
 				end()
 			}
 		}
@@ -151,13 +151,13 @@
 
 // followOnce reads the place, then watches it until the watch ends; answered is called once the
 // store has answered the read. A nil error means that the watch ended in order.
-func followOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper, answered func()) error {
-	after, err := readOnce(ctx, reader, place, keeper)
+func followOnce(ctx context.Context, reader store.Reader, keys *Keyspace, keeper *Keeper, answered func()) error {
+	after, err := readAll(ctx, reader, keys, keeper)
 	if err != nil {
 		return err
 	}
 	answered()
-	watch, err := reader.Watch(ctx, place.Prefix, after)
+	watch, err := reader.Watch(ctx, keys.Prefix, after)
 	if err != nil {
 		return err
 	}
@@ -167,9 +167,9 @@
 		switch {
 		case event.Key == "":
 		case event.Deleted:
-			place.takeRemoved(event.Key, event.Revision, keeper)
+			keys.deliverRemoved(event.Key, event.Revision, keeper)
 		default:
-			taken = place.take(event.KeyValue, keeper, SourceWatch) && taken
+			taken = keys.deliver(event.KeyValue, keeper, SourceWatch) && taken
 		}
 		if !event.Current.IsZero() && taken {
 			keeper.RecordProof(keeper.Version(), event.Current)
@@ -178,39 +178,39 @@
 	return watch.Err()
 }
 
-// itemsMost is how many items under the place one read asks for: the configuration and
+// maxItems is how many items under the place one read asks for: the configuration and
 // what concerns single services.
-const itemsMost = 1000
+const maxItems = 1000
 
-// readOnce takes in what lies at the place now and returns the revision after
+// readAll takes in what lies at the place now and returns the revision after
 // which nothing is missed: that of the store, not that of a key, which may be
 // older than the history that a watch can begin in. What concerns single services comes
 // before the configuration: a node that serves knows all orders given before.
-func readOnce(ctx context.Context, reader store.Reader, place *Keyspace, keeper *Keeper) (after uint64, err error) {
+func readAll(ctx context.Context, reader store.Reader, keys *Keyspace, keeper *Keeper) (after uint64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	asked := clock.Now()
-	found, after, err := reader.Range(bounded, place.Prefix, place.Prefix, itemsMost)
+	found, after, err := reader.Range(bounded, keys.Prefix, keys.Prefix, maxItems)
 	if err != nil {
 		return 0, err
 	}
-	isConfiguration := func(item store.KeyValue) bool { return item.Key == place.Key }
+	isConfiguration := func(item store.KeyValue) bool { return item.Key == keys.Key }
 	for _, item := range found {
 		if !isConfiguration(item) {
-			place.take(item, keeper, SourceRead)
+			keys.deliver(item, keeper, SourceRead)
 		}
 	}
-	if len(found) < itemsMost {
-		place.takeList(found, after, keeper)
+	if len(found) < maxItems {
+		keys.deliverList(found, after, keeper)
 	}
-	if index := slices.IndexFunc(found, isConfiguration); index >= 0 && place.take(found[index], keeper, SourceRead) {
+	if index := slices.IndexFunc(found, isConfiguration); index >= 0 && keys.deliver(found[index], keeper, SourceRead) {
 		keeper.RecordProof(keeper.Version(), asked)
 	}
 	return after, nil
 }
 
 // Refresh takes in what the store has at the place now.
-func Refresh(ctx context.Context, reader store.Reader, place Keyspace, keeper *Keeper) error {
-	_, err := readOnce(ctx, reader, &place, keeper)
+func Refresh(ctx context.Context, reader store.Reader, keys Keyspace, keeper *Keeper) error {
+	_, err := readAll(ctx, reader, &keys, keeper)
 	return err
 }
--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -20,20 +20,20 @@
 
 const configurationKey = "configuration"
 
-// forgetfulStore holds one key that was written long ago. A watch that begins
+// compactedStore holds one key that was written long ago. A watch that begins
 // before its history is refused. It is used by one goroutine at a time.
-type forgetfulStore struct {
+type compactedStore struct {
 	written, history, now uint64
 	reads, watches        int
 	running               *openWatch
 }
 
-func (s *forgetfulStore) Get(ctx context.Context, key string) (store.KeyValue, error) {
+func (s *compactedStore) Get(ctx context.Context, key string) (store.KeyValue, error) {
 	found, _, err := s.GetAt(ctx, key)
 	return found, err
 }
 
-func (s *forgetfulStore) GetAt(context.Context, string) (store.KeyValue, uint64, error) {
+func (s *compactedStore) GetAt(context.Context, string) (store.KeyValue, uint64, error) {
 	s.reads++
 	if s.written == 0 {
 		return store.KeyValue{}, 0, store.ErrNotFound
@@ -41,7 +41,7 @@
 	return store.KeyValue{Key: configurationKey, Value: fmt.Append(nil, s.written), Revision: s.written}, s.now, nil
 }
 
-func (s *forgetfulStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
+func (s *compactedStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
 	s.reads++
 	if s.written == 0 {
 		return nil, s.now, nil
@@ -49,7 +49,7 @@
 	return []store.KeyValue{{Key: configurationKey, Value: fmt.Append(nil, s.written), Revision: s.written}}, s.now, nil
 }
 
-func (s *forgetfulStore) Watch(_ context.Context, _ string, after uint64) (store.Watch, error) {
+func (s *compactedStore) Watch(_ context.Context, _ string, after uint64) (store.Watch, error) {
 	s.watches++
 	if after < s.history {
 		return nil, store.ErrCompacted
@@ -74,24 +74,24 @@
 
 // follow has the keeper follow the store as one that reads; the channel is closed at the end.
 func follow(ctx context.Context, reader store.Reader, keeper *configuration.Keeper, logger *zap.Logger) <-chan struct{} {
-	place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
+	keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		configuration.Follow(ctx, reader, place, keeper, func() bool { return true }, logger)
+		configuration.Follow(ctx, reader, keys, keeper, func() bool { return true }, logger)
 	}()
 	return ended
 }
 
-// TestAnOldConfigurationIsWatched: that the key was not written within the
+// TestFollowWatchesOldConfiguration: that the key was not written within the
 // store's history is no reason to read it over and over.
-func TestAnOldConfigurationIsWatched(t *testing.T) {
+func TestFollowWatchesOldConfiguration(t *testing.T) {
 	for name, written := range map[string]uint64{"written before the history": 5, "never written": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				ctx, end := context.WithCancel(t.Context())
-				held := &forgetfulStore{written: written, history: 50, now: 100}
+				held := &compactedStore{written: written, history: 50, now: 100}
 				keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 				followed := follow(ctx, held, keeper, zap.NewNop())
 				time.Sleep(10 * time.Second)
@@ -112,7 +112,7 @@
 
 // refusingStore turns every call away.
 type refusingStore struct {
-	forgetfulStore
+	compactedStore
 	calls int
 }
 
@@ -129,10 +129,10 @@
 	return nil, 0, s.refuse()
 }
 
-// TestARefusedNodeAsksRarely: a node that has a configuration asks a store that
+// TestFollowBacksOffWhenRefused: a node that has a configuration asks a store that
 // turns it away at most every one and a half seconds in the end; one that has none
 // asks more often, since it serves nobody.
-func TestARefusedNodeAsksRarely(t *testing.T) {
+func TestFollowBacksOffWhenRefused(t *testing.T) {
 	for name, held := range map[string]struct {
 		version     string
 		least, most int
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestADocumentThatSetsOffAPanic is refused as one that cannot be read: every node reads it, and
+// TestPanickingDocumentIsRefused is refused as one that cannot be read: every node reads it, and
 // reads it again when it starts anew. The one before stays in force, and later ones are taken.
-func TestADocumentThatSetsOffAPanic(t *testing.T) {
+func TestPanickingDocumentIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
@@ -171,14 +171,14 @@
 			}
 			return document, notes, err
 		}
-		held := &forgetfulStore{written: 5, now: 100}
+		held := &compactedStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		orders := 0
-		place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
+		keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
 			orders++
 			panic("a fault of the node")
 		}}
-		go configuration.Follow(ctx, held, place, keeper, func() bool { return true }, zap.NewNop())
+		go configuration.Follow(ctx, held, keys, keeper, func() bool { return true }, zap.NewNop())
 		time.Sleep(time.Second)
 		synctest.Wait()
 		g.Expect(keeper.Version()).To(BeEquivalentTo(5))
@@ -198,9 +198,9 @@
 	})
 }
 
-// TestWhatTheStoreProves: a read, and the word of a watch how far it has come, prove that the
+// TestStoreAnswersProveFreshness: a read, and the word of a watch how far it has come, prove that the
 // node is level; not one that left a document out.
-func TestWhatTheStoreProves(t *testing.T) {
+func TestStoreAnswersProveFreshness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
@@ -211,7 +211,7 @@
 			}
 			return document, notes, err
 		}
-		held := &forgetfulStore{written: 5, now: 100}
+		held := &compactedStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		go configuration.Follow(ctx, held, configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}, keeper, func() bool { return true }, zap.NewNop())
 		synctest.Wait()
@@ -247,15 +247,15 @@
 // endingStore answers reads and ends each watch with an error after a while, but for a time in
 // which it answers nothing.
 type endingStore struct {
-	forgetfulStore
-	away atomic.Bool
+	compactedStore
+	unavailable atomic.Bool
 }
 
 func (s *endingStore) Range(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error) {
-	if s.away.Load() {
+	if s.unavailable.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
-	return s.forgetfulStore.Range(ctx, prefix, from, limit)
+	return s.compactedStore.Range(ctx, prefix, from, limit)
 }
 
 func (s *endingStore) Watch(context.Context, string, uint64) (store.Watch, error) {
@@ -272,21 +272,21 @@
 
 func (w *endedWatch) Err() error { return store.ErrUnavailable }
 
-// TestAStoreThatAnswersAgainIsLogged when it answers, not when the next watch ends.
-func TestAStoreThatAnswersAgainIsLogged(t *testing.T) {
+// TestStoreRecoveryIsLogged when it answers, not when the next watch ends.
+func TestStoreRecoveryIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
 		core, logged := observer.New(zap.InfoLevel)
-		held := &endingStore{forgetfulStore: forgetfulStore{written: 5, now: 100}}
+		held := &endingStore{compactedStore: compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.New(core))
 		time.Sleep(19 * time.Second)
-		held.away.Store(true)
+		held.unavailable.Store(true)
 		time.Sleep(10 * time.Second)
 		g.Expect(logged.FilterMessage("store lost").Len()).To(Equal(1))
 		g.Expect(logged.FilterMessage("store regained").Len()).To(BeZero())
-		held.away.Store(false)
+		held.unavailable.Store(false)
 		time.Sleep(5 * time.Second)
 		g.Expect(logged.FilterMessage("store regained").Len()).To(Equal(1))
 		end()
@@ -295,12 +295,12 @@
 	})
 }
 
-// TestAReaderThatWasAnsweredReadsAgainAtOnce after its watch ends, however often watches ended before.
-func TestAReaderThatWasAnsweredReadsAgainAtOnce(t *testing.T) {
+// TestFollowRestartsEndedWatchAtOnce after its watch ends, however often watches ended before.
+func TestFollowRestartsEndedWatchAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
-		held := &endingStore{forgetfulStore: forgetfulStore{written: 5, now: 100}}
+		held := &endingStore{compactedStore: compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.NewNop())
 		const watches, slack = 10, time.Second
@@ -315,18 +315,18 @@
 }
 
 // watchlessStore answers reads and turns watches away.
-type watchlessStore struct{ forgetfulStore }
+type watchlessStore struct{ compactedStore }
 
 func (s *watchlessStore) Watch(context.Context, string, uint64) (store.Watch, error) {
 	return nil, store.ErrRateLimited
 }
 
-// TestAReaderWhoseWatchesAreTurnedAwayReadsRarely, though its reads are answered.
-func TestAReaderWhoseWatchesAreTurnedAwayReadsRarely(t *testing.T) {
+// TestFollowBacksOffWhenWatchesAreRefused, though its reads are answered.
+func TestFollowBacksOffWhenWatchesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
-		held := &watchlessStore{forgetfulStore{written: 5, now: 100}}
+		held := &watchlessStore{compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.NewNop())
 		time.Sleep(time.Minute)
--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -40,18 +40,18 @@
 type Keeper struct {
 	decode Decoder
 	logger *zap.Logger
-	held   atomic.Pointer[held]
+	active   atomic.Pointer[active]
 	// proof is when the node was last known to be level.
 	proof proof
 
 	mutex     sync.Mutex // serializes Offer; guards observers
 	observers []func(*route.Table, Source)
-	// refused is the last document that was refused, so that it is logged once.
-	refused string
+	// lastRefused is the last document that was lastRefused, so that it is logged once.
+	lastRefused string
 }
 
-// held is one version in force. It is immutable.
-type held struct {
+// active is one version in force. It is immutable.
+type active struct {
 	table *route.Table
 	since time.Time
 	// past are the documents before, the newest last, at most remembered.
@@ -64,9 +64,9 @@
 	lostKeys map[uint64]map[string]bool
 }
 
-// remembered is how many past documents are kept, to tell peers that have one of
+// maxPast is how many past documents are kept, to tell peers that have one of
 // them just what differs.
-const remembered = 6
+const maxPast = 6
 
 // NewKeeper returns a keeper without a table.
 func NewKeeper(decode Decoder, logger *zap.Logger) *Keeper {
@@ -75,7 +75,7 @@
 
 // Table returns the table in force, nil before the first.
 func (k *Keeper) Table() *route.Table {
-	if current := k.held.Load(); current != nil {
+	if current := k.active.Load(); current != nil {
 		return current.table
 	}
 	return nil
@@ -87,7 +87,7 @@
 // ChangeSince returns what leads from a past version to the one in force: the whole
 // document when that version is not remembered, nil before the first.
 func (k *Keeper) ChangeSince(version uint64) *route.Change {
-	current := k.held.Load()
+	current := k.active.Load()
 	if current == nil {
 		return nil
 	}
@@ -103,7 +103,7 @@
 // EncodedChangeSince is Since as it goes to peers, nil before the first version. It is made once, since
 // many ask for the same.
 func (k *Keeper) EncodedChangeSince(version uint64) (*encoded.Body, error) {
-	current := k.held.Load()
+	current := k.active.Load()
 	if current == nil {
 		return nil, nil
 	}
@@ -115,13 +115,13 @@
 
 // LostKey reports whether the tenant is known to have lost a key since a past version.
 func (k *Keeper) LostKey(version uint64, tenant string) bool {
-	current := k.held.Load()
+	current := k.active.Load()
 	return current != nil && current.lostKeys[version][tenant]
 }
 
 // Age returns how long the version has been in force.
 func (k *Keeper) Age() time.Duration {
-	if current := k.held.Load(); current != nil {
+	if current := k.active.Load(); current != nil {
 		return clock.Since(current.since)
 	}
 	return 0
@@ -140,15 +140,15 @@
 // Offer puts a document in force when it is valid and newer. Otherwise the one
 // before stays in force, whole.
 func (k *Keeper) Offer(raw []byte, source Source) error {
-	return k.contained(string(raw), source, func() error { return k.offer(raw, source) })
+	return k.containPanic(string(raw), source, func() error { return k.offer(raw, source) })
 }
 
-// contained takes in a document under the lock. One that sets off a panic is refused: every
+// containPanic takes in a document under the lock. One that sets off a panic is refused: every
 // node gets it, and gets it again after a restart.
-func (k *Keeper) contained(document string, source Source, take func() error) (err error) {
+func (k *Keeper) containPanic(document string, source Source, update func() error) (err error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if fault := contain.Run("configuration", k.logger, func() { err = take() }); fault != nil {
+	if fault := contain.Run("configuration", k.logger, func() { err = update() }); fault != nil {
 		return k.refuse(document, source, fault)
 	}
 	return err
@@ -160,17 +160,17 @@
 	if err != nil {
 		return k.refuse(string(raw), source, trace.Wrap(err, "decode configuration"))
 	}
-	return k.adopt(document, notes, source)
+	return k.activate(document, notes, source)
 }
 
 // ApplyChange puts in force what a peer's change makes of the document in force. The
 // error is route.ErrBase when it starts from another one.
 func (k *Keeper) ApplyChange(change *route.Change) error {
-	return k.contained(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.advance(change) })
+	return k.containPanic(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.applyChange(change) })
 }
 
-// advance is Advance; the lock is held.
-func (k *Keeper) advance(change *route.Change) error {
+// applyChange is Advance; the lock is held.
+func (k *Keeper) applyChange(change *route.Change) error {
 	if change.Version <= k.Version() {
 		return ErrNotNewer
 	}
@@ -178,12 +178,12 @@
 	if err != nil {
 		return err
 	}
-	return k.adopt(document, nil, SourcePeer)
+	return k.activate(document, nil, SourcePeer)
 }
 
-// adopt puts a newer document in force; the lock is held.
-func (k *Keeper) adopt(document *route.Document, notes []string, source Source) error {
-	before := k.held.Load()
+// activate puts a newer document in force; the lock is held.
+func (k *Keeper) activate(document *route.Document, notes []string, source Source) error {
+	before := k.active.Load()
 	if document.Version <= k.Version() {
 		return ErrNotNewer
 	}
@@ -191,19 +191,19 @@
 	if err != nil {
 		return k.refuse(strconv.FormatUint(document.Version, 10), source, trace.Wrap(err, "compile configuration"))
 	}
-	next := &held{table: compiled, since: clock.Now(), whole: encodedChange(document, nil)}
+	next := &active{table: compiled, since: clock.Now(), whole: encodedChange(document, nil)}
 	if before != nil {
 		past := append(slices.Clone(before.past), before.table.Document())
-		next.past = past[max(0, len(past)-remembered):]
-		next.changes = make(map[uint64]func() (*encoded.Body, error), remembered)
-		next.lostKeys = make(map[uint64]map[string]bool, remembered)
+		next.past = past[max(0, len(past)-maxPast):]
+		next.changes = make(map[uint64]func() (*encoded.Body, error), maxPast)
+		next.lostKeys = make(map[uint64]map[string]bool, maxPast)
 		for _, base := range next.past {
 			next.changes[base.Version] = encodedChange(document, base)
 			next.lostKeys[base.Version] = base.LostKeys(document)
 		}
 	}
 	old := k.Version()
-	k.held.Store(next)
+	k.active.Store(next)
 	k.logger.Info("configuration in force",
 		zap.Uint64("version", document.Version), zap.Uint64("before", old),
 		zap.String("source", string(source)), zap.Int("routes", len(document.Routes)), zap.Strings("notes", notes))
@@ -215,8 +215,8 @@
 
 // refuse logs why a document was not taken, once for each.
 func (k *Keeper) refuse(document string, source Source, err error) error {
-	if k.refused != document {
-		k.refused = document
+	if k.lastRefused != document {
+		k.lastRefused = document
 		k.logger.Error("configuration refused",
 			zap.Uint64("inForce", k.Version()), zap.String("source", string(source)), zap.Error(err))
 	}
--- a/internal/sidecar/configuration/proof.go
+++ b/internal/sidecar/configuration/proof.go
@@ -10,10 +10,10 @@
 // proof is the last moment at which a node is known to have been level: it holds what was the
 // newest configuration then. Only answers of the store make one; nodes pass it on with its age. It
 // is safe for concurrent use.
-type proof struct{ held atomic.Pointer[proven] }
+type proof struct{ current atomic.Pointer[proofState] }
 
-// proven is what a node knows at one time. It is immutable.
-type proven struct {
+// proofState is what a node knows at one time. It is immutable.
+type proofState struct {
 	// at is zero before the first proof.
 	at time.Time
 	// nextAt is the moment of a proof for nextVersion, which the node does not hold yet: it counts
@@ -22,33 +22,33 @@
 	nextVersion uint64
 }
 
-// take takes in that there was no version above the given one at a moment, for a node that holds
+// record takes in that there was no version above the given one at a moment, for a node that holds
 // the other one.
-func (p *proof) take(version uint64, at time.Time, held uint64) {
+func (p *proof) record(version uint64, at time.Time, current uint64) {
 	for {
-		before := p.held.Load()
-		after := before.settled(held)
+		before := p.current.Load()
+		after := before.resolve(current)
 		switch {
-		case version > held && at.After(after.nextAt):
+		case version > current && at.After(after.nextAt):
 			after.nextVersion, after.nextAt = version, at
-		case version <= held && at.After(after.at):
+		case version <= current && at.After(after.at):
 			after.at = at
 		default:
 			return
 		}
-		if p.held.CompareAndSwap(before, &after) {
+		if p.current.CompareAndSwap(before, &after) {
 			return
 		}
 	}
 }
 
-// settled returns what is known once the node holds a version.
-func (p *proven) settled(held uint64) proven {
+// resolve returns what is known once the node holds a version.
+func (p *proofState) resolve(current uint64) proofState {
 	if p == nil {
-		return proven{}
+		return proofState{}
 	}
 	known := *p
-	if known.nextVersion == 0 || known.nextVersion > held {
+	if known.nextVersion == 0 || known.nextVersion > current {
 		return known
 	}
 	if known.nextAt.After(known.at) {
@@ -62,14 +62,14 @@
 // it. It counts when the node holds that version or a newer one.
 func (k *Keeper) RecordProof(version uint64, at time.Time) {
 	if version > 0 {
-		k.proof.take(version, at, k.Version())
+		k.proof.record(version, at, k.Version())
 	}
 }
 
 // ProofAge returns how long ago the node is known to have been level; false before the first
 // proof.
 func (k *Keeper) ProofAge() (age time.Duration, proven bool) {
-	known := k.proof.held.Load().settled(k.Version())
+	known := k.proof.current.Load().resolve(k.Version())
 	if known.at.IsZero() {
 		return 0, false
 	}
--- a/internal/sidecar/dial/dial.go
+++ b/internal/sidecar/dial/dial.go
@@ -21,15 +21,15 @@
 	Idle time.Duration
 }
 
-// probes is how many unanswered probes end a connection.
-const probes = 3
+// keepAliveProbes is how many unanswered keepAliveProbes end a connection.
+const keepAliveProbes = 3
 
 // Network is what a node listens at and opens connections by.
 type Network interface {
 	// Listen listens at a TCP address.
 	Listen(address string) (net.Listener, error)
 	// Dialer returns a dialer with these bounds; a timeout of zero is none, a zero Silence the system's.
-	Dialer(timeout time.Duration, silence PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error)
+	Dialer(timeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // System is the machine's network.
@@ -39,19 +39,19 @@
 func (System) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // Dialer implements Network.
-func (System) Dialer(timeout time.Duration, silence PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error) {
-	if silence == (PeerTimeouts{}) {
+func (System) Dialer(timeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error) {
+	if timeouts == (PeerTimeouts{}) {
 		return (&net.Dialer{Timeout: timeout}).DialContext
 	}
 	dialer := &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: silence.Idle, Interval: silence.Idle, Count: probes},
-		Control:         silence.control,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: timeouts.Idle, Interval: timeouts.Idle, Count: keepAliveProbes},
+		Control:         timeouts.setUserTimeout,
 	}
 	return dialer.DialContext
 }
 
-func (s PeerTimeouts) control(_, _ string, connection syscall.RawConn) error {
+func (s PeerTimeouts) setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	var failed error
 	err := connection.Control(func(descriptor uintptr) {
 		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.Unacknowledged.Milliseconds()))
--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -30,25 +30,25 @@
 
 // JSON encodes a value, and compresses what has at least that many bytes.
 func JSON(value any, compressFrom int) (*Body, error) {
-	plain, err := json.Marshal(value)
+	uncompressed, err := json.Marshal(value)
 	if err != nil {
 		return nil, trace.Wrap(err, "encode a body")
 	}
-	if len(plain) < compressFrom {
-		return &Body{Bytes: plain}, nil
+	if len(uncompressed) < compressFrom {
+		return &Body{Bytes: uncompressed}, nil
 	}
-	written := &bytes.Buffer{}
-	compressor, err := gzip.NewWriterLevel(written, gzip.BestSpeed)
+	compressed := &bytes.Buffer{}
+	compressor, err := gzip.NewWriterLevel(compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, trace.Wrap(err, "compress a body")
 	}
-	if _, err := compressor.Write(plain); err != nil {
+	if _, err := compressor.Write(uncompressed); err != nil {
 		return nil, trace.Wrap(err, "compress a body")
 	}
 	if err := compressor.Close(); err != nil {
 		return nil, trace.Wrap(err, "compress a body")
 	}
-	return &Body{Bytes: written.Bytes(), Compressed: true}, nil
+	return &Body{Bytes: compressed.Bytes(), Compressed: true}, nil
 }
 
 // SetContentEncoding says in the header whether the body is compressed.
--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -12,21 +12,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/encoded"
 )
 
-// TestABodyReadsAsItWasWritten, compressed from the length that was asked for on.
-func TestABodyReadsAsItWasWritten(t *testing.T) {
+// TestBodyRoundTrip, compressed from the length that was asked for on.
+func TestBodyRoundTrip(t *testing.T) {
 	cases := []struct {
 		name       string
 		length     int
 		from       int
 		compressed bool
 	}{{"short", 10, encoded.CompressionThreshold, false}, {"long", 2 * encoded.CompressionThreshold, encoded.CompressionThreshold, true}, {"always", 10, 0, true}}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
-			value := strings.Repeat("a", played.length)
-			body, err := encoded.JSON(value, played.from)
+			value := strings.Repeat("a", test.length)
+			body, err := encoded.JSON(value, test.from)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(body.Compressed).To(Equal(played.compressed))
+			g.Expect(body.Compressed).To(Equal(test.compressed))
 			header := http.Header{}
 			body.SetContentEncoding(header)
 			plain, err := encoded.NewReader(header, bytes.NewReader(body.Bytes))
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestABodyThatIsNotWhatItSays is an error.
-func TestABodyThatIsNotWhatItSays(t *testing.T) {
+// TestInvalidBody is an error.
+func TestInvalidBody(t *testing.T) {
 	g := NewWithT(t)
 	_, err := encoded.NewReader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
 	g.Expect(err).To(HaveOccurred())
--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// least is how many nodes read at least, those of all zones together: where the
+	// minReaders is how many nodes read at minReaders, those of all zones together: where the
 	// store turns every third one away, all of them are among those in one of 700
 	// cases. A zone whose readers are lost or refused hears from those of others.
-	least = 6
-	// share is the number of a zone's nodes for each of which one reads: so many
+	minReaders = 6
+	// nodesPerReader is the number of a zone's nodes for each of which one reads: so many
 	// peers a reader tells of each change.
-	share = 32
+	nodesPerReader = 32
 )
 
 // Reachable reports whether a node is believed to be there.
@@ -29,13 +29,13 @@
 // Count returns how many of that many nodes of a zone read, where there are that
 // many zones.
 func Count(nodes, zones int) int {
-	wanted := max((least+zones-1)/max(zones, 1), (nodes+share-1)/share)
+	wanted := max((minReaders+zones-1)/max(zones, 1), (nodes+nodesPerReader-1)/nodesPerReader)
 	return min(wanted, nodes)
 }
 
-// ranked is a node with the hash of its name, which is worked out once: a node ranks its zone four
+// rankedNode is a node with the hash of its name, which is worked out once: a node ranks its zone four
 // times a second and more.
-type ranked struct {
+type rankedNode struct {
 	record *roster.Record
 	hash   uint64
 }
@@ -43,15 +43,15 @@
 // Zone divides the nodes of one zone: those that read, in order, and the others
 // in the order of their names. Nodes that are not usable are in neither. Of two
 // nodes the one with the faster link reads.
-func Zone(view *roster.View, zone string, usable Reachable) (reading, others []*roster.Record) {
+func Zone(view *roster.View, zone string, reachable Reachable) (reading, others []*roster.Record) {
 	records := view.Zone(zone)
-	ranking := make([]ranked, 0, len(records))
+	ranking := make([]rankedNode, 0, len(records))
 	for _, record := range records {
-		if !record.Leaving && !record.Gone() && usable(record) {
-			ranking = append(ranking, ranked{record: record, hash: xxhash.Sum64String(record.Node)})
+		if !record.Leaving && !record.Gone() && reachable(record) {
+			ranking = append(ranking, rankedNode{record: record, hash: xxhash.Sum64String(record.Node)})
 		}
 	}
-	slices.SortFunc(ranking, func(a, b ranked) int {
+	slices.SortFunc(ranking, func(a, b rankedNode) int {
 		return cmp.Or(cmp.Compare(b.record.Link, a.record.Link), cmp.Compare(a.hash, b.hash))
 	})
 	all := make([]*roster.Record, len(ranking))
@@ -65,9 +65,9 @@
 }
 
 // All returns the nodes of all zones that read.
-func All(view *roster.View, usable Reachable) (reading []*roster.Record) {
+func All(view *roster.View, reachable Reachable) (reading []*roster.Record) {
 	for _, zone := range view.Zones() {
-		near, _ := Zone(view, zone, usable)
+		near, _ := Zone(view, zone, reachable)
 		reading = append(reading, near...)
 	}
 	return reading
@@ -76,31 +76,31 @@
 // IsReader reports whether the node is among those of its zone that read. A node that
 // is leaving, or whose back end is gone, hears from its peers until its end, unless
 // there is none to read.
-func IsReader(view *roster.View, own *roster.Record, usable Reachable) bool {
-	reading, _ := Zone(view, own.Zone, usable)
+func IsReader(view *roster.View, own *roster.Record, reachable Reachable) bool {
+	reading, _ := Zone(view, own.Zone, reachable)
 	return len(reading) == 0 || slices.ContainsFunc(reading, own.Same)
 }
 
 // AssignedNodes returns the nodes that the given one is to tell of what it has read: of
 // those in its zone that do not read, each is told by one reader.
-func AssignedNodes(view *roster.View, own *roster.Record, usable Reachable) []*roster.Record {
-	reading, others := Zone(view, own.Zone, usable)
+func AssignedNodes(view *roster.View, own *roster.Record, reachable Reachable) []*roster.Record {
+	reading, others := Zone(view, own.Zone, reachable)
 	if !slices.ContainsFunc(reading, own.Same) {
 		return nil
 	}
-	var told []*roster.Record
+	var assigned []*roster.Record
 	for _, other := range others {
-		if tellerOf(other, reading).Same(own) {
-			told = append(told, other)
+		if assignedReader(other, reading).Same(own) {
+			assigned = append(assigned, other)
 		}
 	}
-	return told
+	return assigned
 }
 
-// tellerOf returns the reader that tells a node: the one with the highest hash of both names.
+// assignedReader returns the reader that tells a node: the one with the highest hash of both names.
 // Views that differ in a node or a reader so agree on all others; by places in a list one node
 // more in a reader's view left half of the zone with nobody who told it.
-func tellerOf(node *roster.Record, reading []*roster.Record) *roster.Record {
+func assignedReader(node *roster.Record, reading []*roster.Record) *roster.Record {
 	return slices.MaxFunc(reading, func(a, b *roster.Record) int {
 		return cmp.Compare(xxhash.Sum64String(a.Node+"\x00"+node.Node), xxhash.Sum64String(b.Node+"\x00"+node.Node))
 	})
@@ -108,10 +108,10 @@
 
 // AssignedReader returns the reader that tells the given node, nil when the node reads
 // itself.
-func AssignedReader(view *roster.View, own *roster.Record, usable Reachable) *roster.Record {
-	reading, others := Zone(view, own.Zone, usable)
+func AssignedReader(view *roster.View, own *roster.Record, reachable Reachable) *roster.Record {
+	reading, others := Zone(view, own.Zone, reachable)
 	if slices.ContainsFunc(others, own.Same) && len(reading) > 0 {
-		return tellerOf(own, reading)
+		return assignedReader(own, reading)
 	}
 	return nil
 }
--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -26,7 +26,7 @@
 	return members.View()
 }
 
-func TestHowManyRead(t *testing.T) {
+func TestReaderCount(t *testing.T) {
 	for _, zone := range []struct{ nodes, zones, want int }{
 		{0, 1, 0}, {1, 1, 1}, {4, 1, 4}, {18, 1, 6}, {192, 1, 6}, {193, 1, 7},
 		{5, 3, 2}, {25, 3, 2}, {17, 4, 2}, {33, 6, 2}, {32, 6, 1}, {1, 6, 1}, {1347, 11, 43},
@@ -35,39 +35,39 @@
 	}
 }
 
-// TestEveryoneIsServed: each node either reads or is told by exactly one that
+// TestEveryNodeReadsOrHasOneReader: each node either reads or is told by exactly one that
 // does, whichever nodes are away.
-func TestEveryoneIsServed(t *testing.T) {
-	for away := range 8 {
+func TestEveryNodeReadsOrHasOneReader(t *testing.T) {
+	for lost := range 8 {
 		g := NewWithT(t)
 		view := zoneOf(20, nil)
-		usable := func(record *roster.Record) bool {
+		reachable := func(record *roster.Record) bool {
 			var i int
 			_, _ = fmt.Sscanf(record.Node, "node-%d", &i)
-			return i >= away
+			return i >= lost
 		}
 		served := map[string]int{}
 		for _, record := range view.Zone("z")[0:] {
-			if !usable(record) {
+			if !reachable(record) {
 				continue
 			}
-			if readers.IsReader(view, record, usable) {
+			if readers.IsReader(view, record, reachable) {
 				served[record.Node]++
-				g.Expect(readers.AssignedReader(view, record, usable)).To(BeNil())
+				g.Expect(readers.AssignedReader(view, record, reachable)).To(BeNil())
 			}
-			for _, told := range readers.AssignedNodes(view, record, usable) {
-				served[told.Node]++
-				g.Expect(readers.AssignedReader(view, told, usable)).To(BeIdenticalTo(record))
+			for _, assigned := range readers.AssignedNodes(view, record, reachable) {
+				served[assigned.Node]++
+				g.Expect(readers.AssignedReader(view, assigned, reachable)).To(BeIdenticalTo(record))
 			}
 		}
-		g.Expect(served).To(HaveLen(20 - away))
+		g.Expect(served).To(HaveLen(20 - lost))
 		for node, times := range served {
 			g.Expect(times).To(Equal(1), node)
 		}
 	}
 }
 
-func TestWhoReads(t *testing.T) {
+func TestReadersPreferFastLinks(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(20, func(i int, record *roster.Record) {
 		switch i {
@@ -90,8 +90,8 @@
 	g.Expect(readers.All(view, all)).To(HaveLen(6))
 }
 
-// TestALostReaderIsReplaced by the next one in order, by none else.
-func TestALostReaderIsReplaced(t *testing.T) {
+// TestLostReaderIsReplaced by the next one in order, by none else.
+func TestLostReaderIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(20, nil)
 	before, _ := readers.Zone(view, "z", all)
@@ -101,8 +101,8 @@
 	g.Expect(after).NotTo(ContainElement(before[1]))
 }
 
-// TestNobodyElseReads: where all nodes of a zone are leaving, each reads for itself.
-func TestNobodyElseReads(t *testing.T) {
+// TestLeavingZoneReadsForItself: where all nodes of a zone are leaving, each reads for itself.
+func TestLeavingZoneReadsForItself(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(5, func(_ int, record *roster.Record) { record.Leaving = true })
 	for _, record := range view.Zone("z") {
@@ -110,33 +110,33 @@
 	}
 }
 
-// TestViewsThatDiffer in one node agree on who tells all others.
-func TestViewsThatDiffer(t *testing.T) {
+// TestAssignmentStableAcrossDifferingViews in one node agree on who tells all others.
+func TestAssignmentStableAcrossDifferingViews(t *testing.T) {
 	g := NewWithT(t)
 	nodes := 60
 	whole := zoneOf(nodes, nil)
-	for away := range nodes {
-		lacking := func(record *roster.Record) bool { return record.Node != fmt.Sprint("node-", away) }
-		if readers.IsReader(whole, whole.Record(fmt.Sprint("node-", away)), all) {
+	for lost := range nodes {
+		reachable := func(record *roster.Record) bool { return record.Node != fmt.Sprint("node-", lost) }
+		if readers.IsReader(whole, whole.Record(fmt.Sprint("node-", lost)), all) {
 			continue
 		}
 		for _, record := range whole.Zone("z") {
-			if lacking(record) {
-				g.Expect(readers.AssignedReader(whole, record, lacking)).To(BeIdenticalTo(readers.AssignedReader(whole, record, all)))
+			if reachable(record) {
+				g.Expect(readers.AssignedReader(whole, record, reachable)).To(BeIdenticalTo(readers.AssignedReader(whole, record, all)))
 			}
 		}
 	}
 }
 
-// TestTheWorkOfTellingIsDivided: no reader tells more than three times as many as another.
-func TestTheWorkOfTellingIsDivided(t *testing.T) {
+// TestAssignmentIsBalanced: no reader tells more than three times as many as another.
+func TestAssignmentIsBalanced(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(120, nil)
 	reading, others := readers.Zone(view, "z", all)
 	least, most := len(others), 0
 	for _, reader := range reading {
-		told := len(readers.AssignedNodes(view, reader, all))
-		least, most = min(least, told), max(most, told)
+		assigned := len(readers.AssignedNodes(view, reader, all))
+		least, most = min(least, assigned), max(most, assigned)
 	}
 	g.Expect(most).To(BeNumerically("<=", 3*least))
 }
