--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the time by which a node keeps its promises to others. The clock of the
-// Go runtime stands still while the machine is suspended, and others' clocks do not: a node
-// that wakes would pass on deadlines that are too late and take for fresh what is not. This
-// clock counts that time. Steps of the time of day do not matter to it.
+// Package clock provides a monotonic clock that includes the time for which the machine was
+// suspended. The Go runtime's monotonic clock stops during a suspension, while the clocks of
+// other nodes continue: without the correction a resumed node would propagate late deadlines
+// and treat stale data as fresh. Steps of the wall clock do not affect it.
 package clock
 
 import (
@@ -18,42 +18,44 @@
 )
 
 const (
-	// tolerance is the least suspension that counts. Two clocks that run alike are read
-	// one after the other.
+	// tolerance is the shortest suspension that is counted: the two clocks that are compared
+	// are read one after the other.
 	tolerance = 20 * time.Millisecond
-	// WatchInterval is the time between two looks of Watch, and so how late a suspension is
-	// seen where nobody asks for the time.
+	// WatchInterval is the polling interval of Watch, and thus the longest delay until a
+	// suspension is detected while nothing calls Now.
 	WatchInterval = 200 * time.Millisecond
-	// wakeUncertainty is how long after a suspension a message may be read that came during it.
+	// wakeUncertainty is how long after a suspension a message that is read may still have
+	// arrived during it.
 	wakeUncertainty = 250 * time.Millisecond
 )
 
-// epoch is the zero of stamps.
+// epoch is the moment whose stamp is zero.
 var epoch = time.Now()
 
 // processClock is the clock of the process.
 var processClock = newSuspendClock(readSuspended)
 
-// suspendClock is a clock. It is safe for concurrent use.
+// suspendClock is a monotonic clock that counts suspensions. It is safe for concurrent use.
 type suspendClock struct {
-	// suspended is for how long it has been since the process started, in nanoseconds.
+	// suspended is the total time of suspension since the process started, in nanoseconds.
 	suspended atomic.Int64
-	// wallOffset is how far time of day and the runtime's clock were wallOffset when read was last
-	// called, in nanoseconds. Both a suspension and a step of the time of day change that.
+	// wallOffset is the difference between the wall clock and the runtime's monotonic clock when
+	// read was last called, in nanoseconds. Both a suspension and a step of the wall clock
+	// change it.
 	wallOffset atomic.Int64
 	// lastWake is the last suspension, nil before the first.
 	lastWake atomic.Pointer[wake]
 
 	mu sync.Mutex // guards all below
-	// read returns for how long the machine has been suspended since its start.
+	// read returns the total time of suspension since the machine started.
 	read func() (time.Duration, error)
 	// initial is what read returned when the process started.
-	initial    time.Duration
+	initial   time.Duration
 	listeners map[*wakeListener]struct{}
 	deadlines map[*deadline]struct{}
 }
 
-// wakeListener is one function that OnWake was given.
+// wakeListener is a function registered by OnWake. Its address identifies it.
 type wakeListener struct{ call func(slept time.Duration) }
 
 // wake is the end of a suspension.
@@ -62,7 +64,7 @@
 	slept time.Duration
 }
 
-// deadline is one that is to be kept, with what ends at it.
+// deadline is the deadline of a context, with the function that cancels the context.
 type deadline struct {
 	at     time.Time
 	cancel context.CancelFunc
@@ -70,26 +72,26 @@
 
 func newSuspendClock(read func() (time.Duration, error)) *suspendClock {
 	created := &suspendClock{read: read, listeners: map[*wakeListener]struct{}{}, deadlines: map[*deadline]struct{}{}}
-	if before, err := read(); err == nil { // else see Check
+	if before, err := read(); err == nil { // CheckSupport reports the error
 		created.initial = before
 	}
 	created.wallOffset.Store(wallOffset(time.Now()))
 	return created
 }
 
-// readSuspended asks the kernel for how long the machine has been suspended.
+// readSuspended reads the total time of suspension from the kernel's clocks.
 func readSuspended() (time.Duration, error) { return compareClocks(readClock) }
 
-// readClock returns the present time of one of the kernel's clocks.
+// readClock returns the current time of one of the kernel's clocks.
 func readClock(id int32) (time.Duration, error) {
 	var now unix.Timespec
 	err := unix.ClockGettime(id, &now)
 	return time.Duration(now.Nano()), err
 }
 
-// compareClocks returns how far the clock that counts suspensions is ahead of the one that does not. The
-// process may be preempted between two reads: the steady clock is read on both sides of the other, until
-// little time has passed between them.
+// compareClocks returns how far CLOCK_BOOTTIME, which counts suspensions, is ahead of CLOCK_MONOTONIC,
+// which does not. The process may be preempted between two reads, so CLOCK_MONOTONIC is read before and
+// after CLOCK_BOOTTIME; the attempt with the least time between these reads is used.
 func compareClocks(read func(id int32) (time.Duration, error)) (ahead time.Duration, err error) {
 	const attempts, targetWindow = 5, tolerance / 10
 	window := time.Duration(math.MaxInt64)
@@ -110,53 +112,56 @@
 	return ahead, nil
 }
 
-// wallOffset is how far time of day and the runtime's clock are wallOffset, in nanoseconds.
+// wallOffset returns how far the wall clock has moved relative to the runtime's monotonic clock
+// since the process started, in nanoseconds.
 func wallOffset(now time.Time) int64 {
 	return now.Round(0).Sub(epoch.Round(0)).Nanoseconds() - now.Sub(epoch).Nanoseconds()
 }
 
-// Now returns the present time, for differences only: its time of day is not that of the
-// machine. It costs about 10 ns more than time.Now (BenchmarkNow); the kernel is asked only when
-// the time of day has moved against the runtime's clock.
+// Now returns the current time. Only differences between such times are meaningful: the wall
+// time in the result is not the machine's. It costs about 10 ns more than time.Now
+// (BenchmarkNow); the kernel is asked only when the wall clock has moved relative to the
+// runtime's monotonic clock.
 func Now() time.Time { return processClock.now() }
 
-// Since returns the time since a moment of this clock.
+// Since returns the time elapsed since a moment of this clock.
 func Since(moment time.Time) time.Duration { return Now().Sub(moment) }
 
 // Until returns the time until a moment of this clock.
 func Until(moment time.Time) time.Duration { return moment.Sub(Now()) }
 
-// Stamp returns a moment of this clock as a number, in nanoseconds.
+// Stamp returns a moment of this clock as nanoseconds since the process started.
 func Stamp(moment time.Time) int64 { return moment.Sub(epoch).Nanoseconds() }
 
-// At returns the moment of a stamp.
+// At returns the moment that Stamp encoded.
 func At(stamp int64) time.Time { return epoch.Add(time.Duration(stamp)) }
 
-// WallTime returns the time of day of a moment of this clock, as others are told it.
+// WallTime converts a moment of this clock to wall time, for use by other processes.
 func WallTime(moment time.Time) time.Time { return time.Now().Add(Until(moment)).Round(0) }
 
-// FromWallTime returns the moment of this clock at a time of day that others told.
+// FromWallTime converts a wall time received from another process to a moment of this clock.
 func FromWallTime(timeOfDay time.Time) time.Time { return Now().Add(time.Until(timeOfDay)) }
 
-// ReceiveTime returns from when on the time counts that a message grants that is read now. A
-// message that is read just after a suspension may have come at its beginning: a node that
-// slept must not lengthen anybody's time.
+// ReceiveTime returns the time at which a message that is read now counts as received; a
+// duration that the message grants starts then. A message that is read just after a suspension
+// may have arrived at the beginning of it, so the suspension counts against the grant:
+// otherwise a resumed node would extend it.
 func ReceiveTime() time.Time { return processClock.receiveTime() }
 
-// WithDeadline returns a context that ends at a moment of this clock: after a suspension,
-// once that is seen.
+// WithDeadline returns a context that ends at a moment of this clock. If that moment passes
+// during a suspension, the context ends when the suspension is detected.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return processClock.withDeadline(parent, at)
 }
 
-// SetSuspensionSource has another source tell for how long the machine has been suspended since its start,
-// from that moment on, until it is restored.
+// SetSuspensionSource replaces the function that returns the total time of suspension since the machine
+// started. Time that it reports at the call is not counted. restore reinstates the kernel's clocks.
 func SetSuspensionSource(read func() (time.Duration, error)) (restore func()) {
 	processClock.setSource(read)
 	return func() { processClock.setSource(readSuspended) }
 }
 
-// setSource goes on by another source without a jump.
+// setSource replaces the source without a jump of the clock.
 func (s *suspendClock) setSource(read func() (time.Duration, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,17 +172,17 @@
 	}
 }
 
-// CheckSupport returns why suspensions of the machine cannot be seen, nil when they can. Whoever
-// starts a node says so; the clock goes on without them.
+// CheckSupport returns an error when suspensions of the machine cannot be detected. The caller
+// that starts a node logs it; the clock then runs without counting suspensions.
 func CheckSupport() error {
 	_, err := readSuspended()
 	return err
 }
 
-// DetectSuspension looks for a suspension since the last look.
+// DetectSuspension counts a suspension since the previous check, if there was one.
 func DetectSuspension() { processClock.detect(time.Now()) }
 
-// Watch looks for suspensions until the context ends.
+// Watch checks for suspensions every WatchInterval until the context ends.
 func Watch(ctx context.Context) {
 	ticker := time.NewTicker(WatchInterval)
 	defer ticker.Stop()
@@ -191,8 +196,9 @@
 	}
 }
 
-// OnWake has the function called after each suspension, with how long it was, until it is
-// removed. Who finds out first waits for it: it must be quick.
+// OnWake registers a function that is called after each suspension with its duration, until it
+// is removed. It runs on the goroutine that detects the suspension, which may be any caller of
+// Now, so it must return quickly.
 func OnWake(call func(slept time.Duration)) (remove func()) {
 	added := &wakeListener{call: call}
 	processClock.mu.Lock()
@@ -213,7 +219,7 @@
 	return now.Add(time.Duration(s.suspended.Load()))
 }
 
-// detect asks whether the machine was suspended since the last detect, and tells.
+// detect checks for a suspension since the previous check, and calls the listeners.
 func (s *suspendClock) detect(now time.Time) {
 	slept, listeners := s.recordSuspension(now)
 	for _, listener := range listeners {
@@ -221,14 +227,14 @@
 	}
 }
 
-// recordSuspension counts a suspension since the last look and returns who is to hear of it.
+// recordSuspension counts a suspension since the previous check and returns the listeners to call.
 func (s *suspendClock) recordSuspension(now time.Time) (slept time.Duration, listeners []*wakeListener) {
 	s.wallOffset.Store(wallOffset(now))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total, err := s.read()
 	if err != nil {
-		return 0, nil // without the clocks no suspension is ever seen: see Check
+		return 0, nil // suspensions cannot be detected without the clocks: see CheckSupport
 	}
 	counted := total - s.initial
 	slept = counted - time.Duration(s.suspended.Load())
@@ -241,8 +247,8 @@
 	return slept, slices.Collect(maps.Keys(s.listeners))
 }
 
-// adjustDeadlines ends what should have ended meanwhile, and has the others end in time: the
-// runtime's timers did not count the suspension. The lock is held.
+// adjustDeadlines cancels the contexts whose deadlines passed during the suspension and sets
+// timers for the others, since the runtime's timers did not count it. The lock is held.
 func (s *suspendClock) adjustDeadlines(now time.Time) {
 	for kept := range s.deadlines {
 		if left := kept.at.Sub(now); left > 0 {
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// testClock is a source whose testClock is suspended as told.
+// testClock is a clock whose suspensions the test controls.
 type testClock struct {
 	*suspendClock
 	suspended time.Duration
@@ -22,7 +22,7 @@
 	return made
 }
 
-// suspend suspends the machine; somebody looks afterwards.
+// suspend simulates a suspension and its detection.
 func (m *testClock) suspend(slept time.Duration) {
 	m.suspended += slept
 	m.detect(time.Now())
@@ -38,14 +38,14 @@
 		made.suspend(5 * time.Second)
 		g.Expect(made.now().Sub(began)).To(Equal(6 * time.Second))
 		made.suspend(tolerance / 2)
-		g.Expect(made.now().Sub(began)).To(Equal(6*time.Second), "clocks that are read one after the other")
+		g.Expect(made.now().Sub(began)).To(Equal(6*time.Second), "a difference within the tolerance is not a suspension")
 		made.suspend(2 * time.Second)
 		g.Expect(made.now().Sub(began)).To(Equal(8*time.Second + tolerance/2))
 	})
 }
 
-// TestDeadlinesCountSuspensions: what should have ended while the machine slept ends when it wakes,
-// the rest in time.
+// TestDeadlinesCountSuspensions checks that a deadline that passes during a suspension takes
+// effect on waking, and that later deadlines are not delayed by the suspension.
 func TestDeadlinesCountSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -74,7 +74,8 @@
 	})
 }
 
-// TestReceiveTimeAfterSuspension may have come at its beginning.
+// TestReceiveTimeAfterSuspension checks that a message read just after a suspension counts as
+// received at the beginning of it.
 func TestReceiveTimeAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -93,7 +94,8 @@
 	g.Expect(At(Stamp(now)).Sub(now)).To(BeZero())
 }
 
-// TestWallTimeIgnoresSuspensions: a moment that others are told does not move by suspensions before.
+// TestWallTimeIgnoresSuspensions checks that earlier suspensions do not shift the conversion to and
+// from wall time.
 func TestWallTimeIgnoresSuspensions(t *testing.T) {
 	g := NewWithT(t)
 	suspended := time.Duration(0)
@@ -105,7 +107,7 @@
 	g.Expect(FromWallTime(WallTime(moment))).To(BeTemporally("~", moment, time.Second))
 }
 
-// TestOnWakeIsCalledOnce once each.
+// TestOnWakeIsCalledOnce checks that a listener is called once for each suspension.
 func TestOnWakeIsCalledOnce(t *testing.T) {
 	g := NewWithT(t)
 	heard := make(chan time.Duration, 4)
@@ -132,7 +134,8 @@
 	})
 }
 
-// TestPreemptionIsNoSuspension: a process that is preempted while it compares the kernel's clocks.
+// TestPreemptionIsNoSuspension checks that a process that is preempted between two reads of the
+// kernel's clocks does not take the pause for a suspension.
 func TestPreemptionIsNoSuspension(t *testing.T) {
 	const slept, pause = 3 * time.Second, time.Second
 	for paused := range 3 {
--- a/internal/sidecar/clock/clocktest/clocktest.go
+++ b/internal/sidecar/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest suspends the machine of a test, as far as the node's clock can tell.
+// Package clocktest simulates suspensions of the machine in tests of code that uses package clock.
 package clocktest
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// Suspender returns a function that has the machine of the process suspended for so long
-// just now. The clock goes on as before after the test.
+// Suspender returns a function that makes the clock of the process count a suspension of the
+// given duration at once. The kernel's clocks are reinstated after the test.
 func Suspender(t testing.TB) (suspend func(slept time.Duration)) {
 	var total atomic.Int64
 	t.Cleanup(clock.SetSuspensionSource(func() (time.Duration, error) { return time.Duration(total.Load()), nil }))
