--- a/internal/sidecar/dial/dial.go
+++ b/internal/sidecar/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial is a node's network: its listeners, and TCP connections that notice a silent peer.
-// One without power, or behind a cut, acknowledges nothing.
+// Package dial provides a node's listeners and TCP connections that detect an unresponsive peer:
+// one that lost power or is cut off by a network partition acknowledges nothing.
 package dial
 
 import (
@@ -11,40 +11,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// PeerTimeouts bounds how long a connection waits for a peer that acknowledges
+// PeerTimeouts bound how long a connection waits for a peer that acknowledges
 // nothing.
 type PeerTimeouts struct {
-	// Unacknowledged bounds data that was sent.
+	// Unacknowledged is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT).
 	Unacknowledged time.Duration
-	// Idle is the time without traffic after which probes begin, and the time
-	// between two of them. The system counts it in whole seconds.
+	// Idle is the time without traffic after which keep-alive probes begin, and
+	// the interval between them. The system counts it in whole seconds.
 	Idle time.Duration
 }
 
-// keepAliveProbes is how many unanswered keepAliveProbes end a connection.
+// keepAliveProbes is the number of unanswered probes that ends a connection.
 const keepAliveProbes = 3
 
-// Network is what a node listens at and opens connections by.
+// Network opens a node's listeners and connections. Tests replace it by one in memory.
 type Network interface {
-	// Listen listens at a TCP address.
+	// Listen listens on a TCP address.
 	Listen(address string) (net.Listener, error)
-	// Dialer returns a dialer with these bounds; a timeout of zero is none, a zero Silence the system's.
-	Dialer(timeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error)
+	// Dialer returns a dial function. A connectTimeout of zero means none; zero PeerTimeouts mean the system's defaults.
+	Dialer(connectTimeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// System is the machine's network.
+// System is the network of the operating system.
 type System struct{}
 
 // Listen implements Network.
 func (System) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // Dialer implements Network.
-func (System) Dialer(timeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (System) Dialer(connectTimeout time.Duration, timeouts PeerTimeouts) func(ctx context.Context, network, address string) (net.Conn, error) {
 	if timeouts == (PeerTimeouts{}) {
-		return (&net.Dialer{Timeout: timeout}).DialContext
+		return (&net.Dialer{Timeout: connectTimeout}).DialContext
 	}
 	dialer := &net.Dialer{
-		Timeout:         timeout,
+		Timeout:         connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: timeouts.Idle, Interval: timeouts.Idle, Count: keepAliveProbes},
 		Control:         timeouts.setUserTimeout,
 	}
