--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -12,7 +12,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/encoded"
 )
 
-// TestBodyRoundTrip, compressed from the length that was asked for on.
+// TestBodyRoundTrip checks that bodies decode to the encoded value, and that those of at least
+// the given length are compressed.
 func TestBodyRoundTrip(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -38,7 +39,8 @@
 	}
 }
 
-// TestInvalidBody is an error.
+// TestInvalidBody checks that a body that is not gzip as its header claims, and a value that
+// cannot be encoded, are errors.
 func TestInvalidBody(t *testing.T) {
 	g := NewWithT(t)
 	_, err := encoded.NewReader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
