--- a/internal/sidecar/body/body.go
+++ b/internal/sidecar/body/body.go
@@ -1,5 +1,5 @@
-// Package body reads answers whole where they are short, so that one which
-// breaks off can still be replaced by another.
+// Package body buffers short response bodies before they are forwarded, so that
+// a request whose response is cut off can still be retried.
 package body
 
 import (
@@ -10,15 +10,15 @@
 	"strconv"
 )
 
-// MaxBufferedBytes is the longest answer that is read whole before it is passed on.
+// MaxBufferedBytes is the length of the longest response that is buffered before it is forwarded.
 const MaxBufferedBytes = 64 << 10
 
-// initialReadBytes is the size of the first read of an answer without a length.
+// initialReadBytes is the size of the first read of a response without Content-Length.
 const initialReadBytes = 4 << 10
 
-// BufferShort reads the response's body whole when it is short. Afterwards the
-// response either has a length and cannot break off any more, or streams what
-// is left. An error means that the answer broke off; its body is closed.
+// BufferShort buffers the response's body when it is short. Afterwards the
+// response either has a length and cannot be cut off any more, or streams the
+// rest. An error means that the response was cut off; its body is closed.
 func BufferShort(response *http.Response) error {
 	if response.ContentLength > MaxBufferedBytes || response.Body == http.NoBody || response.ContentLength == 0 {
 		return nil
@@ -50,11 +50,11 @@
 	io.Closer
 }
 
-// readUpTo reads at most BufferedBytes and reports whether that was all.
+// readUpTo reads at most MaxBufferedBytes and reports whether that was all.
 func readUpTo(from io.Reader, length int64) (buffered []byte, whole bool, err error) {
 	size := int64(initialReadBytes)
 	if length > 0 {
-		size = length + 1 // one more, to meet the end
+		size = length + 1 // one more byte, so that a read reaches EOF before the buffer is full
 	}
 	buffer := make([]byte, 0, size)
 	for len(buffer) < MaxBufferedBytes {
