--- a/internal/sidecar/readers/readers_test.go
+++ b/internal/sidecar/readers/readers_test.go
@@ -12,7 +12,7 @@
 
 func all(*roster.Record) bool { return true }
 
-// zoneOf returns the view of a zone of that many nodes.
+// zoneOf returns the view of a zone with the given number of nodes.
 func zoneOf(nodes int, change func(i int, record *roster.Record)) *roster.View {
 	records := make([]*roster.Record, nodes)
 	for i := range records {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestEveryNodeReadsOrHasOneReader: each node either reads or is told by exactly one that
-// does, whichever nodes are away.
+// TestEveryNodeReadsOrHasOneReader checks that each node either is a reader or is assigned to
+// exactly one, whichever nodes are lost.
 func TestEveryNodeReadsOrHasOneReader(t *testing.T) {
 	for lost := range 8 {
 		g := NewWithT(t)
@@ -85,12 +85,13 @@
 	g.Expect(reading).To(HaveLen(6))
 	g.Expect(others).To(HaveLen(12))
 	g.Expect([]string{reading[0].Node, reading[1].Node}).To(ConsistOf("node-3", "node-7"), "faster links first")
-	g.Expect(readers.IsReader(view, view.Record("node-11"), all)).To(BeFalse(), "one that leaves hears from its peers")
+	g.Expect(readers.IsReader(view, view.Record("node-11"), all)).To(BeFalse(), "a leaving node is not a reader")
 	g.Expect(readers.AssignedNodes(view, view.Record("node-11"), all)).To(BeEmpty())
 	g.Expect(readers.All(view, all)).To(HaveLen(6))
 }
 
-// TestLostReaderIsReplaced by the next one in order, by none else.
+// TestLostReaderIsReplaced checks that the next node in rank replaces a lost reader, and that the
+// other readers remain.
 func TestLostReaderIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(20, nil)
@@ -101,7 +102,7 @@
 	g.Expect(after).NotTo(ContainElement(before[1]))
 }
 
-// TestLeavingZoneReadsForItself: where all nodes of a zone are leaving, each reads for itself.
+// TestLeavingZoneReadsForItself checks that each node reads when all nodes of its zone are leaving.
 func TestLeavingZoneReadsForItself(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(5, func(_ int, record *roster.Record) { record.Leaving = true })
@@ -110,7 +111,8 @@
 	}
 }
 
-// TestAssignmentStableAcrossDifferingViews in one node agree on who tells all others.
+// TestAssignmentStableAcrossDifferingViews checks that views that differ in one node agree on the
+// assigned readers of all others.
 func TestAssignmentStableAcrossDifferingViews(t *testing.T) {
 	g := NewWithT(t)
 	nodes := 60
@@ -128,7 +130,8 @@
 	}
 }
 
-// TestAssignmentIsBalanced: no reader tells more than three times as many as another.
+// TestAssignmentIsBalanced checks that no reader is assigned more than three times as many nodes as
+// another.
 func TestAssignmentIsBalanced(t *testing.T) {
 	g := NewWithT(t)
 	view := zoneOf(120, nil)
