--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -17,36 +17,36 @@
 const (
 	// readTimeout bounds one read of the store.
 	readTimeout = 2 * time.Second
-	// minPause and pauseMost bound the wait after a failure of the store.
+	// minPause and maxPause bound the pause after a failure of the store.
 	minPause = 100 * time.Millisecond
 	maxPause = 800 * time.Millisecond
-	// maxPauseInForce bounds it for a node that has a configuration: a newer one comes
-	// from its peers, and every refused call is paid for.
+	// maxPauseInForce is the longest pause of a node that has a configuration: it gets
+	// newer ones from its peers, and refused calls are billed too.
 	maxPauseInForce = 3 * time.Second
-	// readerCheckInterval is the time between two looks at whether it is the node's turn
-	// to read.
+	// readerCheckInterval is the time between two checks whether the node is a reader.
 	readerCheckInterval = 400 * time.Millisecond
-	// startupCheckInterval is that time while there is no configuration.
+	// startupCheckInterval is that interval while the node has no configuration.
 	startupCheckInterval = 50 * time.Millisecond
 )
 
-// Keyspace is where the store has what operators write.
+// Keyspace names the keys under which the store holds what operators write, and the callbacks
+// for those other than the configuration.
 type Keyspace struct {
-	// Key is that of the configuration. Prefix begins it, and the keys of all else that
-	// operators write: one watch brings everything.
+	// Key is the key of the configuration. Prefix is common to it and to all other keys that
+	// operators write, so that one watch covers everything.
 	Key, Prefix string
-	// OnOther takes in what lies under another key; nil takes nothing.
+	// OnOther is called with each item under another key; it may be nil.
 	OnOther func(store.KeyValue)
-	// OnRemoved takes in that another key was removed at a revision; nil takes nothing.
+	// OnRemoved is called when another key was removed at a revision; it may be nil.
 	OnRemoved func(key string, revision uint64)
-	// OnListed takes in all that lay under other keys at a revision: what is not among it is not
-	// there; nil takes nothing.
+	// OnListed is called with all items under the prefix at a revision, so that items missing from
+	// them are known to be absent; it may be nil.
 	OnListed func(found []store.KeyValue, revision uint64)
 }
 
-// deliver offers an item to whom it concerns. One that sets off a panic is left out, as one
-// that cannot be read is: the error is in the log. It reports whether the item is not a
-// configuration that was left out.
+// deliver passes an item to the keeper or to OnOther. An item that causes a panic is skipped, as
+// one that cannot be decoded is; the error is logged. It returns false only when the item is
+// a configuration that was refused.
 func (k *Keyspace) deliver(item store.KeyValue, keeper *Keeper, source Source) bool {
 	switch {
 	case item.Key == k.Key:
@@ -58,24 +58,24 @@
 	return true
 }
 
-// deliverRemoved passes on that a key was removed. The configuration is never without a version.
+// deliverRemoved reports a removed key to OnRemoved. Removal of the configuration is ignored: a version
+// stays in force until a newer one replaces it.
 func (k *Keyspace) deliverRemoved(key string, revision uint64, keeper *Keeper) {
 	if key != k.Key && k.OnRemoved != nil {
 		_ = contain.Run("removed order", keeper.logger, func() { k.OnRemoved(key, revision) })
 	}
 }
 
-// deliverList passes on what a read of the whole place has found.
+// deliverList passes the result of a complete read to OnListed.
 func (k *Keyspace) deliverList(found []store.KeyValue, revision uint64, keeper *Keeper) {
 	if k.OnListed != nil {
 		_ = contain.Run("orders", keeper.logger, func() { k.OnListed(found, revision) })
 	}
 }
 
-// Follow keeps the keeper at what the store has under the key until the context
-// ends. After every end of a watch the place is read anew: what was missed
-// meanwhile must not stay unheard. While reads returns false the store is left
-// alone.
+// Follow keeps the keeper up to date with the store until the context ends. After
+// every end of a watch all keys are read again, so that changes missed in between
+// take effect. While isReader returns false the store is not accessed.
 func Follow(ctx context.Context, reader store.Reader, keys Keyspace, keeper *Keeper, isReader func() bool, logger *zap.Logger) {
 	backoff := pause.Backoff{Base: minPause, Most: maxPause}
 	healthy := true
@@ -90,7 +90,7 @@
 			continue
 		}
 		turn, end := whileReader(ctx, isReader)
-		var since time.Time // when the store answered, zero before
+		var since time.Time // when the store answered, zero until then
 		answered := func() {
 			if !healthy {
 				logger.Info("store regained", zap.String("key", keys.Key), zap.Uint64("inForce", keeper.Version()))
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkInterval is the time until the next look at whether it is the node's turn.
+// checkInterval returns the time until the next check whether the node is a reader.
 func checkInterval(keeper *Keeper) time.Duration {
 	if keeper.Version() == 0 {
 		return startupCheckInterval
@@ -135,7 +135,7 @@
 	return readerCheckInterval
 }
 
-// whileReader returns a context that ends when the node's turn to read does.
+// whileReader returns a context that ends when the node is no longer a reader.
 func whileReader(ctx context.Context, isReader func() bool) (context.Context, context.CancelFunc) {
 	turn, end := context.WithCancel(ctx)
 	go func() {
@@ -149,8 +149,8 @@
 	return turn, end
 }
 
-// followOnce reads the place, then watches it until the watch ends; answered is called once the
-// store has answered the read. A nil error means that the watch ended in order.
+// followOnce reads all keys, then watches them until the watch ends; answered is called once the
+// store has answered the read. A nil error means that the watch ended normally.
 func followOnce(ctx context.Context, reader store.Reader, keys *Keyspace, keeper *Keeper, answered func()) error {
 	after, err := readAll(ctx, reader, keys, keeper)
 	if err != nil {
@@ -162,30 +162,31 @@
 		return err
 	}
 	defer watch.Close()
-	taken := true
+	accepted := true
 	for event := range watch.Events() {
 		switch {
 		case event.Key == "":
 		case event.Deleted:
 			keys.deliverRemoved(event.Key, event.Revision, keeper)
 		default:
-			taken = keys.deliver(event.KeyValue, keeper, SourceWatch) && taken
+			accepted = keys.deliver(event.KeyValue, keeper, SourceWatch) && accepted
 		}
-		if !event.Current.IsZero() && taken {
+		if !event.Current.IsZero() && accepted {
 			keeper.RecordProof(keeper.Version(), event.Current)
 		}
 	}
 	return watch.Err()
 }
 
-// maxItems is how many items under the place one read asks for: the configuration and
-// what concerns single services.
+// maxItems is the most items that one read requests: the configuration and the orders for
+// single services.
 const maxItems = 1000
 
-// readAll takes in what lies at the place now and returns the revision after
-// which nothing is missed: that of the store, not that of a key, which may be
-// older than the history that a watch can begin in. What concerns single services comes
-// before the configuration: a node that serves knows all orders given before.
+// readAll reads and delivers all keys, and returns the revision after which a watch
+// misses nothing: that of the store, since the revision of a key may be older than the
+// history from which a watch can start. Orders for single services are delivered before
+// the configuration: a node that serves knows all orders given before. A list that
+// reaches maxItems may be incomplete and is not passed to OnListed.
 func readAll(ctx context.Context, reader store.Reader, keys *Keyspace, keeper *Keeper) (after uint64, err error) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -209,7 +210,7 @@
 	return after, nil
 }
 
-// Refresh takes in what the store has at the place now.
+// Refresh reads all keys once and delivers them.
 func Refresh(ctx context.Context, reader store.Reader, keys Keyspace, keeper *Keeper) error {
 	_, err := readAll(ctx, reader, &keys, keeper)
 	return err
--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -58,21 +58,21 @@
 	return s.running, nil
 }
 
-// openWatch brings what the test puts in.
+// openWatch delivers the events that the test sends.
 type openWatch struct{ events chan store.Event }
 
 func (w *openWatch) Events() <-chan store.Event { return w.events }
 func (w *openWatch) Err() error                 { return nil }
 func (w *openWatch) Close()                     {}
 
-// decodeVersion takes the value for the document's version.
+// decodeVersion decodes the value as the document's version.
 func decodeVersion(raw []byte) (*route.Document, []string, error) {
 	document := &route.Document{}
 	_, err := fmt.Sscan(string(raw), &document.Version)
 	return document, nil, err
 }
 
-// follow has the keeper follow the store as one that reads; the channel is closed at the end.
+// follow runs Follow for a node that is a reader; the channel is closed when it returns.
 func follow(ctx context.Context, reader store.Reader, keeper *configuration.Keeper, logger *zap.Logger) <-chan struct{} {
 	keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
 	ended := make(chan struct{})
@@ -83,8 +83,8 @@
 	return ended
 }
 
-// TestFollowWatchesOldConfiguration: that the key was not written within the
-// store's history is no reason to read it over and over.
+// TestFollowWatchesOldConfiguration guards against reading a key again and again
+// because it was not written within the store's history.
 func TestFollowWatchesOldConfiguration(t *testing.T) {
 	for name, written := range map[string]uint64{"written before the history": 5, "never written": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// refusingStore turns every call away.
+// refusingStore refuses every call.
 type refusingStore struct {
 	compactedStore
 	calls int
@@ -129,9 +129,9 @@
 	return nil, 0, s.refuse()
 }
 
-// TestFollowBacksOffWhenRefused: a node that has a configuration asks a store that
-// turns it away at most every one and a half seconds in the end; one that has none
-// asks more often, since it serves nobody.
+// TestFollowBacksOffWhenRefused checks that a node that has a configuration calls a
+// store that refuses it at most every one and a half seconds in the end; one without a
+// configuration calls more often, since it cannot serve requests.
 func TestFollowBacksOffWhenRefused(t *testing.T) {
 	for name, held := range map[string]struct {
 		version     string
@@ -157,8 +157,9 @@
 	}
 }
 
-// TestPanickingDocumentIsRefused is refused as one that cannot be read: every node reads it, and
-// reads it again when it starts anew. The one before stays in force, and later ones are taken.
+// TestPanickingDocumentIsRefused checks that a document that causes a panic is refused like one that
+// cannot be decoded, since every node reads it, and reads it again after a restart. The previous one
+// stays in force, and later ones are accepted.
 func TestPanickingDocumentIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -167,7 +168,7 @@
 		decode := func(raw []byte) (*route.Document, []string, error) {
 			document, notes, err := decodeVersion(raw)
 			if document.Version == harmful {
-				panic("a fault of the node")
+				panic("decoder failure")
 			}
 			return document, notes, err
 		}
@@ -176,7 +177,7 @@
 		orders := 0
 		keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
 			orders++
-			panic("a fault of the node")
+			panic("order handler failure")
 		}}
 		go configuration.Follow(ctx, held, keys, keeper, func() bool { return true }, zap.NewNop())
 		time.Sleep(time.Second)
@@ -198,8 +199,8 @@
 	})
 }
 
-// TestStoreAnswersProveFreshness: a read, and the word of a watch how far it has come, prove that the
-// node is level; not one that left a document out.
+// TestStoreAnswersProveFreshness checks that a read, and the progress that a watch reports, prove
+// that the node is up to date, unless a document among them was refused.
 func TestStoreAnswersProveFreshness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -244,8 +245,8 @@
 	})
 }
 
-// endingStore answers reads and ends each watch with an error after a while, but for a time in
-// which it answers nothing.
+// endingStore answers reads, except while it is unavailable, and ends each watch with an error after
+// watchTime.
 type endingStore struct {
 	compactedStore
 	unavailable atomic.Bool
@@ -264,7 +265,7 @@
 	return watch, nil
 }
 
-// watchTime is how long a watch of an endingStore runs.
+// watchTime is the duration of a watch of an endingStore.
 const watchTime = 20 * time.Second
 
 // endedWatch ends with an error.
@@ -272,7 +273,8 @@
 
 func (w *endedWatch) Err() error { return store.ErrUnavailable }
 
-// TestStoreRecoveryIsLogged when it answers, not when the next watch ends.
+// TestStoreRecoveryIsLogged checks that the recovery of the store is logged when it answers, not
+// when the next watch ends.
 func TestStoreRecoveryIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -295,7 +297,8 @@
 	})
 }
 
-// TestFollowRestartsEndedWatchAtOnce after its watch ends, however often watches ended before.
+// TestFollowRestartsEndedWatchAtOnce checks that a reader whose reads are answered reads again at
+// once after its watch ends, however often watches ended before.
 func TestFollowRestartsEndedWatchAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -314,14 +317,15 @@
 	})
 }
 
-// watchlessStore answers reads and turns watches away.
+// watchlessStore answers reads and refuses watches.
 type watchlessStore struct{ compactedStore }
 
 func (s *watchlessStore) Watch(context.Context, string, uint64) (store.Watch, error) {
 	return nil, store.ErrRateLimited
 }
 
-// TestFollowBacksOffWhenWatchesAreRefused, though its reads are answered.
+// TestFollowBacksOffWhenWatchesAreRefused checks that a reader whose watches are refused pauses
+// between reads, although the reads are answered.
 func TestFollowBacksOffWhenWatchesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -1,6 +1,6 @@
-// Package configuration keeps the configuration in force on a node. It comes
-// from a document that someone else commits whole, read from the store or, when
-// the store does not answer this node, from a peer that has it.
+// Package configuration holds the configuration in force on a node. It is compiled
+// from a document that the control plane commits as a whole. The document is read from
+// the store or, when the store does not answer this node, from a peer that has it.
 package configuration
 
 import (
@@ -20,52 +20,52 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// Decoder reads a committed document. Notes name what it left out.
+// Decoder decodes a committed document. Notes describe the parts that it omitted.
 type Decoder func(raw []byte) (document *route.Document, notes []string, err error)
 
-// Source says how a document came to the node.
+// Source is the way in which a document reached the node.
 type Source string
 
 // The sources of documents.
 const (
-	// SourceWatch: the store told by itself.
+	// SourceWatch is an event of a watch of the store.
 	SourceWatch Source = "watch"
-	// SourceRead: the store was asked anew.
+	// SourceRead is a read of the store.
 	SourceRead Source = "read"
-	// SourcePeer: another node had it.
+	// SourcePeer is a fetch from another node.
 	SourcePeer Source = "peer"
 )
 
-// Keeper holds the table in force. Versions only rise.
+// Keeper holds the routing table in force and the recent documents before it. Its version only increases.
 type Keeper struct {
 	decode Decoder
 	logger *zap.Logger
-	active   atomic.Pointer[active]
-	// proof is when the node was last known to be level.
+	active atomic.Pointer[active]
+	// proof is when the node was last known to be up to date.
 	proof proof
 
 	mutex     sync.Mutex // serializes Offer; guards observers
 	observers []func(*route.Table, Source)
-	// lastRefused is the last document that was lastRefused, so that it is logged once.
+	// lastRefused is the last document that was refused, so that the refusal is logged once.
 	lastRefused string
 }
 
-// active is one version in force. It is immutable.
+// active is a version in force. It is immutable.
 type active struct {
 	table *route.Table
 	since time.Time
-	// past are the documents before, the newest last, at most remembered.
+	// past holds up to maxPast previous documents, the newest last.
 	past []*route.Document
-	// whole returns the document as peers without one get it, changes what leads from each of
-	// the past versions to it; each is made when first asked.
+	// whole returns the encoded document, for peers without a known version; changes holds, for
+	// each past version, the encoded change from it. Each is encoded when first requested.
 	whole   func() (*encoded.Body, error)
 	changes map[uint64]func() (*encoded.Body, error)
-	// lostKeys holds, for each of the past versions, the tenants that have lost a key since.
+	// lostKeys holds, for each past version, the tenants that have lost a key since.
 	lostKeys map[uint64]map[string]bool
 }
 
-// maxPast is how many past documents are kept, to tell peers that have one of
-// them just what differs.
+// maxPast is how many past documents are kept, so that peers that hold one of
+// them are sent only the change from it.
 const maxPast = 6
 
 // NewKeeper returns a keeper without a table.
@@ -84,8 +84,8 @@
 // Version returns the version in force, zero before the first.
 func (k *Keeper) Version() uint64 { return k.Table().Version() }
 
-// ChangeSince returns what leads from a past version to the one in force: the whole
-// document when that version is not remembered, nil before the first.
+// ChangeSince returns the change from a past version to the one in force: the whole
+// document when that version is not kept, nil before the first.
 func (k *Keeper) ChangeSince(version uint64) *route.Change {
 	current := k.active.Load()
 	if current == nil {
@@ -100,8 +100,8 @@
 	return document.ChangeFrom(nil)
 }
 
-// EncodedChangeSince is Since as it goes to peers, nil before the first version. It is made once, since
-// many ask for the same.
+// EncodedChangeSince returns ChangeSince encoded for peers, nil before the first version. Each change is
+// encoded once, since many peers request the same one.
 func (k *Keeper) EncodedChangeSince(version uint64) (*encoded.Body, error) {
 	current := k.active.Load()
 	if current == nil {
@@ -127,24 +127,24 @@
 	return 0
 }
 
-// Observe has the function called with each table put in force from now on.
+// Observe registers a function that is called with each table put in force from now on.
 func (k *Keeper) Observe(observer func(*route.Table, Source)) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.observers = append(k.observers, observer)
 }
 
-// ErrNotNewer says that a document is not above the version in force.
+// ErrNotNewer reports that a document's version is not above the one in force.
 var ErrNotNewer = errors.New("the version is not above the one in force")
 
-// Offer puts a document in force when it is valid and newer. Otherwise the one
-// before stays in force, whole.
+// Offer puts a document in force when it is valid and newer. Otherwise the current
+// one stays in force unchanged.
 func (k *Keeper) Offer(raw []byte, source Source) error {
 	return k.containPanic(string(raw), source, func() error { return k.offer(raw, source) })
 }
 
-// containPanic takes in a document under the lock. One that sets off a panic is refused: every
-// node gets it, and gets it again after a restart.
+// containPanic runs an update under the lock. A document that causes a panic is refused rather
+// than ending the process: every node receives it, and receives it again after a restart.
 func (k *Keeper) containPanic(document string, source Source, update func() error) (err error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -154,7 +154,7 @@
 	return err
 }
 
-// offer is Offer; the lock is held.
+// offer implements Offer; the lock is held.
 func (k *Keeper) offer(raw []byte, source Source) error {
 	document, notes, err := k.decode(raw)
 	if err != nil {
@@ -163,13 +163,13 @@
 	return k.activate(document, notes, source)
 }
 
-// ApplyChange puts in force what a peer's change makes of the document in force. The
-// error is route.ErrBase when it starts from another one.
+// ApplyChange applies a peer's change to the document in force and puts the result in
+// force. The error is route.ErrBase when the change is based on another version.
 func (k *Keeper) ApplyChange(change *route.Change) error {
 	return k.containPanic(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.applyChange(change) })
 }
 
-// applyChange is Advance; the lock is held.
+// applyChange implements ApplyChange; the lock is held.
 func (k *Keeper) applyChange(change *route.Change) error {
 	if change.Version <= k.Version() {
 		return ErrNotNewer
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// refuse logs why a document was not taken, once for each.
+// refuse logs why a document was refused, once for each document.
 func (k *Keeper) refuse(document string, source Source, err error) error {
 	if k.lastRefused != document {
 		k.lastRefused = document
--- a/internal/sidecar/configuration/proof.go
+++ b/internal/sidecar/configuration/proof.go
@@ -7,23 +7,23 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// proof is the last moment at which a node is known to have been level: it holds what was the
-// newest configuration then. Only answers of the store make one; nodes pass it on with its age. It
-// is safe for concurrent use.
+// proof records the last moment at which a node is known to have been up to date, that is, at
+// which the version it holds was the newest. Only answers of the store constitute a proof; nodes
+// pass it on to each other with its age. It is safe for concurrent use.
 type proof struct{ current atomic.Pointer[proofState] }
 
-// proofState is what a node knows at one time. It is immutable.
+// proofState is a snapshot of a node's proofs. It is immutable.
 type proofState struct {
-	// at is zero before the first proof.
+	// at is the moment of the newest proof for the version that the node holds, zero before the first.
 	at time.Time
-	// nextAt is the moment of a proof for nextVersion, which the node does not hold yet: it counts
-	// once it does. The version is zero when there is none.
+	// nextAt is the moment of a proof for nextVersion, which the node does not hold yet; the proof
+	// takes effect once it does. nextVersion is zero when there is none.
 	nextAt      time.Time
 	nextVersion uint64
 }
 
-// record takes in that there was no version above the given one at a moment, for a node that holds
-// the other one.
+// record records a proof that there was no newer version than the given one at a moment, for a node
+// that holds the current one.
 func (p *proof) record(version uint64, at time.Time, current uint64) {
 	for {
 		before := p.current.Load()
@@ -42,7 +42,8 @@
 	}
 }
 
-// resolve returns what is known once the node holds a version.
+// resolve returns the state for a node that holds the current version: a proof for that version or
+// an older one takes effect.
 func (p *proofState) resolve(current uint64) proofState {
 	if p == nil {
 		return proofState{}
@@ -58,15 +59,15 @@
 	return known
 }
 
-// RecordProof takes in that there was no version above the given one at a moment, whoever proved
-// it. It counts when the node holds that version or a newer one.
+// RecordProof records a proof, from any source, that there was no newer version than the given one
+// at a moment. It takes effect once the node holds that version or a newer one.
 func (k *Keeper) RecordProof(version uint64, at time.Time) {
 	if version > 0 {
 		k.proof.record(version, at, k.Version())
 	}
 }
 
-// ProofAge returns how long ago the node is known to have been level; false before the first
+// ProofAge returns how long ago the node was last known to be up to date; false before the first
 // proof.
 func (k *Keeper) ProofAge() (age time.Duration, proven bool) {
 	known := k.proof.current.Load().resolve(k.Version())
@@ -76,7 +77,7 @@
 	return clock.Since(known.at), true
 }
 
-// UpToDateWithin reports whether the node is known to have been level at most so long ago.
+// UpToDateWithin reports whether the node is known to have been up to date within the last span.
 func (k *Keeper) UpToDateWithin(span time.Duration) bool {
 	age, proven := k.ProofAge()
 	return proven && age <= span
