--- a/internal/sidecar/exchange/announce.go
+++ b/internal/sidecar/exchange/announce.go
@@ -11,18 +11,18 @@
 // its nodes reach the store.
 func (e *Exchanger) AnnounceVersion() {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
-	told := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
+	targets := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
 	for _, zone := range view.Zones() {
-		if peers := e.peersOf(view.Zone(zone)); zone != own.Zone && len(peers) > smallZone {
-			told = append(told, peers[rand.N(len(peers))])
+		if peers := e.peersOf(view.Zone(zone)); zone != own.Zone && len(peers) > smallZoneSize {
+			targets = append(targets, peers[rand.N(len(peers))])
 		}
 	}
-	e.tellAll(told, own)
+	e.notifyAll(targets, own)
 }
 
-// tellZone tells some nodes of the own zone of the version in force.
-func (e *Exchanger) tellZone() {
+// notifyZone tells some nodes of the own zone of the version in force.
+func (e *Exchanger) notifyZone() {
 	own := e.options.Roster.Own()
 	peers := shuffled(e.peersOf(e.options.Roster.View().Zone(own.Zone)))
-	e.tellAll(peers[:min(len(peers), relayPeers)], own)
+	e.notifyAll(peers[:min(len(peers), relayFanout)], own)
 }
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -22,9 +22,9 @@
 	// force. With one question of 2 s at a time a node was behind for up to 2.75 s beside
 	// healthy peers, now for 0.15 s (TestASilentPeerHoldsNobodyBack).
 	hedgeDelay = 150 * time.Millisecond
-	// mostAsked bounds the questions under way; when another peer is due the oldest silent one
+	// maxFetches bounds the questions under way; when another peer is due the oldest silent one
 	// is given up.
-	mostAsked = 4
+	maxFetches = 4
 	// fetchTimeout bounds one question, storeTimeout one to the store: a whole document of
 	// 0.75 MB takes 0.6 s over 10 Mbit/s.
 	fetchTimeout = 2 * time.Second
@@ -32,13 +32,13 @@
 	// storeDelay is how long peers are asked before the store is, whose calls are paid for;
 	// storeBase and storeMost bound the pauses between questions in vain.
 	storeDelay = 450 * time.Millisecond
-	storeBase  = 500 * time.Millisecond
-	storeMost  = 4 * time.Second
-	// progressLooks is how often in a hedge delay a node looks at most while it waits for an
+	minStorePause  = 500 * time.Millisecond
+	maxStorePause  = 4 * time.Second
+	// progressChecks is how often in a hedge delay a node looks at most while it waits for an
 	// answer.
-	progressLooks = 3
-	// longestLook is the longest time between two looks at what is to be done.
-	longestLook = time.Second
+	progressChecks = 3
+	// maxCheckInterval is the longest time between two looks at what is to be done.
+	maxCheckInterval = time.Second
 )
 
 // catchUp brings the node to the newest version that it has heard of. That version is
@@ -56,18 +56,18 @@
 	ended   chan struct{}
 	// newest is the highest version heard of.
 	newest uint64
-	// since is when the node first heard that it is behind, and first from whom; of use while
+	// behindSince is when the node first heard that it is behind, and first from whom; of use while
 	// it is running.
-	since time.Time
-	first string
+	behindSince time.Time
+	firstPeer string
 	peers sources
-	// questions are those under way, the oldest first.
-	questions []*question
-	// storeDue is the moment before which the store is not asked, storePause the pause after
+	// fetches are those under way, the oldest first.
+	fetches []*fetchAttempt
+	// nextStoreRead is the moment before which the store is not asked, storePause the pause after
 	// the next failure; asksStore: a question to it is under way.
-	storeDue   time.Time
+	nextStoreRead   time.Time
 	storePause time.Duration
-	asksStore  bool
+	storeReading  bool
 }
 
 func newCatchUp(exchanger *Exchanger) *catchUp {
@@ -81,11 +81,11 @@
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
-	e.behind.hear(peer, version, e.catchUpDelay(peer))
+	e.updater.reportVersion(peer, version, e.catchUpDelay(peer))
 }
 
-// hear notes that a peer holds a newer version. The peer is not asked before the delay is over.
-func (c *catchUp) hear(peer *roster.Record, version uint64, delay time.Duration) {
+// reportVersion notes that a peer holds a newer version. The peer is not asked before the delay is over.
+func (c *catchUp) reportVersion(peer *roster.Record, version uint64, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, held := clock.Now(), c.exchanger.options.Configuration.Version()
@@ -93,23 +93,23 @@
 		return
 	}
 	if !c.running {
-		c.begin(peer, now, delay)
+		c.start(peer, now, delay)
 	}
 	if version > c.newest {
 		c.newest = version
 		c.logger.Info("newer configuration announced", zap.String("peer", peer.Node),
 			zap.Uint64("version", version), zap.Uint64("inForce", held), c.proofAge())
 	}
-	c.peers.hear(peer, version, now, delay)
+	c.peers.report(peer, version, now, delay)
 	c.signal()
 }
 
-// begin starts to catch up; the lock is held.
-func (c *catchUp) begin(peer *roster.Record, now time.Time, delay time.Duration) {
+// start starts to catch up; the lock is held.
+func (c *catchUp) start(peer *roster.Record, now time.Time, delay time.Duration) {
 	c.running, c.ended = true, make(chan struct{})
 	c.newest = 0
-	c.since, c.first = now, peer.Node
-	c.storeDue, c.storePause = now.Add(delay+storeDelay), storeBase
+	c.behindSince, c.firstPeer = now, peer.Node
+	c.nextStoreRead, c.storePause = now.Add(delay+storeDelay), minStorePause
 	c.peers.clear()
 	go func() {
 		if contain.Run("catching up", c.logger, c.run) != nil {
@@ -146,8 +146,8 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		wait, level := c.look(clock.Now())
-		if level {
+		wait, upToDate := c.step(clock.Now())
+		if upToDate {
 			return
 		}
 		timer.Reset(wait)
@@ -158,59 +158,59 @@
 	}
 }
 
-// look begins the questions that are due and returns how long nothing else is to be done, or
+// step begins the questions that are due and returns how long nothing else is to be done, or
 // that the node is level.
-func (c *catchUp) look(now time.Time) (wait time.Duration, level bool) {
+func (c *catchUp) step(now time.Time) (wait time.Duration, upToDate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.exchanger.options.Configuration.Version()
 	if held >= c.newest {
-		c.end(now, held)
+		c.finish(now, held)
 		return 0, true
 	}
-	if c.silentIn(now) <= 0 {
+	if c.untilSilent(now) <= 0 {
 		if next := c.peers.next(held, now); next != nil {
-			c.ask(next, now)
+			c.startFetch(next, now)
 		}
 	}
-	if !c.asksStore && !c.storeDue.After(now) && !c.peers.untried(held) {
-		c.askStore()
+	if !c.storeReading && !c.nextStoreRead.After(now) && !c.peers.untried(held) {
+		c.readStore()
 	}
 	return c.untilNext(now, held), false
 }
 
-// silentIn returns the time until no question brings anything; the lock is held. While one
+// untilSilent returns the time until no question brings anything; the lock is held. While one
 // does, others would only fill the same link: over 5 Mbit/s a whole document takes longer than
 // the delay, and four copies of it four times as long.
-func (c *catchUp) silentIn(now time.Time) (left time.Duration) {
-	for _, under := range c.questions {
-		left = max(left, under.silentIn(now))
+func (c *catchUp) untilSilent(now time.Time) (left time.Duration) {
+	for _, attempt := range c.fetches {
+		left = max(left, attempt.untilSilent(now))
 	}
 	return left
 }
 
 // untilNext returns the time until something may be due; the lock is held.
 func (c *catchUp) untilNext(now time.Time, held uint64) time.Duration {
-	wait := c.peers.wait(held, now, longestLook)
-	if len(c.questions) > 0 {
-		wait = max(wait, c.silentIn(now), hedgeDelay/progressLooks)
+	wait := c.peers.wait(held, now, maxCheckInterval)
+	if len(c.fetches) > 0 {
+		wait = max(wait, c.untilSilent(now), hedgeDelay/progressChecks)
 	}
-	if !c.asksStore {
-		wait = min(wait, max(c.storeDue.Sub(now), hedgeDelay))
+	if !c.storeReading {
+		wait = min(wait, max(c.nextStoreRead.Sub(now), hedgeDelay))
 	}
 	return wait
 }
 
-// end notes that the node is level; the lock is held.
-func (c *catchUp) end(now time.Time, held uint64) {
+// finish notes that the node is level; the lock is held.
+func (c *catchUp) finish(now time.Time, held uint64) {
 	c.stop()
-	for _, under := range c.questions {
+	for _, under := range c.fetches {
 		under.cancel()
 	}
-	behind := now.Sub(c.since)
+	behind := now.Sub(c.behindSince)
 	c.exchanger.observer.CaughtUp(behind)
 	c.logger.Info("configuration caught up", zap.Uint64("version", held), zap.Duration("behind", behind),
-		zap.String("first", c.first), zap.Strings("told", c.peers.names()), c.proofAge())
+		zap.String("first", c.firstPeer), zap.Strings("told", c.peers.names()), c.proofAge())
 }
 
 // proofAge is how old the node's proof is that it held the newest version, for the log.
@@ -222,32 +222,32 @@
 	return zap.Duration("proofAge", age)
 }
 
-// askStore begins a question to the store; the lock is held.
-func (c *catchUp) askStore() {
-	c.asksStore = true
-	wanted := c.newest
+// readStore begins a question to the store; the lock is held.
+func (c *catchUp) readStore() {
+	c.storeReading = true
+	requested := c.newest
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		began := clock.Now()
 		err := c.exchanger.options.Refresh(ctx)
-		c.storeAnswered(wanted, began, err)
+		c.storeRead(requested, began, err)
 	}()
 }
 
-// storeAnswered takes in what the store said when it was asked for a version. It has every version
+// storeRead takes in what the store said when it was asked for a version. It has every version
 // that there is: one that had been heard of then and that it does not have was claimed wrongly.
-func (c *catchUp) storeAnswered(wanted uint64, began time.Time, err error) {
+func (c *catchUp) storeRead(wanted uint64, began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, held := clock.Now(), c.exchanger.options.Configuration.Version()
-	c.asksStore = false
-	c.exchanger.observer.FetchFinished(askedStore, err)
-	c.storeDue = now.Add(c.storePause)
-	c.storePause = min(2*c.storePause, storeMost)
+	c.storeReading = false
+	c.exchanger.observer.FetchFinished(fetchedFromStore, err)
+	c.nextStoreRead = now.Add(c.storePause)
+	c.storePause = min(2*c.storePause, maxStorePause)
 	if held < c.newest {
 		c.logger.Warn("configuration behind a peer's", zap.Uint64("version", c.newest), zap.Uint64("inForce", held),
-			zap.Duration("behind", now.Sub(c.since)), zap.Duration("elapsed", now.Sub(began)), zap.Error(err))
+			zap.Duration("behind", now.Sub(c.behindSince)), zap.Duration("elapsed", now.Sub(began)), zap.Error(err))
 	}
 	if err == nil && c.newest <= wanted {
 		c.newest = held
@@ -263,8 +263,8 @@
 	}
 }
 
-// level reports whether the node has every version that it has heard of.
-func (c *catchUp) level() bool {
+// upToDate reports whether the node has every version that it has heard of.
+func (c *catchUp) upToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.running || c.exchanger.options.Configuration.Version() >= c.newest
@@ -273,7 +273,7 @@
 // await waits until the node has every version that it has heard of, and reports whether it has
 // before the context ended.
 func (c *catchUp) await(ctx context.Context) bool {
-	if c.level() {
+	if c.upToDate() {
 		return true
 	}
 	c.mu.Lock()
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -24,7 +24,7 @@
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	known := &sources{}
 	hear := func(node string, version uint64, now time.Time, delay time.Duration) {
-		known.hear(&roster.Record{Node: node}, version, now, delay)
+		known.report(&roster.Record{Node: node}, version, now, delay)
 	}
 	hear("early", 8, at(0), 0)
 	hear("late", 8, at(10), 0)
@@ -32,20 +32,20 @@
 	hear("far", 9, at(20), 100*time.Millisecond)
 	g.Expect(known.next(7, at(30)).peer.Node).To(Equal("late"))
 	g.Expect(known.untried(7)).To(BeTrue())
-	known.next(7, at(30)).asking = true
+	known.next(7, at(30)).fetching = true
 	g.Expect(known.next(7, at(30)).peer.Node).To(Equal("early"))
-	known.next(7, at(30)).failed(at(30))
+	known.next(7, at(30)).recordFailure(at(30))
 	g.Expect(known.next(7, at(30))).To(BeNil(), "one is asked, one has failed, one is not due, one has nothing newer")
 	g.Expect(known.wait(7, at(30), time.Minute)).To(Equal(90 * time.Millisecond))
 	hear("far", 9, at(40), time.Hour)
 	g.Expect(known.next(7, at(130)).peer.Node).To(Equal("far"), "what was said again does not delay it")
-	known.next(7, at(130)).failed(at(130))
+	known.next(7, at(130)).recordFailure(at(130))
 	g.Expect(known.untried(7)).To(BeFalse())
 	g.Expect(known.next(7, at(231)).peer.Node).To(Equal("early"), "as often in vain, due before")
 	for range 20 {
-		known.all["early"].failed(at(0))
+		known.all["early"].recordFailure(at(0))
 	}
-	g.Expect(known.all["early"].due).To(Equal(at(0).Add(retryMost)))
+	g.Expect(known.all["early"].notBefore).To(Equal(at(0).Add(retryMax)))
 	known.clear()
 	g.Expect(known.next(0, at(1000000))).To(BeNil())
 }
@@ -116,8 +116,8 @@
 		time.Sleep(time.Minute)
 		g.Expect(calls.Load()).To(And(BeNumerically(">=", 10), BeNumerically("<=", 25)))
 		healthy.Store(true)
-		time.Sleep(2 * storeMost)
-		g.Expect(late.exchanger.behind.level()).To(BeTrue())
+		time.Sleep(2 * maxStorePause)
+		g.Expect(late.exchanger.updater.upToDate()).To(BeTrue())
 		before := calls.Load()
 		time.Sleep(time.Minute)
 		g.Expect(calls.Load()).To(Equal(before))
@@ -139,10 +139,10 @@
 		in.set(peer.record.PeerAddress, nil)
 		late.exchanger.HandlePeerVersion(peer.record, 9)
 		time.Sleep(1100 * time.Millisecond)
-		g.Expect(late.exchanger.behind.level()).To(BeFalse())
+		g.Expect(late.exchanger.updater.upToDate()).To(BeFalse())
 		peer.offer(t, 9)
 		in.set(peer.record.PeerAddress, answer)
-		time.Sleep(2 * retryMost)
+		time.Sleep(2 * retryMax)
 		g.Expect(late.keeper.Version()).To(BeEquivalentTo(9))
 	})
 }
@@ -151,7 +151,7 @@
 func TestCatchingUpIsLogged(t *testing.T) {
 	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		core, logged := observer.New(zap.InfoLevel)
-		late.exchanger.behind.logger = zap.New(core)
+		late.exchanger.updater.logger = zap.New(core)
 		in.set("quiet:1", silent)
 		peer.offer(t, 8)
 		late.exchanger.HandlePeerVersion(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
@@ -181,7 +181,7 @@
 				}
 				late.exchanger.options.Roster.Merge(known)
 				ctx, end := context.WithCancel(t.Context())
-				go late.exchanger.level.run(ctx)
+				go late.exchanger.proof.run(ctx)
 				time.Sleep(10 * time.Second)
 				peer.offer(t, 8)
 				written := time.Now()
@@ -206,7 +206,7 @@
 		g.Expect(proven).To(BeFalse())
 		peer.keeper.RecordProof(7, time.Now())
 		time.Sleep(time.Second)
-		g.Expect(late.exchanger.level.ask(t.Context(), peer.record, 0)).To(Succeed())
+		g.Expect(late.exchanger.proof.ask(t.Context(), peer.record, 0)).To(Succeed())
 		age, proven := late.keeper.ProofAge()
 		g.Expect(proven).To(BeTrue())
 		g.Expect(age).To(Equal(time.Second))
@@ -214,7 +214,7 @@
 
 		peer.offer(t, 8)
 		peer.keeper.RecordProof(8, time.Now())
-		late.exchanger.level.prove(8, new(int64), time.Now())
+		late.exchanger.proof.recordProof(8, new(int64), time.Now())
 		age, _ = late.keeper.ProofAge()
 		g.Expect(age).To(Equal(time.Second), "it does not hold that version")
 		late.keeper.RecordProof(7, time.Now().Add(-time.Hour))
@@ -237,7 +237,7 @@
 			return nil
 		}
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "there is nobody else, and the store does not answer")
-		time.Sleep(probeMost)
+		time.Sleep(maxRoundPause)
 		answers.Store(true)
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "there is nobody else, and the store answers")
 		answers.Store(false)
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -151,9 +151,9 @@
 	for _, message := range []Message{
 		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, DifferingBuckets: []int{4}}, {BucketCount: 4, DifferingBuckets: []int{-1}}, {BucketCount: 1, DifferingBuckets: []int{0, 0}},
 	} {
-		g.Expect(message.comparable()).To(BeFalse())
+		g.Expect(message.validComparison()).To(BeFalse())
 	}
-	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).comparable()).To(BeTrue())
+	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).validComparison()).To(BeTrue())
 	answering := newMember(t, "first")
 	for _, body := range []string{"", "{", `{"digest":1}`, `{"from":{"node":"x"},"of":-1}`} {
 		response, err := http.Post("http://"+answering.record.PeerAddress+PathRoot+pathExchange, "application/json", strings.NewReader(body))
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -101,16 +101,16 @@
 	DefaultInterval = 800 * time.Millisecond
 
 	exchangeTimeout = 700 * time.Millisecond
-	idlePerPeer     = 1
+	maxIdlePerPeer     = 1
 	peerIdleTimeout = 20 * time.Second
 	// pingTimeout bounds the answer to a ping, pings is how many are sent.
 	pingTimeout = 240 * time.Millisecond
-	pings       = 2
-	// farShare is the part of the exchanges that leave the zone at most; with more
+	pingAttempts       = 2
+	// crossZoneShare is the part of the exchanges that leave the zone at most; with more
 	// than a few nodes in the zone it falls, so that all of them together begin
 	// about farNodes in an interval: bytes between zones are paid for.
-	farShare = 0.25
-	farNodes = 4
+	crossZoneShare = 0.25
+	crossZoneExchanges = 4
 	// readerShare is the part of the exchanges of a node that does not read the
 	// store that go to the reader which tells it.
 	readerShare = 0.4
@@ -122,11 +122,11 @@
 	limits  limits
 	client  *http.Client
 	lost    lostPeers
-	// met: another node was in touch with this one.
-	met atomic.Bool
-	// behind has the node catch up with newer configurations, level asks whether there is one.
-	behind   *catchUp
-	level    *levelCheck
+	// hadContact: another node was in touch with this one.
+	hadContact atomic.Bool
+	// updater has the node catch up with newer configurations, level asks whether there is one.
+	updater   *catchUp
+	proof    *proofChecker
 	observer Observer
 }
 
@@ -138,13 +138,13 @@
 	if options.Bound == 0 {
 		options.Bound = DefaultBound
 	}
-	created := &Exchanger{options: options, limits: limitsOf(options.Bound), client: newClient(options.Dial)}
+	created := &Exchanger{options: options, limits: newLimits(options.Bound), client: newClient(options.Dial)}
 	if created.observer = options.Observer; created.observer == nil {
-		created.observer = unobserved{}
+		created.observer = noopObserver{}
 	}
-	created.behind = newCatchUp(created)
-	created.level = newLevelCheck(created)
-	options.Configuration.Observe(func(*route.Table, configuration.Source) { created.behind.signal() })
+	created.updater = newCatchUp(created)
+	created.proof = newProofChecker(created)
+	options.Configuration.Observe(func(*route.Table, configuration.Source) { created.updater.signal() })
 	return created
 }
 
@@ -153,7 +153,7 @@
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerPeer,
+		MaxIdleConnsPerHost: maxIdlePerPeer,
 		IdleConnTimeout:     peerIdleTimeout,
 	}}
 }
@@ -162,7 +162,7 @@
 // until the context ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { e.level.run(ctx) })
+	running.Go(func() { e.proof.run(ctx) })
 	defer running.Wait()
 	for ctx.Err() == nil {
 		half := e.options.Interval / 2
@@ -199,7 +199,7 @@
 		}
 	}
 	from := near
-	if len(near) == 0 || (len(far) > 0 && rand.Float64() < min(farShare, farNodes/float64(len(near)+1))) {
+	if len(near) == 0 || (len(far) > 0 && rand.Float64() < min(crossZoneShare, crossZoneExchanges/float64(len(near)+1))) {
 		from = far
 	}
 	if len(from) == 0 {
@@ -223,13 +223,13 @@
 // ExchangeWith exchanges with one peer: digests first, and where they differ the records
 // of the parts that do. What the peer says cannot end this node.
 func (e *Exchanger) ExchangeWith(ctx context.Context, peer *roster.Record) (err error) {
-	fault := contain.Run("exchange", e.options.Logger, func() { err = e.with(ctx, peer) })
+	fault := contain.Run("exchange", e.options.Logger, func() { err = e.exchangeWith(ctx, peer) })
 	return errors.Join(err, fault)
 }
 
-func (e *Exchanger) with(ctx context.Context, peer *roster.Record) error {
+func (e *Exchanger) exchangeWith(ctx context.Context, peer *roster.Record) error {
 	asked := clock.Now()
-	answer, err := e.post(ctx, peer, e.message())
+	answer, err := e.post(ctx, peer, e.newMessage())
 	if err != nil {
 		if ctx.Err() == nil {
 			e.MarkLost(peer.Node)
@@ -238,27 +238,27 @@
 		return err
 	}
 	e.lost.remove(peer.Node)
-	e.take(answer)
-	e.level.prove(answer.Version, answer.ProofAge, asked)
-	compared := e.comparison(answer.Buckets)
+	e.handleMessage(answer)
+	e.proof.recordProof(answer.Version, answer.ProofAge, asked)
+	compared := e.compareBuckets(answer.Buckets)
 	if compared == nil {
 		return nil
 	}
 	answer, err = e.post(ctx, peer, compared)
 	if err == nil {
-		e.take(answer)
+		e.handleMessage(answer)
 	}
 	return err
 }
 
-// comparison asks for the records of the parts that differ from a peer's, and
+// compareBuckets asks for the records of the parts that differ from a peer's, and
 // brings this node's own; nil when none does.
-func (e *Exchanger) comparison(theirs []uint32) *Message {
-	if len(theirs) == 0 || len(theirs) > mostBuckets {
+func (e *Exchanger) compareBuckets(theirs []uint32) *Message {
+	if len(theirs) == 0 || len(theirs) > maxBuckets {
 		return nil
 	}
 	view := e.options.Roster.View()
-	asked := e.message()
+	asked := e.newMessage()
 	asked.BucketCount = len(theirs)
 	for index, digest := range view.Buckets(len(theirs)) {
 		if digest != theirs[index] {
@@ -273,75 +273,75 @@
 }
 
 // HadContact reports whether another node was in touch with this one since it started.
-func (e *Exchanger) HadContact() bool { return e.met.Load() }
+func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
 
 // Reachable reports whether a node has not failed to answer of late.
-func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.holds(record.Node) }
+func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
 
 // MarkLost notes that a node did not answer: it is looked for until it does.
 func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
 
-// message is what every message of this node says.
-func (e *Exchanger) message() *Message {
+// newMessage is what every newMessage of this node says.
+func (e *Exchanger) newMessage() *Message {
 	return &Message{
 		From:     e.options.Roster.Own(),
 		Digest:   e.options.Roster.View().Digest(),
 		Version:  e.options.Configuration.Version(),
-		ProofAge: e.level.proofAge(),
-		SharedState:     e.told(),
+		ProofAge: e.proof.proofAge(),
+		SharedState:     e.sharedState(),
 	}
 }
 
-// told is what this node knows of operators' orders.
-func (e *Exchanger) told() (told SharedState) {
+// sharedState is what this node knows of operators' orders.
+func (e *Exchanger) sharedState() (state SharedState) {
 	if e.options.Store != nil {
-		told.Era = e.options.Store.Era()
+		state.Era = e.options.Store.Era()
 	}
 	if e.options.Rollouts != nil {
-		told.Rollouts = e.options.Rollouts.Tell()
+		state.Rollouts = e.options.Rollouts.Tell()
 	}
 	if e.options.Evacuations != nil {
-		told.Evacuations = e.options.Evacuations.Tell()
+		state.Evacuations = e.options.Evacuations.Tell()
 	}
 	if e.options.Contention != nil {
-		told.SharedMachines = e.options.Contention.Shared()
+		state.SharedMachines = e.options.Contention.Shared()
 	}
-	return told
+	return state
 }
 
-// hearEra takes in a peer's era of the store. What a peer of an earlier one takes for recorded
+// mergeEra takes in a peer's era of the store. What a peer of an earlier one takes for recorded
 // there may be gone.
-func (e *Exchanger) hearEra(told *SharedState) {
+func (e *Exchanger) mergeEra(state *SharedState) {
 	if e.options.Store == nil {
 		return
 	}
-	e.options.Store.LearnEra(told.Era)
-	if told.Era < e.options.Store.Era() {
-		for i := range told.Rollouts {
-			told.Rollouts[i].Recorded = false
+	e.options.Store.LearnEra(state.Era)
+	if state.Era < e.options.Store.Era() {
+		for i := range state.Rollouts {
+			state.Rollouts[i].Recorded = false
 		}
 	}
 }
 
-// hearTold takes in a peer's orders before its records: who knows of a new version knows why
+// mergeState takes in a peer's orders before its records: who knows of a new version knows why
 // it is there. News is passed on in the zone.
-func (e *Exchanger) hearTold(told *SharedState) {
-	e.hearEra(told)
-	moved := e.options.Rollouts != nil && len(told.Rollouts) > 0 && e.options.Rollouts.Hear(told.Rollouts)
-	emptied := e.options.Evacuations != nil && len(told.Evacuations) > 0 && e.options.Evacuations.Hear(told.Evacuations)
-	if told.SharedMachines && e.options.Contention != nil {
+func (e *Exchanger) mergeState(state *SharedState) {
+	e.mergeEra(state)
+	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
+	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Hear(state.Evacuations)
+	if state.SharedMachines && e.options.Contention != nil {
 		e.options.Contention.SetShared()
 	}
 	if moved || emptied {
-		go e.tellZone()
+		go e.notifyZone()
 	}
 }
 
-// take merges a peer's message and fetches its configuration when it is newer.
-func (e *Exchanger) take(received *Message) {
-	e.met.Store(true)
+// handleMessage merges a peer's message and fetches its configuration when it is newer.
+func (e *Exchanger) handleMessage(received *Message) {
+	e.hadContact.Store(true)
 	e.lost.remove(received.From.Node) // it is there, whoever began
-	e.hearTold(&received.SharedState)
+	e.mergeState(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
 	e.HandlePeerVersion(received.From, received.Version)
 }
@@ -358,7 +358,7 @@
 	received := &Message{}
 	plain, err := encoded.NewReader(resp.Header, resp.Body)
 	if err == nil {
-		err = json.NewDecoder(io.LimitReader(plain, messageBytes)).Decode(received)
+		err = json.NewDecoder(io.LimitReader(plain, maxMessageBytes)).Decode(received)
 	}
 	if err != nil {
 		return nil, trace.Wrap(err, "exchange with %s", peer.Node)
@@ -381,7 +381,7 @@
 		return nil, trace.Wrap(err, "exchange")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(headerAccept, encoded.ContentCoding)
+	req.Header.Set(headerAcceptEncoding, encoded.ContentCoding)
 	body.SetContentEncoding(req.Header)
 	resp, err := e.do(req)
 	return resp, trace.Wrap(err, "exchange with %s", peer.Node)
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -19,10 +19,10 @@
 // fetch takes from the peer what leads from the version in force to its own, or
 // the whole document when the peer does not know this node's. heard is called whenever
 // something comes in.
-func (e *Exchanger) fetch(ctx context.Context, peer *roster.Record, heard func()) error {
-	err := e.advance(ctx, peer, e.options.Configuration.Version(), heard)
+func (e *Exchanger) fetch(ctx context.Context, peer *roster.Record, onData func()) error {
+	err := e.fetchChange(ctx, peer, e.options.Configuration.Version(), onData)
 	if errors.Is(err, route.ErrBase) {
-		err = e.advance(ctx, peer, 0, heard)
+		err = e.fetchChange(ctx, peer, 0, onData)
 	}
 	if errors.Is(err, configuration.ErrNotNewer) {
 		return nil
@@ -30,20 +30,20 @@
 	return trace.Wrap(err, "fetch configuration from %s", peer.Node)
 }
 
-// advance asks the peer for what follows on a version and puts it in force.
-func (e *Exchanger) advance(ctx context.Context, peer *roster.Record, after uint64, heard func()) error {
+// fetchChange asks the peer for what follows on a version and puts it in force.
+func (e *Exchanger) fetchChange(ctx context.Context, peer *roster.Record, after uint64, onData func()) error {
 	resp, err := e.get(ctx, peer, pathConfiguration+"?"+queryAfter+"="+strconv.FormatUint(after, 10))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	heard()
-	body, err := plainBody(resp, heard)
+	onData()
+	body, err := decodedBody(resp, onData)
 	if err != nil {
 		return err
 	}
 	change := &route.Change{}
-	if err := json.NewDecoder(io.LimitReader(body, documentBytes)).Decode(change); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxDocumentBytes)).Decode(change); err != nil {
 		return err
 	}
 	return e.options.Configuration.ApplyChange(change)
@@ -56,26 +56,26 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set(headerAccept, encoded.ContentCoding)
+	req.Header.Set(headerAcceptEncoding, encoded.ContentCoding)
 	return e.do(req)
 }
 
-// plainBody returns the body of an answer that may be compressed.
-func plainBody(resp *http.Response, heard func()) (io.Reader, error) {
-	return encoded.NewReader(resp.Header, &noticedReader{Reader: resp.Body, heard: heard})
+// decodedBody returns the body of an answer that may be compressed.
+func decodedBody(resp *http.Response, onData func()) (io.Reader, error) {
+	return encoded.NewReader(resp.Header, &progressReader{Reader: resp.Body, onData: onData})
 }
 
-// noticedReader tells whenever it brings something.
-type noticedReader struct {
+// progressReader tells whenever it brings something.
+type progressReader struct {
 	io.Reader
-	heard func()
+	onData func()
 }
 
 // Read implements io.Reader.
-func (r *noticedReader) Read(data []byte) (int, error) {
+func (r *progressReader) Read(data []byte) (int, error) {
 	count, err := r.Reader.Read(data)
 	if count > 0 {
-		r.heard()
+		r.onData()
 	}
 	return count, err
 }
--- a/internal/sidecar/exchange/lending.go
+++ b/internal/sidecar/exchange/lending.go
@@ -16,15 +16,15 @@
 
 // AskQuota sends a node's question about tenants' limits to a peer.
 func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-	return e.askGranter(ctx, peer, pathQuota, asked)
+	return e.requestGrant(ctx, peer, pathQuota, asked)
 }
 
 // AskRepeats sends a node's question about repeats to a peer.
 func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-	return e.askGranter(ctx, peer, pathRepeats, asked)
+	return e.requestGrant(ctx, peer, pathRepeats, asked)
 }
 
-func (e *Exchanger) askGranter(ctx context.Context, peer *roster.Record, path string, asked *lending.Ask) (*lending.Answer, error) {
+func (e *Exchanger) requestGrant(ctx context.Context, peer *roster.Record, path string, asked *lending.Ask) (*lending.Answer, error) {
 	resp, err := e.send(ctx, peer, path, asked)
 	if status := statusError(0); errors.As(err, &status) && status == http.StatusNotFound {
 		// A node of the version before lends nothing, and is there all the same.
@@ -35,16 +35,16 @@
 	}
 	defer resp.Body.Close()
 	answer := &lending.Answer{}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, messageBytes)).Decode(answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(answer); err != nil {
 		return nil, trace.Wrap(err, "ask %s for tokens", peer.Node)
 	}
 	return answer, nil
 }
 
-// serveGranter returns what answers peers' questions to a lender.
-func serveGranter(lender Granter) restful.RouteFunction {
+// grantHandler returns what answers peers' questions to a lender.
+func grantHandler(granter Granter) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
-		request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, messageBytes)
+		request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
 		asked := &lending.Ask{}
 		err := request.ReadEntity(asked)
 		if err == nil {
@@ -54,6 +54,6 @@
 			_ = response.WriteErrorString(http.StatusBadRequest, err.Error())
 			return
 		}
-		_ = response.WriteAsJson(lender.Serve(asked))
+		_ = response.WriteAsJson(granter.Serve(asked))
 	}
 }
--- a/internal/sidecar/exchange/lost.go
+++ b/internal/sidecar/exchange/lost.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// lostRemembered is how long a peer that did not answer is tried more often.
-	lostRemembered = 30 * time.Second
+	// lostRetention is how long a peer that did not answer is tried more often.
+	lostRetention = 30 * time.Second
 	// lostShare is the part of the exchanges that go to lost peers where there
 	// are few nodes; with many it falls, so that all together try a lost peer
 	// about lostTries times an interval.
 	lostShare = 0.5
-	lostTries = 6
+	lostTriesPerInterval = 6
 )
 
 // lostPeers remembers peers that did not answer. One that comes back while the
@@ -44,8 +44,8 @@
 	delete(l.since, node)
 }
 
-// holds reports whether a peer did not answer and has not answered since.
-func (l *lostPeers) holds(node string) bool {
+// contains reports whether a peer did not answer and has not answered since.
+func (l *lostPeers) contains(node string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	_, lost := l.since[node]
@@ -59,7 +59,7 @@
 	var candidates []*roster.Record
 	for node, since := range l.since {
 		record := view.Record(node)
-		if now.Sub(since) > lostRemembered || record == nil {
+		if now.Sub(since) > lostRetention || record == nil {
 			delete(l.since, node)
 			continue
 		}
@@ -68,7 +68,7 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	share := min(lostShare, lostTries*float64(len(candidates))/float64(view.Count()))
+	share := min(lostShare, lostTriesPerInterval*float64(len(candidates))/float64(view.Count()))
 	if rand.Float64() >= share {
 		return nil
 	}
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -55,13 +55,13 @@
 	ProofAge *int64 `json:"proofAge,omitempty"`
 }
 
-// longestAge is the greatest age of a proof that is believed.
-const longestAge = 24 * time.Hour
+// maxProofAge is the greatest age of a proof that is believed.
+const maxProofAge = 24 * time.Hour
 
 // proofAge returns how old a peer's proof is that came in whole microseconds; false when there is
 // none, or one that cannot be.
 func proofAge(told *int64) (age time.Duration, valid bool) {
-	if told == nil || *told < 0 || *told > longestAge.Microseconds() {
+	if told == nil || *told < 0 || *told > maxProofAge.Microseconds() {
 		return 0, false
 	}
 	return time.Duration(*told) * time.Microsecond, true
@@ -82,22 +82,22 @@
 const (
 	// recordsPerBucket is about how many records share a part.
 	recordsPerBucket = 4
-	leastBuckets     = 8
-	mostBuckets      = 4096
+	minBuckets     = 8
+	maxBuckets      = 4096
 )
 
 // bucketCount is in how many parts a roster of that many records is compared.
 func bucketCount(records int) int {
-	count := leastBuckets
-	for count < mostBuckets && count*recordsPerBucket < records {
+	count := minBuckets
+	for count < maxBuckets && count*recordsPerBucket < records {
 		count *= 2
 	}
 	return count
 }
 
-// comparable reports whether the message asks for a comparison that can be made.
-func (m *Message) comparable() bool {
-	if m.BucketCount < 1 || m.BucketCount > mostBuckets || len(m.DifferingBuckets) > m.BucketCount {
+// validComparison reports whether the message asks for a comparison that can be made.
+func (m *Message) validComparison() bool {
+	if m.BucketCount < 1 || m.BucketCount > maxBuckets || len(m.DifferingBuckets) > m.BucketCount {
 		return false
 	}
 	for _, index := range m.DifferingBuckets {
@@ -115,7 +115,7 @@
 	pathNotice        = "/notice"
 	pathPing          = "/ping"
 	pathConfiguration = "/configuration"
-	pathLevel         = "/level"
+	pathVersion         = "/level"
 	pathQuota         = "/quota"
 	pathRepeats       = "/repeats"
 	// queryAfter names the version that a node has when it asks for a later one.
--- a/internal/sidecar/exchange/ping.go
+++ b/internal/sidecar/exchange/ping.go
@@ -15,10 +15,10 @@
 func (e *Exchanger) Ping(ctx context.Context, peer *roster.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	answers := make(chan error, pings)
-	for ask := range pings {
+	answers := make(chan error, pingAttempts)
+	for attempt := range pingAttempts {
 		go func() {
-			timer := time.NewTimer(time.Duration(ask) * pingTimeout / pings)
+			timer := time.NewTimer(time.Duration(attempt) * pingTimeout / pingAttempts)
 			defer timer.Stop()
 			select {
 			case <-timer.C:
@@ -29,7 +29,7 @@
 		}()
 	}
 	var failed error
-	for range pings {
+	for range pingAttempts {
 		err := <-answers
 		if err == nil {
 			return nil
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -71,7 +71,7 @@
 		late.keeper.RecordProof(7, time.Now())
 		began := time.Now()
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
-		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*confirmHedge))
+		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*confirmHedgeDelay))
 	})
 }
 
@@ -246,7 +246,7 @@
 				g := NewWithT(t)
 				in := &network{nodes: map[string]func(net.Conn){}}
 				var calls atomic.Int64
-				nodes := make([]*levelCheck, size)
+				nodes := make([]*proofChecker, size)
 				known := crowd(size - 1)
 				for i := range nodes {
 					made := newVirtualMember(in, fmt.Sprintf("looking-%d", i), "zone")
@@ -255,12 +255,12 @@
 						calls.Add(1)
 						return errTurnedAway
 					}
-					nodes[i] = made.exchanger.level
+					nodes[i] = made.exchanger.proof
 				}
 				const span = time.Minute
-				for began := time.Now(); time.Since(began) < span; time.Sleep(levelPause) {
+				for began := time.Now(); time.Since(began) < span; time.Sleep(minCheckPause) {
 					for _, node := range nodes {
-						node.probeInTurn(t.Context())
+						node.readStoreInTurn(t.Context())
 					}
 				}
 				synctest.Wait()
@@ -273,9 +273,9 @@
 
 // TestAProofAgeThatCannotBeProvesNothing: below zero, or so great that it cannot be counted.
 func TestAProofAgeThatCannotBeProvesNothing(t *testing.T) {
-	for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, math.MaxInt64 / 1000, longestAge.Microseconds() + 1} {
+	for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, math.MaxInt64 / 1000, maxProofAge.Microseconds() + 1} {
 		play(t, func(_ *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
-			late.exchanger.level.prove(7, &age, time.Now())
+			late.exchanger.proof.recordProof(7, &age, time.Now())
 			_, proven := late.keeper.ProofAge()
 			g.Expect(proven).To(BeFalse())
 		})
@@ -291,7 +291,7 @@
 			return errTurnedAway
 		}
 		ctx, end := context.WithCancel(t.Context())
-		go late.exchanger.level.run(ctx)
+		go late.exchanger.proof.run(ctx)
 		time.Sleep(time.Minute)
 		late.keeper.RecordProof(7, time.Now())
 		time.Sleep(smallestBound / 4)
--- a/internal/sidecar/exchange/question.go
+++ b/internal/sidecar/exchange/question.go
@@ -11,97 +11,97 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/contain"
 )
 
-// question is one that is under way.
-type question struct {
+// fetchAttempt is one that is under way.
+type fetchAttempt struct {
 	source *source
 	cancel context.CancelFunc
-	// heard is when the answer last brought something, the beginning before that.
-	heard stamp
-	// answered: the answer has begun. dropped: another peer was faster. Both are guarded by the
+	// lastData is when the answer last brought something, the beginning before that.
+	lastData atomicTime
+	// responding: the answer has begun. abandoned: another peer was faster. Both are guarded by the
 	// lock of the catch-up.
-	answered, dropped bool
+	responding, abandoned bool
 }
 
-// silentIn returns the time after which, should the question bring nothing until then, another
+// untilSilent returns the time after which, should the question bring nothing until then, another
 // peer is to be asked.
-func (q *question) silentIn(now time.Time) time.Duration {
-	return hedgeDelay - now.Sub(*q.heard.held.Load())
+func (q *fetchAttempt) untilSilent(now time.Time) time.Duration {
+	return hedgeDelay - now.Sub(*q.lastData.value.Load())
 }
 
-// ask begins a question to a peer; the lock is held.
-func (c *catchUp) ask(from *source, now time.Time) {
-	if len(c.questions) == mostAsked {
-		c.drop(c.questions[0], now)
+// startFetch begins a question to a peer; the lock is held.
+func (c *catchUp) startFetch(from *source, now time.Time) {
+	if len(c.fetches) == maxFetches {
+		c.abandon(c.fetches[0], now)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
-	under := &question{source: from, cancel: cancel}
-	under.heard.set(now)
-	from.asking = true
-	c.questions = append(c.questions, under)
+	attempt := &fetchAttempt{source: from, cancel: cancel}
+	attempt.lastData.set(now)
+	from.fetching = true
+	c.fetches = append(c.fetches, attempt)
 	peer := from.peer
 	go func() {
 		defer cancel()
 		var err error
-		fault := contain.Run("peer's configuration", c.logger, func() { err = c.exchanger.fetch(ctx, peer, func() { c.hears(under) }) })
+		fault := contain.Run("peer's configuration", c.logger, func() { err = c.exchanger.fetch(ctx, peer, func() { c.receivedData(attempt) }) })
 		if fault != nil {
 			err = fault
 		}
-		c.answered(under, now, err)
+		c.fetchFinished(attempt, now, err)
 	}()
 }
 
-// hears notes that an answer brings something. When it begins, the peers that bring nothing now
+// receivedData notes that an answer brings something. When it begins, the peers that bring nothing now
 // are given up: of an answer that is large only one copy is to come over the node's link.
-func (c *catchUp) hears(under *question) {
+func (c *catchUp) receivedData(attempt *fetchAttempt) {
 	now := clock.Now()
-	under.heard.set(now)
+	attempt.lastData.set(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if under.answered || under.dropped {
+	if attempt.responding || attempt.abandoned {
 		return
 	}
-	under.answered = true
-	for _, other := range slices.Clone(c.questions) {
-		if other != under && (!other.answered || other.silentIn(now) <= 0) {
-			c.drop(other, now)
+	attempt.responding = true
+	for _, other := range slices.Clone(c.fetches) {
+		if other != attempt && (!other.responding || other.untilSilent(now) <= 0) {
+			c.abandon(other, now)
 		}
 	}
 }
 
-// drop gives a question up that did not fail; the lock is held.
-func (c *catchUp) drop(under *question, now time.Time) {
-	under.dropped = true
-	under.cancel()
-	c.remove(under)
-	under.source.due = now.Add(retryBase)
+// abandon gives a question up that did not fail; the lock is held.
+func (c *catchUp) abandon(attempt *fetchAttempt, now time.Time) {
+	attempt.abandoned = true
+	attempt.cancel()
+	c.remove(attempt)
+	attempt.source.notBefore = now.Add(retryBase)
 }
 
 // remove takes a question out of those under way; the lock is held.
-func (c *catchUp) remove(under *question) {
-	c.questions = slices.DeleteFunc(c.questions, func(held *question) bool { return held == under })
-	under.source.asking = false
+func (c *catchUp) remove(attempt *fetchAttempt) {
+	c.fetches = slices.DeleteFunc(c.fetches, func(held *fetchAttempt) bool { return held == attempt })
+	attempt.source.fetching = false
 }
 
-// answered takes in what became of a question.
-func (c *catchUp) answered(under *question, began time.Time, err error) {
+// fetchFinished takes in what became of a question.
+func (c *catchUp) fetchFinished(attempt *fetchAttempt, began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if under.dropped {
+	if attempt.abandoned {
 		return
 	}
-	c.remove(under)
-	from, now := under.source, clock.Now()
-	level := c.exchanger.options.Configuration.Version()
-	c.exchanger.observer.FetchFinished(askedPeer, err)
+	c.remove(attempt)
+	from, now := attempt.source, clock.Now()
+	inForce := c.exchanger.options.Configuration.Version()
+	c.exchanger.observer.FetchFinished(fetchedFromPeer, err)
 	switch {
-	case level >= c.newest && err != nil:
+	case inForce >= c.newest && err != nil:
 		// Another peer was faster.
-	case err != nil || level < from.version:
-		from.failed(now)
+	case err != nil || inForce < from.version:
+		from.recordFailure(now)
 		c.logger.Warn("configuration not fetched", zap.String("peer", from.peer.Node), zap.Uint64("version", from.version),
-			zap.Uint64("inForce", level), zap.Duration("elapsed", now.Sub(began)), zap.Int("failures", from.failures), zap.Error(err))
+			zap.Uint64("inForce", inForce), zap.Duration("elapsed", now.Sub(began)), zap.Int("failures", from.failures), zap.Error(err))
 	case from.peer.Zone != c.exchanger.options.Roster.Own().Zone:
-		go c.exchanger.tellZone()
+		go c.exchanger.notifyZone()
 	}
 	c.signal()
 }
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -12,14 +12,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// headerAccept asks for a compressed answer.
-const headerAccept = "Accept-Encoding"
+// headerAcceptEncoding asks for a compressed answer.
+const headerAcceptEncoding = "Accept-Encoding"
 
 const (
-	// messageBytes bounds one message.
-	messageBytes = 4 << 20
-	// documentBytes bounds a configuration fetched from a peer.
-	documentBytes = 16 << 20
+	// maxMessageBytes bounds one message.
+	maxMessageBytes = 4 << 20
+	// maxDocumentBytes bounds a configuration fetched from a peer.
+	maxDocumentBytes = 16 << 20
 )
 
 // Service returns the web service of the peer listener.
@@ -29,14 +29,14 @@
 	service.Route(service.POST(pathExchange).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(e.serveExchange))
 	service.Route(service.POST(pathNotice).Consumes(restful.MIME_JSON).To(e.serveNotice))
 	service.Route(service.GET(pathConfiguration).Produces(restful.MIME_JSON).To(e.serveConfiguration))
-	service.Route(service.GET(pathLevel).Produces(restful.MIME_JSON).To(func(_ *restful.Request, response *restful.Response) {
-		_ = response.WriteAsJson(&VersionReply{Version: e.options.Configuration.Version(), ProofAge: e.level.proofAge()})
+	service.Route(service.GET(pathVersion).Produces(restful.MIME_JSON).To(func(_ *restful.Request, response *restful.Response) {
+		_ = response.WriteAsJson(&VersionReply{Version: e.options.Configuration.Version(), ProofAge: e.proof.proofAge()})
 	}))
 	if e.options.Quota != nil {
-		service.Route(service.POST(pathQuota).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(serveGranter(e.options.Quota)))
+		service.Route(service.POST(pathQuota).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(grantHandler(e.options.Quota)))
 	}
 	if e.options.Repeats != nil {
-		service.Route(service.POST(pathRepeats).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(serveGranter(e.options.Repeats)))
+		service.Route(service.POST(pathRepeats).Consumes(restful.MIME_JSON).Produces(restful.MIME_JSON).To(grantHandler(e.options.Repeats)))
 	}
 	service.Route(service.GET(pathPing).To(func(_ *restful.Request, response *restful.Response) {
 		response.WriteHeader(http.StatusNoContent)
@@ -45,54 +45,54 @@
 }
 
 func (e *Exchanger) serveExchange(request *restful.Request, response *restful.Response) {
-	request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, messageBytes)
+	request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
 	received := &Message{}
 	if err := request.ReadEntity(received); err != nil || received.From == nil {
 		_ = response.WriteErrorString(http.StatusBadRequest, "from: no exchange message")
 		return
 	}
 	compressFrom := math.MaxInt
-	if acceptsCompressed(request.Request) {
+	if acceptsGzip(request.Request) {
 		compressFrom = encoded.CompressionThreshold
 	}
-	body, err := encoded.JSON(e.answer(received), compressFrom)
+	body, err := encoded.JSON(e.replyTo(received), compressFrom)
 	if err != nil {
 		e.options.Logger.Error("exchange not answered", zap.Error(err))
 		_ = response.WriteErrorString(http.StatusInternalServerError, "exchange: cannot be encoded")
 		return
 	}
-	answerBody(response, body)
+	writeBody(response, body)
 }
 
 func (e *Exchanger) serveNotice(request *restful.Request, response *restful.Response) {
-	request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, messageBytes)
+	request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
 	notice := &Notice{}
 	if err := request.ReadEntity(notice); err != nil || notice.Record == nil {
 		_ = response.WriteErrorString(http.StatusBadRequest, "record: is missing")
 		return
 	}
-	e.hear(notice)
+	e.handleNotice(notice)
 	response.WriteHeader(http.StatusNoContent)
 }
 
-// answer takes in a peer's message and makes this node's side of the exchange:
+// replyTo takes in a peer's message and makes this node's side of the exchange:
 // the parts of its roster when the digests differ, or the records that the peer
 // lacks in the parts it has found to differ.
-func (e *Exchanger) answer(received *Message) *Message {
-	e.take(received)
-	made := e.message()
+func (e *Exchanger) replyTo(received *Message) *Message {
+	e.handleMessage(received)
+	reply := e.newMessage()
 	view := e.options.Roster.View()
 	switch {
-	case received.comparable():
-		made.Records = lacking(view.InBuckets(received.DifferingBuckets, received.BucketCount), received.Records)
+	case received.validComparison():
+		reply.Records = missingRecords(view.InBuckets(received.DifferingBuckets, received.BucketCount), received.Records)
 	case received.Digest != view.Digest():
-		made.Buckets = view.Buckets(bucketCount(view.Count()))
+		reply.Buckets = view.Buckets(bucketCount(view.Count()))
 	}
-	return made
+	return reply
 }
 
-// lacking returns the records that are newer than the peer's or not among them.
-func lacking(own, peers []*roster.Record) []*roster.Record {
+// missingRecords returns the records that are newer than the peer's or not among them.
+func missingRecords(own, peers []*roster.Record) []*roster.Record {
 	known := make(map[string]*roster.Record, len(peers))
 	for _, record := range peers {
 		if record != nil {
@@ -116,31 +116,31 @@
 		_ = response.WriteErrorString(http.StatusBadRequest, queryAfter+": is no version")
 		return
 	}
-	if acceptsCompressed(request.Request) {
-		e.answerEncoded(response, after)
+	if acceptsGzip(request.Request) {
+		e.writeEncodedChange(response, after)
 		return
 	}
 	change := e.options.Configuration.ChangeSince(after)
 	if change == nil {
-		noneInForce(response)
+		writeNoConfiguration(response)
 		return
 	}
 	_ = response.WriteAsJson(change)
 }
 
-func noneInForce(response *restful.Response) {
+func writeNoConfiguration(response *restful.Response) {
 	_ = response.WriteErrorString(http.StatusNotFound, "configuration: none is in force")
 }
 
-// acceptsCompressed reports whether the peer reads compressed answers. Nodes of the
+// acceptsGzip reports whether the peer reads compressed answers. Nodes of the
 // version before do not ask for them.
-func acceptsCompressed(r *http.Request) bool {
-	return r.Header.Get(headerAccept) == encoded.ContentCoding
+func acceptsGzip(r *http.Request) bool {
+	return r.Header.Get(headerAcceptEncoding) == encoded.ContentCoding
 }
 
-// answerEncoded answers what leads from a version to the one in force, compressed when it is
+// writeEncodedChange answers what leads from a version to the one in force, compressed when it is
 // long.
-func (e *Exchanger) answerEncoded(response *restful.Response, after uint64) {
+func (e *Exchanger) writeEncodedChange(response *restful.Response, after uint64) {
 	change, err := e.options.Configuration.EncodedChangeSince(after)
 	switch {
 	case err != nil:
@@ -148,14 +148,14 @@
 		_ = response.WriteErrorString(http.StatusInternalServerError, "configuration: cannot be encoded")
 		return
 	case change == nil:
-		noneInForce(response)
+		writeNoConfiguration(response)
 		return
 	}
-	answerBody(response, change)
+	writeBody(response, change)
 }
 
-// answerBody answers with a body.
-func answerBody(response *restful.Response, body *encoded.Body) {
+// writeBody answers with a body.
+func writeBody(response *restful.Response, body *encoded.Body) {
 	header := response.Header()
 	header.Set("Content-Type", restful.MIME_JSON)
 	body.SetContentEncoding(header)
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -100,7 +100,7 @@
 		held[i] = newVirtualMember(in, "node-"+strconv.Itoa(i), "near")
 		held[i].keeper = configuration.NewKeeper(manyRoutes, zap.NewNop())
 		held[i].exchanger.options.Configuration = held[i].keeper
-		held[i].keeper.Observe(func(*route.Table, configuration.Source) { held[i].exchanger.behind.signal() })
+		held[i].keeper.Observe(func(*route.Table, configuration.Source) { held[i].exchanger.updater.signal() })
 		g.Expect(held[i].keeper.Offer([]byte("7 800"), configuration.SourceWatch)).To(Succeed())
 		if i > 0 {
 			g.Expect(held[i].keeper.Offer([]byte("8 24000"), configuration.SourceWatch)).To(Succeed())
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -12,7 +12,7 @@
 	// retryBase is how long a peer that was asked in vain is left alone; each further failure
 	// doubles it, up to retryMost. Others are asked before it.
 	retryBase = 200 * time.Millisecond
-	retryMost = 1600 * time.Millisecond
+	retryMax = 1600 * time.Millisecond
 )
 
 // source is a peer that has told of a version above the one in force.
@@ -20,13 +20,13 @@
 	peer *roster.Record
 	// version is the highest that the peer has told of, told when it last did.
 	version uint64
-	told    time.Time
-	// due is the moment before which the peer is not asked.
-	due time.Time
+	reportedAt    time.Time
+	// notBefore is the moment before which the peer is not asked.
+	notBefore time.Time
 	// failures counts in how many questions in a row it brought nothing.
 	failures int
-	// asking: a question is under way.
-	asking bool
+	// fetching: a question is under way.
+	fetching bool
 }
 
 // sources are the peers that a node may ask for a newer configuration. It is pure and used
@@ -36,19 +36,19 @@
 	all map[string]*source
 }
 
-// hear notes what a peer has told of. One that is new is not asked before the delay is over.
-func (s *sources) hear(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
+// report notes what a peer has told of. One that is new is not asked before the delay is over.
+func (s *sources) report(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
 	if s.all == nil {
 		s.all = map[string]*source{}
 	}
 	held := s.all[peer.Node]
 	if held == nil {
-		held = &source{due: now.Add(delay)}
+		held = &source{notBefore: now.Add(delay)}
 		s.all[peer.Node] = held
 	}
-	held.peer, held.version, held.told = peer, max(held.version, version), now
-	if due := now.Add(delay); held.failures == 0 && due.Before(held.due) {
-		held.due = due
+	held.peer, held.version, held.reportedAt = peer, max(held.version, version), now
+	if due := now.Add(delay); held.failures == 0 && due.Before(held.notBefore) {
+		held.notBefore = due
 	}
 }
 
@@ -57,7 +57,7 @@
 func (s *sources) next(above uint64, now time.Time) *source {
 	var best *source
 	for _, candidate := range s.all {
-		if candidate.asking || candidate.version <= above || candidate.due.After(now) {
+		if candidate.fetching || candidate.version <= above || candidate.notBefore.After(now) {
 			continue
 		}
 		if best == nil || candidate.before(best) {
@@ -68,14 +68,14 @@
 }
 
 func (c *source) before(other *source) bool {
-	return cmp.Or(cmp.Compare(c.failures, other.failures), other.told.Compare(c.told), cmp.Compare(c.peer.Node, other.peer.Node)) < 0
+	return cmp.Or(cmp.Compare(c.failures, other.failures), other.reportedAt.Compare(c.reportedAt), cmp.Compare(c.peer.Node, other.peer.Node)) < 0
 }
 
 // wait returns how long it is until the next peer is due; limit at most.
 func (s *sources) wait(above uint64, now time.Time, limit time.Duration) time.Duration {
 	for _, candidate := range s.all {
-		if !candidate.asking && candidate.version > above {
-			limit = min(limit, max(candidate.due.Sub(now), 0))
+		if !candidate.fetching && candidate.version > above {
+			limit = min(limit, max(candidate.notBefore.Sub(now), 0))
 		}
 	}
 	return limit
@@ -84,18 +84,18 @@
 // untried reports whether there is a peer that has not failed.
 func (s *sources) untried(above uint64) bool {
 	for _, candidate := range s.all {
-		if candidate.version > above && candidate.failures == 0 && !candidate.asking {
+		if candidate.version > above && candidate.failures == 0 && !candidate.fetching {
 			return true
 		}
 	}
 	return false
 }
 
-// failed notes that a question brought nothing.
-func (c *source) failed(now time.Time) {
-	wait := min(retryBase<<min(c.failures, 3), retryMost)
+// recordFailure notes that a question brought nothing.
+func (c *source) recordFailure(now time.Time) {
+	wait := min(retryBase<<min(c.failures, 3), retryMax)
 	c.failures++
-	c.due = now.Add(wait)
+	c.notBefore = now.Add(wait)
 }
 
 // clear forgets all peers.
--- a/internal/sidecar/exchange/spread_test.go
+++ b/internal/sidecar/exchange/spread_test.go
@@ -40,8 +40,8 @@
 // larger ones the news goes to a few nodes of each other zone and spreads there.
 func TestNewsCrossesZonesFewTimes(t *testing.T) {
 	cases := []struct{ perZone, heard int }{
-		{smallZone, 3*smallZone - 1},
-		{smallZone + 3, smallZone + 2 + 2*zoneRelays},
+		{smallZoneSize, 3*smallZoneSize - 1},
+		{smallZoneSize + 3, smallZoneSize + 2 + 2*relaysPerZone},
 	}
 	for _, size := range cases {
 		t.Run(fmt.Sprint(size.perZone), func(t *testing.T) {
@@ -64,11 +64,11 @@
 // is passed over.
 func TestNewsFindsItsWayPastDeadRelays(t *testing.T) {
 	g := NewWithT(t)
-	all := neighbourhood(t, smallZone+1)
+	all := neighbourhood(t, smallZoneSize+1)
 	dead := *all[len(all)-1].record
 	dead.Counter, dead.PeerAddress = dead.Counter+1, "127.0.0.1:1"
 	all[0].members.Merge([]*roster.Record{&dead})
-	g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(smallZone + 2*zoneRelays))
+	g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(smallZoneSize + 2*relaysPerZone))
 }
 
 // TestRelayedNewsIsPassedOnOnce: a notice that says nothing new goes no further.
@@ -78,11 +78,11 @@
 	subject := *all[2].record
 	subject.Counter++
 	notice := &Notice{Record: &subject, From: "south-0", Relay: true}
-	all[0].exchanger.hear(notice)
+	all[0].exchanger.handleNotice(notice)
 	g.Eventually(func() uint64 { return all[1].members.View().Record("south-0").Counter }).
 		WithTimeout(patience).Should(Equal(subject.Counter))
 	before := all[1].bytes.Load()
-	all[0].exchanger.hear(notice)
+	all[0].exchanger.handleNotice(notice)
 	g.Consistently(all[1].bytes.Load).WithTimeout(100 * time.Millisecond).Should(Equal(before))
 }
 
@@ -127,11 +127,11 @@
 		second := newVirtualMember(in, "second", "near")
 		in.set("hanging:1", silent)
 		hanging := &roster.Record{Node: "hanging", PeerAddress: "hanging:1"}
-		heard := &listeners{}
+		heard := &deliveries{}
 		began := time.Now()
 		notice := teller.exchanger.notice(teller.record)
 		teller.exchanger.relay(t.Context(), heard, []*roster.Record{hanging, hanging, first.record, second.record}, notice)
-		g.Expect(heard.count.Load()).To(BeEquivalentTo(zoneRelays))
+		g.Expect(heard.count.Load()).To(BeEquivalentTo(relaysPerZone))
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*hedgeDelay))
 	})
 }
@@ -147,7 +147,7 @@
 		heardShare, sent := 0.0, 0
 		for range plays {
 			heard := make([]bool, size)
-			next := random.Perm(size)[:min(size, zonePeers)]
+			next := random.Perm(size)[:min(size, maxZonePeers)]
 			for len(next) > 0 {
 				told := next
 				next = nil
@@ -155,7 +155,7 @@
 					sent++
 					if !heard[node] {
 						heard[node] = true
-						next = append(next, random.Perm(size)[:min(size, passedTo(leaves))]...)
+						next = append(next, random.Perm(size)[:min(size, fanout(leaves))]...)
 					}
 				}
 			}
@@ -170,7 +170,7 @@
 	}
 	g := NewWithT(t)
 	ready := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{State: roster.Ready}}
-	g.Expect(passedTo(&Notice{Record: ready})).To(BeZero())
-	g.Expect(passedTo(&Notice{Record: &roster.Record{Node: "a"}})).To(BeZero(), "it has just started")
-	g.Expect(passedTo(&Notice{Record: ready, Relay: true})).To(Equal(relayPeers))
+	g.Expect(fanout(&Notice{Record: ready})).To(BeZero())
+	g.Expect(fanout(&Notice{Record: &roster.Record{Node: "a"}})).To(BeZero(), "it has just started")
+	g.Expect(fanout(&Notice{Record: ready, Relay: true})).To(Equal(relayFanout))
 }
