--- a/internal/sidecar/exchange/announce.go
+++ b/internal/sidecar/exchange/announce.go
@@ -6,9 +6,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/readers"
 )
 
-// AnnounceVersion tells others that this node has read a newer configuration: the nodes
-// of its zone that take it from here, and one of each other zone, should none of
-// its nodes reach the store.
+// AnnounceVersion notifies other nodes that this node has read a newer configuration: the
+// nodes of its zone that are assigned to it, and one node of each other larger zone, in case
+// no node of that zone reaches the store.
 func (e *Exchanger) AnnounceVersion() {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	targets := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
@@ -20,7 +20,7 @@
 	e.notifyAll(targets, own)
 }
 
-// notifyZone tells some nodes of the own zone of the version in force.
+// notifyZone notifies some nodes of the own zone of the version in force and the shared state.
 func (e *Exchanger) notifyZone() {
 	own := e.options.Roster.Own()
 	peers := shuffled(e.peersOf(e.options.Roster.View().Zone(own.Zone)))
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	// watchDelay is how long a node that is behind waits for its own watch,
-	// zoneDelay how long one without a watch waits for a peer of its zone.
+	// watchDelay is how long a reader that is behind waits for its own watch,
+	// zoneDelay how long another node waits for a peer of its zone.
 	watchDelay = 600 * time.Millisecond
 	zoneDelay  = 300 * time.Millisecond
-	// hedgeDelay is after what time without a byte from all who are asked another peer is asked
-	// as well: a peer that hangs costs so much of the 2.5 s in which a version has to be in
-	// force. With one question of 2 s at a time a node was behind for up to 2.75 s beside
-	// healthy peers, now for 0.15 s (TestASilentPeerHoldsNobodyBack).
+	// hedgeDelay is the time without a byte from any peer that is asked after which another peer
+	// is asked as well: a peer that hangs costs that much of the 2.5 s in which a version has to be
+	// in force. With one request at a time and its time-out of 2 s a node was behind for up to
+	// 2.75 s beside healthy peers, now for 0.15 s (TestSilentPeerDoesNotDelayCatchUp).
 	hedgeDelay = 150 * time.Millisecond
-	// maxFetches bounds the questions under way; when another peer is due the oldest silent one
-	// is given up.
+	// maxFetches bounds the concurrent fetches; when another peer is due, the oldest fetch is
+	// abandoned.
 	maxFetches = 4
-	// fetchTimeout bounds one question, storeTimeout one to the store: a whole document of
-	// 0.75 MB takes 0.6 s over 10 Mbit/s.
+	// fetchTimeout bounds one fetch from a peer, storeTimeout one read of the store: a whole
+	// document of 0.75 MB takes 0.6 s over 10 Mbit/s.
 	fetchTimeout = 2 * time.Second
 	storeTimeout = 1500 * time.Millisecond
-	// storeDelay is how long peers are asked before the store is, whose calls are paid for;
-	// storeBase and storeMost bound the pauses between questions in vain.
-	storeDelay = 450 * time.Millisecond
-	minStorePause  = 500 * time.Millisecond
-	maxStorePause  = 4 * time.Second
-	// progressChecks is how often in a hedge delay a node looks at most while it waits for an
-	// answer.
+	// storeDelay is how long peers are asked before the store is, whose calls are billed;
+	// minStorePause and maxStorePause bound the pauses between unsuccessful reads.
+	storeDelay    = 450 * time.Millisecond
+	minStorePause = 500 * time.Millisecond
+	maxStorePause = 4 * time.Second
+	// progressChecks is the most checks for progress per hedgeDelay while fetches are running.
 	progressChecks = 3
-	// maxCheckInterval is the longest time between two looks at what is to be done.
+	// maxCheckInterval is the longest time between two checks for work that is due.
 	maxCheckInterval = time.Second
 )
 
-// catchUp brings the node to the newest version that it has heard of. That version is
-// remembered, and so is who has told of it: nothing that comes while a peer is asked is lost,
-// and what is under way ends only when the node is level. It is safe for concurrent use.
+// catchUp brings the node to the newest version that a peer has reported. That version and the
+// peers that reported it are remembered: reports that arrive while a fetch is running are not
+// lost, and a running catch-up ends only when the node is up to date. It is safe for concurrent
+// use.
 type catchUp struct {
 	exchanger *Exchanger
 	logger    *zap.Logger
-	// wake has a running catch-up look at what is to be done.
+	// wake makes a running catch-up check at once for work that is due.
 	wake chan struct{}
 
 	mu sync.Mutex // guards all below
-	// running: a goroutine is at work. ended is closed when it is done.
+	// running reports whether a goroutine is catching up. ended is closed when it is done.
 	running bool
 	ended   chan struct{}
-	// newest is the highest version heard of.
+	// newest is the highest version that a peer has reported.
 	newest uint64
-	// behindSince is when the node first heard that it is behind, and first from whom; of use while
-	// it is running.
+	// behindSince is when a peer first reported a newer version, and firstPeer which one; both are
+	// valid while running.
 	behindSince time.Time
-	firstPeer string
-	peers sources
-	// fetches are those under way, the oldest first.
+	firstPeer   string
+	peers       sources
+	// fetches are the running fetches, the oldest first.
 	fetches []*fetchAttempt
-	// nextStoreRead is the moment before which the store is not asked, storePause the pause after
-	// the next failure; asksStore: a question to it is under way.
-	nextStoreRead   time.Time
-	storePause time.Duration
+	// nextStoreRead is the moment before which the store is not read, storePause the pause after
+	// the next failure; storeReading reports whether a read is running.
+	nextStoreRead time.Time
+	storePause    time.Duration
 	storeReading  bool
 }
 
@@ -74,9 +74,9 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// HandlePeerVersion takes in that a peer has a version. When it is above the one in force, the node
-// catches up: mostly from the first peer that says so; one that reads the store mostly hears
-// from it, one that does not from a peer of its zone.
+// HandlePeerVersion processes a version that a peer reported. When it is above the one in force,
+// the node catches up, normally from the first peer that reported it. A reader waits first for
+// its own watch, another node for a peer of its zone.
 func (e *Exchanger) HandlePeerVersion(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
@@ -84,7 +84,7 @@
 	e.updater.reportVersion(peer, version, e.catchUpDelay(peer))
 }
 
-// reportVersion notes that a peer holds a newer version. The peer is not asked before the delay is over.
+// reportVersion records that a peer holds a newer version. The peer is not asked before the delay is over.
 func (c *catchUp) reportVersion(peer *roster.Record, version uint64, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	c.signal()
 }
 
-// start starts to catch up; the lock is held.
+// start begins to catch up; the lock is held.
 func (c *catchUp) start(peer *roster.Record, now time.Time, delay time.Duration) {
 	c.running, c.ended = true, make(chan struct{})
 	c.newest = 0
@@ -120,7 +120,7 @@
 	}()
 }
 
-// catchUpDelay is how long a node that is behind waits for what would come by itself before
+// catchUpDelay returns how long a node that is behind waits for notices or its own watch before
 // it asks the peer.
 func (e *Exchanger) catchUpDelay(peer *roster.Record) time.Duration {
 	switch {
@@ -141,7 +141,7 @@
 	}
 }
 
-// run asks until the node is level.
+// run fetches until the node is up to date.
 func (c *catchUp) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -158,8 +158,8 @@
 	}
 }
 
-// step begins the questions that are due and returns how long nothing else is to be done, or
-// that the node is level.
+// step starts the fetches that are due. It returns the time until the next check, or that the
+// node is up to date.
 func (c *catchUp) step(now time.Time) (wait time.Duration, upToDate bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,9 +179,9 @@
 	return c.untilNext(now, held), false
 }
 
-// untilSilent returns the time until no question brings anything; the lock is held. While one
-// does, others would only fill the same link: over 5 Mbit/s a whole document takes longer than
-// the delay, and four copies of it four times as long.
+// untilSilent returns the time until all fetches count as silent; the lock is held. While one
+// receives data, others would only compete for the same link: over 5 Mbit/s a whole document takes
+// longer than hedgeDelay, and four copies of it four times as long.
 func (c *catchUp) untilSilent(now time.Time) (left time.Duration) {
 	for _, attempt := range c.fetches {
 		left = max(left, attempt.untilSilent(now))
@@ -189,7 +189,7 @@
 	return left
 }
 
-// untilNext returns the time until something may be due; the lock is held.
+// untilNext returns the time until work may be due; the lock is held.
 func (c *catchUp) untilNext(now time.Time, held uint64) time.Duration {
 	wait := c.peers.wait(held, now, maxCheckInterval)
 	if len(c.fetches) > 0 {
@@ -201,7 +201,7 @@
 	return wait
 }
 
-// finish notes that the node is level; the lock is held.
+// finish ends a catch-up of a node that is up to date; the lock is held.
 func (c *catchUp) finish(now time.Time, held uint64) {
 	c.stop()
 	for _, under := range c.fetches {
@@ -213,7 +213,7 @@
 		zap.String("first", c.firstPeer), zap.Strings("told", c.peers.names()), c.proofAge())
 }
 
-// proofAge is how old the node's proof is that it held the newest version, for the log.
+// proofAge returns a log field with the age of the node's proof that its version was the newest.
 func (c *catchUp) proofAge() zap.Field {
 	age, proven := c.exchanger.options.Configuration.ProofAge()
 	if !proven {
@@ -222,7 +222,7 @@
 	return zap.Duration("proofAge", age)
 }
 
-// readStore begins a question to the store; the lock is held.
+// readStore starts a read of the store; the lock is held.
 func (c *catchUp) readStore() {
 	c.storeReading = true
 	requested := c.newest
@@ -235,8 +235,9 @@
 	}()
 }
 
-// storeRead takes in what the store said when it was asked for a version. It has every version
-// that there is: one that had been heard of then and that it does not have was claimed wrongly.
+// storeRead processes the result of a read of the store that was started when the given version was
+// the newest reported one. The store has every version: one that had been reported by then and that
+// it does not have was reported wrongly, and is no longer sought.
 func (c *catchUp) storeRead(wanted uint64, began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,7 +256,7 @@
 	c.signal()
 }
 
-// stop notes that nothing is at work any more; the lock is held.
+// stop marks the catch-up as not running; the lock is held.
 func (c *catchUp) stop() {
 	if c.running {
 		c.running = false
@@ -263,15 +264,15 @@
 	}
 }
 
-// upToDate reports whether the node has every version that it has heard of.
+// upToDate reports whether the node has every version that peers have reported.
 func (c *catchUp) upToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.running || c.exchanger.options.Configuration.Version() >= c.newest
 }
 
-// await waits until the node has every version that it has heard of, and reports whether it has
-// before the context ended.
+// await waits until the node has every version that peers have reported, and reports whether that
+// happened before the context ended.
 func (c *catchUp) await(ctx context.Context) bool {
 	if c.upToDate() {
 		return true
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -17,8 +17,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestSourcesAreAskedInOrder: whoever has not failed first, of those whoever spoke last.
-func TestSourcesAreAskedInOrder(t *testing.T) {
+// TestSourceOrder checks that peers with fewer failures are asked first, and among them the one that
+// reported last.
+func TestSourceOrder(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
@@ -50,8 +51,8 @@
 	g.Expect(known.next(0, at(1000000))).To(BeNil())
 }
 
-// play runs a test with a late node, which holds version 7, and a peer on a virtual clock.
-func play(t *testing.T, test func(t *testing.T, g *WithT, late, peer *virtualMember, in *network)) {
+// runWithPeer runs a test on a virtual clock with a late node and a peer that hold version 7.
+func runWithPeer(t *testing.T, test func(t *testing.T, g *WithT, late, peer *virtualMember, in *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		in := &network{nodes: map[string]func(net.Conn){}}
 		defer synctest.Wait()
@@ -64,10 +65,10 @@
 	})
 }
 
-// TestNewsThatComesMeanwhileIsNotLost: a version that is told of while an older one is fetched
-// is fetched too, without being told of again.
-func TestNewsThatComesMeanwhileIsNotLost(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+// TestVersionReportedDuringFetchIsFetched checks that a version that is reported while an older one
+// is fetched is fetched too, without being reported again.
+func TestVersionReportedDuringFetchIsFetched(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		answer := in.nodes[peer.record.PeerAddress]
 		in.set(peer.record.PeerAddress, func(connection net.Conn) {
 			time.Sleep(40 * time.Millisecond)
@@ -84,9 +85,9 @@
 	})
 }
 
-// TestTheNextVersionIsFetchedToo: after a node has caught up it does so again.
-func TestTheNextVersionIsFetchedToo(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
+// TestCatchUpRepeats checks that a node that has caught up does so again for later versions.
+func TestCatchUpRepeats(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		for version := uint64(8); version < 20; version++ {
 			peer.offer(t, version)
 			late.exchanger.HandlePeerVersion(peer.record, version)
@@ -96,11 +97,11 @@
 	})
 }
 
-// TestTheStoreIsAskedAtLast: when no peer brings the version the store is asked, with growing
-// pauses, since its calls are paid for; one that it does not have was claimed wrongly and is
-// not looked for any more.
-func TestTheStoreIsAskedAtLast(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
+// TestStoreIsReadWhenPeersFail checks that the store is read when no peer provides the version, with
+// growing pauses, since its calls are billed. A version that the store does not have was reported
+// wrongly and is no longer sought.
+func TestStoreIsReadWhenPeersFail(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
 		var calls atomic.Int64
 		var healthy atomic.Bool
 		late.refresh = func(context.Context) error {
@@ -108,7 +109,7 @@
 			if healthy.Load() {
 				return nil
 			}
-			return errors.New("turned away")
+			return errors.New("refused")
 		}
 		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		time.Sleep(storeDelay - time.Millisecond)
@@ -124,9 +125,10 @@
 	})
 }
 
-// TestAnOldAnswerOfTheStore says nothing of a version that was heard of after the question.
-func TestAnOldAnswerOfTheStore(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+// TestStaleStoreReadIsIgnored checks that a read of the store does not rule out a version that was
+// reported after the read started.
+func TestStaleStoreReadIsIgnored(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		asked := make(chan struct{}, 1)
 		late.refresh = func(context.Context) error {
 			asked <- struct{}{}
@@ -147,9 +149,10 @@
 	})
 }
 
-// TestCatchingUpIsLogged: who told first, and how long the node was behind.
-func TestCatchingUpIsLogged(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+// TestCatchUpIsLogged checks that the log names the peer that reported first and the time that the
+// node was behind.
+func TestCatchUpIsLogged(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		core, logged := observer.New(zap.InfoLevel)
 		late.exchanger.updater.logger = zap.New(core)
 		in.set("quiet:1", silent)
@@ -167,12 +170,12 @@
 	})
 }
 
-// TestANodeThatIsNotToldLearns within half of the time that it has: it asks the readers
-// whether it is level, and one of them that hangs delays that by a quarter of a second.
-func TestANodeThatIsNotToldLearns(t *testing.T) {
+// TestUnnotifiedNodeCatchesUp checks that a node that receives no notice catches up in time: it
+// requests the readers' versions, and each of them that hangs delays it by a quarter of a second.
+func TestUnnotifiedNodeCatchesUp(t *testing.T) {
 	for hanging := range 3 {
 		t.Run(strconv.Itoa(hanging), func(t *testing.T) {
-			play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+			runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 				known := []*roster.Record{peer.record}
 				for i := range hanging {
 					address := "hanging-" + strconv.Itoa(i) + ":1"
@@ -198,10 +201,10 @@
 	}
 }
 
-// TestProofTravels: from a node that knows that it is level to one that holds as much, less the
-// time on the way; it says nothing to one that is behind.
-func TestProofTravels(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
+// TestProofIsPassedOn checks that a node's proof reaches a peer that holds the same version, with
+// the round trip added to its age, and has no effect on a peer that is behind.
+func TestProofIsPassedOn(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		_, proven := late.keeper.ProofAge()
 		g.Expect(proven).To(BeFalse())
 		peer.keeper.RecordProof(7, time.Now())
@@ -223,10 +226,10 @@
 	})
 }
 
-// TestConfirm: a node asks before it says that there is no such route, catches up when it is
-// behind, and does not wait long where nobody answers.
+// TestConfirm checks that a node asks other nodes or the store before it refuses a request for lack
+// of a route, catches up when it is behind, and does not wait long when nobody responds.
 func TestConfirm(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		var answers atomic.Bool
 		late.refresh = func(ctx context.Context) error {
 			if !answers.Load() {
@@ -259,14 +262,14 @@
 	})
 }
 
-// TestAFloodIsConfirmedTogether: many requests for routes that are not there share a question.
-func TestAFloodIsConfirmedTogether(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
+// TestConfirmsShareRequests checks that many requests that match no route share a confirmation.
+func TestConfirmsShareRequests(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
 		peer.keeper.RecordProof(7, time.Now())
 		var asked atomic.Int64
 		plain := late.exchanger.client.Transport
-		late.exchanger.client.Transport = counted{plain, &asked}
+		late.exchanger.client.Transport = countingTransport{plain, &asked}
 		for range 1000 {
 			g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
 			time.Sleep(time.Millisecond)
--- a/internal/sidecar/exchange/confirm.go
+++ b/internal/sidecar/exchange/confirm.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// confirmHedgeDelay is after what time without an answer another node is asked before a request
-	// is refused, confirmTimeout for how long it may wait for that.
-	confirmHedgeDelay   = 60 * time.Millisecond
-	confirmTimeout = 350 * time.Millisecond
-	// confirmationLifetime is how long an answer serves other requests: a flood of requests for routes
-	// that are not there asks ten times a second, no more.
+	// confirmHedgeDelay is the time without a reply after which another node is asked before a request
+	// is refused, confirmTimeout how long the request may wait for a confirmation.
+	confirmHedgeDelay = 60 * time.Millisecond
+	confirmTimeout    = 350 * time.Millisecond
+	// confirmationLifetime is how long a confirmation serves other requests: a flood of requests that
+	// match no route causes at most ten confirmations a second.
 	confirmationLifetime = 100 * time.Millisecond
-	// maxConfirmPeers bounds how many nodes are asked for one confirmation; after confirmEnough the
-	// store is asked as well.
-	maxConfirmPeers   = 5
+	// maxConfirmPeers bounds the nodes that are asked for one confirmation; after confirmPeersBeforeStore
+	// of them the store is read as well.
+	maxConfirmPeers         = 5
 	confirmPeersBeforeStore = 2
 )
 
-// Confirm makes sure that the node is level, by proof whose age is within the limit: it asks
-// others, has the node catch up when it is behind, and reads the store when none of them has such
-// proof. It takes a short time at most and reports whether there is proof then.
+// Confirm obtains proof, no older than the limit for refusals, that the node is up to date: it asks
+// other nodes, lets the node catch up when it is behind, and reads the store when none of them has
+// such proof. It returns within confirmTimeout and reports whether there is proof.
 func (e *Exchanger) Confirm(ctx context.Context) bool {
 	if e.proof.confirmed.within(confirmationLifetime) {
 		return true
@@ -42,18 +42,18 @@
 	}
 }
 
-// confirmation is one Confirm for all that wait.
+// confirmation is the state of one confirmation, shared by all requests that wait for it.
 type confirmation struct {
 	proof *proofChecker
 	ctx   context.Context
-	// asked is how many nodes were asked; probed: the store was.
-	asked  int
+	// asked is the number of nodes that were asked; storeRead reports whether the store was read.
+	asked     int
 	storeRead bool
-	// results has an entry for each answer or failure.
+	// results receives the outcome of each question to a node and of the read of the store.
 	results chan error
 }
 
-// confirm is Confirm for all that wait.
+// confirm runs one confirmation for all requests that wait.
 func (c *proofChecker) confirm() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
@@ -67,8 +67,8 @@
 	return proof
 }
 
-// await asks until an answer brings proof or the time is over. Proof that the node has from
-// elsewhere counts once several nodes were asked in vain.
+// await asks until a reply brings proof or the time is over. Proof that the node obtained elsewhere
+// is accepted once several nodes were asked without success.
 func (c *confirmation) await() bool {
 	hedge := time.NewTicker(confirmHedgeDelay)
 	defer hedge.Stop()
@@ -91,17 +91,18 @@
 	}
 }
 
-// awaitUpToDate waits until the node has every version that it has heard of.
+// awaitUpToDate waits until the node has every version that peers have reported.
 func (c *confirmation) awaitUpToDate() bool { return c.proof.exchanger.updater.await(c.ctx) }
 
-// proven reports whether the node has every version that it has heard of, and proof within the
-// limit.
+// proven reports whether the node has every version that peers have reported, and proof no older than
+// the limit for refusals.
 func (c *confirmation) proven() bool {
 	e := c.proof.exchanger
 	return e.updater.upToDate() && e.options.Configuration.UpToDateWithin(e.limits.refuse)
 }
 
-// askNext asks another node, and the store when two have not helped or nobody else is there.
+// askNext asks another node. It also reads the store once confirmPeersBeforeStore nodes did not help or
+// no other node is left.
 func (c *confirmation) askNext() {
 	reader := c.proof.pick()
 	if reader != nil && c.asked < maxConfirmPeers {
@@ -114,7 +115,7 @@
 	}
 }
 
-// logConfirmation writes what a refusal rests on.
+// logConfirmation logs the basis of a refusal.
 func (c *proofChecker) logConfirmation(proof bool, by *confirmation, began time.Time) {
 	message := "configuration confirmed before a refusal"
 	if !proof {
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -21,8 +21,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// patience bounds every wait of these tests.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of these tests.
+const waitTimeout = 20 * time.Second
 
 // member is a node that exchanges over a real socket.
 type member struct {
@@ -58,17 +58,17 @@
 	created.record = created.members.Own()
 	created.exchanger = New(Options{
 		Roster: created.members, Configuration: created.keeper,
-		Dial:    (&net.Dialer{}).DialContext,
-		Refresh: func(context.Context) error { return nil },
-		IsReader:   created.reads.Load,
+		Dial:          (&net.Dialer{}).DialContext,
+		Refresh:       func(context.Context) error { return nil },
+		IsReader:      created.reads.Load,
 		OnUnreachable: func(*roster.Record) {},
-		Logger:  zap.NewNop(),
+		Logger:        zap.NewNop(),
 	})
 	container.Add(created.exchanger.Service())
 	return created
 }
 
-func crowd(count int) []*roster.Record {
+func manyRecords(count int) []*roster.Record {
 	records := make([]*roster.Record, count)
 	for number := range records {
 		records[number] = &roster.Record{
@@ -79,13 +79,13 @@
 	return records
 }
 
-// TestExchangeMakesRostersEqual in one exchange, whoever has what.
+// TestExchangeMakesRostersEqual checks that one exchange makes rosters equal, whatever each had.
 func TestExchangeMakesRostersEqual(t *testing.T) {
 	for _, size := range []int{0, 3, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			g := NewWithT(t)
 			first, second := newMember(t, "first"), newMember(t, "second")
-			records := crowd(size)
+			records := manyRecords(size)
 			first.members.Merge(records[:size/2])
 			second.members.Merge(records[size/3:])
 			if size > 0 {
@@ -100,17 +100,18 @@
 	}
 }
 
-// TestExchangeCostsWhatDiffers: one changed record among many, not all of them.
-func TestExchangeCostsWhatDiffers(t *testing.T) {
+// TestExchangeSendsOnlyDifferences checks that an exchange does not send all records when one of many
+// differs.
+func TestExchangeSendsOnlyDifferences(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
-	records := crowd(1000)
+	records := manyRecords(1000)
 	first.members.Merge(records)
 	second.members.Merge(records)
 	// A large roster takes changes together.
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(func() bool { return first.members.View().Digest() == second.members.View().Digest() }).
-		WithTimeout(patience).Should(BeTrue())
+		WithTimeout(waitTimeout).Should(BeTrue())
 	second.bytes.Store(0)
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 1000), "nothing differs")
@@ -120,14 +121,14 @@
 	counter := func(held *member) func() uint64 {
 		return func() uint64 { return held.members.View().Record("node-500").Counter }
 	}
-	g.Eventually(counter(second)).WithTimeout(patience).Should(BeEquivalentTo(2))
+	g.Eventually(counter(second)).WithTimeout(waitTimeout).Should(BeEquivalentTo(2))
 	second.bytes.Store(0)
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Expect(second.bytes.Load()).To(BeNumerically("<", 8000), "one record differs")
-	g.Eventually(counter(first)).WithTimeout(patience).Should(BeEquivalentTo(2))
+	g.Eventually(counter(first)).WithTimeout(waitTimeout).Should(BeEquivalentTo(2))
 }
 
-func TestBroadcastIsHeard(t *testing.T) {
+func TestBroadcastIsReceived(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	first.members.Merge([]*roster.Record{second.record})
@@ -135,18 +136,19 @@
 	g.Expect(second.members.View().Record("first")).NotTo(BeNil())
 }
 
-// TestBehindFetchesFromThePeer when the store has nothing newer.
-func TestBehindFetchesFromThePeer(t *testing.T) {
+// TestNewerVersionIsFetchedFromPeer checks that a node fetches a newer version from its peer when the
+// store has none.
+func TestNewerVersionIsFetchedFromPeer(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	g.Expect(second.keeper.Offer([]byte("7"), configuration.SourceWatch)).To(Succeed())
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
-	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
+	g.Eventually(first.keeper.Version).WithTimeout(waitTimeout).Should(BeEquivalentTo(7))
 	g.Expect(first.keeper.Offer([]byte("6"), configuration.SourceRead)).To(MatchError(configuration.ErrNotNewer))
 	g.Expect(first.keeper.Version()).To(BeEquivalentTo(7), "versions only rise")
 }
 
-func TestMessagesThatCannotBeCompared(t *testing.T) {
+func TestInvalidComparisons(t *testing.T) {
 	g := NewWithT(t)
 	for _, message := range []Message{
 		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, DifferingBuckets: []int{4}}, {BucketCount: 4, DifferingBuckets: []int{-1}}, {BucketCount: 1, DifferingBuckets: []int{0, 0}},
@@ -163,9 +165,9 @@
 	}
 }
 
-// TestANodeThatDoesNotReadAsksItsPeer and not the store, also when the peer does
-// not remember the version that the node has.
-func TestANodeThatDoesNotReadAsksItsPeer(t *testing.T) {
+// TestNonReaderFetchesFromPeer checks that a node that is not a reader fetches from its peer and not
+// from the store, also when the peer no longer keeps the version that the node has.
+func TestNonReaderFetchesFromPeer(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	first.reads.Store(false)
@@ -178,7 +180,7 @@
 	for _, version := range []string{"7", "8", "12"} {
 		g.Expect(second.keeper.Offer([]byte(version), configuration.SourceWatch)).To(Succeed())
 		g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
-		g.Eventually(first.keeper.Version).WithTimeout(patience).Should(Equal(second.keeper.Version()))
+		g.Eventually(first.keeper.Version).WithTimeout(waitTimeout).Should(Equal(second.keeper.Version()))
 	}
 	g.Expect(asked.Load()).To(BeZero())
 	g.Expect(second.keeper.ChangeSince(8).Base).To(BeEquivalentTo(8))
@@ -186,8 +188,9 @@
 	g.Expect(newMember(t, "third").keeper.ChangeSince(3)).To(BeNil())
 }
 
-// TestANodeThatDoesNotReadAsksTheStore when its peer does not answer.
-func TestANodeThatDoesNotReadAsksTheStore(t *testing.T) {
+// TestNonReaderFallsBackToStore checks that a node that is not a reader reads the store when its
+// peer does not respond.
+func TestNonReaderFallsBackToStore(t *testing.T) {
 	g := NewWithT(t)
 	first := newMember(t, "first")
 	first.reads.Store(false)
@@ -197,12 +200,12 @@
 		return nil
 	}
 	first.exchanger.HandlePeerVersion(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
-	g.Eventually(asked).WithTimeout(patience).Should(Receive())
+	g.Eventually(asked).WithTimeout(waitTimeout).Should(Receive())
 }
 
-// TestTheWholeConfiguration: a node without one gets it compressed, and from a peer
-// of the version before, or for one, as it is.
-func TestTheWholeConfiguration(t *testing.T) {
+// TestWholeConfigurationEncoding checks that a node without a configuration gets it compressed, and
+// that a peer of the previous version, which does not request compression, gets it uncompressed.
+func TestWholeConfigurationEncoding(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	g.Expect(second.keeper.Offer([]byte("7"), configuration.SourceWatch)).To(Succeed())
@@ -224,25 +227,25 @@
 
 	first.members.Merge([]*roster.Record{second.record})
 	first.exchanger.Greet(t.Context())
-	g.Eventually(first.keeper.Version).WithTimeout(patience).Should(BeEquivalentTo(7))
+	g.Eventually(first.keeper.Version).WithTimeout(waitTimeout).Should(BeEquivalentTo(7))
 	g.Expect(newMember(t, "third").keeper.EncodedChangeSince(0)).To(BeNil())
 }
 
-// TestARecordThatSetsOffAPanic does not end the node that hears it, and the next one is taken:
-// a record reaches all nodes.
-func TestARecordThatSetsOffAPanic(t *testing.T) {
+// TestPanickingRecordIsContained checks that a record that causes a panic does not end the node that
+// receives it, since a record reaches all nodes, and that the next record is accepted.
+func TestPanickingRecordIsContained(t *testing.T) {
 	g := NewWithT(t)
-	hearing, telling := newMember(t, "hearing"), newMember(t, "telling")
-	hearing.members.Observe(func(changed []*roster.Record) {
+	receiver, sender := newMember(t, "receiver"), newMember(t, "sender")
+	receiver.members.Observe(func(changed []*roster.Record) {
 		for _, record := range changed {
 			if record.Node == "harmful" {
 				panic("a fault of the node")
 			}
 		}
 	})
-	telling.members.Merge([]*roster.Record{{Node: "harmful", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
-	telling.members.Merge([]*roster.Record{{Node: "harmless", Epoch: 1, Counter: 1}})
-	g.Expect(hearing.exchanger.ExchangeWith(t.Context(), telling.record)).To(Succeed())
-	g.Expect(hearing.members.View().Record("harmless")).NotTo(BeNil())
+	sender.members.Merge([]*roster.Record{{Node: "harmful", Epoch: 1, Counter: 1}})
+	g.Expect(receiver.exchanger.ExchangeWith(t.Context(), sender.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
+	sender.members.Merge([]*roster.Record{{Node: "harmless", Epoch: 1, Counter: 1}})
+	g.Expect(receiver.exchanger.ExchangeWith(t.Context(), sender.record)).To(Succeed())
+	g.Expect(receiver.members.View().Record("harmless")).NotTo(BeNil())
 }
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -33,104 +33,104 @@
 type Options struct {
 	Roster        *roster.Roster
 	Configuration *configuration.Keeper
-	// Bound is the time in which an accepted version has to be in force on each node
+	// Bound is the time within which an accepted version has to be in force on each node
 	// (DefaultBound when zero).
 	Bound time.Duration
-	// Interval is the time between two exchanges that this node begins.
+	// Interval is the mean time between two exchanges that this node starts (DefaultInterval when zero).
 	Interval time.Duration
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	// Refresh reads the configuration from the store now.
+	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
 	// IsReader reports whether the node reads the store itself.
 	IsReader func() bool
-	// Store knows how often the store has come back from a copy; nil when it never does.
+	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
-	// Rollouts knows the moves to other versions; nil when there are none ever.
+	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
 	Rollouts Rollouts
-	// Evacuations knows the zones that are to be emptied; nil when there are none ever.
+	// Evacuations holds the zones to be evacuated; nil when there are none.
 	Evacuations Evacuations
-	// Contention knows whether back ends share their machines; nil when nobody asks.
+	// Contention records whether back ends share their machines; nil when that is not used.
 	Contention Contention
-	// Quota answers questions about tenants' limits; nil when there are none ever.
+	// Quota answers requests for shares of tenants' limits; nil when there are none.
 	Quota Granter
-	// Repeats answers questions about repeats; nil when none are lent ever.
+	// Repeats answers requests for shares of the budget of repeats; nil when none are lent.
 	Repeats Granter
-	// Observer is told how the node keeps level; nil for nobody.
+	// Observer observes how the node stays up to date; it may be nil.
 	Observer Observer
-	// OnUnreachable is told of nodes that do not answer.
+	// OnUnreachable is called with nodes that do not respond.
 	OnUnreachable func(*roster.Record)
-	Logger  *zap.Logger
+	Logger        *zap.Logger
 }
 
-// EraTracker know how often the store has come back from an older copy.
+// EraTracker tracks how often the store was restored from an older copy.
 type EraTracker interface {
 	Era() uint64
 	LearnEra(era uint64)
 }
 
-// Rollouts are the moves to other versions that a node knows of.
+// Rollouts holds the roll-outs of back-end versions that a node knows of.
 type Rollouts interface {
-	// Tell returns them; nil when there are none.
+	// Tell returns the known roll-outs; nil when there are none.
 	Tell() []rollout.Told
-	// Hear takes in a peer's and reports whether some of it is news.
+	// Hear merges a peer's roll-outs and reports whether some of them were new.
 	Hear([]rollout.Told) (news bool)
 }
 
-// Evacuations are the orders to empty zones that a node knows of.
+// Evacuations holds the orders to evacuate zones that a node knows of.
 type Evacuations interface {
-	// Tell returns them; nil when there are none.
+	// Tell returns the known orders; nil when there are none.
 	Tell() []evacuation.Order
-	// Hear takes in a peer's and reports whether some of it is news.
+	// Hear merges a peer's orders and reports whether some of them were new.
 	Hear([]evacuation.Order) (news bool)
 }
 
-// Contention knows whether some back end shares its machine with others.
+// Contention records whether some back end shares its machine with others.
 type Contention interface {
 	Shared() bool
-	// SetShared takes in that one does.
+	// SetShared records that one does, and reports whether that was new.
 	SetShared() (news bool)
 }
 
-// Granter is a node as the granter of others.
+// Granter answers other nodes' requests for shares of a budget.
 type Granter interface {
 	Serve(*lending.Ask) *lending.Answer
 }
 
 const (
-	// DefaultInterval is the time between two exchanges that a node begins.
+	// DefaultInterval is the default of Options.Interval.
 	DefaultInterval = 800 * time.Millisecond
 
 	exchangeTimeout = 700 * time.Millisecond
-	maxIdlePerPeer     = 1
+	maxIdlePerPeer  = 1
 	peerIdleTimeout = 20 * time.Second
-	// pingTimeout bounds the answer to a ping, pings is how many are sent.
-	pingTimeout = 240 * time.Millisecond
-	pingAttempts       = 2
-	// crossZoneShare is the part of the exchanges that leave the zone at most; with more
-	// than a few nodes in the zone it falls, so that all of them together begin
-	// about farNodes in an interval: bytes between zones are paid for.
-	crossZoneShare = 0.25
+	// pingTimeout bounds the reply to a ping, pingAttempts is how many are sent.
+	pingTimeout  = 240 * time.Millisecond
+	pingAttempts = 2
+	// crossZoneShare is the largest share of exchanges with other zones. In zones with more
+	// than a few nodes the share falls, so that all nodes of a zone together start about
+	// crossZoneExchanges of them per interval: traffic between zones is billed by the byte.
+	crossZoneShare     = 0.25
 	crossZoneExchanges = 4
-	// readerShare is the part of the exchanges of a node that does not read the
-	// store that go to the reader which tells it.
+	// readerShare is the share of the exchanges of a node that is not a reader which go
+	// to its assigned reader.
 	readerShare = 0.4
 )
 
-// Exchanger keeps a node level with its peers. It is safe for concurrent use.
+// Exchanger keeps a node in sync with its peers. It is safe for concurrent use.
 type Exchanger struct {
 	options Options
 	limits  limits
 	client  *http.Client
 	lost    lostPeers
-	// hadContact: another node was in touch with this one.
+	// hadContact reports whether this node was in contact with another one.
 	hadContact atomic.Bool
-	// updater has the node catch up with newer configurations, level asks whether there is one.
-	updater   *catchUp
+	// updater fetches newer configurations, proof keeps the proof that there is none up to date.
+	updater  *catchUp
 	proof    *proofChecker
 	observer Observer
 }
 
-// New returns an exchanger that Run starts.
+// New returns an exchanger, which Run starts.
 func New(options Options) *Exchanger {
 	if options.Interval == 0 {
 		options.Interval = DefaultInterval
@@ -148,7 +148,7 @@
 	return created
 }
 
-// newClient returns the client of other nodes.
+// newClient returns the HTTP client for requests to other nodes.
 func newClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -158,8 +158,8 @@
 	}}
 }
 
-// Run begins an exchange with one peer after the other, and asks whether the node is level,
-// until the context ends.
+// Run starts exchanges with one peer after another, and keeps the proof that the node is up to date
+// fresh, until the context ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { e.proof.run(ctx) })
@@ -179,7 +179,8 @@
 	}
 }
 
-// pick returns a random peer: often a lost one, mostly one of the zone.
+// pick returns a random peer: often a lost one or the assigned reader, otherwise mostly one of the
+// own zone. It returns nil when there is none.
 func (e *Exchanger) pick() *roster.Record {
 	if lost := e.lost.pick(e.options.Roster.View(), clock.Now()); lost != nil {
 		return lost
@@ -208,7 +209,7 @@
 	return from[rand.N(len(from))]
 }
 
-// peersOf returns those of the records that can be exchanged with.
+// peersOf returns the records of other nodes that have a peer address.
 func (e *Exchanger) peersOf(records []*roster.Record) []*roster.Record {
 	self := e.options.Roster.Own().Node
 	peers := make([]*roster.Record, 0, len(records))
@@ -220,8 +221,8 @@
 	return peers
 }
 
-// ExchangeWith exchanges with one peer: digests first, and where they differ the records
-// of the parts that do. What the peer says cannot end this node.
+// ExchangeWith exchanges state with one peer: digests first, and the records of the
+// buckets whose digests differ. A panic caused by the peer's messages is contained.
 func (e *Exchanger) ExchangeWith(ctx context.Context, peer *roster.Record) (err error) {
 	fault := contain.Run("exchange", e.options.Logger, func() { err = e.exchangeWith(ctx, peer) })
 	return errors.Join(err, fault)
@@ -251,8 +252,8 @@
 	return err
 }
 
-// compareBuckets asks for the records of the parts that differ from a peer's, and
-// brings this node's own; nil when none does.
+// compareBuckets returns a message that requests the records of the buckets that differ from
+// a peer's and carries this node's own; nil when none differs.
 func (e *Exchanger) compareBuckets(theirs []uint32) *Message {
 	if len(theirs) == 0 || len(theirs) > maxBuckets {
 		return nil
@@ -272,27 +273,27 @@
 	return asked
 }
 
-// HadContact reports whether another node was in touch with this one since it started.
+// HadContact reports whether this node was in contact with another one since it started.
 func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
 
-// Reachable reports whether a node has not failed to answer of late.
+// Reachable reports whether a node is not recorded as lost.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
 
-// MarkLost notes that a node did not answer: it is looked for until it does.
+// MarkLost records that a node did not respond; it is retried more often until it does.
 func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
 
-// newMessage is what every newMessage of this node says.
+// newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
 	return &Message{
-		From:     e.options.Roster.Own(),
-		Digest:   e.options.Roster.View().Digest(),
-		Version:  e.options.Configuration.Version(),
-		ProofAge: e.proof.proofAge(),
-		SharedState:     e.sharedState(),
+		From:        e.options.Roster.Own(),
+		Digest:      e.options.Roster.View().Digest(),
+		Version:     e.options.Configuration.Version(),
+		ProofAge:    e.proof.proofAge(),
+		SharedState: e.sharedState(),
 	}
 }
 
-// sharedState is what this node knows of operators' orders.
+// sharedState returns what this node knows of operators' orders and deployment-wide facts.
 func (e *Exchanger) sharedState() (state SharedState) {
 	if e.options.Store != nil {
 		state.Era = e.options.Store.Era()
@@ -309,8 +310,8 @@
 	return state
 }
 
-// mergeEra takes in a peer's era of the store. What a peer of an earlier one takes for recorded
-// there may be gone.
+// mergeEra merges a peer's era of the store. What a peer in an earlier era considers recorded
+// in the store may have been lost since.
 func (e *Exchanger) mergeEra(state *SharedState) {
 	if e.options.Store == nil {
 		return
@@ -323,8 +324,9 @@
 	}
 }
 
-// mergeState takes in a peer's orders before its records: who knows of a new version knows why
-// it is there. News is passed on in the zone.
+// mergeState merges a peer's shared state. It precedes the merge of the peer's records, so that a
+// node that learns of a new back-end version knows the roll-out behind it. New orders are forwarded
+// in the zone.
 func (e *Exchanger) mergeState(state *SharedState) {
 	e.mergeEra(state)
 	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
@@ -337,7 +339,7 @@
 	}
 }
 
-// handleMessage merges a peer's message and fetches its configuration when it is newer.
+// handleMessage merges a peer's message and fetches its configuration when that is newer.
 func (e *Exchanger) handleMessage(received *Message) {
 	e.hadContact.Store(true)
 	e.lost.remove(received.From.Node) // it is there, whoever began
@@ -346,7 +348,7 @@
 	e.HandlePeerVersion(received.From, received.Version)
 }
 
-// post sends a message and reads the answer.
+// post sends a message and returns the reply.
 func (e *Exchanger) post(ctx context.Context, peer *roster.Record, message *Message) (*Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -369,8 +371,7 @@
 	return received, nil
 }
 
-// send posts a value to a peer. The body of the response, which has a status of
-// success, is to be closed.
+// send posts a value to a peer. On success the caller closes the body of the response.
 func (e *Exchanger) send(ctx context.Context, peer *roster.Record, path string, value any) (*http.Response, error) {
 	body, err := encoded.JSON(value, encoded.CompressionThreshold)
 	if err != nil {
@@ -387,13 +388,13 @@
 	return resp, trace.Wrap(err, "exchange with %s", peer.Node)
 }
 
-// statusError is the status of a peer's answer other than success.
+// statusError is the status of a response other than success.
 type statusError int
 
 // Error implements error.
 func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// do sends a request. The body of the response, which has a status of success, is to be closed.
+// do sends a request. A status of 300 or above is an error. On success the caller closes the body of the response.
 func (e *Exchanger) do(req *http.Request) (*http.Response, error) {
 	resp, err := e.client.Do(req)
 	if err != nil {
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -16,9 +16,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// fetch takes from the peer what leads from the version in force to its own, or
-// the whole document when the peer does not know this node's. heard is called whenever
-// something comes in.
+// fetch requests from the peer the change from the version in force to the peer's, or
+// the whole document when the peer does not know this node's version, and puts it in
+// force. onData is called whenever data arrives.
 func (e *Exchanger) fetch(ctx context.Context, peer *roster.Record, onData func()) error {
 	err := e.fetchChange(ctx, peer, e.options.Configuration.Version(), onData)
 	if errors.Is(err, route.ErrBase) {
@@ -30,7 +30,7 @@
 	return trace.Wrap(err, "fetch configuration from %s", peer.Node)
 }
 
-// fetchChange asks the peer for what follows on a version and puts it in force.
+// fetchChange requests the change from a version from the peer and puts it in force.
 func (e *Exchanger) fetchChange(ctx context.Context, peer *roster.Record, after uint64, onData func()) error {
 	resp, err := e.get(ctx, peer, pathConfiguration+"?"+queryAfter+"="+strconv.FormatUint(after, 10))
 	if err != nil {
@@ -49,8 +49,7 @@
 	return e.options.Configuration.ApplyChange(change)
 }
 
-// get asks a peer for what lies under a path. The body of the response, which has status
-// 200, is to be closed.
+// get requests a path from a peer. On success the caller closes the body of the response.
 func (e *Exchanger) get(ctx context.Context, peer *roster.Record, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.PeerAddress+PathRoot+path, nil)
 	if err != nil {
@@ -60,12 +59,12 @@
 	return e.do(req)
 }
 
-// decodedBody returns the body of an answer that may be compressed.
+// decodedBody returns the body of a response, decompressed when it is compressed.
 func decodedBody(resp *http.Response, onData func()) (io.Reader, error) {
 	return encoded.NewReader(resp.Header, &progressReader{Reader: resp.Body, onData: onData})
 }
 
-// progressReader tells whenever it brings something.
+// progressReader calls onData whenever it reads data.
 type progressReader struct {
 	io.Reader
 	onData func()
--- a/internal/sidecar/exchange/lending.go
+++ b/internal/sidecar/exchange/lending.go
@@ -14,12 +14,12 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// AskQuota sends a node's question about tenants' limits to a peer.
+// AskQuota sends a node's request for a share of tenants' limits to a peer.
 func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 	return e.requestGrant(ctx, peer, pathQuota, asked)
 }
 
-// AskRepeats sends a node's question about repeats to a peer.
+// AskRepeats sends a node's request for a share of the budget of repeats to a peer.
 func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 	return e.requestGrant(ctx, peer, pathRepeats, asked)
 }
@@ -27,7 +27,7 @@
 func (e *Exchanger) requestGrant(ctx context.Context, peer *roster.Record, path string, asked *lending.Ask) (*lending.Answer, error) {
 	resp, err := e.send(ctx, peer, path, asked)
 	if status := statusError(0); errors.As(err, &status) && status == http.StatusNotFound {
-		// A node of the version before lends nothing, and is there all the same.
+		// A node of the previous version lends nothing, but is reachable all the same.
 		return &lending.Answer{Closed: true}, nil
 	}
 	if err != nil {
@@ -41,7 +41,7 @@
 	return answer, nil
 }
 
-// grantHandler returns what answers peers' questions to a lender.
+// grantHandler returns the handler of peers' requests to a granter.
 func grantHandler(granter Granter) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
--- a/internal/sidecar/exchange/lending_test.go
+++ b/internal/sidecar/exchange/lending_test.go
@@ -9,9 +9,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/lending"
 )
 
-// TestAPeerThatLendsNothing, one of the version before, is there all the same: it counts with no
-// share, and is not taken for lost.
-func TestAPeerThatLendsNothing(t *testing.T) {
+// TestPeerWithoutLending checks that a peer of the previous version, which lends nothing, counts as
+// reachable: it contributes no share, and is not recorded as lost.
+func TestPeerWithoutLending(t *testing.T) {
 	g := NewWithT(t)
 	asking, before := newMember(t, "asking"), newMember(t, "before")
 	answer, err := asking.exchanger.AskRepeats(context.Background(), before.record, &lending.Ask{From: "asking"})
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -19,39 +19,40 @@
 )
 
 const (
-	// minCheckPause is the time after a question that brought no new proof, until the next node is
-	// asked; after levelQuick of them each further one doubles it, up to levelPauseMost.
-	minCheckPause     = 125 * time.Millisecond
-	quickChecks     = 5
+	// minCheckPause is the pause after a check that brought no new proof, until the next node is
+	// asked; after quickChecks of them each further one doubles it, up to maxCheckPause.
+	minCheckPause = 125 * time.Millisecond
+	quickChecks   = 5
 	maxCheckPause = 500 * time.Millisecond
-	// minPollInterval is the shortest time between two looks at what is to be done.
+	// minPollInterval is the shortest interval between two checks for work that is due.
 	minPollInterval = 25 * time.Millisecond
-	// checkTimeout bounds one question.
+	// checkTimeout bounds one request for a peer's version.
 	checkTimeout = 600 * time.Millisecond
-	// staleFor is how long a node is left aside that had no new proof when it was asked.
+	// staleFor is how long a node that had no new proof when it was asked is avoided.
 	staleFor = 600 * time.Millisecond
-	// maxReplyBytes bounds one answer.
+	// maxReplyBytes bounds one reply.
 	maxReplyBytes = 4 << 10
 )
 
-// proofChecker keeps the proof new that the node holds the newest configuration: it asks readers,
-// whose answer is a version and the age of their own proof, and the store when these have none. It
+// proofChecker keeps the proof that the node holds the newest configuration fresh: it asks readers
+// for their version and the age of their own proof, and reads the store when these have none. It
 // is safe for concurrent use.
 type proofChecker struct {
 	exchanger *Exchanger
-	// confirming has requests that wait for the same answer share it.
+	// confirming lets concurrent requests share one confirmation.
 	confirming singleflight.Group
-	// confirmed is when there was last proof for a refusal, a stamp of the node's clock.
+	// confirmed is when proof for a refusal was last obtained.
 	confirmed atomicTime
-	// pending has the names of the nodes that were asked and have not answered yet, stale the
-	// moments at which nodes answered without new proof.
+	// pending holds the names of the nodes that were asked and have not replied yet, stale the
+	// moments at which nodes replied without new proof or failed to reply.
 	pending, stale sync.Map
-	storeReads            storeReadPacer
+	storeReads     storeReadPacer
 }
 
 func newProofChecker(exchanger *Exchanger) *proofChecker { return &proofChecker{exchanger: exchanger} }
 
-// run keeps the proof new until the context ends. A node that does not answer holds nobody up.
+// run keeps the proof fresh until the context ends. A node that does not reply does not delay the
+// others.
 func (c *proofChecker) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -79,14 +80,14 @@
 	}
 }
 
-// checkPacer spaces the questions to other nodes: some in quick succession, then fewer. It is used by
+// checkPacer spaces the requests to other nodes: some in quick succession, then fewer. It is used by
 // one goroutine.
 type checkPacer struct {
-	due    time.Time
+	due      time.Time
 	failures int
 }
 
-// allow reports whether a question is due, and counts it.
+// allow reports whether a request is due, and counts it.
 func (p *checkPacer) allow(now time.Time) bool {
 	if p.due.After(now) {
 		return false
@@ -96,14 +97,14 @@
 	return true
 }
 
-// wait returns how long it is until the next question.
+// wait returns the time until the next request is due.
 func (p *checkPacer) wait(now time.Time) time.Duration { return max(p.due.Sub(now), 0) }
 
-// reset begins anew: there is new proof.
+// reset restores the shortest pause after new proof.
 func (p *checkPacer) reset() { *p = checkPacer{} }
 
-// untilStoreRead returns how long it is until the store may be read for want of proof. A node that has
-// never had any gives others the same time to bring it.
+// untilStoreRead returns the time until the store may be read for lack of proof. A node that has never
+// had proof counts the age of its configuration instead, so that others get the same time to provide it.
 func (c *proofChecker) untilStoreRead() time.Duration {
 	held := c.exchanger.options.Configuration
 	age, proven := held.ProofAge()
@@ -116,7 +117,7 @@
 	return c.storeReads.wait(clock.Now())
 }
 
-// untilRefresh returns how long nobody needs to be asked.
+// untilRefresh returns the time until the proof needs to be refreshed.
 func (c *proofChecker) untilRefresh() time.Duration {
 	e := c.exchanger
 	if e.options.Configuration.Version() == 0 {
@@ -129,17 +130,17 @@
 	return e.limits.refresh - age
 }
 
-// askPeer asks another node.
+// askPeer asks another node in the background.
 func (c *proofChecker) askPeer(ctx context.Context) {
 	if reader := c.pick(); reader != nil {
-		// What fails shows in the age of the proof; another node is asked soon.
+		// A failure shows in the age of the proof; another node is asked soon.
 		go func() { _ = c.ask(ctx, reader, c.exchanger.catchUpDelay(reader)) }()
 	}
 }
 
-// pick returns a node to ask, nil when there is none: a reader of the own zone, one of another, or
-// any node, in this order. Those that had no new proof of late are left aside while there are
-// others.
+// pick returns a node to ask, nil when there is none: a reader of the own zone, a reader of another
+// zone, or any node, in this order of preference. Nodes that recently had no new proof are avoided
+// while there are others.
 func (c *proofChecker) pick() *roster.Record {
 	e := c.exchanger
 	view := e.options.Roster.View()
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// askable returns those of the nodes that are others and owe no answer.
+// askable returns the other nodes among the given ones that have no pending request.
 func (c *proofChecker) askable(nodes []*roster.Record) []*roster.Record {
 	return slices.DeleteFunc(c.exchanger.peersOf(nodes), func(record *roster.Record) bool {
 		_, pending := c.pending.Load(record.Node)
@@ -164,7 +165,7 @@
 	})
 }
 
-// withoutStale returns those of the nodes that have not answered without new proof of late.
+// withoutStale returns the nodes that did not recently fail to provide new proof.
 func (c *proofChecker) withoutStale(nodes []*roster.Record) []*roster.Record {
 	return slices.DeleteFunc(nodes, func(record *roster.Record) bool {
 		since, stale := c.stale.Load(record.Node)
@@ -172,7 +173,7 @@
 	})
 }
 
-// ask asks one reader and takes in its answer. What is newer is fetched after the delay.
+// ask requests a node's version and processes the reply. A newer version is fetched after the delay.
 func (c *proofChecker) ask(ctx context.Context, reader *roster.Record, delay time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// requestVersion returns what a node answers.
+// requestVersion returns a node's reply.
 func (c *proofChecker) requestVersion(ctx context.Context, reader *roster.Record) (*VersionReply, error) {
 	resp, err := c.exchanger.get(ctx, reader, pathVersion)
 	if err != nil {
@@ -205,7 +206,7 @@
 	return answer, json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(answer)
 }
 
-// recordReply notes what a reader has answered, and whether it had new proof.
+// recordReply records a node's reply, and whether it carried new proof.
 func (c *proofChecker) recordReply(reader *roster.Record, answer *VersionReply) {
 	inForce, result := c.exchanger.options.Configuration.Version(), versionSame
 	if answer.Version > inForce {
@@ -225,8 +226,8 @@
 		zap.Uint64("inForce", inForce), zap.Duration("peerProofAge", age), c.exchanger.updater.proofAge())
 }
 
-// recordProof takes in how old a peer's proof for its version was when it answered a question that
-// was sent at the moment. The time on the way counts against the proof.
+// recordProof records the proof in a peer's reply to a request that was sent at the given moment. The
+// round trip counts towards the age of the proof, since the reply may have spent all of it on the way.
 func (c *proofChecker) recordProof(version uint64, told *int64, asked time.Time) {
 	if age, valid := proofAge(told); valid {
 		c.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
@@ -243,15 +244,15 @@
 	return &microseconds
 }
 
-// FreshProof returns the age of the node's proof that it is level while that is worth telling:
-// others would not ask for another one.
+// FreshProof returns the age of the node's proof that it is up to date, and whether the proof is
+// fresh enough to be passed on: other nodes would not need to refresh it.
 func (e *Exchanger) FreshProof() (age time.Duration, proven bool) {
 	age, proven = e.options.Configuration.ProofAge()
 	return age, proven && age < e.limits.refresh
 }
 
-// CatchUp has the node catch up with a version that a peer holds, at once, and reports whether
-// it did within a short time.
+// CatchUp fetches a version that a peer holds at once, and reports whether the node is up to date
+// within confirmTimeout.
 func (e *Exchanger) CatchUp(ctx context.Context, peer *roster.Record, version uint64) bool {
 	if version <= e.options.Configuration.Version() {
 		return true
--- a/internal/sidecar/exchange/limits.go
+++ b/internal/sidecar/exchange/limits.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// DefaultBound is the time in which an accepted version has to be in force where the deployment
-// tells none.
+// DefaultBound is the default of Options.Bound: the time within which an accepted version has to be
+// in force.
 const DefaultBound = 2 * time.Second
 
-// Parts of the bound. What begins at readStoreShare has the rest to bring a version and to put it in
-// force; refuseShare leaves some for a request that was sent before it is answered.
+// Shares of the bound. From readStoreShare on the rest of the bound remains to obtain a version and put
+// it in force; refuseShare leaves time between the sending of a request and its response.
 const (
 	refreshShare   = 0.3
 	readStoreShare = 0.65
-	refuseShare = 0.8
+	refuseShare    = 0.8
 )
 
-// limits are ages of a node's proof that it is level.
+// limits are ages of a node's proof that it is up to date.
 type limits struct {
-	// refresh is the age from which on other nodes are asked, readStore that from which on the store is.
+	// refresh is the age from which other nodes are asked for newer proof, readStore the age from which
+	// the store is read.
 	refresh, readStore time.Duration
-	// refuse is the greatest age at which a request is refused for good.
+	// refuse is the greatest age at which a request may be refused for good.
 	refuse time.Duration
 }
 
@@ -26,8 +27,8 @@
 	return limits{refresh: ProofRefreshAge(bound), readStore: fraction(bound, readStoreShare), refuse: fraction(bound, refuseShare)}
 }
 
-// ProofRefreshAge returns how old the newest proof of a fleet may be, for the time in which a version has
-// to be in force: from that age on nodes ask for another one.
+// ProofRefreshAge returns the age from which nodes ask for a newer proof, given the time within which a
+// version has to be in force. It bounds the age of the newest proof of a healthy fleet.
 func ProofRefreshAge(bound time.Duration) time.Duration { return fraction(bound, refreshShare) }
 
 func fraction(bound time.Duration, share float64) time.Duration {
--- a/internal/sidecar/exchange/lost.go
+++ b/internal/sidecar/exchange/lost.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// lostRetention is how long a peer that did not answer is tried more often.
+	// lostRetention is how long a peer that did not respond is retried more often.
 	lostRetention = 30 * time.Second
-	// lostShare is the part of the exchanges that go to lost peers where there
-	// are few nodes; with many it falls, so that all together try a lost peer
-	// about lostTries times an interval.
-	lostShare = 0.5
+	// lostShare is the share of the exchanges that go to lost peers in a small fleet;
+	// in a large one it falls, so that all nodes together try a lost peer about
+	// lostTriesPerInterval times per interval.
+	lostShare            = 0.5
 	lostTriesPerInterval = 6
 )
 
-// lostPeers remembers peers that did not answer. One that comes back while the
-// store is down knows nobody: it has to be found.
+// lostPeers records the peers that did not respond. A peer that comes back while the
+// store is unavailable knows no other node, so the others have to find it.
 type lostPeers struct {
 	mutex sync.Mutex // guards since
 	since map[string]time.Time
 }
 
-// add notes that a peer did not answer.
+// add records that a peer did not respond.
 func (l *lostPeers) add(node string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -37,14 +37,14 @@
 	}
 }
 
-// remove notes that a peer has answered.
+// remove records that a peer responded.
 func (l *lostPeers) remove(node string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.since, node)
 }
 
-// contains reports whether a peer did not answer and has not answered since.
+// contains reports whether a peer did not respond and has not responded since.
 func (l *lostPeers) contains(node string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -52,7 +52,8 @@
 	return lost
 }
 
-// pick returns a random lost peer of the view, or nil.
+// pick returns a random lost peer of the view for a share of the calls, nil otherwise. It drops peers
+// that are no longer retried.
 func (l *lostPeers) pick(view *roster.View, now time.Time) *roster.Record {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -20,9 +20,9 @@
 	return held.View()
 }
 
-// TestLostPeersAreLookedFor: often among few nodes, seldom by each of many, and
-// not for ever.
-func TestLostPeersAreLookedFor(t *testing.T) {
+// TestLostPeersAreRetried checks that lost peers are retried often in a small fleet, seldom by each
+// node of a large one, and not for ever.
+func TestLostPeersAreRetried(t *testing.T) {
 	cases := []struct {
 		nodes           int
 		least, mostEach float64
@@ -53,9 +53,10 @@
 	}
 }
 
-// TestALostPeerThatSpeaksIsLostNoMore, whether it begins an exchange or tells of itself: where all start
-// together the first to come take the others for lost, and ask one of them in 0.8 s.
-func TestALostPeerThatSpeaksIsLostNoMore(t *testing.T) {
+// TestLostPeerRecoversOnContact checks that a lost peer counts as reachable once it starts an exchange or
+// announces its presence. When all nodes start together, the first ones record the others as lost, and retry
+// one of them every 0.8 s.
+func TestLostPeerRecoversOnContact(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	lost := func() bool { return !first.exchanger.Reachable(second.record) }
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -1,6 +1,7 @@
-// Package exchange is what nodes say to each other without being asked by a
-// request: every node regularly compares its roster and its configuration's
-// version with another one. What the store does not tell a node, its peers do.
+// Package exchange implements the peer protocol of nodes, independent of the requests
+// that they proxy: every node regularly compares its roster and its configuration's
+// version with those of another node (gossip). What a node does not get from the store,
+// it gets from its peers.
 package exchange
 
 import (
@@ -11,43 +12,45 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Message is one side of an exchange.
+// Message is a request or reply of an exchange.
 type Message struct {
 	// From is the sender's own record.
 	From *roster.Record `json:"from"`
-	// Digest is that of the sender's roster.
+	// Digest is the digest of the sender's roster.
 	Digest uint64 `json:"digest"`
-	// Version is that of the sender's configuration, zero without one.
+	// Version is the version of the sender's configuration, zero without one.
 	Version uint64 `json:"version"`
-	// ProofAge is how old the sender's proof is that there was no newer version, in whole
+	// ProofAge is the age of the sender's proof that there was no newer version, in whole
 	// microseconds; nil without one.
 	ProofAge *int64 `json:"proofAge,omitempty"`
-	// Buckets are the digests of the sender's roster in parts, when the digests
-	// differ.
+	// Buckets are the digests of the buckets of the sender's roster, when the digests of
+	// the rosters differ.
 	Buckets []uint32 `json:"buckets,omitempty"`
-	// DifferingBuckets are the parts, of Of in all, that the sender wants compared.
+	// DifferingBuckets are the indexes, out of BucketCount, of the buckets that the sender
+	// wants compared.
 	DifferingBuckets []int `json:"differing,omitempty"`
-	BucketCount        int   `json:"of,omitempty"`
-	// Records are the sender's in the differing parts, as far as the receiver
+	BucketCount      int   `json:"of,omitempty"`
+	// Records are the sender's records in the differing buckets, as far as the receiver
 	// needs them.
 	Records []*roster.Record `json:"records,omitempty"`
 	SharedState
 }
 
-// SharedState is what operators have ordered beside the configuration, and what holds for the whole
-// deployment, as the sender knows it.
+// SharedState is what the sender knows of operators' orders other than the configuration, and of
+// facts that hold for the whole deployment.
 type SharedState struct {
-	// Era is how often the store has come back from an older copy.
+	// Era is how often the store was restored from an older copy.
 	Era uint64 `json:"era,omitempty"`
-	// Rollouts are the moves to other versions.
+	// Rollouts are the roll-outs of back-end versions.
 	Rollouts []rollout.Told `json:"rollouts,omitempty"`
-	// Evacuations are the newest words on zones that are, or were, to be emptied.
+	// Evacuations are the newest orders for zones that are, or were, to be evacuated.
 	Evacuations []evacuation.Order `json:"evacuations,omitempty"`
-	// SharedMachines: some back end shares its machine with others, and tells how long work takes.
+	// SharedMachines reports whether some back end shares its machine with others, and reports how long
+	// work takes.
 	SharedMachines bool `json:"sharedMachines,omitempty"`
 }
 
-// VersionReply is what a node answers that is asked whether there is a newer configuration.
+// VersionReply is a node's reply to a request for its version.
 type VersionReply struct {
 	// Version is that of the configuration in force, zero without one.
 	Version uint64 `json:"version"`
@@ -55,11 +58,11 @@
 	ProofAge *int64 `json:"proofAge,omitempty"`
 }
 
-// maxProofAge is the greatest age of a proof that is believed.
+// maxProofAge is the greatest age of a proof that is accepted.
 const maxProofAge = 24 * time.Hour
 
-// proofAge returns how old a peer's proof is that came in whole microseconds; false when there is
-// none, or one that cannot be.
+// proofAge returns the age of a peer's proof, received in whole microseconds; false when there is
+// none, or when it is out of range.
 func proofAge(told *int64) (age time.Duration, valid bool) {
 	if told == nil || *told < 0 || *told > maxProofAge.Microseconds() {
 		return 0, false
@@ -67,26 +70,26 @@
 	return time.Duration(*told) * time.Microsecond, true
 }
 
-// Notice tells a peer of one node's record. Nothing is answered.
+// Notice notifies a peer of one node's record. The response has no body.
 type Notice struct {
-	// Record is the news; it is the sender's own unless the notice is relayed.
+	// Record is the changed record; it is the sender's own unless the notice is forwarded.
 	Record *roster.Record `json:"record"`
-	// From is the sender's node and Version that of its configuration.
+	// From is the sender's node and Version the version of its configuration.
 	From    string `json:"from"`
 	Version uint64 `json:"version"`
-	// Relay asks the receiver to pass the news on in its zone.
+	// Relay asks the receiver to forward the record in its zone if it is new.
 	Relay bool `json:"relay,omitempty"`
 	SharedState
 }
 
 const (
-	// recordsPerBucket is about how many records share a part.
+	// recordsPerBucket is about how many records share a bucket.
 	recordsPerBucket = 4
-	minBuckets     = 8
-	maxBuckets      = 4096
+	minBuckets       = 8
+	maxBuckets       = 4096
 )
 
-// bucketCount is in how many parts a roster of that many records is compared.
+// bucketCount returns the number of buckets in which a roster of that many records is compared.
 func bucketCount(records int) int {
 	count := minBuckets
 	for count < maxBuckets && count*recordsPerBucket < records {
@@ -95,7 +98,7 @@
 	return count
 }
 
-// validComparison reports whether the message asks for a comparison that can be made.
+// validComparison reports whether the message requests a comparison with valid buckets.
 func (m *Message) validComparison() bool {
 	if m.BucketCount < 1 || m.BucketCount > maxBuckets || len(m.DifferingBuckets) > m.BucketCount {
 		return false
@@ -115,7 +118,7 @@
 	pathNotice        = "/notice"
 	pathPing          = "/ping"
 	pathConfiguration = "/configuration"
-	pathVersion         = "/level"
+	pathVersion       = "/level"
 	pathQuota         = "/quota"
 	pathRepeats       = "/repeats"
 	// queryAfter names the version that a node has when it asks for a later one.
--- a/internal/sidecar/exchange/observer.go
+++ b/internal/sidecar/exchange/observer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Whom a node asks for a configuration, for the metrics.
+// Sources of a configuration, as metric labels.
 const (
 	fetchedFromPeer  = "peer"
 	fetchedFromStore = "store"
@@ -15,18 +15,18 @@
 	versionFailed = "failed"
 )
 
-// Observer is told how the node keeps level.
+// Observer observes how the node stays up to date.
 type Observer interface {
-	// CaughtUp: the node was behind for so long since it had first heard so.
+	// CaughtUp is called when the node has caught up, with the time since a newer version was first reported.
 	CaughtUp(behind time.Duration)
-	// FetchFinished: a question for a configuration has ended; whom is "peer" or "store".
+	// FetchFinished is called when a fetch of the configuration has ended; the source is "peer" or "store".
 	FetchFinished(source string, err error)
-	// VersionRequestFinished: another node was asked for its version. The result is one of the constants; the
-	// age is that of its proof, below zero without one.
+	// VersionRequestFinished is called when a request for another node's version has ended. The result is one
+	// of the constants above; the age is that of the node's proof, negative without one.
 	VersionRequestFinished(result string, age time.Duration)
 }
 
-// noopObserver is the observer of nobody.
+// noopObserver ignores all events.
 type noopObserver struct{}
 
 // CaughtUp implements Observer.
--- a/internal/sidecar/exchange/ping.go
+++ b/internal/sidecar/exchange/ping.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Ping asks a peer whether it is there. A second question follows the first
-// after a short time, since one may be lost on the way.
+// Ping checks whether a peer responds. A second request follows the first after half of
+// the time-out, since one may be lost on the way.
 func (e *Exchanger) Ping(ctx context.Context, peer *roster.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -19,13 +19,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// smallestBound is the shortest time that a deployment leaves until a version is in force.
+// smallestBound is the shortest bound that a deployment sets for a version to be in force.
 const smallestBound = 2 * time.Second
 
-// TestNoFinalRefusalOnTheWordOfAReaderThatHearsNothing: an equal version whose proof is old says
-// nothing about newer ones.
-func TestNoFinalRefusalOnTheWordOfAReaderThatHearsNothing(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
+// TestStaleProofDoesNotConfirm checks that a request is not refused for good because a reader that is
+// cut off from the store holds an equal version: its proof is old and says nothing about newer versions.
+func TestStaleProofDoesNotConfirm(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
 		peer.keeper.RecordProof(7, time.Now())
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "the proof is new")
@@ -37,12 +37,12 @@
 	})
 }
 
-// TestNoFinalRefusalWhileAnotherZoneKnowsBetter: the reader of the own zone hears nothing, one of
-// another zone holds the next version.
-func TestNoFinalRefusalWhileAnotherZoneKnowsBetter(t *testing.T) {
+// TestConfirmFindsNewerVersionInOtherZone checks that a request is not refused for good when the reader of
+// the own zone is cut off from the store while one of another zone holds the next version.
+func TestConfirmFindsNewerVersionInOtherZone(t *testing.T) {
 	for round := range 20 {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
-			play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+			runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 				far := newVirtualMember(in, "far", "other")
 				far.offer(t, 7)
 				far.offer(t, 8)
@@ -58,9 +58,10 @@
 	}
 }
 
-// TestProofFromElsewhereEndsTheWaitOfARefusal: nodes that hang hold up nobody whose proof is new.
-func TestProofFromElsewhereEndsTheWaitOfARefusal(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+// TestConfirmAcceptsExistingProof checks that nodes that hang do not delay a refusal by a node whose own
+// proof is fresh.
+func TestConfirmAcceptsExistingProof(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		var hanging []*roster.Record
 		for i := range 8 {
 			address := fmt.Sprintf("hanging-%d:1", i)
@@ -78,24 +79,24 @@
 // sharedStore holds the newest version of a fleet.
 type sharedStore struct{ version atomic.Uint64 }
 
-var errTurnedAway = errors.New("turned away")
+var errRefused = errors.New("refused")
 
-// storeMember is a virtual member with a store that may turn it away.
+// storeMember is a virtual member with a store that may refuse its calls.
 type storeMember struct {
 	*virtualMember
 	store *sharedStore
-	// away: the store turns the node away. refuses: it does so with reads for want of proof only.
-	away, refuses atomic.Bool
-	// calls counts those of the watch, reads those for want of proof.
+	// unavailable: the store refuses all calls of the node. refuses: it refuses only reads for lack of proof.
+	unavailable, refuses atomic.Bool
+	// calls counts the calls of the watch, reads those for lack of proof.
 	calls, reads atomic.Int64
 }
 
-// read takes in what the store holds, as a read of the place does.
+// read reads the store like configuration.Refresh.
 func (m *storeMember) read(context.Context) error {
 	m.reads.Add(1)
 	asked := time.Now()
-	if m.away.Load() || m.refuses.Load() {
-		return errTurnedAway
+	if m.unavailable.Load() || m.refuses.Load() {
+		return errRefused
 	}
 	version := m.store.version.Load()
 	if err := m.keeper.Offer(fmt.Append(nil, version), configuration.SourceRead); err != nil && !errors.Is(err, configuration.ErrNotNewer) {
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// follow watches the store as the one of so many nodes that has the rank: a call that brings a
-// version proves nothing later than its beginning, one that runs out its end.
+// follow watches the store as the node with the given rank among count readers. A call that returns a
+// version proves nothing later than its start; one that times out proves its end.
 func (m *storeMember) follow(ctx context.Context, rank, count int) {
 	const look, rest, spacing = 10 * time.Millisecond, 550 * time.Millisecond, smallestBound * 3 / 10
 	began := time.Now()
@@ -114,7 +115,7 @@
 	for ; ctx.Err() == nil; time.Sleep(look) {
 		version := m.store.version.Load()
 		switch {
-		case m.away.Load():
+		case m.unavailable.Load():
 		case version != m.keeper.Version():
 			m.calls.Add(1)
 			_ = m.keeper.Offer(fmt.Append(nil, version), configuration.SourceWatch)
@@ -160,8 +161,8 @@
 	return made
 }
 
-// reading returns those of the members that read the store.
-func reading(members []*storeMember) (found []*storeMember) {
+// readersOf returns the members that are readers.
+func readersOf(members []*storeMember) (found []*storeMember) {
 	for _, member := range members {
 		if readers.IsReader(member.exchanger.options.Roster.View(), member.record, member.exchanger.Reachable) {
 			found = append(found, member)
@@ -170,9 +171,9 @@
 	return found
 }
 
-// playFleet runs a test with ten nodes in three zones that hold version 7, as the store does; those
-// that read follow it.
-func playFleet(t *testing.T, test func(g *WithT, members, following []*storeMember, store *sharedStore)) {
+// runFleet runs a test with ten nodes in three zones that hold version 7, as the store does; the readers
+// follow the store.
+func runFleet(t *testing.T, test func(g *WithT, members, following []*storeMember, store *sharedStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
@@ -180,7 +181,7 @@
 		store := &sharedStore{}
 		store.version.Store(7)
 		members := fleet(ctx, t, in, map[string]int{"a": 4, "b": 3, "c": 3}, store)
-		following := reading(members)
+		following := readersOf(members)
 		g.Expect(following).To(HaveLen(6))
 		for i, member := range following {
 			go member.follow(ctx, i, len(following))
@@ -193,19 +194,20 @@
 	})
 }
 
-// TestAVersionReachesNodesWhoseReadersHearNothing in time, when they reach the store themselves.
-func TestAVersionReachesNodesWhoseReadersHearNothing(t *testing.T) {
+// TestNodesReadStoreWhenReadersAreCutOff checks that a version reaches the other nodes in time when the
+// store refuses the readers but not them.
+func TestNodesReadStoreWhenReadersAreCutOff(t *testing.T) {
 	for round := range 10 {
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
-			playFleet(t, func(g *WithT, members, following []*storeMember, store *sharedStore) {
+			runFleet(t, func(g *WithT, members, following []*storeMember, store *sharedStore) {
 				for _, member := range following {
-					member.away.Store(true)
+					member.unavailable.Store(true)
 				}
 				time.Sleep(time.Duration(round) * smallestBound / 10)
 				store.version.Store(8)
 				time.Sleep(smallestBound)
 				for _, member := range members {
-					if !member.away.Load() {
+					if !member.unavailable.Load() {
 						g.Expect(member.keeper.Version()).To(BeEquivalentTo(8), member.record.Node)
 					}
 				}
@@ -214,9 +216,10 @@
 	}
 }
 
-// TestWatchesAreProofEnoughWhileAllIsWell: hardly a call of the store is made for proof beside them.
+// TestWatchesAreProofEnoughWhileAllIsWell checks that a healthy fleet hardly reads the store for proof: at
+// most one read per 20 calls of the watches.
 func TestWatchesAreProofEnoughWhileAllIsWell(t *testing.T) {
-	playFleet(t, func(g *WithT, members, _ []*storeMember, store *sharedStore) {
+	runFleet(t, func(g *WithT, members, _ []*storeMember, store *sharedStore) {
 		for _, member := range members {
 			member.refuses.Store(true)
 		}
@@ -237,9 +240,9 @@
 	})
 }
 
-// TestFewReadTheStoreForProofWhileItIsAway, whatever the size of the fleet: calls that are turned
-// away are paid for as well.
-func TestFewReadTheStoreForProofWhileItIsAway(t *testing.T) {
+// TestStoreReadsAreBoundedWhileUnavailable checks that few nodes read the store for proof while it refuses
+// calls, whatever the size of the fleet: refused calls are billed too.
+func TestStoreReadsAreBoundedWhileUnavailable(t *testing.T) {
 	for _, size := range []int{10, 300, 1000} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -247,13 +250,13 @@
 				in := &network{nodes: map[string]func(net.Conn){}}
 				var calls atomic.Int64
 				nodes := make([]*proofChecker, size)
-				known := crowd(size - 1)
+				known := manyRecords(size - 1)
 				for i := range nodes {
 					made := newVirtualMember(in, fmt.Sprintf("looking-%d", i), "zone")
 					made.exchanger.options.Roster.Merge(known)
 					made.refresh = func(context.Context) error {
 						calls.Add(1)
-						return errTurnedAway
+						return errRefused
 					}
 					nodes[i] = made.exchanger.proof
 				}
@@ -271,10 +274,11 @@
 	}
 }
 
-// TestAProofAgeThatCannotBeProvesNothing: below zero, or so great that it cannot be counted.
-func TestAProofAgeThatCannotBeProvesNothing(t *testing.T) {
+// TestInvalidProofAgeIsIgnored checks that a negative age, or one that overflows or exceeds the limit,
+// proves nothing.
+func TestInvalidProofAgeIsIgnored(t *testing.T) {
 	for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, math.MaxInt64 / 1000, maxProofAge.Microseconds() + 1} {
-		play(t, func(_ *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
+		runWithPeer(t, func(_ *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
 			late.exchanger.proof.recordProof(7, &age, time.Now())
 			_, proven := late.keeper.ProofAge()
 			g.Expect(proven).To(BeFalse())
@@ -282,13 +286,14 @@
 	}
 }
 
-// TestRoundsBeginAnewAfterNewProof, also when another node has brought it.
-func TestRoundsBeginAnewAfterNewProof(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
+// TestStoreReadPauseResetsAfterProof checks that the rounds of store reads start again with the shortest
+// pause after new proof, also when another node provided it.
+func TestStoreReadPauseResetsAfterProof(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, _ *virtualMember, _ *network) {
 		var calls atomic.Int64
 		late.refresh = func(context.Context) error {
 			calls.Add(1)
-			return errTurnedAway
+			return errRefused
 		}
 		ctx, end := context.WithCancel(t.Context())
 		go late.exchanger.proof.run(ctx)
--- a/internal/sidecar/exchange/question.go
+++ b/internal/sidecar/exchange/question.go
@@ -11,24 +11,24 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/contain"
 )
 
-// fetchAttempt is one that is under way.
+// fetchAttempt is a running fetch of the configuration from a peer.
 type fetchAttempt struct {
 	source *source
 	cancel context.CancelFunc
-	// lastData is when the answer last brought something, the beginning before that.
+	// lastData is when the response last brought data, the start of the fetch before that.
 	lastData atomicTime
-	// responding: the answer has begun. abandoned: another peer was faster. Both are guarded by the
-	// lock of the catch-up.
+	// responding reports whether the response has begun; abandoned, whether the fetch was given up
+	// because another peer was faster. Both are guarded by the lock of the catch-up.
 	responding, abandoned bool
 }
 
-// untilSilent returns the time after which, should the question bring nothing until then, another
-// peer is to be asked.
+// untilSilent returns the time until the fetch counts as silent if it brings no data by then, so that
+// another peer is asked.
 func (q *fetchAttempt) untilSilent(now time.Time) time.Duration {
 	return hedgeDelay - now.Sub(*q.lastData.value.Load())
 }
 
-// startFetch begins a question to a peer; the lock is held.
+// startFetch starts a fetch from a peer; the lock is held.
 func (c *catchUp) startFetch(from *source, now time.Time) {
 	if len(c.fetches) == maxFetches {
 		c.abandon(c.fetches[0], now)
@@ -50,8 +50,8 @@
 	}()
 }
 
-// receivedData notes that an answer brings something. When it begins, the peers that bring nothing now
-// are given up: of an answer that is large only one copy is to come over the node's link.
+// receivedData records that a fetch brings data. When its response begins, the fetches that bring no
+// data are abandoned: only one copy of a large response should use the node's link.
 func (c *catchUp) receivedData(attempt *fetchAttempt) {
 	now := clock.Now()
 	attempt.lastData.set(now)
@@ -68,7 +68,7 @@
 	}
 }
 
-// abandon gives a question up that did not fail; the lock is held.
+// abandon gives up a fetch that did not fail; the lock is held.
 func (c *catchUp) abandon(attempt *fetchAttempt, now time.Time) {
 	attempt.abandoned = true
 	attempt.cancel()
@@ -76,13 +76,13 @@
 	attempt.source.notBefore = now.Add(retryBase)
 }
 
-// remove takes a question out of those under way; the lock is held.
+// remove removes a fetch from the running ones; the lock is held.
 func (c *catchUp) remove(attempt *fetchAttempt) {
 	c.fetches = slices.DeleteFunc(c.fetches, func(held *fetchAttempt) bool { return held == attempt })
 	attempt.source.fetching = false
 }
 
-// fetchFinished takes in what became of a question.
+// fetchFinished processes the result of a fetch.
 func (c *catchUp) fetchFinished(attempt *fetchAttempt, began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -12,7 +12,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// headerAcceptEncoding asks for a compressed answer.
+// headerAcceptEncoding requests a compressed response.
 const headerAcceptEncoding = "Accept-Encoding"
 
 const (
@@ -75,9 +75,9 @@
 	response.WriteHeader(http.StatusNoContent)
 }
 
-// replyTo takes in a peer's message and makes this node's side of the exchange:
-// the parts of its roster when the digests differ, or the records that the peer
-// lacks in the parts it has found to differ.
+// replyTo merges a peer's message and returns the reply: the digests of the buckets of this
+// node's roster when the digests of the rosters differ, or the records that the peer lacks
+// in the buckets that it found to differ.
 func (e *Exchanger) replyTo(received *Message) *Message {
 	e.handleMessage(received)
 	reply := e.newMessage()
@@ -91,7 +91,7 @@
 	return reply
 }
 
-// missingRecords returns the records that are newer than the peer's or not among them.
+// missingRecords returns the own records that are newer than the peer's or missing among them.
 func missingRecords(own, peers []*roster.Record) []*roster.Record {
 	known := make(map[string]*roster.Record, len(peers))
 	for _, record := range peers {
@@ -108,7 +108,7 @@
 	return found
 }
 
-// serveConfiguration answers what leads from the version that the peer has to
+// serveConfiguration responds with the change from the version that the peer has to
 // the one in force here.
 func (e *Exchanger) serveConfiguration(request *restful.Request, response *restful.Response) {
 	after, err := strconv.ParseUint(request.QueryParameter(queryAfter), 10, 64)
@@ -132,14 +132,14 @@
 	_ = response.WriteErrorString(http.StatusNotFound, "configuration: none is in force")
 }
 
-// acceptsGzip reports whether the peer reads compressed answers. Nodes of the
-// version before do not ask for them.
+// acceptsGzip reports whether the peer accepts compressed responses. Nodes of the
+// previous version do not request them.
 func acceptsGzip(r *http.Request) bool {
 	return r.Header.Get(headerAcceptEncoding) == encoded.ContentCoding
 }
 
-// writeEncodedChange answers what leads from a version to the one in force, compressed when it is
-// long.
+// writeEncodedChange responds with the change from a version to the one in force, compressed when
+// it is long.
 func (e *Exchanger) writeEncodedChange(response *restful.Response, after uint64) {
 	change, err := e.options.Configuration.EncodedChangeSince(after)
 	switch {
@@ -154,7 +154,7 @@
 	writeBody(response, change)
 }
 
-// writeBody answers with a body.
+// writeBody responds with an encoded body.
 func writeBody(response *restful.Response, body *encoded.Body) {
 	header := response.Header()
 	header.Set("Content-Type", restful.MIME_JSON)
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -21,14 +21,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// network connects nodes in memory, so that a test's clock may stand still.
+// network connects nodes in memory, so that tests can use a virtual clock.
 type network struct {
 	mu    sync.Mutex // guards all below
 	nodes map[string]func(net.Conn)
 	open  []net.Conn
 }
 
-// set has a node behave so from now on; nil takes it away.
+// set sets the function that handles connections to an address; nil removes the address.
 func (n *network) set(address string, accept func(net.Conn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +53,7 @@
 	return near, nil
 }
 
-// close ends all connections.
+// close closes all connections.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,13 +62,13 @@
 	}
 }
 
-// silent takes whatever it is sent and never answers.
+// silent reads whatever it is sent and never responds.
 func silent(connection net.Conn) { _, _ = io.Copy(io.Discard, connection) }
 
-// unreachable takes nothing, as a node without power does: writes hang.
+// unreachable reads nothing, like a node without power: writes hang.
 func unreachable(net.Conn) {}
 
-// serve answers one connection as the node does.
+// serve serves one connection with the node's handlers.
 func (m *virtualMember) serve(connection net.Conn) {
 	listener := &oneConnection{connection: connection, closed: make(chan struct{})}
 	server := &http.Server{Handler: m.container, ConnState: func(_ net.Conn, state http.ConnState) {
@@ -79,7 +79,7 @@
 	_ = server.Serve(listener)
 }
 
-// oneConnection is a listener that brings one connection.
+// oneConnection is a listener that accepts one connection.
 type oneConnection struct {
 	connection net.Conn
 	closed     chan struct{}
@@ -102,7 +102,7 @@
 	keeper    *configuration.Keeper
 	record    *roster.Record
 	container *restful.Container
-	// refresh is what the store does when the node asks it.
+	// refresh is the node's read of the store.
 	refresh func(context.Context) error
 }
 
@@ -115,10 +115,10 @@
 	made.record = members.Own()
 	made.exchanger = New(Options{
 		Roster: members, Configuration: made.keeper, Dial: in.dial,
-		Refresh: func(ctx context.Context) error { return made.refresh(ctx) },
-		IsReader:   func() bool { return false },
+		Refresh:       func(ctx context.Context) error { return made.refresh(ctx) },
+		IsReader:      func() bool { return false },
 		OnUnreachable: func(*roster.Record) {},
-		Logger:  zap.NewNop(),
+		Logger:        zap.NewNop(),
 	})
 	made.container.Add(made.exchanger.Service())
 	in.set(made.record.PeerAddress, made.serve)
@@ -129,38 +129,32 @@
 	NewWithT(t).Expect(m.keeper.Offer([]byte(strconv.FormatUint(version, 10)), configuration.SourceWatch)).To(Succeed())
 }
 
-// Users saw one node answer for more than 2.5 s by a configuration that had been replaced: a
-// route that was there was refused, and a request ran at the service that its route had left.
-// The other nodes of its zone were well.
+// TestSilentPeerDoesNotDelayCatchUp guards against a node that serves a replaced configuration for more
+// than 2.5 s because a peer reported the new version and then fell silent: it hung, lost power, or its
+// link was full. The node tried one peer at a time, with a time-out as long as the bound for a version to
+// be in force, and ignored the reports that healthy peers sent twenty times a second meanwhile. Users saw
+// existing routes refused, and requests served by a service that their route no longer targeted.
 //
-// What happens: a version is acknowledged; a peer tells the node of it, and falls silent before
-// it hands the version over (it hangs, loses power, or its link is full). The node asks that peer
-// and waits. Healthy peers tell it of the same version twenty times a second; all of it is passed
-// over, since one question is under way.
-//
-// The cause: one attempt at a time, with a time-out as long as the time in which a version has
-// to be in force, and news that counted only at the moment in which it came.
-//
-// The evidence: of 24 real processes of which six hang, one had a version 2.574 s after it was
-// acknowledged. Its log: told of it by a peer, which then hung; asked that peer for 2.00 s; told of
-// that and three later versions by two healthy peers meanwhile, and asked neither.
-func TestASilentPeerHoldsNobodyBack(t *testing.T) {
+// Of 24 real processes, six of which hung, one had a version 2.574 s after it was acknowledged: it waited
+// 2.00 s for the peer that hung and asked neither of the two healthy peers, which had reported that and
+// three later versions meanwhile.
+func TestSilentPeerDoesNotDelayCatchUp(t *testing.T) {
 	const most = 500 * time.Millisecond
 	ways := map[string]func(net.Conn){"takes and does not answer": silent, "takes nothing": unreachable}
 	for name, accept := range ways {
 		for _, zone := range []string{"near", "far"} {
 			for _, quiet := range []int{1, 2, 6} {
 				t.Run(name+" "+zone+" "+strconv.Itoa(quiet), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { catchUpBeside(t, quiet, zone, accept, most) })
+					synctest.Test(t, func(t *testing.T) { catchUpWithSilentPeers(t, quiet, zone, accept, most) })
 				})
 			}
 		}
 	}
 }
 
-// catchUpBeside has silent peers tell a node of a version, then a healthy peer of the node's
-// zone again and again, and expects that the node has it in time after that.
-func catchUpBeside(t *testing.T, quiet int, zone string, accept func(net.Conn), most time.Duration) {
+// catchUpWithSilentPeers lets silent peers report a version to a node, then a healthy peer of the node's
+// zone again and again, and expects that the node has the version in time after that.
+func catchUpWithSilentPeers(t *testing.T, quiet int, zone string, accept func(net.Conn), most time.Duration) {
 	g := NewWithT(t)
 	in := &network{nodes: map[string]func(net.Conn){}}
 	defer synctest.Wait()
@@ -184,13 +178,13 @@
 	g.Expect(time.Since(heard)).To(BeNumerically("<=", most))
 }
 
-// counted counts the requests that a transport carries.
-type counted struct {
+// countingTransport counts the requests that a transport sends.
+type countingTransport struct {
 	http.RoundTripper
 	count *atomic.Int64
 }
 
-func (c counted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.count.Add(1)
 	return c.RoundTripper.RoundTrip(r)
 }
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -20,15 +20,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// manyRoutes reads a document with so many routes, given as version and number.
-func manyRoutes(raw []byte) (*route.Document, []string, error) {
+// decodeManyRoutes decodes a version and a number of routes as a document with that many routes.
+func decodeManyRoutes(raw []byte) (*route.Document, []string, error) {
 	document := &route.Document{Services: []route.Service{{Name: "service-of-many-routes"}}}
 	var routes int
 	if _, err := fmt.Sscan(string(raw), &document.Version, &routes); err != nil {
 		return nil, nil, err
 	}
 	for i := range routes {
-		// Names of routes have little in common, as those of users.
+		// The names of routes share few substrings, like those of users, so that they compress realistically.
 		name := strconv.FormatUint(uint64(i)*0x9E3779B97F4A7C15, 36)
 		document.Routes = append(document.Routes, route.Route{
 			Name: name, Host: fmt.Sprintf("host-%d.example", i%7), PathPrefix: "/" + name + "/", Attempts: 2, Priority: 2,
@@ -39,17 +39,17 @@
 	return document, nil, nil
 }
 
-// link is the machine's link: what comes over all connections together takes its time.
+// link is a machine's network link: the bytes that arrive over all connections share its bandwidth.
 type link struct {
 	bytesPerSecond int
 
 	mu   sync.Mutex // guards free
 	free time.Time
-	// carried counts the bytes that came.
+	// carried counts the bytes that arrived.
 	carried int
 }
 
-// pass waits until so many bytes have come.
+// pass waits until the given number of bytes have arrived.
 func (l *link) pass(bytes int) {
 	l.mu.Lock()
 	l.carried += bytes
@@ -63,32 +63,32 @@
 	time.Sleep(wait)
 }
 
-// narrow is a connection over the link.
-type narrow struct {
+// slowConn is a connection over the link.
+type slowConn struct {
 	net.Conn
 	link *link
 }
 
-func (n *narrow) Read(data []byte) (int, error) {
+func (n *slowConn) Read(data []byte) (int, error) {
 	const packet = 1400
 	count, err := n.Conn.Read(data[:min(len(data), packet)])
 	n.link.pass(count)
 	return count, err
 }
 
-// TestOnlyOneCopyComesOverASlowLink: a change of 0.25 MB takes longer over a slow link than a peer may
-// be silent. Peers that tell of it must not all be asked for it, nor a question be given up that
-// brings something: so every node of a fleet with links of 5 Mbit/s once asked four peers at a time
-// for 0.3 MB, gave them up before they were through, and was behind for 9.8 s.
-func TestOnlyOneCopyComesOverASlowLink(t *testing.T) {
+// TestSlowLinkCarriesOneCopy guards against competing copies of a change on a slow link. A change of 0.25 MB
+// takes longer over such a link than hedgeDelay; the peers that report it must not all be asked for it, and
+// a fetch that brings data must not be abandoned. Every node of a fleet with links of 5 Mbit/s once fetched
+// 0.3 MB from four peers at a time, abandoned the fetches before they ended, and was behind for 9.8 s.
+func TestSlowLinkCarriesOneCopy(t *testing.T) {
 	for _, megabits := range []int{2, 5, 10} {
 		t.Run(fmt.Sprint(megabits), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { catchUpOver(t, megabits) })
+			synctest.Test(t, func(t *testing.T) { catchUpOverLink(t, megabits) })
 		})
 	}
 }
 
-func catchUpOver(t *testing.T, megabits int) {
+func catchUpOverLink(t *testing.T, megabits int) {
 	g := NewWithT(t)
 	in := &network{nodes: map[string]func(net.Conn){}}
 	defer synctest.Wait()
@@ -98,7 +98,7 @@
 	held := make([]*virtualMember, peers+1)
 	for i := range held {
 		held[i] = newVirtualMember(in, "node-"+strconv.Itoa(i), "near")
-		held[i].keeper = configuration.NewKeeper(manyRoutes, zap.NewNop())
+		held[i].keeper = configuration.NewKeeper(decodeManyRoutes, zap.NewNop())
 		held[i].exchanger.options.Configuration = held[i].keeper
 		held[i].keeper.Observe(func(*route.Table, configuration.Source) { held[i].exchanger.updater.signal() })
 		g.Expect(held[i].keeper.Offer([]byte("7 800"), configuration.SourceWatch)).To(Succeed())
@@ -111,7 +111,7 @@
 	late.exchanger.client.CloseIdleConnections()
 	late.exchanger.client = newClient(func(ctx context.Context, network, address string) (net.Conn, error) {
 		connection, err := in.dial(ctx, network, address)
-		return &narrow{connection, over}, err
+		return &slowConn{connection, over}, err
 	})
 	change, err := held[1].keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -127,10 +127,10 @@
 	g.Expect(over.carried).To(BeNumerically("<", len(change.Bytes)*3/2), "one copy, and some words")
 }
 
-// TestALargeChangeIsSmallOnTheWay, a small one goes as it is.
-func TestALargeChangeIsSmallOnTheWay(t *testing.T) {
+// TestLargeChangeIsCompressed checks that a large change is compressed and a small one is not.
+func TestLargeChangeIsCompressed(t *testing.T) {
 	g := NewWithT(t)
-	keeper := configuration.NewKeeper(manyRoutes, zap.NewNop())
+	keeper := configuration.NewKeeper(decodeManyRoutes, zap.NewNop())
 	for _, document := range []string{"7 800", "8 2200", "9 2201"} {
 		g.Expect(keeper.Offer([]byte(document), configuration.SourceWatch)).To(Succeed())
 	}
@@ -149,9 +149,10 @@
 	g.Expect(again).To(BeIdenticalTo(large), "made once")
 }
 
-// TestAPeerThatStopsInTheMiddle of an answer holds nobody back either.
-func TestAPeerThatStopsInTheMiddle(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
+// TestPeerStallingMidResponse checks that a peer that stalls in the middle of a response does not delay the
+// catch-up.
+func TestPeerStallingMidResponse(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, in *network) {
 		in.set("stops:1", func(connection net.Conn) {
 			go silent(connection)
 			_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 90\r\n\r\n{\"version\":"))
@@ -168,27 +169,27 @@
 	})
 }
 
-// measured is a connection whose bytes count, in both directions.
-type measured struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (m *measured) Read(data []byte) (int, error) {
+func (m *countingConn) Read(data []byte) (int, error) {
 	count, err := m.Conn.Read(data)
 	m.bytes.Add(int64(count))
 	return count, err
 }
 
-func (m *measured) Write(data []byte) (int, error) {
+func (m *countingConn) Write(data []byte) (int, error) {
 	count, err := m.Conn.Write(data)
 	m.bytes.Add(int64(count))
 	return count, err
 }
 
-// TestALargeExchangeIsSmallOnTheWay: the records of 984 nodes, that one of two peers lacks, pass in
-// less than a tenth of their length.
-func TestALargeExchangeIsSmallOnTheWay(t *testing.T) {
+// TestLargeExchangeIsCompressed checks that the records of 984 nodes, which one of two peers lacks, are
+// transferred in less than a tenth of their encoded length.
+func TestLargeExchangeIsCompressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		in := &network{nodes: map[string]func(net.Conn){}}
@@ -199,9 +200,9 @@
 		asks.exchanger.client.CloseIdleConnections()
 		asks.exchanger.client = newClient(func(ctx context.Context, network, address string) (net.Conn, error) {
 			connection, err := in.dial(ctx, network, address)
-			return &measured{connection, &passed}, err
+			return &countingConn{connection, &passed}, err
 		})
-		records := crowd(984)
+		records := manyRecords(984)
 		knows.exchanger.options.Roster.Merge(records)
 		plain, err := json.Marshal(records)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// retryBase is how long a peer that was asked in vain is left alone; each further failure
-	// doubles it, up to retryMost. Others are asked before it.
+	// retryBase is how long a peer is not asked again after a failed fetch; each further failure
+	// doubles it, up to retryMax. Peers with fewer failures are asked first.
 	retryBase = 200 * time.Millisecond
-	retryMax = 1600 * time.Millisecond
+	retryMax  = 1600 * time.Millisecond
 )
 
-// source is a peer that has told of a version above the one in force.
+// source is a peer that has reported a version above the one in force.
 type source struct {
 	peer *roster.Record
-	// version is the highest that the peer has told of, told when it last did.
-	version uint64
-	reportedAt    time.Time
+	// version is the highest version that the peer has reported, reportedAt when it last did.
+	version    uint64
+	reportedAt time.Time
 	// notBefore is the moment before which the peer is not asked.
 	notBefore time.Time
-	// failures counts in how many questions in a row it brought nothing.
+	// failures counts the consecutive fetches that failed.
 	failures int
-	// fetching: a question is under way.
+	// fetching reports whether a fetch from the peer is running.
 	fetching bool
 }
 
-// sources are the peers that a node may ask for a newer configuration. It is pure and used
+// sources are the peers from which a node may fetch a newer configuration. It does no I/O and is used
 // under a lock.
 type sources struct {
-	// all is by the peers' names; it has those that have told of a newer version only.
+	// all holds, by name, the peers that have reported a newer version.
 	all map[string]*source
 }
 
-// report notes what a peer has told of. One that is new is not asked before the delay is over.
+// report records the version that a peer has reported. A new peer is not asked before the delay is over.
 func (s *sources) report(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
 	if s.all == nil {
 		s.all = map[string]*source{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// next returns the peer to be asked now, nil when there is none: of those with the fewest
-// failures the one that was heard last, since it is the most likely to be there.
+// next returns the peer to be asked now, nil when there is none: of the peers with the fewest
+// failures the one that reported last, since it is the most likely to respond.
 func (s *sources) next(above uint64, now time.Time) *source {
 	var best *source
 	for _, candidate := range s.all {
@@ -71,7 +71,7 @@
 	return cmp.Or(cmp.Compare(c.failures, other.failures), other.reportedAt.Compare(c.reportedAt), cmp.Compare(c.peer.Node, other.peer.Node)) < 0
 }
 
-// wait returns how long it is until the next peer is due; limit at most.
+// wait returns the time until the next peer is due, limit at most.
 func (s *sources) wait(above uint64, now time.Time, limit time.Duration) time.Duration {
 	for _, candidate := range s.all {
 		if !candidate.fetching && candidate.version > above {
@@ -81,7 +81,7 @@
 	return limit
 }
 
-// untried reports whether there is a peer that has not failed.
+// untried reports whether there is a peer that has not failed and is not being asked.
 func (s *sources) untried(above uint64) bool {
 	for _, candidate := range s.all {
 		if candidate.version > above && candidate.failures == 0 && !candidate.fetching {
@@ -91,14 +91,14 @@
 	return false
 }
 
-// recordFailure notes that a question brought nothing.
+// recordFailure records that a fetch failed.
 func (c *source) recordFailure(now time.Time) {
 	wait := min(retryBase<<min(c.failures, 3), retryMax)
 	c.failures++
 	c.notBefore = now.Add(wait)
 }
 
-// clear forgets all peers.
+// clear removes all peers.
 func (s *sources) clear() { clear(s.all) }
 
 // names returns the peers' names in order.
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// maxZonePeers bounds how many nodes of its own zone a node tells of a change;
-	// the others hear of it by exchanges.
+	// maxZonePeers bounds how many nodes of its own zone a node notifies of a change;
+	// the others learn of it by exchanges.
 	maxZonePeers = 32
-	// relaysPerZone is how many nodes of each other zone are told, relayTries how
-	// many are asked until so many have heard.
-	relaysPerZone = 2
+	// relaysPerZone is how many nodes of each other zone receive a notice, maxRelayAttempts
+	// how many are tried to reach that number.
+	relaysPerZone    = 2
 	maxRelayAttempts = 4
-	// smallZoneSize is the size up to which all nodes of another zone are told
+	// smallZoneSize is the size up to which all nodes of another zone are notified
 	// directly.
 	smallZoneSize = 3
-	// relayFanout is how many nodes of its zone a relay passes news on to.
+	// relayFanout is how many nodes of its zone a relay forwards a notice to.
 	relayFanout = 8
-	// leavingFanout is how many nodes of its zone each node tells that hears that another one takes no
-	// work any more. It is told once by each, so that it ends by itself; in a zone of 334 nodes all but
-	// 3 in 100 at most hear it within some messages after each other, and the others by exchanges 0.8 s apart.
-	// Without it the number of those that wait for exchanges grows with the zone
-	// (TestThatANodeLeavesReachesAZone). Any other news is not worth the messages.
+	// leavingFanout is how many nodes of its zone each node notifies that learns that another one no longer
+	// accepts work. Each node forwards a notice only once, when it is new to it, so forwarding ends by itself.
+	// In a zone of 334 nodes all but 3 in 100 at most learn of it within a few consecutive messages, and the
+	// others by exchanges 0.8 s apart. Without forwarding, the number of nodes that wait for exchanges grows
+	// with the zone (TestLeavingNoticeSpreadsInZone). Other notices are not worth the messages.
 	leavingFanout = 4
-	// maxParallelNotices is how many peers are told at once: all that one node tells, so that peers
-	// that hang delay nobody else's news.
+	// maxParallelNotices is how many peers are notified in parallel: all that one node notifies, so that peers
+	// that hang do not delay notices to others.
 	maxParallelNotices = maxZonePeers + relayFanout
 )
 
-// deliveries counts the peers that have heard a piece of news.
+// deliveries counts the peers that have received a notice.
 type deliveries struct {
 	count atomic.Int64
-	// first, when not nil, is closed when the first one has heard.
+	// first, when not nil, is closed when the first peer has received it.
 	first chan struct{}
 	once  sync.Once
 }
@@ -53,8 +53,8 @@
 	}
 }
 
-// BroadcastUntilFirst is Broadcast, but returns when one peer has heard, or all were
-// told in vain; the others are told meanwhile.
+// BroadcastUntilFirst is like Broadcast, but returns when one peer has received the notice, or none
+// could be reached; the remaining peers are notified in the background.
 func (e *Exchanger) BroadcastUntilFirst(ctx context.Context) {
 	delivered := &deliveries{first: make(chan struct{})}
 	done := make(chan struct{})
@@ -68,10 +68,10 @@
 	}
 }
 
-// Broadcast tells peers of the own record at once and returns how many have
-// heard it themselves. In its own zone a node tells the peers itself. To each
-// other zone the news goes but a few times, since what passes between zones is
-// paid for by the byte; there it is passed on.
+// Broadcast notifies peers of the own record at once and returns how many have
+// received the notice from this node. In its own zone a node notifies the peers
+// itself. To each other zone it sends the notice only a few times, since traffic
+// between zones is billed by the byte; the receivers forward it there.
 func (e *Exchanger) Broadcast(ctx context.Context) int {
 	delivered := &deliveries{}
 	e.broadcast(ctx, delivered)
@@ -98,7 +98,7 @@
 	_ = group.Wait()
 }
 
-// notify has the peers told by the group's goroutines.
+// notify sends a notice to the peers on the group's goroutines.
 func (e *Exchanger) notify(ctx context.Context, group *errgroup.Group, delivered *deliveries, peers []*roster.Record, notice *Notice) {
 	for _, peer := range peers {
 		group.Go(func() error {
@@ -110,9 +110,9 @@
 	}
 }
 
-// relay tells peers of one other zone until some have heard. One that does not answer within a
-// short time is left to itself while the next is told: asked one after the other, a single peer
-// that hung took all the time in which a zone was to hear that a back end leaves.
+// relay notifies peers of one other zone until relaysPerZone have received the notice. When one does
+// not respond within hedgeDelay, the next one is notified as well: sequentially, a single peer that hung
+// took all the time within which a zone has to learn that a back end is leaving.
 func (e *Exchanger) relay(ctx context.Context, received *deliveries, peers []*roster.Record, notice *Notice) {
 	left := peers[:min(len(peers), maxRelayAttempts)]
 	results := make(chan error, len(left))
@@ -147,10 +147,11 @@
 	}
 }
 
-// presencePeers is how many nodes of its zone a node tells that it is there again, without news of it.
+// presencePeers is how many nodes of its zone a node notifies that it is reachable again.
 const presencePeers = 8
 
-// AnnouncePresence tells some peers of the zone that the node is there: who has lost it need not look for it.
+// AnnouncePresence notifies some peers of the zone that the node is reachable, so that those that
+// recorded it as lost need not retry it.
 func (e *Exchanger) AnnouncePresence(ctx context.Context) {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
@@ -161,11 +162,11 @@
 	_ = group.Wait()
 }
 
-// greetedPeers is how many peers a node that starts exchanges with at once.
+// greetedPeers is how many peers a node exchanges state with at start.
 const greetedPeers = 3
 
-// Greet exchanges with some peers of the zone at once: a node that has started gets
-// the configuration and what changed since from those that were there before.
+// Greet exchanges state with some peers of the zone at once: a node that has started gets
+// the configuration and recent changes from those that were running before.
 func (e *Exchanger) Greet(ctx context.Context) {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
@@ -178,7 +179,7 @@
 	}
 }
 
-// handleNotice takes in a notice and passes news on when that is asked.
+// handleNotice merges a notice and forwards it when required.
 func (e *Exchanger) handleNotice(notice *Notice) {
 	e.hadContact.Store(true)
 	if notice.From == notice.Record.Node {
@@ -194,7 +195,7 @@
 	}
 }
 
-// fanout returns to how many nodes of its zone one that hears a notice passes it on, if it is news.
+// fanout returns to how many nodes of its zone a node forwards a notice if its record is new.
 func fanout(notice *Notice) int {
 	switch {
 	case notice.Relay:
@@ -205,14 +206,14 @@
 	return 0
 }
 
-// forward tells so many nodes of the own zone of another node's record.
+// forward notifies the given number of nodes of the own zone of another node's record.
 func (e *Exchanger) forward(record *roster.Record, count int) {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	peers := shuffled(e.peersOf(view.Zone(own.Zone)))
 	e.notifyAll(peers[:min(len(peers), count)], record)
 }
 
-// notifyAll tells the peers of a record and, with it, of the version in force.
+// notifyAll notifies the peers of a record, the version in force and the shared state.
 func (e *Exchanger) notifyAll(peers []*roster.Record, record *roster.Record) {
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
@@ -222,14 +223,14 @@
 	_ = group.Wait()
 }
 
-// notice returns what is told of a record.
+// notice returns a notice of a record.
 func (e *Exchanger) notice(record *roster.Record) *Notice {
 	return &Notice{
 		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.sharedState(),
 	}
 }
 
-// sendNotice sends one notice.
+// sendNotice sends a notice to one peer.
 func (e *Exchanger) sendNotice(ctx context.Context, peer *roster.Record, notice *Notice) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
--- a/internal/sidecar/exchange/spread_test.go
+++ b/internal/sidecar/exchange/spread_test.go
@@ -13,8 +13,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// neighbourhood starts members of three zones that know each other.
-func neighbourhood(t *testing.T, perZone int) (all []*member) {
+// newZones starts members in three zones that know each other.
+func newZones(t *testing.T, perZone int) (all []*member) {
 	for _, zone := range []string{"east", "south", "west"} {
 		for i := range perZone {
 			started := newMember(t, fmt.Sprintf("%s-%d", zone, i))
@@ -36,9 +36,9 @@
 	return all
 }
 
-// TestNewsCrossesZonesFewTimes: everyone of small zones is told directly; with
-// larger ones the news goes to a few nodes of each other zone and spreads there.
-func TestNewsCrossesZonesFewTimes(t *testing.T) {
+// TestCrossZoneNotices checks that all nodes of small zones are notified directly, and that a notice is sent to
+// a few nodes of each larger zone and forwarded there.
+func TestCrossZoneNotices(t *testing.T) {
 	cases := []struct{ perZone, heard int }{
 		{smallZoneSize, 3*smallZoneSize - 1},
 		{smallZoneSize + 3, smallZoneSize + 2 + 2*relaysPerZone},
@@ -46,7 +46,7 @@
 	for _, size := range cases {
 		t.Run(fmt.Sprint(size.perZone), func(t *testing.T) {
 			g := NewWithT(t)
-			all := neighbourhood(t, size.perZone)
+			all := newZones(t, size.perZone)
 			all[0].members.Update(func(record roster.Record) (roster.Record, bool) {
 				record.Leaving = true
 				return record, true
@@ -54,43 +54,42 @@
 			g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(size.heard))
 			for _, other := range all {
 				g.Eventually(func() bool { return other.members.View().Record("east-0").Leaving }).
-					WithTimeout(patience).Should(BeTrue(), other.record.Node)
+					WithTimeout(waitTimeout).Should(BeTrue(), other.record.Node)
 			}
 		})
 	}
 }
 
-// TestNewsFindsItsWayPastDeadRelays: a node of another zone that does not answer
-// is passed over.
-func TestNewsFindsItsWayPastDeadRelays(t *testing.T) {
+// TestBroadcastSkipsUnresponsiveRelays checks that another node of a zone is notified when one does not respond.
+func TestBroadcastSkipsUnresponsiveRelays(t *testing.T) {
 	g := NewWithT(t)
-	all := neighbourhood(t, smallZoneSize+1)
+	all := newZones(t, smallZoneSize+1)
 	dead := *all[len(all)-1].record
 	dead.Counter, dead.PeerAddress = dead.Counter+1, "127.0.0.1:1"
 	all[0].members.Merge([]*roster.Record{&dead})
 	g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(smallZoneSize + 2*relaysPerZone))
 }
 
-// TestRelayedNewsIsPassedOnOnce: a notice that says nothing new goes no further.
-func TestRelayedNewsIsPassedOnOnce(t *testing.T) {
+// TestKnownNoticeIsNotForwarded checks that a notice of a known record is not forwarded.
+func TestKnownNoticeIsNotForwarded(t *testing.T) {
 	g := NewWithT(t)
-	all := neighbourhood(t, 2)
+	all := newZones(t, 2)
 	subject := *all[2].record
 	subject.Counter++
 	notice := &Notice{Record: &subject, From: "south-0", Relay: true}
 	all[0].exchanger.handleNotice(notice)
 	g.Eventually(func() uint64 { return all[1].members.View().Record("south-0").Counter }).
-		WithTimeout(patience).Should(Equal(subject.Counter))
+		WithTimeout(waitTimeout).Should(Equal(subject.Counter))
 	before := all[1].bytes.Load()
 	all[0].exchanger.handleNotice(notice)
 	g.Consistently(all[1].bytes.Load).WithTimeout(100 * time.Millisecond).Should(Equal(before))
 }
 
-// TestOneListenerIsEnough: the call returns once one peer has heard, although
-// another one never answers.
-func TestOneListenerIsEnough(t *testing.T) {
+// TestBroadcastUntilFirstReturnsEarly checks that the call returns once one peer has received the notice,
+// although another one never responds.
+func TestBroadcastUntilFirstReturnsEarly(t *testing.T) {
 	g := NewWithT(t)
-	all := neighbourhood(t, 3)
+	all := newZones(t, 3)
 	hanging, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer hanging.Close()
@@ -113,17 +112,17 @@
 	g.Expect(heard).To(BeNumerically(">", 0))
 }
 
-// TestNobodyListens: with no peer that answers the call returns as well.
-func TestNobodyListens(t *testing.T) {
+// TestBroadcastUntilFirstWithoutPeers checks that the call returns when no peer responds.
+func TestBroadcastUntilFirstWithoutPeers(t *testing.T) {
 	alone := newMember(t, "first")
 	alone.members.Merge([]*roster.Record{{Node: "second", Epoch: 1, PeerAddress: "127.0.0.1:1"}})
 	alone.exchanger.BroadcastUntilFirst(t.Context())
 }
 
-// TestAZoneIsToldBesidePeersThatHang: of the four of another zone that may be told two hang;
-// the other two hear at once.
-func TestAZoneIsToldBesidePeersThatHang(t *testing.T) {
-	play(t, func(t *testing.T, g *WithT, teller, first *virtualMember, in *network) {
+// TestRelayHedgesHangingPeers checks that two of four candidates in another zone that hang do not delay the
+// notice to the other two.
+func TestRelayHedgesHangingPeers(t *testing.T) {
+	runWithPeer(t, func(t *testing.T, g *WithT, teller, first *virtualMember, in *network) {
 		second := newVirtualMember(in, "second", "near")
 		in.set("hanging:1", silent)
 		hanging := &roster.Record{Node: "hanging", PeerAddress: "hanging:1"}
@@ -136,9 +135,9 @@
 	})
 }
 
-// TestThatANodeLeavesReachesAZone counts on a zone's nodes, without a network, who hears that one of
-// them leaves: told by it directly, and passed on by each that hears it first.
-func TestThatANodeLeavesReachesAZone(t *testing.T) {
+// TestLeavingNoticeSpreadsInZone simulates, without a network, which nodes of a zone learn that one of them is
+// leaving: those that it notifies directly, and those to which each node that learns of it forwards the notice.
+func TestLeavingNoticeSpreadsInZone(t *testing.T) {
 	leaves := &Notice{Record: &roster.Record{Node: "a", Leaving: true}}
 	for _, size := range []int{30, 167, 334} {
 		g := NewWithT(t)
--- a/internal/sidecar/exchange/storeprobe.go
+++ b/internal/sidecar/exchange/storeprobe.go
@@ -13,26 +13,26 @@
 
 const (
 	// firstRoundReaders is about how many nodes of the fleet read the store in the first round in which
-	// none of them has new proof, probersMost in later ones: of a small fleet all.
+	// none of them has new proof, maxRoundReaders in later rounds: in a small fleet all do.
 	firstRoundReaders = 6
-	maxRoundReaders  = 12
-	// minRoundPause is the pause after a round that brought nothing, each further one doubles it, up to
-	// probeMost: calls that are turned away are paid for as well.
+	maxRoundReaders   = 12
+	// minRoundPause is the pause after a round that brought nothing; each further one doubles it, up to
+	// maxRoundPause: refused calls are billed too.
 	minRoundPause = 150 * time.Millisecond
 	maxRoundPause = 4 * time.Second
 )
 
-// storeReadPacer paces a node's own reads of the store for want of proof from others. It is safe for
+// storeReadPacer paces a node's own reads of the store for lack of proof from others. It is safe for
 // concurrent use.
 type storeReadPacer struct {
 	mu sync.Mutex // guards all below
-	// due is the moment before which the store is left alone, rounds how many there were since the
+	// due is the moment before which the store is not read, rounds the number of rounds since the
 	// node last had new proof.
 	due    time.Time
 	rounds int
 }
 
-// startRound begins a round when one is due, and returns how many nodes of the fleet are to read the
+// startRound starts a round when one is due, and returns how many nodes of the fleet should read the
 // store in it, zero when none is due.
 func (s *storeReadPacer) startRound(now time.Time) (wanted int) {
 	s.mu.Lock()
@@ -47,21 +47,21 @@
 	return min(firstRoundReaders<<round, maxRoundReaders)
 }
 
-// wait returns how long it is until the next round.
+// wait returns the time until the next round is due.
 func (s *storeReadPacer) wait(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.due.Sub(now), 0)
 }
 
-// reset ends the rounds: there is new proof.
+// reset starts again with the first round after new proof.
 func (s *storeReadPacer) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.due, s.rounds = time.Time{}, 0
 }
 
-// readStoreInTurn reads the store when a round is due and the node is one of the few that do in it.
+// readStoreInTurn reads the store when a round is due and a random draw selects this node for it.
 func (c *proofChecker) readStoreInTurn(ctx context.Context) {
 	wanted := c.storeReads.startRound(clock.Now())
 	if rand.Float64()*float64(c.exchanger.options.Roster.View().Count()) < float64(wanted) {
