--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -20,20 +20,20 @@
 
 const configurationKey = "configuration"
 
-// forgetfulStore holds one key that was written long ago. A watch that begins
+// compactedStore holds one key that was written long ago. A watch that begins
 // before its history is refused. It is used by one goroutine at a time.
-type forgetfulStore struct {
+type compactedStore struct {
 	written, history, now uint64
 	reads, watches        int
 	running               *openWatch
 }
 
-func (s *forgetfulStore) Get(ctx context.Context, key string) (store.KeyValue, error) {
+func (s *compactedStore) Get(ctx context.Context, key string) (store.KeyValue, error) {
 	found, _, err := s.GetAt(ctx, key)
 	return found, err
 }
 
-func (s *forgetfulStore) GetAt(context.Context, string) (store.KeyValue, uint64, error) {
+func (s *compactedStore) GetAt(context.Context, string) (store.KeyValue, uint64, error) {
 	s.reads++
 	if s.written == 0 {
 		return store.KeyValue{}, 0, store.ErrNotFound
@@ -41,7 +41,7 @@
 	return store.KeyValue{Key: configurationKey, Value: fmt.Append(nil, s.written), Revision: s.written}, s.now, nil
 }
 
-func (s *forgetfulStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
+func (s *compactedStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
 	s.reads++
 	if s.written == 0 {
 		return nil, s.now, nil
@@ -49,7 +49,7 @@
 	return []store.KeyValue{{Key: configurationKey, Value: fmt.Append(nil, s.written), Revision: s.written}}, s.now, nil
 }
 
-func (s *forgetfulStore) Watch(_ context.Context, _ string, after uint64) (store.Watch, error) {
+func (s *compactedStore) Watch(_ context.Context, _ string, after uint64) (store.Watch, error) {
 	s.watches++
 	if after < s.history {
 		return nil, store.ErrCompacted
@@ -58,40 +58,40 @@
 	return s.running, nil
 }
 
-// openWatch brings what the test puts in.
+// openWatch delivers the events that the test sends.
 type openWatch struct{ events chan store.Event }
 
 func (w *openWatch) Events() <-chan store.Event { return w.events }
 func (w *openWatch) Err() error                 { return nil }
 func (w *openWatch) Close()                     {}
 
-// decodeVersion takes the value for the document's version.
+// decodeVersion decodes the value as the document's version.
 func decodeVersion(raw []byte) (*route.Document, []string, error) {
 	document := &route.Document{}
 	_, err := fmt.Sscan(string(raw), &document.Version)
 	return document, nil, err
 }
 
-// follow has the keeper follow the store as one that reads; the channel is closed at the end.
+// follow runs Follow for a node that is a reader; the channel is closed when it returns.
 func follow(ctx context.Context, reader store.Reader, keeper *configuration.Keeper, logger *zap.Logger) <-chan struct{} {
-	place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
+	keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		configuration.Follow(ctx, reader, place, keeper, func() bool { return true }, logger)
+		configuration.Follow(ctx, reader, keys, keeper, func() bool { return true }, logger)
 	}()
 	return ended
 }
 
-// TestAnOldConfigurationIsWatched: that the key was not written within the
-// store's history is no reason to read it over and over.
-func TestAnOldConfigurationIsWatched(t *testing.T) {
+// TestFollowWatchesOldConfiguration guards against reading a key again and again
+// because it was not written within the store's history.
+func TestFollowWatchesOldConfiguration(t *testing.T) {
 	for name, written := range map[string]uint64{"written before the history": 5, "never written": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				ctx, end := context.WithCancel(t.Context())
-				held := &forgetfulStore{written: written, history: 50, now: 100}
+				held := &compactedStore{written: written, history: 50, now: 100}
 				keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 				followed := follow(ctx, held, keeper, zap.NewNop())
 				time.Sleep(10 * time.Second)
@@ -110,9 +110,9 @@
 	}
 }
 
-// refusingStore turns every call away.
+// refusingStore refuses every call.
 type refusingStore struct {
-	forgetfulStore
+	compactedStore
 	calls int
 }
 
@@ -129,10 +129,10 @@
 	return nil, 0, s.refuse()
 }
 
-// TestARefusedNodeAsksRarely: a node that has a configuration asks a store that
-// turns it away at most every one and a half seconds in the end; one that has none
-// asks more often, since it serves nobody.
-func TestARefusedNodeAsksRarely(t *testing.T) {
+// TestFollowBacksOffWhenRefused checks that a node that has a configuration calls a
+// store that refuses it at most every one and a half seconds in the end; one without a
+// configuration calls more often, since it cannot serve requests.
+func TestFollowBacksOffWhenRefused(t *testing.T) {
 	for name, held := range map[string]struct {
 		version     string
 		least, most int
@@ -157,9 +157,10 @@
 	}
 }
 
-// TestADocumentThatSetsOffAPanic is refused as one that cannot be read: every node reads it, and
-// reads it again when it starts anew. The one before stays in force, and later ones are taken.
-func TestADocumentThatSetsOffAPanic(t *testing.T) {
+// TestPanickingDocumentIsRefused checks that a document that causes a panic is refused like one that
+// cannot be decoded, since every node reads it, and reads it again after a restart. The previous one
+// stays in force, and later ones are accepted.
+func TestPanickingDocumentIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
@@ -167,18 +168,18 @@
 		decode := func(raw []byte) (*route.Document, []string, error) {
 			document, notes, err := decodeVersion(raw)
 			if document.Version == harmful {
-				panic("a fault of the node")
+				panic("decoder failure")
 			}
 			return document, notes, err
 		}
-		held := &forgetfulStore{written: 5, now: 100}
+		held := &compactedStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		orders := 0
-		place := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
+		keys := configuration.Keyspace{Key: configurationKey, Prefix: configurationKey, OnOther: func(store.KeyValue) {
 			orders++
-			panic("a fault of the node")
+			panic("order handler failure")
 		}}
-		go configuration.Follow(ctx, held, place, keeper, func() bool { return true }, zap.NewNop())
+		go configuration.Follow(ctx, held, keys, keeper, func() bool { return true }, zap.NewNop())
 		time.Sleep(time.Second)
 		synctest.Wait()
 		g.Expect(keeper.Version()).To(BeEquivalentTo(5))
@@ -198,9 +199,9 @@
 	})
 }
 
-// TestWhatTheStoreProves: a read, and the word of a watch how far it has come, prove that the
-// node is level; not one that left a document out.
-func TestWhatTheStoreProves(t *testing.T) {
+// TestStoreAnswersProveFreshness checks that a read, and the progress that a watch reports, prove
+// that the node is up to date, unless a document among them was refused.
+func TestStoreAnswersProveFreshness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
@@ -211,7 +212,7 @@
 			}
 			return document, notes, err
 		}
-		held := &forgetfulStore{written: 5, now: 100}
+		held := &compactedStore{written: 5, now: 100}
 		keeper := configuration.NewKeeper(decode, zap.NewNop())
 		go configuration.Follow(ctx, held, configuration.Keyspace{Key: configurationKey, Prefix: configurationKey}, keeper, func() bool { return true }, zap.NewNop())
 		synctest.Wait()
@@ -244,18 +245,18 @@
 	})
 }
 
-// endingStore answers reads and ends each watch with an error after a while, but for a time in
-// which it answers nothing.
+// endingStore answers reads, except while it is unavailable, and ends each watch with an error after
+// watchTime.
 type endingStore struct {
-	forgetfulStore
-	away atomic.Bool
+	compactedStore
+	unavailable atomic.Bool
 }
 
 func (s *endingStore) Range(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error) {
-	if s.away.Load() {
+	if s.unavailable.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
-	return s.forgetfulStore.Range(ctx, prefix, from, limit)
+	return s.compactedStore.Range(ctx, prefix, from, limit)
 }
 
 func (s *endingStore) Watch(context.Context, string, uint64) (store.Watch, error) {
@@ -264,7 +265,7 @@
 	return watch, nil
 }
 
-// watchTime is how long a watch of an endingStore runs.
+// watchTime is the duration of a watch of an endingStore.
 const watchTime = 20 * time.Second
 
 // endedWatch ends with an error.
@@ -272,21 +273,22 @@
 
 func (w *endedWatch) Err() error { return store.ErrUnavailable }
 
-// TestAStoreThatAnswersAgainIsLogged when it answers, not when the next watch ends.
-func TestAStoreThatAnswersAgainIsLogged(t *testing.T) {
+// TestStoreRecoveryIsLogged checks that the recovery of the store is logged when it answers, not
+// when the next watch ends.
+func TestStoreRecoveryIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
 		core, logged := observer.New(zap.InfoLevel)
-		held := &endingStore{forgetfulStore: forgetfulStore{written: 5, now: 100}}
+		held := &endingStore{compactedStore: compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.New(core))
 		time.Sleep(19 * time.Second)
-		held.away.Store(true)
+		held.unavailable.Store(true)
 		time.Sleep(10 * time.Second)
 		g.Expect(logged.FilterMessage("store lost").Len()).To(Equal(1))
 		g.Expect(logged.FilterMessage("store regained").Len()).To(BeZero())
-		held.away.Store(false)
+		held.unavailable.Store(false)
 		time.Sleep(5 * time.Second)
 		g.Expect(logged.FilterMessage("store regained").Len()).To(Equal(1))
 		end()
@@ -295,12 +297,13 @@
 	})
 }
 
-// TestAReaderThatWasAnsweredReadsAgainAtOnce after its watch ends, however often watches ended before.
-func TestAReaderThatWasAnsweredReadsAgainAtOnce(t *testing.T) {
+// TestFollowRestartsEndedWatchAtOnce checks that a reader whose reads are answered reads again at
+// once after its watch ends, however often watches ended before.
+func TestFollowRestartsEndedWatchAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
-		held := &endingStore{forgetfulStore: forgetfulStore{written: 5, now: 100}}
+		held := &endingStore{compactedStore: compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.NewNop())
 		const watches, slack = 10, time.Second
@@ -314,19 +317,20 @@
 	})
 }
 
-// watchlessStore answers reads and turns watches away.
-type watchlessStore struct{ forgetfulStore }
+// watchlessStore answers reads and refuses watches.
+type watchlessStore struct{ compactedStore }
 
 func (s *watchlessStore) Watch(context.Context, string, uint64) (store.Watch, error) {
 	return nil, store.ErrRateLimited
 }
 
-// TestAReaderWhoseWatchesAreTurnedAwayReadsRarely, though its reads are answered.
-func TestAReaderWhoseWatchesAreTurnedAwayReadsRarely(t *testing.T) {
+// TestFollowBacksOffWhenWatchesAreRefused checks that a reader whose watches are refused pauses
+// between reads, although the reads are answered.
+func TestFollowBacksOffWhenWatchesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, end := context.WithCancel(t.Context())
-		held := &watchlessStore{forgetfulStore{written: 5, now: 100}}
+		held := &watchlessStore{compactedStore{written: 5, now: 100}}
 		keeper := configuration.NewKeeper(decodeVersion, zap.NewNop())
 		followed := follow(ctx, held, keeper, zap.NewNop())
 		time.Sleep(time.Minute)
--- a/internal/sidecar/exchange/observer.go
+++ b/internal/sidecar/exchange/observer.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Whom a node asks for a configuration, for the metrics.
+// Sources of a configuration, as metric labels.
 const (
-	askedPeer  = "peer"
-	askedStore = "store"
+	fetchedFromPeer  = "peer"
+	fetchedFromStore = "store"
 )
 
 // What a node that was asked for its version has said, for the metrics.
 const (
-	levelSame   = "same"
-	levelNewer  = "newer"
-	levelFailed = "failed"
+	versionSame   = "same"
+	versionNewer  = "newer"
+	versionFailed = "failed"
 )
 
-// Observer is told how the node keeps level.
+// Observer observes how the node stays up to date.
 type Observer interface {
-	// CaughtUp: the node was behind for so long since it had first heard so.
+	// CaughtUp is called when the node has caught up, with the time since a newer version was first reported.
 	CaughtUp(behind time.Duration)
-	// FetchFinished: a question for a configuration has ended; whom is "peer" or "store".
-	FetchFinished(whom string, err error)
-	// VersionRequestFinished: another node was asked for its version. The result is one of the constants; the
-	// age is that of its proof, below zero without one.
+	// FetchFinished is called when a fetch of the configuration has ended; the source is "peer" or "store".
+	FetchFinished(source string, err error)
+	// VersionRequestFinished is called when a request for another node's version has ended. The result is one
+	// of the constants above; the age is that of the node's proof, negative without one.
 	VersionRequestFinished(result string, age time.Duration)
 }
 
-// unobserved is the observer of nobody.
-type unobserved struct{}
+// noopObserver ignores all events.
+type noopObserver struct{}
 
 // CaughtUp implements Observer.
-func (unobserved) CaughtUp(time.Duration) {}
+func (noopObserver) CaughtUp(time.Duration) {}
 
 // FetchFinished implements Observer.
-func (unobserved) FetchFinished(string, error) {}
+func (noopObserver) FetchFinished(string, error) {}
 
 // VersionRequestFinished implements Observer.
-func (unobserved) VersionRequestFinished(string, time.Duration) {}
+func (noopObserver) VersionRequestFinished(string, time.Duration) {}
