--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -15,87 +15,87 @@
 type IncarnationTracker struct {
 	// Interval is the usual time between two heartbeats.
 	Interval time.Duration
-	// heard is when the current incarnation was last heard in this life.
-	heard time.Time
-	// rival is another incarnation heard since then, that often.
-	rival      Endpoint
-	rivalBeats int
+	// lastHeard is when the current incarnation was last lastHeard in this life.
+	lastHeard time.Time
+	// candidate is another incarnation heard since then, that often.
+	candidate           Endpoint
+	candidateHeartbeats int
 }
 
 const (
-	// silentIntervals is how long the current incarnation may be silent before another
+	// maxSilentIntervals is how long the current incarnation may be silent before another
 	// one takes its place at once.
-	silentIntervals = 3
-	// rivalBeatsNeeded is how often a rival must be heard in a row.
-	rivalBeatsNeeded = 2
+	maxSilentIntervals = 3
+	// minCandidateHeartbeats is how often a rival must be heard in a row.
+	minCandidateHeartbeats = 2
 )
 
 // ApplyHeartbeat returns the record after a heartbeat, and whether it changed. A final incarnation
 // stays final, and the highest sequence of one wins. One that says nothing of its start, while
 // the back end does, is not the back end's.
-func (c *IncarnationTracker) ApplyHeartbeat(record Record, beat Heartbeat, now time.Time) (next Record, changed bool) {
-	if record.HasEnded(beat.Incarnation()) {
+func (c *IncarnationTracker) ApplyHeartbeat(record Record, heartbeat Heartbeat, now time.Time) (next Record, changed bool) {
+	if record.HasEnded(heartbeat.Incarnation()) {
 		return record, false
 	}
-	held := record.Endpoint
-	if held == nil {
-		return c.install(record, beat.Endpoint, now), true
+	current := record.Endpoint
+	if current == nil {
+		return c.replace(record, heartbeat.Endpoint, now), true
 	}
-	current, told := held.Incarnation(), beat.Incarnation()
-	takes := false
+	currentIncarnation, reportedIncarnation := current.Incarnation(), heartbeat.Incarnation()
+	replaces := false
 	switch {
-	case current == told:
-		return c.renew(record, beat.Endpoint, now)
-	case told.Born == 0 && current.Born != 0:
-	case current.before(told):
-		takes = true
-	case told.before(current):
+	case currentIncarnation == reportedIncarnation:
+		return c.refresh(record, heartbeat.Endpoint, now)
+	case reportedIncarnation.Born == 0 && currentIncarnation.Born != 0:
+	case currentIncarnation.before(reportedIncarnation):
+		replaces = true
+	case reportedIncarnation.before(currentIncarnation):
 		// A late word of an earlier start, unless the clock was set back.
-		takes = c.prevails(beat.Endpoint) && (held.State == Gone || c.silent(now))
+		replaces = c.countCandidate(heartbeat.Endpoint) && (current.State == Gone || c.silent(now))
 	default:
-		takes = held.State == Gone || c.silent(now) || c.prevails(beat.Endpoint)
+		replaces = current.State == Gone || c.silent(now) || c.countCandidate(heartbeat.Endpoint)
 	}
-	if !takes {
+	if !replaces {
 		return record, false
 	}
-	return c.install(record, beat.Endpoint, now), true
+	return c.replace(record, heartbeat.Endpoint, now), true
 }
 
 // silent reports whether the current incarnation has not been heard for too long, or not
 // at all in this life.
 func (c *IncarnationTracker) silent(now time.Time) bool {
-	return c.heard.IsZero() || now.Sub(c.heard) > silentIntervals*c.Interval
+	return c.lastHeard.IsZero() || now.Sub(c.lastHeard) > maxSilentIntervals*c.Interval
 }
 
-// prevails counts a rival's heartbeat and reports whether it was heard often
+// countCandidate counts a rival's heartbeat and reports whether it was heard often
 // enough.
-func (c *IncarnationTracker) prevails(rival Endpoint) bool {
-	if c.rival.Incarnation() != rival.Incarnation() {
-		c.rivalBeats = 0
+func (c *IncarnationTracker) countCandidate(candidate Endpoint) bool {
+	if c.candidate.Incarnation() != candidate.Incarnation() {
+		c.candidateHeartbeats = 0
 	}
-	c.rivalBeats++
-	c.rival = rival
-	return c.rivalBeats >= rivalBeatsNeeded
+	c.candidateHeartbeats++
+	c.candidate = candidate
+	return c.candidateHeartbeats >= minCandidateHeartbeats
 }
 
-func (c *IncarnationTracker) renew(record Record, fresh Endpoint, now time.Time) (next Record, changed bool) {
-	held := record.Endpoint
-	if held.State == Gone || fresh.Sequence < held.Sequence {
+func (c *IncarnationTracker) refresh(record Record, reported Endpoint, now time.Time) (next Record, changed bool) {
+	current := record.Endpoint
+	if current.State == Gone || reported.Sequence < current.Sequence {
 		return record, false
 	}
-	if held.State == Draining {
-		fresh.State = Draining // a heartbeat that was sent before may come after an answer that said so
+	if current.State == Draining {
+		reported.State = Draining // a heartbeat that was sent before may come after an answer that said so
 	}
-	c.heard, c.rivalBeats = now, 0
-	changed = held.State != fresh.State || held.Slots != fresh.Slots || held.Service != fresh.Service ||
-		held.Version != fresh.Version
-	record.Endpoint = &fresh
+	c.lastHeard, c.candidateHeartbeats = now, 0
+	changed = current.State != reported.State || current.Slots != reported.Slots || current.Service != reported.Service ||
+		current.Version != reported.Version
+	record.Endpoint = &reported
 	return record, changed
 }
 
-func (c *IncarnationTracker) install(record Record, fresh Endpoint, now time.Time) Record {
-	c.heard, c.rivalBeats = now, 0
-	record.Endpoint = &fresh
+func (c *IncarnationTracker) replace(record Record, reported Endpoint, now time.Time) Record {
+	c.lastHeard, c.candidateHeartbeats = now, 0
+	record.Endpoint = &reported
 	return record
 }
 
@@ -104,16 +104,16 @@
 // one than was known, for 1.4 to 1.7 s more, until their second heartbeat.
 func (c *IncarnationTracker) MarkLost(record Record, incarnation string) {
 	if record.Endpoint != nil && record.Endpoint.Incarnation().String() == incarnation {
-		c.heard = time.Time{}
+		c.lastHeard = time.Time{}
 	}
 }
 
 // Confirm takes in that the back end itself has given its id. A rival of that
 // id takes the place at once.
 func (c *IncarnationTracker) Confirm(record Record, id string, now time.Time) (next Record, changed bool) {
-	held := record.Endpoint
-	if held == nil || held.ID == id || c.rival.ID != id || record.HasEnded(c.rival.Incarnation()) {
+	current := record.Endpoint
+	if current == nil || current.ID == id || c.candidate.ID != id || record.HasEnded(c.candidate.Incarnation()) {
 		return record, false
 	}
-	return c.install(record, c.rival, now), true
+	return c.replace(record, c.candidate, now), true
 }
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -62,30 +62,30 @@
 // and travels with each exchange; requests that are cleared, and ends that are explained, leave
 // it. Without crashes there is none.
 const (
-	// crashesRemembered is how many ends are open at a node at most: more of them in a row
+	// maxCrashes is how many ends are open at a node at most: more of them in a row
 	// than a request may cause.
-	crashesRemembered = 8
-	// runningRemembered bounds the requests of one end; back ends have fewer slots.
-	runningRemembered = 32
-	clearedRemembered = 32
-	// heldRemembered is how many verdicts a node keeps for all, and how many it has lifted.
+	maxCrashes = 8
+	// maxRunningPerCrash bounds the requests of one end; back ends have fewer slots.
+	maxRunningPerCrash = 32
+	maxClearances      = 32
+	// maxQuarantined is how many verdicts a node keeps for all, and how many it has lifted.
 	// Each costs its sender two back ends, so that nobody pushes one out cheaply.
-	heldRemembered = 64
+	maxQuarantined = 64
 )
 
 // Full reports whether a further verdict would push out an earlier one.
-func (e *Evidence) Full() bool { return len(e.Quarantined) >= heldRemembered }
+func (e *Evidence) Full() bool { return len(e.Quarantined) >= maxQuarantined }
 
 // Bounded returns the evidence cut down to its newest parts, nil when there is none.
 func (e Evidence) Bounded() *Evidence {
-	e.Crashes = newest(e.Crashes, crashesRemembered)
-	e.Cleared = newest(e.Cleared, clearedRemembered)
-	e.Quarantined = newest(e.Quarantined, heldRemembered)
-	e.Lifted = newest(e.Lifted, heldRemembered)
+	e.Crashes = newest(e.Crashes, maxCrashes)
+	e.Cleared = newest(e.Cleared, maxClearances)
+	e.Quarantined = newest(e.Quarantined, maxQuarantined)
+	e.Lifted = newest(e.Lifted, maxQuarantined)
 	for i, crash := range e.Crashes {
-		if len(crash.Running) > runningRemembered {
+		if len(crash.Running) > maxRunningPerCrash {
 			e.Crashes = slices.Clone(e.Crashes)
-			e.Crashes[i].Running = crash.Running[:runningRemembered]
+			e.Crashes[i].Running = crash.Running[:maxRunningPerCrash]
 		}
 	}
 	if len(e.Crashes)+len(e.Cleared)+len(e.Quarantined)+len(e.Lifted) == 0 {
@@ -94,7 +94,7 @@
 	return &e
 }
 
-func newest[T any](list []T, most int) []T { return list[max(0, len(list)-most):] }
+func newest[T any](list []T, limit int) []T { return list[max(0, len(list)-limit):] }
 
 // Clone returns a copy whose lists can be changed; an empty one of nil.
 func (e *Evidence) Clone() Evidence {
@@ -124,24 +124,24 @@
 	return count
 }
 
-// inheritedEvidence is what a node knows once an earlier life's evidence came to light.
-func inheritedEvidence(own, remembered *Evidence) *Evidence {
-	if remembered == nil {
+// mergeEvidence is what a node knows once an earlier life's evidence came to light.
+func mergeEvidence(own, previous *Evidence) *Evidence {
+	if previous == nil {
 		return own
 	}
-	merged := remembered.Clone()
-	now := own.Clone()
-	merged.Crashes = union(merged.Crashes, now.Crashes, func(a, b Crash) bool { return a.Endpoint == b.Endpoint })
-	merged.Cleared = union(merged.Cleared, now.Cleared, func(a, b Clearance) bool { return a.Call == b.Call })
-	merged.Quarantined = union(merged.Quarantined, now.Quarantined, sameDigest)
-	merged.Lifted = union(merged.Lifted, now.Lifted, func(a, b Lift) bool { return a == b })
+	merged := previous.Clone()
+	current := own.Clone()
+	merged.Crashes = union(merged.Crashes, current.Crashes, func(a, b Crash) bool { return a.Endpoint == b.Endpoint })
+	merged.Cleared = union(merged.Cleared, current.Cleared, func(a, b Clearance) bool { return a.Call == b.Call })
+	merged.Quarantined = union(merged.Quarantined, current.Quarantined, sameDigest)
+	merged.Lifted = union(merged.Lifted, current.Lifted, func(a, b Lift) bool { return a == b })
 	return merged.Bounded()
 }
 
 // union appends what the first list lacks.
 func union[T any](first, second []T, same func(a, b T) bool) []T {
 	for _, item := range second {
-		if !slices.ContainsFunc(first, func(held T) bool { return same(held, item) }) {
+		if !slices.ContainsFunc(first, func(existing T) bool { return same(existing, item) }) {
 			first = append(first, item)
 		}
 	}
--- a/internal/sidecar/roster/leave_test.go
+++ b/internal/sidecar/roster/leave_test.go
@@ -9,36 +9,36 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestAWordOfAnAnswerThatABackEndLeavesHolds against late heartbeats and records of earlier lives, until
+// TestDrainingSurvivesLateHeartbeats against late heartbeats and records of earlier lives, until
 // another incarnation is there.
-func TestAWordOfAnAnswerThatABackEndLeavesHolds(t *testing.T) {
+func TestDrainingSurvivesLateHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	ready := roster.Endpoint{ID: "i", Born: 100, Service: "s", Slots: 4, State: roster.Ready, Sequence: 1}
 	record := roster.Record{Node: "n", Epoch: 1, Counter: 1, Endpoint: &ready}
-	claims := &roster.IncarnationTracker{Interval: time.Second}
-	left, changed := record.MarkDraining(ready.Incarnation())
+	tracker := &roster.IncarnationTracker{Interval: time.Second}
+	draining, changed := record.MarkDraining(ready.Incarnation())
 	g.Expect(changed).To(BeTrue())
-	g.Expect(left.Endpoint.State).To(Equal(roster.Draining))
+	g.Expect(draining.Endpoint.State).To(Equal(roster.Draining))
 	g.Expect(ready.State).To(Equal(roster.Ready), "what others hold is not changed")
 
 	late := ready
 	late.Sequence = 9
-	again, _ := claims.ApplyHeartbeat(left, roster.Heartbeat{Endpoint: late}, time.Now())
-	g.Expect(again.Endpoint.State).To(Equal(roster.Draining))
+	afterLate, _ := tracker.ApplyHeartbeat(draining, roster.Heartbeat{Endpoint: late}, time.Now())
+	g.Expect(afterLate.Endpoint.State).To(Equal(roster.Draining))
 
 	next := ready
 	next.Born, next.Sequence = 200, 1
-	started, _ := claims.ApplyHeartbeat(again, roster.Heartbeat{Endpoint: next}, time.Now())
+	started, _ := tracker.ApplyHeartbeat(afterLate, roster.Heartbeat{Endpoint: next}, time.Now())
 	g.Expect(started.Endpoint.State).To(Equal(roster.Ready))
 	_, changed = started.MarkDraining(ready.Incarnation())
 	g.Expect(changed).To(BeFalse(), "a late answer of the incarnation before")
 
-	for _, words := range [][2]*roster.Endpoint{{left.Endpoint, &late}, {&late, left.Endpoint}} {
+	for _, reports := range [][2]*roster.Endpoint{{draining.Endpoint, &late}, {&late, draining.Endpoint}} {
 		own := record
-		own.Endpoint = words[0]
+		own.Endpoint = reports[0]
 		members := roster.New(own)
 		earlier := record
-		earlier.Epoch, earlier.Endpoint = 7, words[1]
+		earlier.Epoch, earlier.Endpoint = 7, reports[1]
 		members.Merge([]*roster.Record{&earlier})
 		g.Expect(members.Own().Endpoint.State).To(Equal(roster.Draining))
 	}
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -99,16 +99,16 @@
 // SameNode reports whether the other record is of the same node.
 func (r *Record) SameNode(other *Record) bool { return r.Node == other.Node }
 
-// fresh reports whether the record says nothing but where its node is.
-func (r *Record) fresh() bool {
+// isInitial reports whether the record says nothing but where its node is.
+func (r *Record) isInitial() bool {
 	return r.Epoch == 1 && r.Counter == 1 && r.Endpoint == nil && r.Evidence == nil && r.LastAssessment == nil && !r.Leaving
 }
 
 // continuedBy reports whether the record, of an earlier life, says what the fresh record of a new
 // one would.
-func (r *Record) continuedBy(fresh *Record) bool {
-	return !r.Leaving && r.LastAssessment == nil && !r.Gone() && r.Zone == fresh.Zone && r.Link == fresh.Link &&
-		r.Address == fresh.Address && r.PeerAddress == fresh.PeerAddress
+func (r *Record) continuedBy(initial *Record) bool {
+	return !r.Leaving && r.LastAssessment == nil && !r.Gone() && r.Zone == initial.Zone && r.Link == initial.Link &&
+		r.Address == initial.Address && r.PeerAddress == initial.PeerAddress
 }
 
 // BackendAbsent reports whether the node's back end has ended for good.
@@ -127,9 +127,9 @@
 	return !r.Leaving && r.Endpoint != nil && r.Endpoint.State == Ready
 }
 
-// endedRemembered is how many final incarnations a record carries. A late heartbeat
+// maxEnded is how many final incarnations a record carries. A late heartbeat
 // concerns one of the last few.
-const endedRemembered = 16
+const maxEnded = 16
 
 // HasEnded reports whether the incarnation is final.
 func (r *Record) HasEnded(incarnation Incarnation) bool {
@@ -140,17 +140,17 @@
 // is taken for that of the present one. The word of a later start says that those before have
 // ended too.
 func (r Record) MarkEnded(ended Incarnation) (next Record, changed bool) {
-	held := r.Endpoint
-	same := held != nil && held.ID == ended.ID
+	current := r.Endpoint
+	same := current != nil && current.ID == ended.ID
 	if same && ended.Born == 0 {
-		ended.Born = held.Born
+		ended.Born = current.Born
 	}
 	if r.HasEnded(ended) {
 		return r, false
 	}
 	r.Ended = appendEnded(r.Ended, ended.String())
-	if same && !ended.before(held.Incarnation()) {
-		gone := *held
+	if same && !ended.before(current.Incarnation()) {
+		gone := *current
 		gone.State = Gone
 		r.Endpoint = &gone
 	}
@@ -158,17 +158,17 @@
 }
 
 // MarkDraining returns the record after the back end has said with an answer that it is leaving.
-func (r Record) MarkDraining(leaving Incarnation) (next Record, changed bool) {
-	held := r.Endpoint
-	if held == nil || held.Incarnation() != leaving || held.State != Ready {
+func (r Record) MarkDraining(incarnation Incarnation) (next Record, changed bool) {
+	current := r.Endpoint
+	if current == nil || current.Incarnation() != incarnation || current.State != Ready {
 		return r, false
 	}
-	r.Endpoint = held.drained()
+	r.Endpoint = current.asDraining()
 	return r, true
 }
 
-// drained returns the back end as one that leaves.
-func (e *Endpoint) drained() *Endpoint {
+// asDraining returns the back end as one that leaves.
+func (e *Endpoint) asDraining() *Endpoint {
 	draining := *e
 	draining.State = Draining
 	return &draining
@@ -176,5 +176,5 @@
 
 func appendEnded(ended []string, incarnation string) []string {
 	kept := append(slices.Clone(ended), incarnation)
-	return kept[max(0, len(kept)-endedRemembered):]
+	return kept[max(0, len(kept)-maxEnded):]
 }
--- a/internal/sidecar/roster/roster.go
+++ b/internal/sidecar/roster/roster.go
@@ -10,9 +10,9 @@
 // Roster merges records. It is safe for concurrent use; reads take no lock.
 type Roster struct {
 	self string
-	// life is that of this process.
-	life uint64
-	view atomic.Pointer[View]
+	// runID is that of this process.
+	runID uint64
+	view  atomic.Pointer[View]
 
 	mutex   sync.Mutex // guards all below and the replacement of view
 	records map[string]*Record
@@ -21,18 +21,18 @@
 	observers []func(changed []*Record)
 	// published is when the view was last replaced, delayed whether that is still
 	// to be done after changes.
-	published time.Time
-	delayed   bool
-	// together counts the callers of Together: each of them replaces the view at its end.
-	together int
-	// gone says since when a record is known to be of a node that does not come
+	published      time.Time
+	publishPending bool
+	// batchDepth counts the callers of Together: each of them replaces the view at its end.
+	batchDepth int
+	// goneSince says since when a record is known to be of a node that does not come
 	// back; used by Forget alone.
-	gone map[string]time.Time
+	goneSince map[string]time.Time
 }
 
 // New returns a roster that holds the node's own first record.
 func New(own Record) *Roster {
-	created := &Roster{self: own.Node, life: own.RunID, records: map[string]*Record{}, dirty: map[string]struct{}{}, gone: map[string]time.Time{}}
+	created := &Roster{self: own.Node, runID: own.RunID, records: map[string]*Record{}, dirty: map[string]struct{}{}, goneSince: map[string]time.Time{}}
 	created.view.Store(newView(nil))
 	created.set(&own)
 	created.publish()
@@ -70,25 +70,25 @@
 			continue
 		}
 		if record.Node == r.self {
-			changed = append(changed, r.refute(record)...)
+			changed = append(changed, r.supersede(record)...)
 			continue
 		}
-		held := r.records[record.Node]
-		if held == nil && record.Gone() {
+		existing := r.records[record.Node]
+		if existing == nil && record.Gone() {
 			continue // forgotten, or never to be known
 		}
-		if held == nil || record.Newer(held) {
+		if existing == nil || record.Newer(existing) {
 			r.set(record)
 			changed = append(changed, record)
 		}
 	}
-	r.announce(changed)
+	r.publishAndNotify(changed)
 	return changed
 }
 
-// goneKept is how long the record of a node whose back end has ended is kept: a
+// goneRetention is how long the record of a node whose back end has ended is kept: a
 // process that starts anew beside it hears from others what has ended.
-const goneKept = 5 * time.Minute
+const goneRetention = 5 * time.Minute
 
 // Forget drops the records of other nodes whose back end has been gone for long,
 // and returns their names. It is to be called from time to time.
@@ -97,15 +97,15 @@
 	defer r.mutex.Unlock()
 	for node, record := range r.records {
 		if node == r.self || !record.Gone() {
-			delete(r.gone, node)
+			delete(r.goneSince, node)
 			continue
 		}
-		since, known := r.gone[node]
+		since, known := r.goneSince[node]
 		switch {
 		case !known:
-			r.gone[node] = now
-		case now.Sub(since) >= goneKept:
-			delete(r.gone, node)
+			r.goneSince[node] = now
+		case now.Sub(since) >= goneRetention:
+			delete(r.goneSince, node)
 			delete(r.records, node)
 			r.dirty[node] = struct{}{}
 			forgotten = append(forgotten, node)
@@ -121,11 +121,11 @@
 // has said nothing yet goes on with that record unchanged, where nothing about its machine is
 // new: where all nodes start again from what they had left, none has news for another, in place of
 // a record of each for each. It reports whether the node did; otherwise Merge's rules hold.
-func (r *Roster) Resume(remembered []*Record) bool {
+func (r *Roster) Resume(previous []*Record) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var newest *Record
-	for _, record := range remembered {
+	for _, record := range previous {
 		if record.Node == r.self && (newest == nil || record.Newer(newest)) {
 			newest = record
 		}
@@ -133,76 +133,76 @@
 	if newest == nil {
 		return false
 	}
-	if own := r.records[r.self]; !own.fresh() || !newest.continuedBy(own) {
-		r.announce(r.refute(newest))
+	if own := r.records[r.self]; !own.isInitial() || !newest.continuedBy(own) {
+		r.publishAndNotify(r.supersede(newest))
 		return false
 	}
 	resumed := *newest
 	r.set(&resumed)
-	r.announce([]*Record{&resumed})
+	r.publishAndNotify([]*Record{&resumed})
 	return true
 }
 
-// refute puts the own record above one that an earlier life left behind.
-func (r *Roster) refute(remembered *Record) []*Record {
+// supersede puts the own record above one that an earlier life left behind.
+func (r *Roster) supersede(previous *Record) []*Record {
 	own := *r.records[r.self]
-	if !remembered.Newer(&own) && !remembered.conflicts(&own) {
+	if !previous.Newer(&own) && !previous.conflicts(&own) {
 		return nil
 	}
-	own.Epoch, own.RunID = remembered.Epoch+1, r.life
-	for _, ended := range remembered.Ended {
+	own.Epoch, own.RunID = previous.Epoch+1, r.runID
+	for _, ended := range previous.Ended {
 		if !slices.Contains(own.Ended, ended) {
 			own.Ended = appendEnded(own.Ended, ended)
 		}
 	}
-	own.Endpoint = inherited(own, remembered.Endpoint)
-	own.Evidence = inheritedEvidence(own.Evidence, remembered.Evidence)
+	own.Endpoint = mergeEndpoint(own, previous.Endpoint)
+	own.Evidence = mergeEvidence(own.Evidence, previous.Evidence)
 	r.set(&own)
 	return []*Record{&own}
 }
 
-// inherited decides which back end the node has after an earlier life's record
+// mergeEndpoint decides which back end the node has after an earlier life's record
 // came to light: what was heard in this life, unless the earlier one knows that
 // it has ended or heard a later word of it. One that has ended by the word of either stays so.
-func inherited(own Record, remembered *Endpoint) *Endpoint {
-	chosen := laterWord(own.Endpoint, remembered)
+func mergeEndpoint(own Record, previous *Endpoint) *Endpoint {
+	chosen := laterReport(own.Endpoint, previous)
 	if chosen == nil || chosen.State == Gone {
 		return chosen
 	}
 	// An end that was told without the start concerns what was there before.
-	unnamed := chosen != own.Endpoint && own.HasEnded(Incarnation{ID: chosen.ID})
-	if !unnamed && !own.HasEnded(chosen.Incarnation()) {
-		return chosen.leavingAs(own.Endpoint, remembered)
+	endedWithoutStart := chosen != own.Endpoint && own.HasEnded(Incarnation{ID: chosen.ID})
+	if !endedWithoutStart && !own.HasEnded(chosen.Incarnation()) {
+		return chosen.drainingIfReported(own.Endpoint, previous)
 	}
 	gone := *chosen
 	gone.State = Gone
 	return &gone
 }
 
-// leavingAs returns the back end, which leaves when one of the words on its incarnation says so.
-func (e *Endpoint) leavingAs(words ...*Endpoint) *Endpoint {
-	for _, word := range words {
-		if e.State == Ready && word != nil && word.State == Draining && word.Incarnation() == e.Incarnation() {
-			return e.drained()
+// drainingIfReported returns the back end, which leaves when one of the words on its incarnation says so.
+func (e *Endpoint) drainingIfReported(reports ...*Endpoint) *Endpoint {
+	for _, report := range reports {
+		if e.State == Ready && report != nil && report.State == Draining && report.Incarnation() == e.Incarnation() {
+			return e.asDraining()
 		}
 	}
 	return e
 }
 
-// laterWord returns which of two words on a back end was said later: that of this life, or the
+// laterReport returns which of two words on a back end was said later: that of this life, or the
 // remembered one of an earlier life.
-func laterWord(held, remembered *Endpoint) *Endpoint {
+func laterReport(current, previous *Endpoint) *Endpoint {
 	switch {
-	case remembered == nil:
-		return held
-	case held == nil:
-		return remembered
-	case held.Incarnation() == remembered.Incarnation() && (remembered.Sequence > held.Sequence || remembered.State == Gone):
-		return remembered
-	case held.ID == remembered.ID && held.Incarnation().before(remembered.Incarnation()):
-		return remembered
+	case previous == nil:
+		return current
+	case current == nil:
+		return previous
+	case current.Incarnation() == previous.Incarnation() && (previous.Sequence > current.Sequence || previous.State == Gone):
+		return previous
+	case current.ID == previous.ID && current.Incarnation().before(previous.Incarnation()):
+		return previous
 	}
-	return held
+	return current
 }
 
 // Update replaces the own record by what the function makes of it, under the
@@ -213,11 +213,11 @@
 	next, changed := change(*r.records[r.self])
 	if changed {
 		next.Counter++
-		next.RunID = r.life
+		next.RunID = r.runID
 	}
 	r.set(&next)
 	if changed {
-		r.announce([]*Record{&next})
+		r.publishAndNotify([]*Record{&next})
 	}
 	return &next, changed
 }
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -22,7 +22,7 @@
 	return &roster.Endpoint{ID: id, Service: "s", Slots: 4, State: state, Sequence: sequence}
 }
 
-func TestMergeTakesTheNewest(t *testing.T) {
+func TestMergeKeepsNewestVersion(t *testing.T) {
 	cases := []struct {
 		name         string
 		epoch, count uint64
@@ -37,29 +37,29 @@
 	for _, offered := range cases {
 		t.Run(offered.name, func(t *testing.T) {
 			g := NewWithT(t)
-			held := roster.New(record("self", 1, 1))
+			members := roster.New(record("self", 1, 1))
 			first := record("other", 2, 5)
-			held.Merge([]*roster.Record{&first})
-			before := held.View().Digest()
+			members.Merge([]*roster.Record{&first})
+			before := members.View().Digest()
 			second := record("other", offered.epoch, offered.count)
 			second.Leaving = true
-			changed := held.Merge([]*roster.Record{&second})
+			changed := members.Merge([]*roster.Record{&second})
 			g.Expect(len(changed) == 1).To(Equal(offered.taken))
-			g.Expect(held.View().Record("other").Leaving).To(Equal(offered.taken))
-			g.Expect(held.View().Digest() != before).To(Equal(offered.taken))
+			g.Expect(members.View().Record("other").Leaving).To(Equal(offered.taken))
+			g.Expect(members.View().Digest() != before).To(Equal(offered.taken))
 		})
 	}
 }
 
-// TestAnEarlierLifeIsRefuted: the node goes above what an earlier life left, and
+// TestPreviousRunIsSuperseded: the node goes above what an earlier life left, and
 // takes over what that life knew of the back end.
-func TestAnEarlierLifeIsRefuted(t *testing.T) {
+func TestPreviousRunIsSuperseded(t *testing.T) {
 	cases := []struct {
-		name       string
-		heard      *roster.Endpoint
-		remembered *roster.Endpoint
-		ended      []string
-		want       *roster.Endpoint
+		name     string
+		heard    *roster.Endpoint
+		previous *roster.Endpoint
+		ended    []string
+		want     *roster.Endpoint
 	}{
 		{"nothing heard yet", nil, endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
 		{"a late heartbeat before the word that it drains", endpoint("i-1", roster.Ready, 3), endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
@@ -69,24 +69,24 @@
 		{"gone stays gone", endpoint("i-1", roster.Ready, 9), endpoint("i-1", roster.Gone, 2), nil, endpoint("i-1", roster.Gone, 2)},
 		{"nothing remembered", endpoint("i-1", roster.Ready, 9), nil, nil, endpoint("i-1", roster.Ready, 9)},
 	}
-	for _, life := range cases {
-		t.Run(life.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			own := record("self", 1, 1)
-			own.Endpoint = life.heard
+			own.Endpoint = tc.heard
 			held := roster.New(own)
-			remembered := record("self", 4, 2)
-			remembered.Endpoint, remembered.Ended = life.remembered, life.ended
-			held.Merge([]*roster.Record{&remembered})
+			previous := record("self", 4, 2)
+			previous.Endpoint, previous.Ended = tc.previous, tc.ended
+			held.Merge([]*roster.Record{&previous})
 			g.Expect(held.Own().Epoch).To(BeEquivalentTo(5))
-			g.Expect(held.Own().Endpoint).To(Equal(life.want))
+			g.Expect(held.Own().Endpoint).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestEvidenceOutlivesItsNode: a life that starts takes over what the one before knew of
+// TestEvidenceIsMergedFromPreviousRun: a life that starts takes over what the one before knew of
 // requests that end back ends, beside what it has seen itself.
-func TestEvidenceOutlivesItsNode(t *testing.T) {
+func TestEvidenceIsMergedFromPreviousRun(t *testing.T) {
 	g := NewWithT(t)
 	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
 	crash := func(endpoint string) roster.Crash {
@@ -95,14 +95,14 @@
 	own := record("self", 1, 1)
 	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Quarantined{held('a')}}
 	members := roster.New(own)
-	remembered := record("self", 4, 2)
-	remembered.Evidence = &roster.Evidence{
+	previous := record("self", 4, 2)
+	previous.Evidence = &roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1")}, Cleared: []roster.Clearance{{Endpoints: []string{"i-0"}}},
 		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}
-	members.Merge([]*roster.Record{&remembered})
+	members.Merge([]*roster.Record{&previous})
 	g.Expect(members.Own().Evidence).To(Equal(&roster.Evidence{
-		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: remembered.Evidence.Cleared,
+		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: previous.Evidence.Cleared,
 		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}))
 }
@@ -128,10 +128,10 @@
 	g.Expect(bounded.Full()).To(BeTrue())
 }
 
-// TestClaims plays heartbeats of several ids in the order in which they come.
-func TestClaims(t *testing.T) {
+// TestIncarnationTracker plays heartbeats of several ids in the order in which they come.
+func TestIncarnationTracker(t *testing.T) {
 	const interval = 1500 * time.Millisecond
-	type beat struct {
+	type event struct {
 		at       time.Duration
 		id       string
 		state    roster.State
@@ -140,88 +140,88 @@
 		confirm  bool
 	}
 	cases := []struct {
-		name  string
-		beats []beat
-		id    string
-		state roster.State
+		name   string
+		events []event
+		id     string
+		state  roster.State
 	}{
-		{"the first is taken", []beat{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
-		{"draining", []beat{{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 2, false, false}}, "a", roster.Draining},
-		{"a late heartbeat does not undo draining", []beat{
+		{"the first is taken", []event{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
+		{"draining", []event{{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 2, false, false}}, "a", roster.Draining},
+		{"a late heartbeat does not undo draining", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 3, false, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Draining},
-		{"an ended id does not come back", []beat{
+		{"an ended id does not come back", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Gone},
-		{"the next one follows an ended one at once", []beat{
+		{"the next one follows an ended one at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"one late heartbeat of an earlier one changes nothing", []beat{
+		{"one late heartbeat of an earlier one changes nothing", []event{
 			{0, "b", roster.Ready, 1, false, false}, {1, "a", roster.Ready, 40, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false}, {2 * interval, "b", roster.Ready, 3, false, false},
 		}, "b", roster.Ready},
-		{"a late heartbeat that came first gives way", []beat{
+		{"a late heartbeat that came first gives way", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 		}, "b", roster.Ready},
-		{"an ended process gives way to the first heartbeat of the next one", []beat{
+		{"an ended process gives way to the first heartbeat of the next one", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"a process that was taken for ended goes on", []beat{
+		{"a process that was taken for ended goes on", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "a", roster.Ready, 41, false, false},
 			{3, "b", roster.Ready, 1, false, false},
 		}, "a", roster.Ready},
-		{"and may not come back alone", []beat{
+		{"and may not come back alone", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false},
 		}, "b", roster.Ready},
-		{"a silent one gives way at once", []beat{
+		{"a silent one gives way at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {4 * interval, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"the back end's own word decides", []beat{
+		{"the back end's own word decides", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {2, "b", "", 0, false, true},
 		}, "b", roster.Ready},
-		{"an unknown id from the back end is no claim", []beat{
+		{"an unknown id from the back end is no claim", []event{
 			{0, "a", roster.Ready, 40, false, false}, {2, "c", "", 0, false, true},
 		}, "a", roster.Ready},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			start := time.Unix(1000, 0)
 			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
-			for _, beat := range played.beats {
-				now := start.Add(beat.at)
+			for _, event := range tc.events {
+				now := start.Add(event.at)
 				switch {
-				case beat.state == "lost":
-					claims.MarkLost(own, beat.id)
-				case beat.end:
-					own, _ = own.MarkEnded(roster.Incarnation{ID: beat.id})
-				case beat.confirm:
-					own, _ = claims.Confirm(own, beat.id, now)
+				case event.state == "lost":
+					claims.MarkLost(own, event.id)
+				case event.end:
+					own, _ = own.MarkEnded(roster.Incarnation{ID: event.id})
+				case event.confirm:
+					own, _ = claims.Confirm(own, event.id, now)
 				default:
-					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
+					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(event.id, event.state, event.sequence)}, now)
 				}
 			}
-			g.Expect(own.Endpoint.ID).To(Equal(played.id))
-			g.Expect(own.Endpoint.State).To(Equal(played.state))
+			g.Expect(own.Endpoint.ID).To(Equal(tc.id))
+			g.Expect(own.Endpoint.State).To(Equal(tc.state))
 		})
 	}
 }
 
-func TestUnchangedHeartbeatsMakeNoNewRecord(t *testing.T) {
+func TestUnchangedHeartbeatsDoNotChangeRecord(t *testing.T) {
 	g := NewWithT(t)
-	held := roster.New(record("self", 1, 1))
+	members := roster.New(record("self", 1, 1))
 	claims := roster.IncarnationTracker{Interval: time.Second}
 	told := 0
-	held.Observe(func([]*roster.Record) { told++ })
+	members.Observe(func([]*roster.Record) { told++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
-		held.Update(func(own roster.Record) (roster.Record, bool) {
+		members.Update(func(own roster.Record) (roster.Record, bool) {
 			return claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
 		})
 	}
 	g.Expect(told).To(Equal(1))
-	g.Expect(held.Own().Counter).To(BeEquivalentTo(2))
+	g.Expect(members.Own().Counter).To(BeEquivalentTo(2))
 }
 
 func TestEndedIDsAreBounded(t *testing.T) {
@@ -234,9 +234,9 @@
 	g.Expect(own.HasEnded(roster.Incarnation{ID: string(rune('A' + 99))})).To(BeTrue())
 }
 
-// TestNodesThatLeftAreForgotten after a while, and do not come back by way of a
+// TestGoneNodesAreForgotten after a while, and do not come back by way of a
 // peer that still knows them; one that returns with another back end does.
-func TestNodesThatLeftAreForgotten(t *testing.T) {
+func TestGoneNodesAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Unix(0, 0)
 	held, peer := roster.New(record("self", 1, 1)), roster.New(record("self", 1, 1))
@@ -264,9 +264,9 @@
 	g.Expect(held.Forget(began.Add(2 * time.Hour))).To(BeEmpty())
 }
 
-// TestChangesOfALargeRosterAreTakenTogether but none is left out, and the own
+// TestChangesOfLargeRosterAreCoalesced but none is left out, and the own
 // record never waits.
-func TestChangesOfALargeRosterAreTakenTogether(t *testing.T) {
+func TestChangesOfLargeRosterAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		members := roster.New(record("self", 1, 1))
@@ -294,10 +294,10 @@
 	})
 }
 
-// TestTwoLivesOfTheSameVersion: a life that has come to the epoch and the counter of
+// TestRunsWithEqualVersions: a life that has come to the epoch and the counter of
 // one that it had not heard of goes above it and takes over what that one knew; the
 // others agree on one of the two meanwhile, and see that they differ.
-func TestTwoLivesOfTheSameVersion(t *testing.T) {
+func TestRunsWithEqualVersions(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
 	before.RunID, now.RunID = 9, 5
@@ -326,9 +326,9 @@
 	}
 }
 
-// TestANewVersionIsNews: a back end that comes back under its id with other software
+// TestSoftwareVersionChangeIsPublished: a back end that comes back under its id with other software
 // is told to the others.
-func TestANewVersionIsNews(t *testing.T) {
+func TestSoftwareVersionChangeIsPublished(t *testing.T) {
 	g := NewWithT(t)
 	claims := roster.IncarnationTracker{Interval: time.Second}
 	now := time.Unix(100, 0)
@@ -347,9 +347,9 @@
 	g.Expect(held.Endpoint.Version).To(Equal("v2"))
 }
 
-// TestAFleetThatStartsAgain from what it had left has no news: its nodes' digests are equal at once. A
+// TestResumeAfterFullRestart from what it had left has no news: its nodes' digests are equal at once. A
 // word of the earlier life that the store lacks is found and gone above.
-func TestAFleetThatStartsAgain(t *testing.T) {
+func TestResumeAfterFullRestart(t *testing.T) {
 	for _, size := range []int{100, 1000, 2000} {
 		g := NewWithT(t)
 		var left []*roster.Record
@@ -378,8 +378,8 @@
 	}
 }
 
-// TestTogether: many records replace the view once, and what others see meanwhile is whole.
-func TestTogether(t *testing.T) {
+// TestBatch: many records replace the view once, and what others see meanwhile is whole.
+func TestBatch(t *testing.T) {
 	g := NewWithT(t)
 	made := roster.New(roster.Record{Node: "self", Epoch: 1, Counter: 1})
 	before := made.View()
@@ -397,8 +397,8 @@
 	g.Expect(made.View().Count()).To(Equal(302))
 }
 
-// TestABackEndThatEndedAfterARestartStaysGone: what an earlier life knew of it comes later.
-func TestABackEndThatEndedAfterARestartStaysGone(t *testing.T) {
+// TestEndAfterRestartIsFinal: what an earlier life knew of it comes later.
+func TestEndAfterRestartIsFinal(t *testing.T) {
 	cases := []struct {
 		name  string
 		heard bool
@@ -408,12 +408,12 @@
 		{"only its end is heard", false, roster.Incarnation{ID: "i-1", Born: 7}},
 		{"only its end is heard, without its start", false, roster.Incarnation{ID: "i-1"}},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			endpoint := roster.Endpoint{ID: "i-1", Born: 7, Service: "s", Slots: 4, State: roster.Ready, Sequence: 20}
 			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
-			if played.heard {
+			if tc.heard {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
 					said := endpoint
 					said.Sequence = 19
@@ -421,7 +421,7 @@
 					return record, true
 				})
 			}
-			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(played.ended) })
+			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(tc.ended) })
 			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, RunID: 1, Endpoint: &endpoint}})
 			g.Expect(node.Own().Endpoint.State).To(Equal(roster.Gone))
 			g.Expect(node.Own().AcceptsWork()).To(BeFalse())
--- a/internal/sidecar/roster/validate.go
+++ b/internal/sidecar/roster/validate.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// mostEpoch bounds epochs and counters: a node goes above those that it finds.
-	mostEpoch = 1 << 60
-	// mostSlots bounds the slots of a back end.
-	mostSlots = 1 << 20
+	// maxEpoch bounds epochs and counters: a node goes above those that it finds.
+	maxEpoch = 1 << 60
+	// maxSlots bounds the slots of a back end.
+	maxSlots = 1 << 20
 )
 
 // Validate names the field of a record that no node writes so, and why. Records lie where
@@ -19,8 +19,8 @@
 	switch {
 	case r.Node == "":
 		return trace.BadParameter("node: is empty")
-	case r.Epoch > mostEpoch || r.Counter > mostEpoch:
-		return trace.BadParameter("epoch, counter: above %d", uint64(mostEpoch))
+	case r.Epoch > maxEpoch || r.Counter > maxEpoch:
+		return trace.BadParameter("epoch, counter: above %d", uint64(maxEpoch))
 	case r.Zone == "":
 		return trace.BadParameter("zone: is empty")
 	case r.Link < 0:
@@ -46,8 +46,8 @@
 		return trace.BadParameter("endpoint.born: is below zero")
 	case e.Service == "":
 		return trace.BadParameter("endpoint.service: is empty")
-	case e.Slots < 1 || e.Slots > mostSlots:
-		return trace.BadParameter("endpoint.slots: is not from 1 to %d", mostSlots)
+	case e.Slots < 1 || e.Slots > maxSlots:
+		return trace.BadParameter("endpoint.slots: is not from 1 to %d", maxSlots)
 	case e.State != Ready && e.State != Draining && e.State != Gone:
 		return trace.BadParameter("endpoint.state: %q is no state", e.State)
 	}
--- a/internal/sidecar/roster/view.go
+++ b/internal/sidecar/roster/view.go
@@ -15,42 +15,42 @@
 	// services and zones hold the records by the service and the zone of their
 	// node, each list ordered by node name. A list that is there has a record.
 	services, zones map[string][]*Record
-	// count is how many nodes are known, present how many of them whose back end has not ended for
+	// count is how many nodes are known, live how many of them whose back end has not ended for
 	// good.
-	count, present int
-	digest         uint64
+	count, live int
+	digest      uint64
 }
 
 // newView returns the view of the records, in any order.
 func newView(records []*Record) *View {
-	made := &View{services: map[string][]*Record{}, zones: map[string][]*Record{}}
+	view := &View{services: map[string][]*Record{}, zones: map[string][]*Record{}}
 	slices.SortFunc(records, compareNodes)
 	for _, record := range records {
-		made.account(record, 1)
-		made.zones[record.Zone] = append(made.zones[record.Zone], record)
+		view.addToTotals(record, 1)
+		view.zones[record.Zone] = append(view.zones[record.Zone], record)
 		if service, has := record.service(); has {
-			made.services[service] = append(made.services[service], record)
+			view.services[service] = append(view.services[service], record)
 		}
 	}
-	return made
+	return view
 }
 
 // with returns the view after the nodes' records have become those in the map; one that is not
 // there any more is left out.
 func (v *View) with(changed map[string]struct{}, records map[string]*Record) *View {
-	next := &View{services: maps.Clone(v.services), zones: maps.Clone(v.zones), count: v.count, present: v.present, digest: v.digest}
+	next := &View{services: maps.Clone(v.services), zones: maps.Clone(v.zones), count: v.count, live: v.live, digest: v.digest}
 	zones, services := newEdits(next.zones), newEdits(next.services)
 	for node := range changed {
 		before, after := v.Record(node), records[node]
 		if before != nil {
-			next.account(before, -1)
+			next.addToTotals(before, -1)
 			zones.remove(before.Zone, before)
 			if service, has := before.service(); has {
 				services.remove(service, before)
 			}
 		}
 		if after != nil {
-			next.account(after, 1)
+			next.addToTotals(after, 1)
 			zones.insert(after.Zone, after)
 			if service, has := after.service(); has {
 				services.insert(service, after)
@@ -60,12 +60,12 @@
 	return next
 }
 
-// account adds a record to the sums, or takes it out.
-func (v *View) account(record *Record, sign int) {
+// addToTotals adds a record to the sums, or takes it out.
+func (v *View) addToTotals(record *Record, sign int) {
 	v.count += sign
 	if !record.Gone() {
 		v.digest ^= record.digest()
-		v.present += sign
+		v.live += sign
 	}
 }
 
@@ -94,8 +94,8 @@
 	return &edits{lists: lists, copied: map[string]bool{}}
 }
 
-// own returns a list that may be changed.
-func (e *edits) own(name string) []*Record {
+// editable returns a list that may be changed.
+func (e *edits) editable(name string) []*Record {
 	if !e.copied[name] {
 		e.copied[name] = true
 		e.lists[name] = slices.Clone(e.lists[name])
@@ -104,15 +104,15 @@
 }
 
 func (e *edits) insert(name string, record *Record) {
-	list := e.own(name)
-	place, _ := search(list, record.Node)
-	e.lists[name] = slices.Insert(list, place, record)
+	list := e.editable(name)
+	index, _ := search(list, record.Node)
+	e.lists[name] = slices.Insert(list, index, record)
 }
 
 func (e *edits) remove(name string, record *Record) {
-	list := e.own(name)
-	if place, found := search(list, record.Node); found {
-		list = slices.Delete(list, place, place+1)
+	list := e.editable(name)
+	if index, found := search(list, record.Node); found {
+		list = slices.Delete(list, index, index+1)
 	}
 	if e.lists[name] = list; len(list) == 0 {
 		delete(e.lists, name)
@@ -125,8 +125,8 @@
 // Record returns a node's record or nil. There are few zones.
 func (v *View) Record(node string) *Record {
 	for _, list := range v.zones {
-		if place, found := search(list, node); found {
-			return list[place]
+		if index, found := search(list, node); found {
+			return list[index]
 		}
 	}
 	return nil
@@ -144,7 +144,7 @@
 
 // LiveCount returns how many nodes are known whose back end has not ended for
 // good. A node whose back end has ended sends no requests for long.
-func (v *View) LiveCount() int { return v.present }
+func (v *View) LiveCount() int { return v.live }
 
 // Count returns how many nodes are known.
 func (v *View) Count() int { return v.count }
--- a/internal/sidecar/roster/view_test.go
+++ b/internal/sidecar/roster/view_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// drawn returns a record of one of some nodes, in any zone and state.
-func drawn(random *rand.Rand, nodes int) *Record {
+// randomRecord returns a record of one of some nodes, in any zone and state.
+func randomRecord(random *rand.Rand, nodes int) *Record {
 	record := &Record{Node: fmt.Sprint("n", random.IntN(nodes)), Epoch: uint64(random.IntN(5)), Counter: uint64(random.IntN(50)), Zone: fmt.Sprint("z", random.IntN(3))}
 	if random.IntN(5) > 0 {
 		record.Endpoint = &Endpoint{ID: "i", Service: fmt.Sprint("s", random.IntN(3)), State: []State{Ready, Draining, Gone}[random.IntN(3)]}
@@ -18,8 +18,8 @@
 	return record
 }
 
-// TestAViewIsTheSameHoweverItCame: changed step by step, some at a time, or built whole.
-func TestAViewIsTheSameHoweverItCame(t *testing.T) {
+// TestIncrementalViewEqualsRebuiltView: changed step by step, some at a time, or built whole.
+func TestIncrementalViewEqualsRebuiltView(t *testing.T) {
 	for seed := range uint64(30) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 9))
@@ -27,7 +27,7 @@
 		for range 200 {
 			changed := map[string]struct{}{}
 			for range 1 + random.IntN(4) {
-				record := drawn(random, 30)
+				record := randomRecord(random, 30)
 				changed[record.Node] = struct{}{}
 				if records[record.Node] = record; random.IntN(6) == 0 {
 					delete(records, record.Node)
@@ -39,8 +39,8 @@
 			for _, record := range records {
 				all = append(all, record)
 			}
-			whole := newView(all)
-			g.Expect(view).To(Equal(whole))
+			rebuilt := newView(all)
+			g.Expect(view).To(Equal(rebuilt))
 			g.Expect(before.Records()).To(HaveLen(before.Count()), "the view before is as it was")
 			for node, record := range records {
 				g.Expect(view.Record(node)).To(BeIdenticalTo(record))
@@ -50,16 +50,16 @@
 	}
 }
 
-// TestListsAreShared with the view before where nothing of theirs has changed.
-func TestListsAreShared(t *testing.T) {
+// TestUnchangedListsAreShared with the view before where nothing of theirs has changed.
+func TestUnchangedListsAreShared(t *testing.T) {
 	g := NewWithT(t)
-	made := fleet(900)
-	before := made.View()
+	members := newRosterOfSize(900)
+	before := members.View()
 	changed := *before.Record("node-0001")
 	changed.Counter++
-	made.Merge([]*Record{&changed})
-	made.publishNow()
-	after := made.View()
+	members.Merge([]*Record{&changed})
+	members.publishImmediately()
+	after := members.View()
 	shared, copied := 0, 0
 	for _, zone := range after.Zones() {
 		if &after.Zone(zone)[0] == &before.Zone(zone)[0] {
@@ -72,16 +72,16 @@
 	g.Expect(copied).To(Equal(1))
 }
 
-// publishNow replaces the view without the pause that a large one makes.
-func (r *Roster) publishNow() {
+// publishImmediately replaces the view without the pause that a large one makes.
+func (r *Roster) publishImmediately() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.publish()
 }
 
-// fleet returns a roster of so many nodes in 6 zones with 3 services.
-func fleet(size int) *Roster {
-	made := New(Record{Node: "node-0000", Epoch: 1, Counter: 1, Zone: "z0"})
+// newRosterOfSize returns a roster of so many nodes in 6 zones with 3 services.
+func newRosterOfSize(size int) *Roster {
+	members := New(Record{Node: "node-0000", Epoch: 1, Counter: 1, Zone: "z0"})
 	var records []*Record
 	for i := 1; i < size; i++ {
 		records = append(records, &Record{
@@ -89,31 +89,31 @@
 			Endpoint: &Endpoint{ID: "i", Service: fmt.Sprint("s", i%3), Slots: 14, State: Ready},
 		})
 	}
-	made.Merge(records)
-	return made
+	members.Merge(records)
+	return members
 }
 
-// TestTheCostOfOneChange: a change copies a few lists, however many records there are.
-func TestTheCostOfOneChange(t *testing.T) {
+// TestAllocationsPerChange: a change copies a few lists, however many records there are.
+func TestAllocationsPerChange(t *testing.T) {
 	for _, size := range []int{300, 1000, 2000} {
 		g := NewWithT(t)
-		made := fleet(size)
+		made := newRosterOfSize(size)
 		changed := *made.View().Record("node-0001")
 		allocated := testing.AllocsPerRun(50, func() {
 			changed.Counter++
 			next := changed
 			made.Merge([]*Record{&next})
-			made.publishNow()
+			made.publishImmediately()
 		})
 		g.Expect(allocated).To(BeNumerically("<", 40), "%d records", size)
 	}
 }
 
-// BenchmarkOneChange: one changed record and the view after it.
-func BenchmarkOneChange(b *testing.B) {
+// BenchmarkIncrementalView: one changed record and the view after it.
+func BenchmarkIncrementalView(b *testing.B) {
 	for _, size := range []int{74, 300, 984, 2000} {
 		b.Run(fmt.Sprint(size, " records"), func(b *testing.B) {
-			made := fleet(size)
+			made := newRosterOfSize(size)
 			changed := *made.View().Record("node-0001")
 			b.ReportAllocs()
 			for b.Loop() {
@@ -128,11 +128,11 @@
 	}
 }
 
-// BenchmarkWholeView: the same when the view is built whole.
-func BenchmarkWholeView(b *testing.B) {
+// BenchmarkRebuiltView: the same when the view is built whole.
+func BenchmarkRebuiltView(b *testing.B) {
 	for _, size := range []int{74, 300, 984, 2000} {
 		b.Run(fmt.Sprint(size, " records"), func(b *testing.B) {
-			records := fleet(size).View().Records()
+			records := newRosterOfSize(size).View().Records()
 			b.ReportAllocs()
 			for b.Loop() {
 				newView(slices.Clone(records))
