--- a/internal/sidecar/contain/contain.go
+++ b/internal/sidecar/contain/contain.go
@@ -15,25 +15,25 @@
 // that come fast must not fill the log with it.
 const stackInterval = time.Second
 
-// stacks says when a line may bear one.
-var stacks = rate.Sometimes{First: 1, Interval: stackInterval}
+// stackLimiter says when a line may bear one.
+var stackLimiter = rate.Sometimes{First: 1, Interval: stackInterval}
 
 // Run does the work. A panic of it is logged with the kind of input and returned as an
 // error; what the work had done until then stays. The work releases its locks by defer.
 func Run(input string, logger *zap.Logger, work func()) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = fmt.Errorf("step=%s: panic: %v", input, fault)
-			log(input, logger, err)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("step=%s: panic: %v", input, recovered)
+			logPanic(input, logger, err)
 		}
 	}()
 	work()
 	return nil
 }
 
-// log writes a line for a panic, with its stack when there was none for a while.
-func log(input string, logger *zap.Logger, err error) {
+// logPanic writes a line for a panic, with its stack when there was none for a while.
+func logPanic(input string, logger *zap.Logger, err error) {
 	fields := []zap.Field{zap.String("input", input), zap.Error(err)}
-	stacks.Do(func() { fields = append(fields, zap.Stack("stack")) })
+	stackLimiter.Do(func() { fields = append(fields, zap.Stack("stack")) })
 	logger.Error("panic contained", fields...)
 }
--- a/internal/sidecar/fingerprint/fingerprint.go
+++ b/internal/sidecar/fingerprint/fingerprint.go
@@ -45,15 +45,15 @@
 		_, _ = hash.Write([]byte{0})
 	}
 	_, _ = hash.Write(beginning)
-	made := Fingerprint{Content: truncated(hash.Sum(nil))}
+	result := Fingerprint{Content: truncate(hash.Sum(nil))}
 	call := sha256.New()
-	_, _ = call.Write(made.Content[:])
+	_, _ = call.Write(result.Content[:])
 	_, _ = io.WriteString(call, caller)
-	made.Call = truncated(call.Sum(nil))
-	return made
+	result.Call = truncate(call.Sum(nil))
+	return result
 }
 
-func truncated(sum []byte) (digest Digest) {
+func truncate(sum []byte) (digest Digest) {
 	copy(digest[:], sum)
 	return digest
 }
