--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -40,10 +40,10 @@
 }
 
 const (
-	// mostOrders bounds the zones whose orders are kept, of zones that do not exist too.
-	mostOrders = 256
-	// mostZoneBytes bounds the name of a zone.
-	mostZoneBytes = 200
+	// maxOrders bounds the zones whose orders are kept, of zones that do not exist too.
+	maxOrders = 256
+	// maxZoneBytes bounds the name of a zone.
+	maxZoneBytes = 200
 )
 
 // Options configure the orders.
@@ -56,7 +56,7 @@
 	// OnChange is told of each zone that was emptied, or whose order was taken back. It must
 	// not block.
 	OnChange func(zone string, emptied bool)
-	Logger  *zap.Logger
+	Logger   *zap.Logger
 }
 
 // Orders are those that a node has heard of. It is safe for concurrent use; what a request
@@ -67,13 +67,13 @@
 
 	mu     sync.Mutex // guards all below and the replacement of zones
 	orders map[string]Order
-	// missing holds since when the store, come back from a copy, lacks an order.
-	missing map[string]time.Time
+	// missingSince holds since when the store, come back from a copy, lacks an order.
+	missingSince map[string]time.Time
 }
 
 // New returns the orders of a node that has heard of none.
 func New(options Options) *Orders {
-	return &Orders{options: options, orders: map[string]Order{}, missing: map[string]time.Time{}}
+	return &Orders{options: options, orders: map[string]Order{}, missingSince: map[string]time.Time{}}
 }
 
 // Zones returns the zones that are emptied now, nil when there are none.
@@ -81,7 +81,7 @@
 
 // Ordered takes in a word of the store on one zone.
 func (o *Orders) Ordered(order Order) {
-	if o.learn([]Order{order}, "store") {
+	if o.merge([]Order{order}, "store") {
 		o.options.Broadcast()
 	}
 }
@@ -96,27 +96,27 @@
 // store is to be read again after that time.
 func (o *Orders) Reconcile(zones []string, revision uint64, now time.Time) (again bool) {
 	o.mu.Lock()
-	var lifted []Order
+	var revoked []Order
 	for zone, held := range o.orders {
 		if !held.Emptied || held.Revision >= revision || slices.Contains(zones, zone) {
-			delete(o.missing, zone)
+			delete(o.missingSince, zone)
 			continue
 		}
 		if store.EraOf(revision) > store.EraOf(held.Revision) {
-			since, known := o.missing[zone]
+			since, known := o.missingSince[zone]
 			if !known {
-				o.missing[zone] = now
+				o.missingSince[zone] = now
 			}
 			if !known || now.Sub(since) < RewriteGracePeriod {
 				again = true
 				continue
 			}
 		}
-		delete(o.missing, zone)
-		lifted = append(lifted, Order{Zone: zone, Revision: revision})
+		delete(o.missingSince, zone)
+		revoked = append(revoked, Order{Zone: zone, Revision: revision})
 	}
 	o.mu.Unlock()
-	if o.learn(lifted, "store") {
+	if o.merge(revoked, "store") {
 		o.options.Broadcast()
 	}
 	return again
@@ -133,35 +133,35 @@
 }
 
 // Hear takes in a peer's words and reports whether some of them are news.
-func (o *Orders) Hear(told []Order) (news bool) { return o.learn(told, "peer") }
+func (o *Orders) Hear(received []Order) (news bool) { return o.merge(received, "peer") }
 
-// learn merges words and reports whether some of them are news.
-func (o *Orders) learn(told []Order, source string) (news bool) {
+// merge merges words and reports whether some of them are news.
+func (o *Orders) merge(received []Order, source string) (news bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, order := range told {
-		held, known := o.orders[order.Zone]
+	for _, order := range received {
+		current, known := o.orders[order.Zone]
 		switch {
-		case order.Zone == "" || len(order.Zone) > mostZoneBytes || order.Revision == 0:
+		case order.Zone == "" || len(order.Zone) > maxZoneBytes || order.Revision == 0:
 			o.options.Logger.Warn("order for a zone cannot be", zap.String("zone", order.Zone), zap.String("source", source))
 			continue
-		case order.Revision <= held.Revision:
+		case order.Revision <= current.Revision:
 			continue
-		case !known && len(o.orders) >= mostOrders:
-			o.options.Logger.Error("too many orders for zones, one is left out", zap.String("zone", order.Zone), zap.Int("most", mostOrders))
+		case !known && len(o.orders) >= maxOrders:
+			o.options.Logger.Error("too many orders for zones, one is left out", zap.String("zone", order.Zone), zap.Int("most", maxOrders))
 			continue
 		}
 		news = true
 		o.orders[order.Zone] = order
-		if held.Emptied != order.Emptied {
-			o.changed(order, source)
+		if current.Emptied != order.Emptied {
+			o.publish(order, source)
 		}
 	}
 	return news
 }
 
-// changed puts in force that a zone is emptied, or is so no more; the lock is held.
-func (o *Orders) changed(order Order, source string) {
+// publish puts in force that a zone is emptied, or is so no more; the lock is held.
+func (o *Orders) publish(order Order, source string) {
 	next := map[string]bool{}
 	for zone, held := range o.orders {
 		if held.Emptied {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -14,18 +14,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// played are the orders of one node with what they tell.
-type played struct {
+// recordedOrders are the orders of one node with what they tell.
+type recordedOrders struct {
 	*evacuation.Orders
 	spreads int
 	changes []string
 }
 
-func play() *played {
-	made := &played{}
+func newRecordedOrders() *recordedOrders {
+	made := &recordedOrders{}
 	made.Orders = evacuation.New(evacuation.Options{
-		ZoneExists:  func(string) bool { return true },
-		Broadcast: func() { made.spreads++ },
+		ZoneExists: func(string) bool { return true },
+		Broadcast:  func() { made.spreads++ },
 		OnChange: func(zone string, emptied bool) {
 			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
 		},
@@ -34,34 +34,34 @@
 	return made
 }
 
-// TestTheNewestWordHolds whatever the order in which words come, and from whom.
-func TestTheNewestWordHolds(t *testing.T) {
-	words := []evacuation.Order{
+// TestNewestOrderWins whatever the order in which words come, and from whom.
+func TestNewestOrderWins(t *testing.T) {
+	orders := []evacuation.Order{
 		{Zone: "a", Revision: 3, Emptied: true}, {Zone: "a", Revision: 5}, {Zone: "a", Revision: 9, Emptied: true},
 		{Zone: "b", Revision: 4, Emptied: true}, {Zone: "b", Revision: 8},
 	}
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 100 {
 		g := NewWithT(t)
-		made := play()
-		for _, index := range random.Perm(len(words)) {
+		made := newRecordedOrders()
+		for _, index := range random.Perm(len(orders)) {
 			if random.IntN(2) == 0 {
-				made.Ordered(words[index])
+				made.Ordered(orders[index])
 			} else {
-				made.Hear([]evacuation.Order{words[index]})
+				made.Hear([]evacuation.Order{orders[index]})
 			}
 		}
 		g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-		g.Expect(made.Hear(words)).To(BeFalse(), "nothing of it is news")
-		g.Expect(made.Tell()).To(Equal([]evacuation.Order{words[2], words[4]}))
+		g.Expect(made.Hear(orders)).To(BeFalse(), "nothing of it is news")
+		g.Expect(made.Tell()).To(Equal([]evacuation.Order{orders[2], orders[4]}))
 	}
 }
 
-// TestAnOrderTakenBackUnwatched: a read of all orders that lacks one takes it back, but not one
+// TestReconcileRevokesMissingOrder: a read of all orders that lacks one takes it back, but not one
 // that was given after the read.
-func TestAnOrderTakenBackUnwatched(t *testing.T) {
+func TestReconcileRevokesMissingOrder(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	made.Ordered(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
@@ -73,11 +73,11 @@
 	g.Expect(made.spreads).To(Equal(4), "no news")
 }
 
-// TestAnOrderThatTheStoreHasLost is kept until operators have had the time to write it again.
-func TestAnOrderThatTheStoreHasLost(t *testing.T) {
+// TestReconcileAfterStoreRestore is kept until operators have had the time to write it again.
+func TestReconcileAfterStoreRestore(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
-	made := play()
+	made := newRecordedOrders()
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
 	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
@@ -91,10 +91,10 @@
 	g.Expect(made.Zones()).To(BeNil())
 }
 
-// TestWordsThatCannotBe change nothing, and however many zones are named the memory is bounded.
-func TestWordsThatCannotBe(t *testing.T) {
+// TestInvalidOrdersAreRejected change nothing, and however many zones are named the memory is bounded.
+func TestInvalidOrdersAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	g.Expect(made.Hear([]evacuation.Order{
 		{Revision: 1, Emptied: true}, {Zone: "a", Emptied: true}, {Zone: strings.Repeat("z", 201), Revision: 1, Emptied: true},
 	})).To(BeFalse())
@@ -107,11 +107,11 @@
 	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "words on zones that are kept still count")
 }
 
-// TestFlapping: an order that is given and taken back in quick succession leaves no trace but
+// TestRepeatedChangesKeepOnlyLast: an order that is given and taken back in quick succession leaves no trace but
 // the last word.
-func TestFlapping(t *testing.T) {
+func TestRepeatedChangesKeepOnlyLast(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	for revision := range uint64(100) {
 		made.Ordered(evacuation.Order{Zone: "a", Revision: revision + 1, Emptied: revision%2 == 0})
 	}
