--- a/internal/sidecar/egress/quarantine_test.go
+++ b/internal/sidecar/egress/quarantine_test.go
@@ -83,7 +83,7 @@
 // heldPrint holds one request back.
 type heldPrint struct{ fingerprint.Fingerprint }
 
-func (heldPrint) Idle() bool                           { return false }
+func (heldPrint) Idle() bool                                 { return false }
 func (h heldPrint) Holds(print fingerprint.Fingerprint) bool { return print == h.Fingerprint }
 
 var _ Quarantine = heldPrint{}
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -13,10 +13,10 @@
 
 func (s *Sidecar) addEvacuations() {
 	s.evacuations = evacuation.New(evacuation.Options{
-		ZoneExists:   func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
+		ZoneExists: func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
 		Broadcast:  func() { go s.spread(context.Background()) },
-		OnChange: s.emptied,
-		Logger:  s.logger,
+		OnChange:   s.emptied,
+		Logger:     s.logger,
 	})
 }
 
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -60,10 +60,10 @@
 		Node: "p", Epoch: 1, Counter: 1, Zone: "z", Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:1",
 		Endpoint: &roster.Endpoint{ID: "i-1", Service: "alpha", Version: "v2", Slots: 4, State: roster.Ready, Sequence: 1},
 		Evidence: &roster.Evidence{
-			Crashes: []roster.Crash{{Endpoint: "i-0", Service: "alpha", Running: []fingerprint.Fingerprint{print}, Trial: &print}},
-			Cleared: []roster.Clearance{{Fingerprint: print, Endpoints: []string{"i-0"}}},
-			Quarantined:    []roster.Quarantined{{Digest: print.Content, Service: "alpha", Endpoints: []string{"i-0"}}},
-			Lifted:  []roster.Lift{{Digest: print.Call, Count: 1}},
+			Crashes:     []roster.Crash{{Endpoint: "i-0", Service: "alpha", Running: []fingerprint.Fingerprint{print}, Trial: &print}},
+			Cleared:     []roster.Clearance{{Fingerprint: print, Endpoints: []string{"i-0"}}},
+			Quarantined: []roster.Quarantined{{Digest: print.Content, Service: "alpha", Endpoints: []string{"i-0"}}},
+			Lifted:      []roster.Lift{{Digest: print.Call, Count: 1}},
 		},
 	}
 	own := *peer
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -42,8 +42,8 @@
 
 // Running is one request at work.
 type Running struct {
-	RequestID string
-	Fingerprint     fingerprint.Fingerprint
+	RequestID   string
+	Fingerprint fingerprint.Fingerprint
 	// For is how long it had been there.
 	For time.Duration
 	// Trial: it was suspected of ending back ends before.
@@ -260,10 +260,10 @@
 // running describes the request for the end of its back end.
 func (a *arrival) running(now time.Time) Running {
 	return Running{
-		RequestID: a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
-		Fingerprint:     a.print(),
-		For:       now.Sub(a.sent),
-		Trial:     a.onTrial,
+		RequestID:   a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
+		Fingerprint: a.print(),
+		For:         now.Sub(a.sent),
+		Trial:       a.onTrial,
 	}
 }
 
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -24,10 +24,10 @@
 
 func newScripted() *scripted { return &scripted{crashes: make(chan roster.Crash, 8)} }
 
-func (s *scripted) Idle() bool                       { return !s.holds.Load() && !s.suspects.Load() }
+func (s *scripted) Idle() bool                             { return !s.holds.Load() && !s.suspects.Load() }
 func (s *scripted) Holds(fingerprint.Fingerprint) bool     { return s.holds.Load() }
 func (s *scripted) Suspects(fingerprint.Fingerprint) bool  { return s.suspects.Load() }
-func (s *scripted) Ended(crash roster.Crash)         { s.crashes <- crash }
+func (s *scripted) Ended(crash roster.Crash)               { s.crashes <- crash }
 func (s *scripted) Survived(print fingerprint.Fingerprint) { s.survived.Add(1) }
 
 // refusedAt returns the step at which a request was refused as not run, empty when it was
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -158,10 +158,10 @@
 	created.options.Store = options.Store
 	created.settings.Store(settings)
 	created.quarantine = quarantine.New(quarantine.Options{
-		Members: created.members,
-		Broadcast:  func() { created.spread(context.Background()) },
-		BroadcastAndWait:    created.tell,
-		Logger:  options.Logger, Registry: options.Registry,
+		Members:          created.members,
+		Broadcast:        func() { created.spread(context.Background()) },
+		BroadcastAndWait: created.tell,
+		Logger:           options.Logger, Registry: options.Registry,
 	})
 	created.addRollouts()
 	created.addEvacuations()
