--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -2,37 +2,41 @@
 
 import "time"
 
-// Heartbeat is what a back end says at one moment.
+// Heartbeat is the state that a back end reports periodically.
 type Heartbeat struct {
 	Endpoint
-	// WarmupLeft is how much longer the back end stays slow from its start.
+	// WarmupLeft is the remaining time for which the back end is slow after its start.
 	WarmupLeft time.Duration
 }
 
-// IncarnationTracker decides which incarnation is the back end's when heartbeats bear several. A
-// heartbeat may come seconds late, from a back end that is no more: one alone
-// does not take the place of one that is heard from, unless it started later.
+// IncarnationTracker decides which incarnation of the back end is current when heartbeats of
+// several arrive. A heartbeat may arrive seconds late, from a process that no longer runs, so a
+// single one does not replace an incarnation that is still sending, unless it belongs to a later
+// start.
 type IncarnationTracker struct {
-	// Interval is the usual time between two heartbeats.
+	// Interval is the expected time between two heartbeats.
 	Interval time.Duration
-	// lastHeard is when the current incarnation was last lastHeard in this life.
+	// lastHeard is when the current incarnation last sent a heartbeat since this process started.
+	// It is zero if none has arrived or the back end's process is known to have ended.
 	lastHeard time.Time
-	// candidate is another incarnation heard since then, that often.
+	// candidate is another incarnation that has sent heartbeats since then, and candidateHeartbeats
+	// their number in a row.
 	candidate           Endpoint
 	candidateHeartbeats int
 }
 
 const (
-	// maxSilentIntervals is how long the current incarnation may be silent before another
-	// one takes its place at once.
+	// maxSilentIntervals is how many heartbeat intervals the current incarnation may be silent
+	// before another one replaces it at once.
 	maxSilentIntervals = 3
-	// minCandidateHeartbeats is how often a rival must be heard in a row.
+	// minCandidateHeartbeats is how many heartbeats in a row a candidate must send.
 	minCandidateHeartbeats = 2
 )
 
-// ApplyHeartbeat returns the record after a heartbeat, and whether it changed. A final incarnation
-// stays final, and the highest sequence of one wins. One that says nothing of its start, while
-// the back end does, is not the back end's.
+// ApplyHeartbeat returns the record after a heartbeat and reports whether it changed in a way that
+// peers must learn of. An incarnation that has ended stays ended, and among heartbeats of one
+// incarnation the highest sequence wins. A heartbeat without a start time is ignored if the current
+// incarnation has one.
 func (c *IncarnationTracker) ApplyHeartbeat(record Record, heartbeat Heartbeat, now time.Time) (next Record, changed bool) {
 	if record.HasEnded(heartbeat.Incarnation()) {
 		return record, false
@@ -50,7 +54,7 @@
 	case currentIncarnation.before(reportedIncarnation):
 		replaces = true
 	case reportedIncarnation.before(currentIncarnation):
-		// A late word of an earlier start, unless the clock was set back.
+		// Either a late heartbeat of an earlier start, or the clock was set back.
 		replaces = c.countCandidate(heartbeat.Endpoint) && (current.State == Gone || c.silent(now))
 	default:
 		replaces = current.State == Gone || c.silent(now) || c.countCandidate(heartbeat.Endpoint)
@@ -61,14 +65,14 @@
 	return c.replace(record, heartbeat.Endpoint, now), true
 }
 
-// silent reports whether the current incarnation has not been heard for too long, or not
-// at all in this life.
+// silent reports whether the current incarnation has sent no heartbeat for too long, or none since
+// this process started.
 func (c *IncarnationTracker) silent(now time.Time) bool {
 	return c.lastHeard.IsZero() || now.Sub(c.lastHeard) > maxSilentIntervals*c.Interval
 }
 
-// countCandidate counts a rival's heartbeat and reports whether it was heard often
-// enough.
+// countCandidate counts a candidate's heartbeat and reports whether it has sent enough in a row to
+// become the current incarnation.
 func (c *IncarnationTracker) countCandidate(candidate Endpoint) bool {
 	if c.candidate.Incarnation() != candidate.Incarnation() {
 		c.candidateHeartbeats = 0
@@ -84,7 +88,7 @@
 		return record, false
 	}
 	if current.State == Draining {
-		reported.State = Draining // a heartbeat that was sent before may come after an answer that said so
+		reported.State = Draining // an earlier heartbeat may arrive after a response that announced draining
 	}
 	c.lastHeard, c.candidateHeartbeats = now, 0
 	changed = current.State != reported.State || current.Slots != reported.Slots || current.Service != reported.Service ||
@@ -99,17 +103,17 @@
 	return record
 }
 
-// MarkLost takes in that the process of a back end has ended: the next one to be heard takes its
-// place at once. Back ends are back some seconds after an end and were refused, as another
-// one than was known, for 1.4 to 1.7 s more, until their second heartbeat.
+// MarkLost records that the process of an incarnation has ended, so that the next incarnation to
+// send a heartbeat replaces it at once. Without this, back ends that restarted within seconds were
+// refused as unknown for another 1.4 to 1.7 s, until their second heartbeat.
 func (c *IncarnationTracker) MarkLost(record Record, incarnation string) {
 	if record.Endpoint != nil && record.Endpoint.Incarnation().String() == incarnation {
 		c.lastHeard = time.Time{}
 	}
 }
 
-// Confirm takes in that the back end itself has given its id. A rival of that
-// id takes the place at once.
+// Confirm applies an id obtained from the back end itself. A candidate with that id becomes the
+// current incarnation at once.
 func (c *IncarnationTracker) Confirm(record Record, id string, now time.Time) (next Record, changed bool) {
 	current := record.Endpoint
 	if current == nil || current.ID == id || c.candidate.ID != id || record.HasEnded(c.candidate.Incarnation()) {
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -6,77 +6,79 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// Evidence is what a node knows of requests that end the back ends that run them. It is
+// Evidence is what a node knows about requests that crash the back ends that run them. It is
 // immutable.
 type Evidence struct {
-	// Crashes are the last unplanned ends of back ends beside the node, the newest last,
-	// as long as it is open which request made them.
+	// Crashes are the most recent crashes of the node's own back end whose cause is not yet known,
+	// newest last.
 	Crashes []Crash `json:"crashes,omitempty"`
-	// Cleared are requests that came to an end here though a back end had ended under them.
+	// Cleared are requests that completed here although an earlier back end had crashed while
+	// running them.
 	Cleared []Clearance `json:"cleared,omitempty"`
-	// Quarantined are requests that no back end is to get, the newest last. The node saw a back
-	// end end under each, or took it over from a node that has gone.
+	// Quarantined are requests that must not be sent to any back end, newest last. The node's own
+	// back end crashed while running each, or the entry was inherited from a node that has gone.
 	Quarantined []Quarantined `json:"held,omitempty"`
-	// Lifted are requests whose verdicts an operator has lifted, the newest last.
+	// Lifted are requests that an operator has released from quarantine, newest last.
 	Lifted []Lift `json:"lifted,omitempty"`
 }
 
 // Crash is the unplanned end of one back end.
 type Crash struct {
-	// Endpoint names the incarnation of the back end.
+	// Endpoint is the incarnation of the back end, as formatted by Incarnation.String.
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
-	// Running is what was at work there.
+	// Running are the requests in progress at the time.
 	Running []fingerprint.Fingerprint `json:"running"`
-	// Trial is the one of them that was suspected before it began, nil for none: a back end
-	// runs one such request at a time.
+	// Trial is the running request that was already a suspect before it started, nil if there was
+	// none. A back end runs one suspect at a time.
 	Trial *fingerprint.Fingerprint `json:"trial,omitempty"`
 }
 
-// Clearance says that a request that was at work when back ends ended did not end them.
+// Clearance states that a request that was running when back ends crashed did not cause those
+// crashes.
 type Clearance struct {
 	fingerprint.Fingerprint
-	// Endpoints are the back ends whose ends were known when the request came to a good
-	// end.
+	// Endpoints are the crashed back ends that were known when the request completed successfully.
 	Endpoints []string `json:"endpoints"`
 }
 
-// Quarantined is a request that no back end is to get.
+// Quarantined is a request that must not be sent to any back end.
 type Quarantined struct {
 	Digest  fingerprint.Digest `json:"digest"`
 	Service string             `json:"service"`
-	// Endpoints are back ends that ended under it.
+	// Endpoints are back ends that crashed while running it.
 	Endpoints []string `json:"endpoints"`
-	// Lifts is how often earlier verdicts on the request had been lifted when this one was
-	// reached; it does not hold once there are more.
+	// Lifts is how often the request had been released from quarantine when this entry was made.
+	// The entry is void once the count is higher.
 	Lifts int `json:"lifts,omitempty"`
 }
 
-// Lift says how often verdicts on a request were lifted.
+// Lift counts how often a request was released from quarantine.
 type Lift struct {
 	Digest fingerprint.Digest `json:"digest"`
 	Count  int                `json:"count"`
 }
 
-// Bounds of the evidence of one node. A record with all of it has 26 KB (TestEvidenceIsBounded)
-// and travels with each exchange; requests that are cleared, and ends that are explained, leave
-// it. Without crashes there is none.
+// Limits on the evidence of one node. A record with all of it has 26 KB (TestEvidenceIsBounded) and
+// is sent with each exchange. Cleared requests and explained crashes are removed, and without
+// crashes there is no evidence.
 const (
-	// maxCrashes is how many ends are open at a node at most: more of them in a row
-	// than a request may cause.
+	// maxCrashes bounds the unexplained crashes of a node. It exceeds the number of crashes in a
+	// row that one request may cause.
 	maxCrashes = 8
-	// maxRunningPerCrash bounds the requests of one end; back ends have fewer slots.
+	// maxRunningPerCrash bounds the requests listed for one crash; back ends have fewer slots.
 	maxRunningPerCrash = 32
 	maxClearances      = 32
-	// maxQuarantined is how many verdicts a node keeps for all, and how many it has lifted.
-	// Each costs its sender two back ends, so that nobody pushes one out cheaply.
+	// maxQuarantined bounds the quarantined requests that a node publishes, and separately those it
+	// has released. Each entry costs its sender two back-end crashes, so pushing one out is
+	// expensive.
 	maxQuarantined = 64
 )
 
-// Full reports whether a further verdict would push out an earlier one.
+// Full reports whether another quarantined request would push out an earlier one.
 func (e *Evidence) Full() bool { return len(e.Quarantined) >= maxQuarantined }
 
-// Bounded returns the evidence cut down to its newest parts, nil when there is none.
+// Bounded returns the evidence cut down to its newest entries, nil if there is none.
 func (e Evidence) Bounded() *Evidence {
 	e.Crashes = newest(e.Crashes, maxCrashes)
 	e.Cleared = newest(e.Cleared, maxClearances)
@@ -96,7 +98,7 @@
 
 func newest[T any](list []T, limit int) []T { return list[max(0, len(list)-limit):] }
 
-// Clone returns a copy whose lists can be changed; an empty one of nil.
+// Clone returns a copy whose lists can be changed. The clone of nil is empty.
 func (e *Evidence) Clone() Evidence {
 	if e == nil {
 		return Evidence{}
@@ -107,14 +109,14 @@
 	}
 }
 
-// SameQuarantined reports whether both hold back the same requests.
+// SameQuarantined reports whether both have the same quarantined requests in the same order.
 func (e *Evidence) SameQuarantined(other *Evidence) bool {
 	return slices.EqualFunc(e.Clone().Quarantined, other.Clone().Quarantined, sameDigest)
 }
 
 func sameDigest(a, b Quarantined) bool { return a.Digest == b.Digest }
 
-// LiftCount returns how often the node knows verdicts on a request to have been lifted.
+// LiftCount returns how often, as far as the node knows, a request was released from quarantine.
 func (e *Evidence) LiftCount(digest fingerprint.Digest) (count int) {
 	for _, lifted := range e.Lifted {
 		if lifted.Digest == digest {
@@ -124,7 +126,7 @@
 	return count
 }
 
-// mergeEvidence is what a node knows once an earlier life's evidence came to light.
+// mergeEvidence combines the node's evidence with that of a previous run of the node.
 func mergeEvidence(own, previous *Evidence) *Evidence {
 	if previous == nil {
 		return own
@@ -138,7 +140,7 @@
 	return merged.Bounded()
 }
 
-// union appends what the first list lacks.
+// union appends the items of the second list that the first one lacks.
 func union[T any](first, second []T, same func(a, b T) bool) []T {
 	for _, item := range second {
 		if !slices.ContainsFunc(first, func(existing T) bool { return same(existing, item) }) {
--- a/internal/sidecar/roster/incarnation_test.go
+++ b/internal/sidecar/roster/incarnation_test.go
@@ -9,14 +9,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestRestartUnderSameID: the later start takes the place at once, with counts that start
-// anew, and words of the earlier one change nothing.
+// TestRestartUnderSameID checks that a later start under the same id replaces the earlier one at
+// once, with a new sequence, and that late reports of the earlier start change nothing.
 func TestRestartUnderSameID(t *testing.T) {
 	const interval = time.Second
 	type report struct {
 		id       string
 		born     int64
-		state    roster.State // empty: the back end says that it ends
+		state    roster.State // empty: the back end reports its end
 		sequence uint64
 	}
 	cases := []struct {
@@ -25,25 +25,25 @@
 		born    int64
 		state   roster.State
 	}{
-		{"counts start anew", []report{{"a", 100, roster.Ready, 40}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
-		{"a start after the word that it leaves", []report{{"a", 100, roster.Draining, 40}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
-		{"a start after an end", []report{{"a", 100, roster.Ready, 40}, {"a", 100, "", 0}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
-		{"one end does not end the next start", []report{{"a", 200, roster.Ready, 1}, {"a", 100, "", 0}}, 200, roster.Ready},
-		{"an end that does not tell is of the present one", []report{{"a", 200, roster.Ready, 1}, {"a", 0, "", 0}}, 200, roster.Gone},
-		{"the end of a later start ends the earlier one", []report{{"a", 100, roster.Ready, 1}, {"a", 200, "", 0}}, 100, roster.Gone},
-		{"a late word of the start before", []report{{"a", 200, roster.Ready, 1}, {"a", 100, roster.Draining, 41}}, 200, roster.Ready},
-		{"several of them", []report{
+		{"sequence restarts", []report{{"a", 100, roster.Ready, 40}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
+		{"restart after draining", []report{{"a", 100, roster.Draining, 40}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
+		{"restart after end", []report{{"a", 100, roster.Ready, 40}, {"a", 100, "", 0}, {"a", 200, roster.Ready, 1}}, 200, roster.Ready},
+		{"end of previous start does not end the next", []report{{"a", 200, roster.Ready, 1}, {"a", 100, "", 0}}, 200, roster.Ready},
+		{"end without start time applies to the current start", []report{{"a", 200, roster.Ready, 1}, {"a", 0, "", 0}}, 200, roster.Gone},
+		{"end of a later start ends the earlier one", []report{{"a", 100, roster.Ready, 1}, {"a", 200, "", 0}}, 100, roster.Gone},
+		{"late heartbeat of the previous start", []report{{"a", 200, roster.Ready, 1}, {"a", 100, roster.Draining, 41}}, 200, roster.Ready},
+		{"several late heartbeats of the previous start", []report{
 			{"a", 200, roster.Ready, 1}, {"a", 100, roster.Draining, 41}, {"a", 100, roster.Draining, 42}, {"a", 100, roster.Draining, 43},
 		}, 200, roster.Ready},
-		{"a late word after the end", []report{{"a", 200, roster.Ready, 1}, {"a", 200, "", 0}, {"a", 100, roster.Ready, 41}}, 200, roster.Gone},
-		{"a word after the end of its start", []report{{"a", 200, roster.Ready, 1}, {"a", 200, "", 0}, {"a", 200, roster.Ready, 2}}, 200, roster.Gone},
-		{"a clock that was set back", []report{
+		{"late heartbeat of the previous start after the end", []report{{"a", 200, roster.Ready, 1}, {"a", 200, "", 0}, {"a", 100, roster.Ready, 41}}, 200, roster.Gone},
+		{"heartbeat after the end of its own start", []report{{"a", 200, roster.Ready, 1}, {"a", 200, "", 0}, {"a", 200, roster.Ready, 2}}, 200, roster.Gone},
+		{"clock set back", []report{
 			{"a", 200, roster.Ready, 1}, {"a", 200, "", 0}, {"a", 150, roster.Ready, 1}, {"a", 150, roster.Ready, 2},
 		}, 150, roster.Ready},
-		{"a later start under another id", []report{{"a", 100, roster.Ready, 40}, {"b", 200, roster.Ready, 1}}, 200, roster.Ready},
-		{"a late word of an earlier id", []report{{"b", 200, roster.Ready, 1}, {"a", 100, roster.Ready, 40}, {"a", 100, roster.Ready, 41}}, 200, roster.Ready},
-		{"a word without a start, of another writer", []report{{"a", 100, roster.Ready, 1}, {"a", 0, roster.Draining, 99}, {"a", 0, roster.Draining, 100}}, 100, roster.Ready},
-		{"the first that tells its start", []report{{"a", 0, roster.Ready, 40}, {"a", 100, roster.Ready, 1}, {"a", 100, roster.Ready, 2}}, 100, roster.Ready},
+		{"later start under another id", []report{{"a", 100, roster.Ready, 40}, {"b", 200, roster.Ready, 1}}, 200, roster.Ready},
+		{"late heartbeats of an earlier id", []report{{"b", 200, roster.Ready, 1}, {"a", 100, roster.Ready, 40}, {"a", 100, roster.Ready, 41}}, 200, roster.Ready},
+		{"heartbeats without start time, of another sender", []report{{"a", 100, roster.Ready, 1}, {"a", 0, roster.Draining, 99}, {"a", 0, roster.Draining, 100}}, 100, roster.Ready},
+		{"first heartbeat with start time", []report{{"a", 0, roster.Ready, 40}, {"a", 100, roster.Ready, 1}, {"a", 100, roster.Ready, 2}}, 100, roster.Ready},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLaterStartOfPreviousRunIsKept: a node that starts again keeps the later of the two starts
-// that it and its earlier life have heard of.
+// TestLaterStartOfPreviousRunIsKept checks that a restarted node keeps the later of the two starts
+// that it and its previous run have seen.
 func TestLaterStartOfPreviousRunIsKept(t *testing.T) {
 	for _, starts := range [][2]int64{{100, 200}, {200, 100}} {
 		g := NewWithT(t)
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestAssessmentAppliesToOneIncarnation: what a node thought of a back end is not held against its next
-// start.
+// TestAssessmentAppliesToOneIncarnation checks that the assessment of a back end is not applied to
+// its next start.
 func TestAssessmentAppliesToOneIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	held := record("self", 1, 1)
--- a/internal/sidecar/roster/leave_test.go
+++ b/internal/sidecar/roster/leave_test.go
@@ -9,8 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestDrainingSurvivesLateHeartbeats against late heartbeats and records of earlier lives, until
-// another incarnation is there.
+// TestDrainingSurvivesLateHeartbeats checks that draining announced by a response is not undone by
+// late heartbeats or by records of previous runs, only by another incarnation.
 func TestDrainingSurvivesLateHeartbeats(t *testing.T) {
 	g := NewWithT(t)
 	ready := roster.Endpoint{ID: "i", Born: 100, Service: "s", Slots: 4, State: roster.Ready, Sequence: 1}
@@ -19,7 +19,7 @@
 	draining, changed := record.MarkDraining(ready.Incarnation())
 	g.Expect(changed).To(BeTrue())
 	g.Expect(draining.Endpoint.State).To(Equal(roster.Draining))
-	g.Expect(ready.State).To(Equal(roster.Ready), "what others hold is not changed")
+	g.Expect(ready.State).To(Equal(roster.Ready), "the shared endpoint is not modified")
 
 	late := ready
 	late.Sequence = 9
@@ -31,7 +31,7 @@
 	started, _ := tracker.ApplyHeartbeat(afterLate, roster.Heartbeat{Endpoint: next}, time.Now())
 	g.Expect(started.Endpoint.State).To(Equal(roster.Ready))
 	_, changed = started.MarkDraining(ready.Incarnation())
-	g.Expect(changed).To(BeFalse(), "a late answer of the incarnation before")
+	g.Expect(changed).To(BeFalse(), "late response of the previous incarnation")
 
 	for _, reports := range [][2]*roster.Endpoint{{draining.Endpoint, &late}, {&late, draining.Endpoint}} {
 		own := record
--- a/internal/sidecar/roster/publish.go
+++ b/internal/sidecar/roster/publish.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxImmediateSize is the size of a view up to which each change replaces it at once.
-	// Replacing it takes time in proportion to the size; of a larger one changes
-	// of others in quick succession are taken together.
+	// maxImmediateSize is the size of a view up to which every change replaces it at once.
+	// Replacing a view takes time proportional to its size, so in larger ones changes to other
+	// nodes' records in quick succession are coalesced.
 	maxImmediateSize = 512
-	// publishInterval is the time between two replacements then.
+	// publishInterval is the minimum time between two replacements of a larger view.
 	publishInterval = 50 * time.Millisecond
 )
 
-// Batch has the changes that the function makes replace the view once, at its end: a node that
-// reads 1,000 records one by one otherwise replaces views of up to as many for each.
+// Batch runs a function and replaces the view once, when it returns, instead of after every change.
+// A node that reads 1,000 records one by one would otherwise build as many views of up to that
+// size.
 func (r *Roster) Batch(change func()) {
 	r.mutex.Lock()
 	r.batchDepth++
@@ -31,7 +32,7 @@
 	change()
 }
 
-// publishAndNotify publishes the view and tells the observers; the lock is held.
+// publishAndNotify replaces the view and calls the observers. The lock must be held.
 func (r *Roster) publishAndNotify(changed []*Record) {
 	if len(changed) == 0 {
 		return
@@ -42,8 +43,8 @@
 	}
 }
 
-// schedulePublish replaces the view now, or within publishPause when it is large and
-// was replaced just before. A change of the own record never waits.
+// schedulePublish replaces the view now, or within publishInterval if it is large and was replaced
+// recently. A change of the node's own record is never delayed.
 func (r *Roster) schedulePublish(changed []*Record) {
 	if r.batchDepth > 0 {
 		return
@@ -67,14 +68,15 @@
 	}
 }
 
-// rebuildDivisor is the part of the records from which on, when they change together, a view is built
-// anew: lists are cheaper sorted once than changed in many places.
+// rebuildDivisor is the fraction of the records, 1/4, from which on a view is rebuilt when that
+// many changed together. Sorting the lists once is then cheaper than inserting in many places.
 const rebuildDivisor = 4
 
-// publish replaces the view. It costs by what has changed: the lists of the zones and services
-// concerned are copied, all others shared with the view before. One change among 984 records in 6
-// zones and 3 services takes 16 microseconds and 5 KB, among 2,000 28 and 9 KB (BenchmarkOneChange).
-// Built whole each time it is 268 and 612 microseconds, 64 and 126 KB (BenchmarkWholeView).
+// publish replaces the view at a cost proportional to what changed: the lists of the affected zones
+// and services are copied, all others are shared with the previous view. One change among 984
+// records in 6 zones and 3 services takes 16 microseconds and 5 KB, among 2,000 records 28
+// microseconds and 9 KB (BenchmarkIncrementalView). Rebuilding the view each time takes 268 and 612
+// microseconds, 64 and 126 KB (BenchmarkRebuiltView).
 func (r *Roster) publish() {
 	r.published, r.publishPending = clock.Now(), false
 	if len(r.dirty)*rebuildDivisor >= len(r.records) {
--- a/internal/sidecar/roster/roster.go
+++ b/internal/sidecar/roster/roster.go
@@ -7,30 +7,29 @@
 	"time"
 )
 
-// Roster merges records. It is safe for concurrent use; reads take no lock.
+// Roster merges records into a view. It is safe for concurrent use, and reads take no lock.
 type Roster struct {
 	self string
-	// runID is that of this process.
+	// runID identifies this run of the node.
 	runID uint64
 	view  atomic.Pointer[View]
 
-	mutex   sync.Mutex // guards all below and the replacement of view
+	mutex   sync.Mutex // guards the fields below and replacing view
 	records map[string]*Record
-	// dirty are the nodes whose records the view does not show as they are.
+	// dirty are the nodes whose records have changed since the view was built.
 	dirty     map[string]struct{}
 	observers []func(changed []*Record)
-	// published is when the view was last replaced, delayed whether that is still
-	// to be done after changes.
+	// published is when the view was last replaced. publishPending means that a replacement is
+	// scheduled.
 	published      time.Time
 	publishPending bool
-	// batchDepth counts the callers of Together: each of them replaces the view at its end.
+	// batchDepth counts the running calls of Batch, each of which replaces the view when it ends.
 	batchDepth int
-	// goneSince says since when a record is known to be of a node that does not come
-	// back; used by Forget alone.
+	// goneSince is when a record was first seen in the state Gone. Only Forget uses it.
 	goneSince map[string]time.Time
 }
 
-// New returns a roster that holds the node's own first record.
+// New returns a roster that contains the node's own initial record.
 func New(own Record) *Roster {
 	created := &Roster{self: own.Node, runID: own.RunID, records: map[string]*Record{}, dirty: map[string]struct{}{}, goneSince: map[string]time.Time{}}
 	created.view.Store(newView(nil))
@@ -39,29 +38,30 @@
 	return created
 }
 
-// set replaces a node's record; the lock is held.
+// set replaces a node's record. The lock must be held.
 func (r *Roster) set(record *Record) {
 	r.records[record.Node] = record
 	r.dirty[record.Node] = struct{}{}
 }
 
-// View returns the current state.
+// View returns the current view.
 func (r *Roster) View() *View { return r.view.Load() }
 
 // Own returns the node's own record.
 func (r *Roster) Own() *Record { return r.View().Record(r.self) }
 
-// Observe has the function called after each change, with the lock held, so
-// that changes arrive in order. It must not block.
+// Observe registers a function that is called after each change, with the lock held so that changes
+// are delivered in order. It must not block.
 func (r *Roster) Observe(observer func(changed []*Record)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.observers = append(r.observers, observer)
 }
 
-// Merge takes in records of others. A record of this node from an earlier life,
-// or one that is ahead of it, raises the node's own epoch above it and hands
-// over what that life knew of the back end and of requests that end back ends.
+// Merge merges records received from others and returns those that changed. A record of this node
+// that is newer than its own, or that a previous run left behind, raises the node's epoch above it,
+// and the node adopts what that run knew about the back end and about requests that crash back
+// ends.
 func (r *Roster) Merge(records []*Record) (changed []*Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,7 +75,7 @@
 		}
 		existing := r.records[record.Node]
 		if existing == nil && record.Gone() {
-			continue // forgotten, or never to be known
+			continue // forgotten already, or gone before it was known
 		}
 		if existing == nil || record.Newer(existing) {
 			r.set(record)
@@ -86,12 +86,12 @@
 	return changed
 }
 
-// goneRetention is how long the record of a node whose back end has ended is kept: a
-// process that starts anew beside it hears from others what has ended.
+// goneRetention is how long the record of a node whose back end has ended is kept, so that a
+// process restarted on that node learns from others which incarnations have ended.
 const goneRetention = 5 * time.Minute
 
-// Forget drops the records of other nodes whose back end has been gone for long,
-// and returns their names. It is to be called from time to time.
+// Forget removes the records of other nodes whose back end ended goneRetention ago, and returns
+// their names. It must be called periodically.
 func (r *Roster) Forget(now time.Time) (forgotten []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -117,10 +117,10 @@
 	return forgotten
 }
 
-// Resume takes in what an earlier life of the node left, the newest of several records. A node that
-// has said nothing yet goes on with that record unchanged, where nothing about its machine is
-// new: where all nodes start again from what they had left, none has news for another, in place of
-// a record of each for each. It reports whether the node did; otherwise Merge's rules hold.
+// Resume applies the newest of several records that previous runs of the node left. If the node has
+// published nothing yet and nothing about the node itself has changed, it adopts that record
+// unchanged and Resume returns true: after a restart of all nodes none then has to send its record
+// to every other one. Otherwise the record is superseded as in Merge.
 func (r *Roster) Resume(previous []*Record) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -143,7 +143,8 @@
 	return true
 }
 
-// supersede puts the own record above one that an earlier life left behind.
+// supersede raises the node's own record above one of a previous run, unless it already is newer.
+// It returns the own record if it changed.
 func (r *Roster) supersede(previous *Record) []*Record {
 	own := *r.records[r.self]
 	if !previous.Newer(&own) && !previous.conflicts(&own) {
@@ -161,15 +162,15 @@
 	return []*Record{&own}
 }
 
-// mergeEndpoint decides which back end the node has after an earlier life's record
-// came to light: what was heard in this life, unless the earlier one knows that
-// it has ended or heard a later word of it. One that has ended by the word of either stays so.
+// mergeEndpoint returns the node's back end after a record of a previous run was found: the one
+// reported in this run, unless the previous one knows that it has ended or has a later report of
+// it. A back end that has ended according to either stays so.
 func mergeEndpoint(own Record, previous *Endpoint) *Endpoint {
 	chosen := laterReport(own.Endpoint, previous)
 	if chosen == nil || chosen.State == Gone {
 		return chosen
 	}
-	// An end that was told without the start concerns what was there before.
+	// An end reported without a start time applies to the incarnation known before.
 	endedWithoutStart := chosen != own.Endpoint && own.HasEnded(Incarnation{ID: chosen.ID})
 	if !endedWithoutStart && !own.HasEnded(chosen.Incarnation()) {
 		return chosen.drainingIfReported(own.Endpoint, previous)
@@ -179,7 +180,8 @@
 	return &gone
 }
 
-// drainingIfReported returns the back end, which leaves when one of the words on its incarnation says so.
+// drainingIfReported returns the endpoint, in the state Draining if one of the reports on its
+// incarnation has that state.
 func (e *Endpoint) drainingIfReported(reports ...*Endpoint) *Endpoint {
 	for _, report := range reports {
 		if e.State == Ready && report != nil && report.State == Draining && report.Incarnation() == e.Incarnation() {
@@ -189,8 +191,8 @@
 	return e
 }
 
-// laterReport returns which of two words on a back end was said later: that of this life, or the
-// remembered one of an earlier life.
+// laterReport returns the later of two reports on a back end, one of this run and one of a previous
+// run.
 func laterReport(current, previous *Endpoint) *Endpoint {
 	switch {
 	case previous == nil:
@@ -205,8 +207,8 @@
 	return current
 }
 
-// Update replaces the own record by what the function makes of it, under the
-// next counter, when the function reports a change.
+// Update replaces the node's own record with the result of the function, and increments its counter
+// if the function reports a change.
 func (r *Roster) Update(change func(Record) (Record, bool)) (own *Record, changed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestPreviousRunIsSuperseded: the node goes above what an earlier life left, and
-// takes over what that life knew of the back end.
+// TestPreviousRunIsSuperseded checks that a node raises its epoch above the record of a previous
+// run and adopts what that run knew about the back end.
 func TestPreviousRunIsSuperseded(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -61,13 +61,13 @@
 		ended    []string
 		want     *roster.Endpoint
 	}{
-		{"nothing heard yet", nil, endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
-		{"a late heartbeat before the word that it drains", endpoint("i-1", roster.Ready, 3), endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
-		{"a newer heartbeat", endpoint("i-1", roster.Draining, 5), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-1", roster.Draining, 5)},
+		{"no heartbeat yet", nil, endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
+		{"heartbeat older than draining", endpoint("i-1", roster.Ready, 3), endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
+		{"newer heartbeat", endpoint("i-1", roster.Draining, 5), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-1", roster.Draining, 5)},
 		{"another back end since", endpoint("i-2", roster.Ready, 1), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-2", roster.Ready, 1)},
-		{"a late heartbeat of one that has ended", endpoint("i-1", roster.Ready, 9), endpoint("i-0", roster.Ready, 1), []string{"i-1"}, endpoint("i-1", roster.Gone, 9)},
+		{"late heartbeat of an ended back end", endpoint("i-1", roster.Ready, 9), endpoint("i-0", roster.Ready, 1), []string{"i-1"}, endpoint("i-1", roster.Gone, 9)},
 		{"gone stays gone", endpoint("i-1", roster.Ready, 9), endpoint("i-1", roster.Gone, 2), nil, endpoint("i-1", roster.Gone, 2)},
-		{"nothing remembered", endpoint("i-1", roster.Ready, 9), nil, nil, endpoint("i-1", roster.Ready, 9)},
+		{"previous run knew no back end", endpoint("i-1", roster.Ready, 9), nil, nil, endpoint("i-1", roster.Ready, 9)},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestEvidenceIsMergedFromPreviousRun: a life that starts takes over what the one before knew of
-// requests that end back ends, beside what it has seen itself.
+// TestEvidenceIsMergedFromPreviousRun checks that a restarted node adopts what its previous run
+// knew about requests that crash back ends, in addition to its own evidence.
 func TestEvidenceIsMergedFromPreviousRun(t *testing.T) {
 	g := NewWithT(t)
 	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
@@ -107,7 +107,8 @@
 	}))
 }
 
-// TestEvidenceIsBounded: the newest stays, and none at all is nil.
+// TestEvidenceIsBounded checks that the newest entries are kept and that empty evidence becomes
+// nil.
 func TestEvidenceIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(roster.Evidence{}.Bounded()).To(BeNil())
@@ -128,7 +129,7 @@
 	g.Expect(bounded.Full()).To(BeTrue())
 }
 
-// TestIncarnationTracker plays heartbeats of several ids in the order in which they come.
+// TestIncarnationTracker applies heartbeats of several ids in order of arrival.
 func TestIncarnationTracker(t *testing.T) {
 	const interval = 1500 * time.Millisecond
 	type event struct {
@@ -145,42 +146,42 @@
 		id     string
 		state  roster.State
 	}{
-		{"the first is taken", []event{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
+		{"first heartbeat", []event{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
 		{"draining", []event{{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 2, false, false}}, "a", roster.Draining},
-		{"a late heartbeat does not undo draining", []event{
+		{"late heartbeat does not undo draining", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 3, false, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Draining},
-		{"an ended id does not come back", []event{
+		{"ended id does not return", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Gone},
-		{"the next one follows an ended one at once", []event{
+		{"next id after an end at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"one late heartbeat of an earlier one changes nothing", []event{
+		{"single late heartbeats of an earlier id", []event{
 			{0, "b", roster.Ready, 1, false, false}, {1, "a", roster.Ready, 40, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false}, {2 * interval, "b", roster.Ready, 3, false, false},
 		}, "b", roster.Ready},
-		{"a late heartbeat that came first gives way", []event{
+		{"late heartbeat that arrived first is replaced", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 		}, "b", roster.Ready},
-		{"an ended process gives way to the first heartbeat of the next one", []event{
+		{"lost process is replaced by the first heartbeat", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"a process that was taken for ended goes on", []event{
+		{"process wrongly considered lost continues", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "a", roster.Ready, 41, false, false},
 			{3, "b", roster.Ready, 1, false, false},
 		}, "a", roster.Ready},
-		{"and may not come back alone", []event{
+		{"replaced id does not return with one heartbeat", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false},
 		}, "b", roster.Ready},
-		{"a silent one gives way at once", []event{
+		{"silent id is replaced at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {4 * interval, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"the back end's own word decides", []event{
+		{"id confirmed by the back end", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {2, "b", "", 0, false, true},
 		}, "b", roster.Ready},
-		{"an unknown id from the back end is no claim", []event{
+		{"unknown id from the back end is ignored", []event{
 			{0, "a", roster.Ready, 40, false, false}, {2, "c", "", 0, false, true},
 		}, "a", roster.Ready},
 	}
@@ -213,14 +214,14 @@
 	g := NewWithT(t)
 	members := roster.New(record("self", 1, 1))
 	claims := roster.IncarnationTracker{Interval: time.Second}
-	told := 0
-	members.Observe(func([]*roster.Record) { told++ })
+	notifications := 0
+	members.Observe(func([]*roster.Record) { notifications++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
 		members.Update(func(own roster.Record) (roster.Record, bool) {
 			return claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
 		})
 	}
-	g.Expect(told).To(Equal(1))
+	g.Expect(notifications).To(Equal(1))
 	g.Expect(members.Own().Counter).To(BeEquivalentTo(2))
 }
 
@@ -234,8 +235,9 @@
 	g.Expect(own.HasEnded(roster.Incarnation{ID: string(rune('A' + 99))})).To(BeTrue())
 }
 
-// TestGoneNodesAreForgotten after a while, and do not come back by way of a
-// peer that still knows them; one that returns with another back end does.
+// TestGoneNodesAreForgotten checks that a node whose back end has ended is forgotten after a while
+// and not learned again from a peer that still knows it, while one that returns with another back
+// end is.
 func TestGoneNodesAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Unix(0, 0)
@@ -255,7 +257,7 @@
 	g.Expect(held.View().Record("left")).NotTo(BeNil())
 	g.Expect(held.Forget(began.Add(time.Hour))).To(Equal([]string{"left"}))
 	g.Expect(held.View().Record("left")).To(BeNil())
-	g.Expect(held.View().Digest()).To(Equal(peer.View().Digest()), "nothing is to be exchanged for it")
+	g.Expect(held.View().Digest()).To(Equal(peer.View().Digest()), "forgetting causes no exchange")
 	g.Expect(held.View().Buckets(4)).To(Equal(peer.View().Buckets(4)))
 	g.Expect(held.Merge(peer.View().Records())).To(BeEmpty())
 	back := record("left", 2, 1)
@@ -264,8 +266,8 @@
 	g.Expect(held.Forget(began.Add(2 * time.Hour))).To(BeEmpty())
 }
 
-// TestChangesOfLargeRosterAreCoalesced but none is left out, and the own
-// record never waits.
+// TestChangesOfLargeRosterAreCoalesced checks that rapid changes of a large roster share views,
+// that none is lost, and that the node's own record is never delayed.
 func TestChangesOfLargeRosterAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -294,9 +296,9 @@
 	})
 }
 
-// TestRunsWithEqualVersions: a life that has come to the epoch and the counter of
-// one that it had not heard of goes above it and takes over what that one knew; the
-// others agree on one of the two meanwhile, and see that they differ.
+// TestRunsWithEqualVersions checks two runs of a node that reached the same epoch and counter
+// without knowing of each other: the node supersedes the other run and adopts what it knew, and
+// meanwhile all other nodes agree on one of the two records and have different digests for them.
 func TestRunsWithEqualVersions(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
@@ -326,8 +328,8 @@
 	}
 }
 
-// TestSoftwareVersionChangeIsPublished: a back end that comes back under its id with other software
-// is told to the others.
+// TestSoftwareVersionChangeIsPublished checks that a back end that returns under its id with other
+// software is reported as a change.
 func TestSoftwareVersionChangeIsPublished(t *testing.T) {
 	g := NewWithT(t)
 	claims := roster.IncarnationTracker{Interval: time.Second}
@@ -347,8 +349,8 @@
 	g.Expect(held.Endpoint.Version).To(Equal("v2"))
 }
 
-// TestResumeAfterFullRestart from what it had left has no news: its nodes' digests are equal at once. A
-// word of the earlier life that the store lacks is found and gone above.
+// TestResumeAfterFullRestart checks that nodes that all resume their stored records have equal
+// digests at once, and that a newer record of the previous run that the store lacks is superseded.
 func TestResumeAfterFullRestart(t *testing.T) {
 	for _, size := range []int{100, 1000, 2000} {
 		g := NewWithT(t)
@@ -367,7 +369,7 @@
 		}
 		first, second := start(0), start(1)
 		g.Expect(first.View().Digest()).To(Equal(second.View().Digest()))
-		// The earlier life had said more than the store has.
+		// The previous run had published more than the store has.
 		unheard := *left[0]
 		unheard.Counter++
 		unheard.Endpoint = &roster.Endpoint{ID: "i-0", Service: "s", Slots: 4, State: roster.Draining, Sequence: 9}
@@ -378,13 +380,14 @@
 	}
 }
 
-// TestBatch: many records replace the view once, and what others see meanwhile is whole.
+// TestBatch checks that a batch replaces the view once and that readers see the previous view until
+// then.
 func TestBatch(t *testing.T) {
 	g := NewWithT(t)
 	made := roster.New(roster.Record{Node: "self", Epoch: 1, Counter: 1})
 	before := made.View()
-	told := 0
-	made.Observe(func(changed []*roster.Record) { told += len(changed) })
+	notifications := 0
+	made.Observe(func(changed []*roster.Record) { notifications += len(changed) })
 	made.Batch(func() {
 		for i := range 300 {
 			made.Merge([]*roster.Record{{Node: fmt.Sprint("n", i), Epoch: 1, Zone: "z"}})
@@ -392,21 +395,22 @@
 		}
 	})
 	g.Expect(made.View().Count()).To(Equal(301))
-	g.Expect(told).To(Equal(300))
+	g.Expect(notifications).To(Equal(300))
 	made.Merge([]*roster.Record{{Node: "later", Epoch: 1, Zone: "z"}})
 	g.Expect(made.View().Count()).To(Equal(302))
 }
 
-// TestEndAfterRestartIsFinal: what an earlier life knew of it comes later.
+// TestEndAfterRestartIsFinal guards against an ended back end that accepts work again when a record
+// of the previous run, in which it is ready, arrives after its end.
 func TestEndAfterRestartIsFinal(t *testing.T) {
 	cases := []struct {
 		name  string
 		heard bool
 		ended roster.Incarnation
 	}{
-		{"heard in this life", true, roster.Incarnation{ID: "i-1", Born: 7}},
-		{"only its end is heard", false, roster.Incarnation{ID: "i-1", Born: 7}},
-		{"only its end is heard, without its start", false, roster.Incarnation{ID: "i-1"}},
+		{"heartbeat in this run", true, roster.Incarnation{ID: "i-1", Born: 7}},
+		{"only its end in this run", false, roster.Incarnation{ID: "i-1", Born: 7}},
+		{"only its end in this run, without start time", false, roster.Incarnation{ID: "i-1"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -415,9 +419,9 @@
 			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
 			if tc.heard {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
-					said := endpoint
-					said.Sequence = 19
-					record.Endpoint = &said
+					reported := endpoint
+					reported.Sequence = 19
+					record.Endpoint = &reported
 					return record, true
 				})
 			}
--- a/internal/sidecar/roster/validate.go
+++ b/internal/sidecar/roster/validate.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxEpoch bounds epochs and counters: a node goes above those that it finds.
+	// maxEpoch bounds epochs and counters. A node raises its own above those that it finds, so a
+	// corrupt value must not lead to an overflow.
 	maxEpoch = 1 << 60
 	// maxSlots bounds the slots of a back end.
 	maxSlots = 1 << 20
 )
 
-// Validate names the field of a record that no node writes so, and why. Records lie where
-// others may write too.
+// Validate returns an error that names the first invalid field. Records are read from a store to
+// which others may write as well.
 func (r *Record) Validate() error {
 	switch {
 	case r.Node == "":
--- a/internal/sidecar/roster/view.go
+++ b/internal/sidecar/roster/view.go
@@ -10,18 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is one state of the roster. It is immutable; views share the lists that are equal.
+// View is an immutable snapshot of the roster. Consecutive views share unchanged lists.
 type View struct {
-	// services and zones hold the records by the service and the zone of their
-	// node, each list ordered by node name. A list that is there has a record.
+	// services and zones hold the records by service and zone, each list ordered by node name and
+	// never empty.
 	services, zones map[string][]*Record
-	// count is how many nodes are known, live how many of them whose back end has not ended for
-	// good.
+	// count is the number of known nodes, live the number of those whose back end has not ended.
 	count, live int
 	digest      uint64
 }
 
-// newView returns the view of the records, in any order.
+// newView builds a view from records in any order.
 func newView(records []*Record) *View {
 	view := &View{services: map[string][]*Record{}, zones: map[string][]*Record{}}
 	slices.SortFunc(records, compareNodes)
@@ -35,8 +34,8 @@
 	return view
 }
 
-// with returns the view after the nodes' records have become those in the map; one that is not
-// there any more is left out.
+// with returns the view after the records of the changed nodes have become those in the map. A node
+// without a record there is removed.
 func (v *View) with(changed map[string]struct{}, records map[string]*Record) *View {
 	next := &View{services: maps.Clone(v.services), zones: maps.Clone(v.zones), count: v.count, live: v.live, digest: v.digest}
 	zones, services := newEdits(next.zones), newEdits(next.services)
@@ -60,7 +59,8 @@
 	return next
 }
 
-// addToTotals adds a record to the sums, or takes it out.
+// addToTotals adds a record to the counts and the digest if sign is 1, and removes it if sign is
+// -1.
 func (v *View) addToTotals(record *Record, sign int) {
 	v.count += sign
 	if !record.Gone() {
@@ -69,7 +69,7 @@
 	}
 }
 
-// service returns the service of the node's back end; false without one.
+// service returns the service of the node's back end, and false if there is no back end.
 func (r *Record) service() (name string, has bool) {
 	if r.Endpoint == nil {
 		return "", false
@@ -79,12 +79,12 @@
 
 func compareNodes(a, b *Record) int { return strings.Compare(a.Node, b.Node) }
 
-// search returns where a node is in a list ordered by name, or belongs.
+// search returns the index of a node in a list ordered by name, or where to insert it.
 func search(list []*Record, node string) (int, bool) {
 	return slices.BinarySearchFunc(list, node, func(record *Record, node string) int { return strings.Compare(record.Node, node) })
 }
 
-// edits change lists of a view that is being made. Each is copied once.
+// edits changes the lists of a view under construction. Each list is copied on its first change.
 type edits struct {
 	lists  map[string][]*Record
 	copied map[string]bool
@@ -94,7 +94,7 @@
 	return &edits{lists: lists, copied: map[string]bool{}}
 }
 
-// editable returns a list that may be changed.
+// editable returns the list of that name, copied so that it may be changed.
 func (e *edits) editable(name string) []*Record {
 	if !e.copied[name] {
 		e.copied[name] = true
@@ -119,10 +119,10 @@
 	}
 }
 
-// Digest is equal for views that are equal but for nodes whose back end is gone.
+// Digest is equal for views that differ at most in nodes whose back end has ended.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Record returns a node's record or nil. There are few zones.
+// Record returns a node's record or nil. It searches every zone, as there are few.
 func (v *View) Record(node string) *Record {
 	for _, list := range v.zones {
 		if index, found := search(list, node); found {
@@ -132,31 +132,31 @@
 	return nil
 }
 
-// Service returns the records whose back end is of the service, by node name. The list is the same
-// one while none of them changes.
+// Service returns the records whose back end belongs to the service, ordered by node name. The
+// slice is the same one until one of the records changes.
 func (v *View) Service(name string) []*Record { return v.services[name] }
 
-// Zone returns the records of the nodes in the zone, by node name.
+// Zone returns the records of the nodes in the zone, ordered by node name.
 func (v *View) Zone(name string) []*Record { return v.zones[name] }
 
 // Zones returns the names of the zones that have nodes, in order.
 func (v *View) Zones() []string { return slices.Sorted(maps.Keys(v.zones)) }
 
-// LiveCount returns how many nodes are known whose back end has not ended for
-// good. A node whose back end has ended sends no requests for long.
+// LiveCount returns the number of known nodes whose back end has not ended. A node sends no
+// requests for long after its back end has ended.
 func (v *View) LiveCount() int { return v.live }
 
-// Count returns how many nodes are known.
+// Count returns the number of known nodes.
 func (v *View) Count() int { return v.count }
 
-// Records returns all records by node name.
+// Records returns all records, ordered by node name.
 func (v *View) Records() []*Record {
 	list := slices.AppendSeq(make([]*Record, 0, v.count), v.all())
 	slices.SortFunc(list, compareNodes)
 	return list
 }
 
-// all returns all records, in any order.
+// all iterates over all records in unspecified order.
 func (v *View) all() iter.Seq[*Record] {
 	return func(yield func(*Record) bool) {
 		for _, list := range v.zones {
@@ -169,10 +169,9 @@
 	}
 }
 
-// Buckets divides the records by a hash of their node into that many buckets and
-// returns a digest of each. Two rosters differ just in the buckets whose digests
-// differ. Nodes whose back end is gone do not count: each node forgets them in
-// its own time.
+// Buckets divides the records into count buckets by a hash of the node name and returns a digest of
+// each. Two rosters differ exactly in the buckets whose digests differ. Nodes whose back end has
+// ended are excluded, as each roster forgets them at its own time.
 func (v *View) Buckets(count int) []uint32 {
 	digests := make([]uint32, count)
 	for record := range v.all() {
@@ -183,7 +182,7 @@
 	return digests
 }
 
-// InBuckets returns the records that lie in the given ones of that many buckets.
+// InBuckets returns the records in the buckets with the given indices, out of count buckets.
 func (v *View) InBuckets(indices []int, count int) []*Record {
 	wanted := make(map[int]bool, len(indices))
 	for _, index := range indices {
@@ -200,7 +199,7 @@
 
 func bucketOf(node string, count int) int { return int(xxhash.Sum64String(node) % uint64(count)) }
 
-// digest is equal for equal versions of one node's record.
+// digest is equal for equal versions of a node's record.
 func (r *Record) digest() uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(r.Node)
--- a/internal/sidecar/roster/view_test.go
+++ b/internal/sidecar/roster/view_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// randomRecord returns a record of one of some nodes, in any zone and state.
+// randomRecord returns a record of a random node in a random zone and state.
 func randomRecord(random *rand.Rand, nodes int) *Record {
 	record := &Record{Node: fmt.Sprint("n", random.IntN(nodes)), Epoch: uint64(random.IntN(5)), Counter: uint64(random.IntN(50)), Zone: fmt.Sprint("z", random.IntN(3))}
 	if random.IntN(5) > 0 {
@@ -18,7 +18,8 @@
 	return record
 }
 
-// TestIncrementalViewEqualsRebuiltView: changed step by step, some at a time, or built whole.
+// TestIncrementalViewEqualsRebuiltView guards against views that depend on how they were built: one
+// that is updated change by change must equal one built from scratch.
 func TestIncrementalViewEqualsRebuiltView(t *testing.T) {
 	for seed := range uint64(30) {
 		g := NewWithT(t)
@@ -41,7 +42,7 @@
 			}
 			rebuilt := newView(all)
 			g.Expect(view).To(Equal(rebuilt))
-			g.Expect(before.Records()).To(HaveLen(before.Count()), "the view before is as it was")
+			g.Expect(before.Records()).To(HaveLen(before.Count()), "the previous view is unchanged")
 			for node, record := range records {
 				g.Expect(view.Record(node)).To(BeIdenticalTo(record))
 			}
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestUnchangedListsAreShared with the view before where nothing of theirs has changed.
+// TestUnchangedListsAreShared checks that a view shares the lists without changes with the previous
+// one.
 func TestUnchangedListsAreShared(t *testing.T) {
 	g := NewWithT(t)
 	members := newRosterOfSize(900)
@@ -72,14 +74,14 @@
 	g.Expect(copied).To(Equal(1))
 }
 
-// publishImmediately replaces the view without the pause that a large one makes.
+// publishImmediately replaces the view without the delay for large views.
 func (r *Roster) publishImmediately() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.publish()
 }
 
-// newRosterOfSize returns a roster of so many nodes in 6 zones with 3 services.
+// newRosterOfSize returns a roster of the given number of nodes in 6 zones with 3 services.
 func newRosterOfSize(size int) *Roster {
 	members := New(Record{Node: "node-0000", Epoch: 1, Counter: 1, Zone: "z0"})
 	var records []*Record
@@ -93,7 +95,8 @@
 	return members
 }
 
-// TestAllocationsPerChange: a change copies a few lists, however many records there are.
+// TestAllocationsPerChange checks that a change copies a few lists, regardless of the number of
+// records.
 func TestAllocationsPerChange(t *testing.T) {
 	for _, size := range []int{300, 1000, 2000} {
 		g := NewWithT(t)
@@ -109,7 +112,7 @@
 	}
 }
 
-// BenchmarkIncrementalView: one changed record and the view after it.
+// BenchmarkIncrementalView measures one changed record and the resulting view.
 func BenchmarkIncrementalView(b *testing.B) {
 	for _, size := range []int{74, 300, 984, 2000} {
 		b.Run(fmt.Sprint(size, " records"), func(b *testing.B) {
@@ -128,7 +131,7 @@
 	}
 }
 
-// BenchmarkRebuiltView: the same when the view is built whole.
+// BenchmarkRebuiltView measures building the whole view instead.
 func BenchmarkRebuiltView(b *testing.B) {
 	for _, size := range []int{74, 300, 984, 2000} {
 		b.Run(fmt.Sprint(size, " records"), func(b *testing.B) {
