--- a/internal/sidecar/contain/contain.go
+++ b/internal/sidecar/contain/contain.go
@@ -1,6 +1,7 @@
-// Package contain keeps work on input from outside from ending the process. What ends one
-// node ends all: the same document, record or order reaches every node, a request comes again
-// at the next one, and a node that starts anew gets them first of all.
+// Package contain recovers panics in the processing of external input, so that they do not end the
+// process. A panic that ended one node would end all of them: the same document, record or order
+// reaches every node, a request is retried at the next one, and a restarted node receives them
+// first.
 package contain
 
 import (
@@ -11,15 +12,15 @@
 	"golang.org/x/time/rate"
 )
 
-// stackInterval is the least time between two lines of the log that bear a stack: requests
-// that come fast must not fill the log with it.
+// stackInterval is the minimum time between two log entries that include a stack trace, so that
+// requests in quick succession do not fill the log.
 const stackInterval = time.Second
 
-// stackLimiter says when a line may bear one.
+// stackLimiter decides which log entries include a stack trace.
 var stackLimiter = rate.Sometimes{First: 1, Interval: stackInterval}
 
-// Run does the work. A panic of it is logged with the kind of input and returned as an
-// error; what the work had done until then stays. The work releases its locks by defer.
+// Run calls work. A panic is logged with the kind of input and returned as an error; side effects
+// up to that point remain. The function must release its locks by defer.
 func Run(input string, logger *zap.Logger, work func()) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// logPanic writes a line for a panic, with its stack when there was none for a while.
+// logPanic logs a panic, with its stack trace if none was logged recently.
 func logPanic(input string, logger *zap.Logger, err error) {
 	fields := []zap.Field{zap.String("input", input), zap.Error(err)}
 	stackLimiter.Do(func() { fields = append(fields, zap.Stack("stack")) })
--- a/internal/sidecar/contain/contain_test.go
+++ b/internal/sidecar/contain/contain_test.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/contain"
 )
 
-// TestRun: a panic becomes an error and a line of the log; of many that come fast one bears
-// the stack.
+// TestRun checks that a panic is returned as an error and logged, and that of many in quick
+// succession not all are logged with a stack trace.
 func TestRun(t *testing.T) {
 	g := NewWithT(t)
 	core, lines := observer.New(zap.ErrorLevel)
--- a/internal/sidecar/fingerprint/bench_test.go
+++ b/internal/sidecar/fingerprint/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// BenchmarkOf: what it takes to identify a request.
+// BenchmarkOf measures computing the fingerprint of a request.
 func BenchmarkOf(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
--- a/internal/sidecar/fingerprint/fingerprint.go
+++ b/internal/sidecar/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells requests for the same thing from others. A caller that comes
-// back brings another request id, at any node; what it asks for stays the same.
+// Package fingerprint identifies requests by their content. A caller that retries sends another
+// request id, possibly to another node, but the content stays the same.
 package fingerprint
 
 import (
@@ -12,31 +12,31 @@
 	"strconv"
 )
 
-// digestBytes is the length of a digest. A request that is to bear the digest of another
-// one takes about 2^96 tries.
+// digestBytes is the length of a digest. Crafting a request with the digest of another one takes
+// about 2^96 attempts.
 const digestBytes = 12
 
-// Digest identifies what a request asks for. It is equal at all nodes and in all lives of
-// them.
+// Digest is a truncated hash of a request's content. It is equal at all nodes and stable across
+// restarts.
 type Digest [digestBytes]byte
 
-// Fingerprint is what is known of one request.
+// Fingerprint identifies one request, with and without its caller.
 type Fingerprint struct {
-	// Content is that of method, host, path with query, and body.
+	// Content covers the method, host, path with query, and body.
 	Content Digest `json:"content"`
-	// Call is that of the content and the service of the caller.
+	// Call covers the content and the service of the caller.
 	Call Digest `json:"call"`
 }
 
-// Body is a request's body as far as it was read before the request was sent on.
+// Body is a request's body, of which a part may have been buffered before the request is forwarded.
 type Body interface {
-	// Held returns the bytes from the beginning that are held, and the length of the
-	// whole body; below zero when that is not known.
+	// Held returns the buffered beginning of the body and the length of the whole body, negative if
+	// unknown.
 	Held() (beginning []byte, length int64)
 }
 
-// Of returns the print of a request of a service. Of a body that streams through only its
-// length counts, since it is not held.
+// Of returns the fingerprint of a request from a caller's service. Of a body that is streamed only
+// the length counts, since its bytes are not buffered.
 func Of(r *http.Request, caller string, body Body) Fingerprint {
 	beginning, length := body.Held()
 	hash := sha256.New()
@@ -58,14 +58,14 @@
 	return digest
 }
 
-// String returns the digest as 16 letters, digits, dashes and underscores.
+// String returns the digest as 16 characters of unpadded URL-safe base64.
 func (d Digest) String() string { return base64.RawURLEncoding.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// ErrInvalidDigest says that a text is no digest.
-var ErrInvalidDigest = errors.New("fingerprint: no digest")
+// ErrInvalidDigest is returned for a text that is not a valid digest.
+var ErrInvalidDigest = errors.New("fingerprint: invalid digest")
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
@@ -77,5 +77,5 @@
 	return nil
 }
 
-// Compare orders digests.
+// Compare orders digests by their bytes.
 func (d Digest) Compare(other Digest) int { return bytes.Compare(d[:], other[:]) }
--- a/internal/sidecar/fingerprint/fingerprint_test.go
+++ b/internal/sidecar/fingerprint/fingerprint_test.go
@@ -27,17 +27,17 @@
 		name    string
 		second  fingerprint.Fingerprint
 		content bool // the same content
-		call    bool // the same content of the same caller
+		call    bool // the same content and caller
 	}{
-		{"the same", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
+		{"identical", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
 		{"another caller", of("GET", "http://h/a/?b=1", "two", held("x")), true, false},
 		{"another method", of("PUT", "http://h/a/?b=1", "one", held("x")), false, false},
 		{"another host", of("GET", "http://i/a/?b=1", "one", held("x")), false, false},
 		{"another path", of("GET", "http://h/a/c?b=1", "one", held("x")), false, false},
 		{"another query", of("GET", "http://h/a/?b=2", "one", held("x")), false, false},
 		{"another body", of("GET", "http://h/a/?b=1", "one", held("y")), false, false},
-		{"the path's end moved into the body", of("GET", "http://h/a/?b=", "one", held("1x")), false, false},
-		{"a body that streams through", of("GET", "http://h/a/?b=1", "one", streamed(1)), false, false},
+		{"end of the path moved into the body", of("GET", "http://h/a/?b=", "one", held("1x")), false, false},
+		{"streamed body", of("GET", "http://h/a/?b=1", "one", streamed(1)), false, false},
 	}
 	for _, compared := range cases {
 		t.Run(compared.name, func(t *testing.T) {
