--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation knows which zones operators have ordered to be emptied: no request goes
-// to back ends there until the order is taken back. Nodes that read the store hear the orders
-// from it, the others from their peers. The package does no I/O.
+// Package evacuation tracks which zones operators have ordered to be evacuated: no request is sent
+// to back ends there until the order is revoked. Nodes that read the store learn of orders from it,
+// the others from their peers. The package does no I/O.
 package evacuation
 
 import (
@@ -16,19 +16,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Order is the newest word on one zone. It is a value.
+// Order is the latest order for one zone.
 type Order struct {
 	Zone string `json:"zone"`
-	// Revision is that of the store when the word was given; a higher one holds.
+	// Revision is the store's revision at which the order was given. The order with the highest one
+	// applies.
 	Revision uint64 `json:"revision"`
-	// Emptied: nothing is to go to the zone's back ends. Otherwise the order was taken back.
+	// Emptied means that the zone is evacuated. Otherwise the evacuation was revoked.
 	Emptied bool `json:"emptied,omitempty"`
 }
 
-// Zones are those that are emptied at one moment. It is immutable; nil has none.
+// Zones is an immutable set of evacuated zones. A nil set is empty.
 type Zones struct{ emptied map[string]bool }
 
-// Contains reports whether the zone is emptied.
+// Contains reports whether the zone is evacuated.
 func (z *Zones) Contains(zone string) bool { return z != nil && z.emptied[zone] }
 
 // Names returns the zones in order.
@@ -40,60 +41,60 @@
 }
 
 const (
-	// maxOrders bounds the zones whose orders are kept, of zones that do not exist too.
+	// maxOrders bounds the number of zones with orders, including zones that do not exist.
 	maxOrders = 256
-	// maxZoneBytes bounds the name of a zone.
+	// maxZoneBytes bounds the length of a zone's name.
 	maxZoneBytes = 200
 )
 
-// Options configure the orders.
+// Options configure Orders.
 type Options struct {
-	// ZoneExists reports whether there is a zone of that name, for the log alone: an order for
-	// one that is not known yet is kept.
+	// ZoneExists reports whether the zone is known. It is used for logging only: an order for an
+	// unknown zone is kept.
 	ZoneExists func(zone string) bool
-	// Broadcast tells the peers of news that the store has brought.
+	// Broadcast informs the peers of changes read from the store.
 	Broadcast func()
-	// OnChange is told of each zone that was emptied, or whose order was taken back. It must
+	// OnChange is called for each zone that is evacuated or whose evacuation is revoked. It must
 	// not block.
 	OnChange func(zone string, emptied bool)
 	Logger   *zap.Logger
 }
 
-// Orders are those that a node has heard of. It is safe for concurrent use; what a request
-// needs takes no lock.
+// Orders holds the orders that a node knows. It is safe for concurrent use, and Zones takes no
+// lock.
 type Orders struct {
 	options Options
 	zones   atomic.Pointer[Zones]
 
-	mu     sync.Mutex // guards all below and the replacement of zones
+	mu     sync.Mutex // guards the fields below and replacing zones
 	orders map[string]Order
-	// missingSince holds since when the store, come back from a copy, lacks an order.
+	// missingSince is when an order was first missing from a store that was restored from a copy.
 	missingSince map[string]time.Time
 }
 
-// New returns the orders of a node that has heard of none.
+// New returns Orders without any order.
 func New(options Options) *Orders {
 	return &Orders{options: options, orders: map[string]Order{}, missingSince: map[string]time.Time{}}
 }
 
-// Zones returns the zones that are emptied now, nil when there are none.
+// Zones returns the zones that are evacuated now, nil if there are none.
 func (o *Orders) Zones() *Zones { return o.zones.Load() }
 
-// Ordered takes in a word of the store on one zone.
+// Ordered applies an order read from the store.
 func (o *Orders) Ordered(order Order) {
 	if o.merge([]Order{order}, "store") {
 		o.options.Broadcast()
 	}
 }
 
-// RewriteGracePeriod is how long an order that a store which came back from an older copy lacks is
-// still kept: operators write it again.
+// RewriteGracePeriod is how long an order is kept that is missing from a store restored from an
+// older copy, so that operators have time to write it again.
 const RewriteGracePeriod = 10 * time.Second
 
-// Reconcile takes in that the store had orders for just these zones at a revision. One that it
-// does not have any more was taken back while nobody watched. One that it may have lost, since it
-// has come back from an older copy, is kept for RewritePatience; Reconcile then reports that the
-// store is to be read again after that time.
+// Reconcile compares the known orders with a full listing of the store at a revision. An order that
+// is not listed was revoked while no node watched. One that the store may have lost because it was
+// restored from an older copy is kept for RewriteGracePeriod; Reconcile then returns true, and the
+// store must be read again after that time.
 func (o *Orders) Reconcile(zones []string, revision uint64, now time.Time) (again bool) {
 	o.mu.Lock()
 	var revoked []Order
@@ -122,7 +123,7 @@
 	return again
 }
 
-// Tell returns the newest words as peers are told of them; nil when there are none.
+// Tell returns the orders to send to peers, nil if there are none.
 func (o *Orders) Tell() []Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,10 +133,10 @@
 	return slices.SortedFunc(maps.Values(o.orders), func(a, b Order) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// Hear takes in a peer's words and reports whether some of them are news.
+// Hear merges orders received from a peer and reports whether any of them is new.
 func (o *Orders) Hear(received []Order) (news bool) { return o.merge(received, "peer") }
 
-// merge merges words and reports whether some of them are news.
+// merge applies orders and reports whether any of them is new.
 func (o *Orders) merge(received []Order, source string) (news bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -160,7 +161,8 @@
 	return news
 }
 
-// publish puts in force that a zone is emptied, or is so no more; the lock is held.
+// publish replaces the set of evacuated zones after the state of a zone has changed, and logs and
+// reports the change. The lock must be held.
 func (o *Orders) publish(order Order, source string) {
 	next := map[string]bool{}
 	for zone, held := range o.orders {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -14,7 +14,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// recordedOrders are the orders of one node with what they tell.
+// recordedOrders are the orders of one node with the calls of its callbacks.
 type recordedOrders struct {
 	*evacuation.Orders
 	spreads int
@@ -34,7 +34,8 @@
 	return made
 }
 
-// TestNewestOrderWins whatever the order in which words come, and from whom.
+// TestNewestOrderWins checks that the newest order for a zone applies regardless of the sequence of
+// arrival and of the source.
 func TestNewestOrderWins(t *testing.T) {
 	orders := []evacuation.Order{
 		{Zone: "a", Revision: 3, Emptied: true}, {Zone: "a", Revision: 5}, {Zone: "a", Revision: 9, Emptied: true},
@@ -52,13 +53,13 @@
 			}
 		}
 		g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-		g.Expect(made.Hear(orders)).To(BeFalse(), "nothing of it is news")
+		g.Expect(made.Hear(orders)).To(BeFalse(), "no order is new")
 		g.Expect(made.Tell()).To(Equal([]evacuation.Order{orders[2], orders[4]}))
 	}
 }
 
-// TestReconcileRevokesMissingOrder: a read of all orders that lacks one takes it back, but not one
-// that was given after the read.
+// TestReconcileRevokesMissingOrder checks that an order missing from a listing is revoked, unless
+// it was given after the listing was read.
 func TestReconcileRevokesMissingOrder(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
@@ -70,10 +71,11 @@
 	g.Expect(made.changes).To(Equal([]string{"a true", "b true", "late true", "a false"}))
 	g.Expect(made.spreads).To(Equal(4))
 	made.Reconcile([]string{"b"}, 10, time.Now())
-	g.Expect(made.spreads).To(Equal(4), "no news")
+	g.Expect(made.spreads).To(Equal(4), "nothing new")
 }
 
-// TestReconcileAfterStoreRestore is kept until operators have had the time to write it again.
+// TestReconcileAfterStoreRestore checks that an order lost by a restored store is kept until
+// operators have had time to write it again.
 func TestReconcileAfterStoreRestore(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
@@ -86,12 +88,13 @@
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewriteGracePeriod))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-	// Within the new era what is not there was taken back.
+	// An order of the new era that is missing was revoked.
 	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
 	g.Expect(made.Zones()).To(BeNil())
 }
 
-// TestInvalidOrdersAreRejected change nothing, and however many zones are named the memory is bounded.
+// TestInvalidOrdersAreRejected checks that invalid orders change nothing and that the number of
+// zones is bounded.
 func TestInvalidOrdersAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
@@ -104,11 +107,11 @@
 	}
 	g.Expect(len(made.Tell())).To(Equal(256))
 	made.Hear([]evacuation.Order{{Zone: "0", Revision: 5000}})
-	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "words on zones that are kept still count")
+	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "orders for known zones still apply")
 }
 
-// TestRepeatedChangesKeepOnlyLast: an order that is given and taken back in quick succession leaves no trace but
-// the last word.
+// TestRepeatedChangesKeepOnlyLast checks that of an order that is given and revoked in quick
+// succession only the last state remains.
 func TestRepeatedChangesKeepOnlyLast(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
