--- a/internal/sidecar/fingerprint/fingerprint_test.go
+++ b/internal/sidecar/fingerprint/fingerprint_test.go
@@ -26,10 +26,10 @@
 	cases := []struct {
 		name    string
 		second  fingerprint.Fingerprint
-		content bool // the same content
+		content bool // same content
 		call    bool // the same content and caller
 	}{
-		{"identical", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
+		{"identical requests", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
 		{"another caller", of("GET", "http://h/a/?b=1", "two", held("x")), true, false},
 		{"another method", of("PUT", "http://h/a/?b=1", "one", held("x")), false, false},
 		{"another host", of("GET", "http://i/a/?b=1", "one", held("x")), false, false},
