--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -297,8 +297,9 @@
 }
 
 // TestRunsWithEqualVersions checks two runs of a node that reached the same epoch and counter
-// without knowing of each other: the node supersedes the other run and adopts what it knew, and
-// meanwhile all other nodes agree on one of the two records and have different digests for them.
+// without knowing of each other. The node supersedes the other run and adopts what it knew. Until
+// then, other nodes that receive both records keep the same one, and nodes with different ones have
+// different digests.
 func TestRunsWithEqualVersions(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
