--- a/internal/sidecar/membership/foreign_test.go
+++ b/internal/sidecar/membership/foreign_test.go
@@ -15,9 +15,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/store/memory"
 )
 
-// TestEntriesOfOtherWriters under the nodes' prefix name no node; the others hold, and what lies
+// TestForeignItems under the nodes' prefix name no node; the others hold, and what lies
 // under the own key is replaced.
-func TestEntriesOfOtherWriters(t *testing.T) {
+func TestForeignItems(t *testing.T) {
 	const whole = `{"node":"NAME","epoch":3,"counter":1,"address":"a:1","peerAddress":"a:2","zone":"z",` +
 		`"endpoint":{"id":"i","service":"s","slots":4,"state":"ready","sequence":9}}`
 	cases := []struct{ name, was, is string }{
@@ -42,8 +42,8 @@
 		{"slots below zero", `"slots":4`, `"slots":-4`},
 		{"a sequence of another type", `"sequence":9`, `"sequence":{}`},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				target := &countingStore{Store: memory.New(memory.Options{})}
@@ -51,13 +51,13 @@
 					_, err := target.Store.CompareAndSwap(t.Context(), store.Swap{Key: membership.KeyPrefix + node, Value: []byte(value)})
 					g.Expect(err).NotTo(HaveOccurred())
 				}
-				g.Expect(whole).To(ContainSubstring(held.was))
-				foreign := strings.Replace(whole, held.was, held.is, 1)
+				g.Expect(whole).To(ContainSubstring(tc.was))
+				foreign := strings.Replace(whole, tc.was, tc.is, 1)
 				write("aaa", strings.ReplaceAll(foreign, "NAME", "aaa"))
 				write("self", strings.ReplaceAll(foreign, "NAME", "self"))
 				write("zzz", strings.ReplaceAll(whole, "NAME", "zzz"))
-				node := begin(t, target, "self", false, true)
-				node.says("own", roster.Ready, 1)
+				node := startNode(t, target, "self", false, true)
+				node.report("own", roster.Ready, 1)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
 				g.Expect(node.members.View().Record("aaa")).To(BeNil())
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -27,25 +27,25 @@
 const KeyPrefix = "kestrel/nodes/"
 
 const (
-	callTimeout = 2 * time.Second
-	pauseBase   = 100 * time.Millisecond
-	pauseMost   = 1500 * time.Millisecond
-	// pageKeys is how many keys one read asks for.
-	pageKeys = 500
-	// settledInterval is the time between two reads of a node that reads the store
+	callTimeout   = 2 * time.Second
+	retryBase     = 100 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
+	// pageSize is how many keys one read asks for.
+	pageSize = 500
+	// refreshInterval is the time between two reads of a node that reads the store
 	// for others. They may be seconds old; a change travels between the nodes
 	// themselves.
-	settledInterval = 20 * time.Second
-	// endpointPatience is how long the first write waits for the back end to make
+	refreshInterval = 20 * time.Second
+	// endpointWaitHeartbeats is how long the first write waits for the back end to make
 	// itself known, in heartbeats, so that one write is enough. The second one
 	// covers a heartbeat that is late.
-	endpointPatience = 2
-	// meetDelay is how long after its write a node waits for another one to be in
+	endpointWaitHeartbeats = 2
+	// contactDelay is how long after its write a node waits for another one to be in
 	// touch with it before it reads the keys again, half of it at least. Where many
 	// nodes start together the first of them to read tell the others.
-	meetDelay = 1500 * time.Millisecond
-	// meetMost bounds the time between two such reads of a node that stays alone.
-	meetMost = settledInterval
+	contactDelay = 1500 * time.Millisecond
+	// maxContactDelay bounds the time between two such reads of a node that stays alone.
+	maxContactDelay = refreshInterval
 )
 
 // Store is what membership needs of the store.
@@ -75,7 +75,7 @@
 	// CompactionRank is the node's place among those that keep the snapshot of all records, from
 	// zero; false when it is none of them.
 	CompactionRank func() (rank int, ranked bool)
-	Logger      *zap.Logger
+	Logger         *zap.Logger
 }
 
 // Membership keeps the node's key and finds the other nodes.
@@ -99,7 +99,7 @@
 // the last to read would have seen a key of the other one.
 func (m *Membership) Run(ctx context.Context) {
 	if !m.options.FirstStart {
-		m.findUntilRead(ctx)
+		m.discoverWithRetry(ctx)
 	}
 	m.awaitEndpoint(ctx)
 	var running sync.WaitGroup
@@ -111,34 +111,34 @@
 	case <-ctx.Done():
 		return
 	}
-	m.meet(ctx)
+	m.awaitContact(ctx)
 	m.refresh(ctx)
 }
 
 // Restored takes in that the store has come back from an older copy: the own key is looked after
 // again.
-func (m *Membership) Restored() { m.publisher.restored() }
+func (m *Membership) Restored() { m.publisher.scheduleRecheck() }
 
 // Withdraw removes the own key: the node and its back end do not come back.
 func (m *Membership) Withdraw(ctx context.Context) error { return m.publisher.withdraw(ctx) }
 
-// findUntilRead reads all keys, the own one among them, until that succeeds.
-func (m *Membership) findUntilRead(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+// discoverWithRetry reads all keys, the own one among them, until that succeeds.
+func (m *Membership) discoverWithRetry(ctx context.Context) {
+	backoff := pause.Backoff{Base: retryBase, Most: maxRetryDelay}
 	for ctx.Err() == nil {
-		left, err := m.find(ctx)
+		left, err := m.discover(ctx)
 		if err == nil {
-			m.publisher.found(left.item)
-			m.publisher.remembered(left.snapshot)
+			m.publisher.loaded(left.item)
+			m.publisher.loadedSnapshot(left.snapshot)
 			return
 		}
-		m.notRead(err)
+		m.logReadFailure(err)
 		backoff.Failed(ctx)
 	}
 }
 
-// left is what an earlier life of the node left in the store.
-type left struct {
+// previousState is what an earlier life of the node previousState in the store.
+type previousState struct {
 	// item is the own key, with the record that it holds; snapshot the own record of the snapshot.
 	// All are nil when they are absent.
 	item             *store.KeyValue
@@ -146,7 +146,7 @@
 }
 
 // records returns those that there are.
-func (l *left) records() (found []*roster.Record) {
+func (l *previousState) records() (found []*roster.Record) {
 	for _, record := range []*roster.Record{l.snapshot, l.record} {
 		if record != nil {
 			found = append(found, record)
@@ -155,9 +155,9 @@
 	return found
 }
 
-// find reads all keys and returns what there is of the own node, which goes on where an earlier life
+// discover reads all keys and returns what there is of the own node, which goes on where an earlier life
 // of it ended.
-func (m *Membership) find(ctx context.Context) (own left, err error) {
+func (m *Membership) discover(ctx context.Context) (own previousState, err error) {
 	name := KeyPrefix + m.options.Members.Own().Node
 	err = m.readAll(ctx, m.options.Store.Range, func(item store.KeyValue) {
 		if item.Key != name {
@@ -169,7 +169,7 @@
 		}
 	})
 	if err != nil {
-		return left{}, err
+		return previousState{}, err
 	}
 	own.snapshot = m.ownInSnapshot.Load()
 	resumed := m.options.Members.Resume(own.records())
@@ -179,48 +179,48 @@
 
 // awaitEndpoint waits until the back end is known, but not for ever.
 func (m *Membership) awaitEndpoint(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, endpointPatience*m.options.HeartbeatInterval)
+	ctx, cancel := context.WithTimeout(ctx, endpointWaitHeartbeats*m.options.HeartbeatInterval)
 	defer cancel()
 	for ctx.Err() == nil && m.options.Members.Own().Endpoint == nil {
-		pause.Wait(ctx, pauseBase)
+		pause.Wait(ctx, retryBase)
 	}
 }
 
-// meet returns once another node was in touch with this one.
-func (m *Membership) meet(ctx context.Context) {
-	for wait := m.firstMeetDelay(); ; wait = min(2*max(wait, meetDelay), meetMost) {
+// awaitContact returns once another node was in touch with this one.
+func (m *Membership) awaitContact(ctx context.Context) {
+	for wait := m.firstContactDelay(); ; wait = min(2*max(wait, contactDelay), maxContactDelay) {
 		pause.Wait(ctx, wait)
 		if ctx.Err() != nil || m.options.Met() {
 			return
 		}
-		if _, err := m.find(ctx); err != nil {
-			m.notRead(err)
+		if _, err := m.discover(ctx); err != nil {
+			m.logReadFailure(err)
 		}
 	}
 }
 
-// rampGrowth says how much more likely a node is to read at the end of its first wait than at the
+// rampExponent says how much more likely a node is to read at the end of its first wait than at the
 // beginning, as the exponent of e: of a thousand nodes some three read in the first seventh.
-const rampGrowth = 7
+const rampExponent = 7
 
-// firstMeetDelay is how long a node waits after its write to be met, before it reads the keys. Where
+// firstContactDelay is how long a node waits after its write to be met, before it reads the keys. Where
 // the whole system starts for the first time nobody calls yet, and keys come over a heartbeat's
 // interval. Few nodes read early in it and meet the others: about half of the reads of waits that are
 // drawn evenly over 0.75 s (TestAFirstStartOfMany).
-func (m *Membership) firstMeetDelay() time.Duration {
+func (m *Membership) firstContactDelay() time.Duration {
 	if !m.options.FirstStart {
-		return meetDelay
+		return contactDelay
 	}
-	most := max(m.options.HeartbeatInterval, meetDelay).Seconds()
-	drawn := most * math.Log1p(rand.Float64()*math.Expm1(rampGrowth)) / rampGrowth
-	return meetDelay + time.Duration(drawn*float64(time.Second))
+	span := max(m.options.HeartbeatInterval, contactDelay).Seconds()
+	delay := span * math.Log1p(rand.Float64()*math.Expm1(rampExponent)) / rampExponent
+	return contactDelay + time.Duration(delay*float64(time.Second))
 }
 
 // refresh reads all keys from time to time while the node reads for others: should
 // groups of nodes have lost each other, they find each other again.
 func (m *Membership) refresh(ctx context.Context) {
 	for {
-		pause.Wait(ctx, settledInterval)
+		pause.Wait(ctx, refreshInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -228,13 +228,13 @@
 			continue
 		}
 		if err := m.readAll(ctx, m.options.Store.RangeStale, func(store.KeyValue) {}); err != nil {
-			m.notRead(err)
+			m.logReadFailure(err)
 		}
 	}
 }
 
-// notRead logs a read of the keys that failed; it is tried again.
-func (m *Membership) notRead(err error) {
+// logReadFailure logs a read of the keys that failed; it is tried again.
+func (m *Membership) logReadFailure(err error) {
 	m.options.Logger.Warn("other nodes not read", zap.Error(err))
 }
 
@@ -242,11 +242,11 @@
 type rangeFunction func(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error)
 
 // readAll takes in every key; seen is told of each.
-func (m *Membership) readAll(ctx context.Context, read rangeFunction, seen func(store.KeyValue)) error {
+func (m *Membership) readAll(ctx context.Context, read rangeFunction, visit func(store.KeyValue)) error {
 	from := readPrefix
 	for {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		found, _, err := read(bounded, readPrefix, from, pageKeys)
+		found, _, err := read(bounded, readPrefix, from, pageSize)
 		cancel()
 		if err != nil {
 			return err
@@ -254,20 +254,20 @@
 		m.options.Members.Batch(func() {
 			for _, item := range found {
 				// A record that sets off a panic is left out; the log names it.
-				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.take(item) })
-				seen(item)
+				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.mergeItem(item) })
+				visit(item)
 			}
 		})
-		if len(found) < pageKeys {
+		if len(found) < pageSize {
 			return nil
 		}
 		from = found[len(found)-1].Key + "\x00"
 	}
 }
 
-// take merges one item. What is not a record of ours is left alone: another writer may have
+// mergeItem merges one item. What is not a record of ours is left alone: another writer may have
 // put it there.
-func (m *Membership) take(item store.KeyValue) {
+func (m *Membership) mergeItem(item store.KeyValue) {
 	if item.Key == SnapshotKey {
 		records, err := decodeSnapshot(item.Value)
 		if err != nil {
@@ -277,7 +277,7 @@
 		if own := slices.IndexFunc(records, m.options.Members.Own().SameNode); own >= 0 {
 			m.ownInSnapshot.Store(records[own])
 		}
-		m.options.Members.Merge(m.ofOthers(records...))
+		m.options.Members.Merge(m.othersOnly(records...))
 		return
 	}
 	record, err := readRecord(item)
@@ -285,11 +285,11 @@
 		m.options.Logger.Warn("item of the store is no node's record", zap.String("key", item.Key), zap.Error(err))
 		return
 	}
-	m.options.Members.Merge(m.ofOthers(record))
+	m.options.Members.Merge(m.othersOnly(record))
 }
 
-// ofOthers leaves the own records out: what an earlier life has left is taken in as one.
-func (m *Membership) ofOthers(records ...*roster.Record) []*roster.Record {
+// othersOnly leaves the own records out: what an earlier life has left is taken in as one.
+func (m *Membership) othersOnly(records ...*roster.Record) []*roster.Record {
 	own := m.options.Members.Own()
 	return slices.DeleteFunc(records, own.SameNode)
 }
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -23,12 +23,12 @@
 	logger  *zap.Logger
 	wake    chan struct{}
 	// written is closed once the key holds what the others need.
-	written chan struct{}
-	once    sync.Once
-	// known: revision and stored are those of the own key.
-	known bool
-	// lost: the key is to be read again, since the store may have lost it.
-	lost atomic.Bool
+	written     chan struct{}
+	writtenOnce sync.Once
+	// revisionKnown: revision and stored are those of the own key.
+	revisionKnown bool
+	// recheck: the key is to be read again, since the store may have recheck it.
+	recheck atomic.Bool
 	// revision is that of the own key, zero when it is absent or not known.
 	revision atomic.Uint64
 	stored   roster.Record
@@ -38,7 +38,7 @@
 
 func newPublisher(options *Options) *publisher {
 	created := &publisher{
-		store: options.Store, members: options.Members, logger: options.Logger, known: options.FirstStart,
+		store: options.Store, members: options.Members, logger: options.Logger, revisionKnown: options.FirstStart,
 		wake: make(chan struct{}, 1), written: make(chan struct{}),
 	}
 	options.Members.Observe(func(changed []*roster.Record) {
@@ -51,15 +51,15 @@
 	return created
 }
 
-// restoredPerNode is the time over which nodes look after their keys when the store has come back
+// recheckTimePerNode is the time over which nodes look after their keys when the store has come back
 // from a copy, for each of them: 500 nodes a second, each with a read and a write.
-const restoredPerNode = 2 * time.Millisecond
+const recheckTimePerNode = 2 * time.Millisecond
 
-// restored has the key read, and written again when it is gone or old, in the node's own time: all
+// scheduleRecheck has the key read, and written again when it is gone or old, in the node's own time: all
 // nodes hear of it at once.
-func (p *publisher) restored() {
-	p.lost.Store(true)
-	time.AfterFunc(rand.N(time.Duration(p.members.View().Count()+1)*restoredPerNode), p.signal)
+func (p *publisher) scheduleRecheck() {
+	p.recheck.Store(true)
+	time.AfterFunc(rand.N(time.Duration(p.members.View().Count()+1)*recheckTimePerNode), p.signal)
 }
 
 func (p *publisher) signal() {
@@ -71,14 +71,14 @@
 
 // run brings the key up to date now and after each change, until the context ends.
 func (p *publisher) run(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Most: pauseMost}
+	backoff := pause.Backoff{Base: retryBase, Most: maxRetryDelay}
 	for ctx.Err() == nil {
 		if err := p.publish(ctx); err != nil {
 			backoff.Failed(ctx)
 			continue
 		}
 		backoff.Succeeded()
-		p.once.Do(func() { close(p.written) })
+		p.writtenOnce.Do(func() { close(p.written) })
 		select {
 		case <-p.wake:
 		case <-ctx.Done():
@@ -86,9 +86,9 @@
 	}
 }
 
-// found takes in the own key from a read of all, nil when it is absent.
-func (p *publisher) found(item *store.KeyValue) {
-	p.known, p.stored = true, roster.Record{}
+// loaded takes in the own key from a read of all, nil when it is absent.
+func (p *publisher) loaded(item *store.KeyValue) {
+	p.revisionKnown, p.stored = true, roster.Record{}
 	if item == nil {
 		p.revision.Store(0)
 		return
@@ -102,9 +102,9 @@
 	p.stored = *record
 }
 
-// remembered takes in the own record of the snapshot, nil when it has none: where there is no own
+// loadedSnapshot takes in the own record of the snapshot, nil when it has none: where there is no own
 // key, it is what the store has.
-func (p *publisher) remembered(record *roster.Record) {
+func (p *publisher) loadedSnapshot(record *roster.Record) {
 	if record != nil && p.stored.Node == "" {
 		p.stored = *record
 	}
@@ -121,14 +121,14 @@
 		stored.Zone != own.Zone || stored.Link != own.Link || !own.Evidence.SameQuarantined(stored.Evidence) {
 		return true
 	}
-	held, now := stored.Endpoint, own.Endpoint
+	storedEndpoint, ownEndpoint := stored.Endpoint, own.Endpoint
 	switch {
-	case now == nil:
+	case ownEndpoint == nil:
 		return false
-	case held == nil:
+	case storedEndpoint == nil:
 		return true
 	}
-	return held.Service != now.Service || (held.State == roster.Ready) != (now.State == roster.Ready)
+	return storedEndpoint.Service != ownEndpoint.Service || (storedEndpoint.State == roster.Ready) != (ownEndpoint.State == roster.Ready)
 }
 
 // publish brings the own key up to date. After an unknown outcome the key is read
@@ -136,10 +136,10 @@
 func (p *publisher) publish(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if p.lost.Swap(false) {
-		p.known = false
+	if p.recheck.Swap(false) {
+		p.revisionKnown = false
 	}
-	if !p.known {
+	if !p.revisionKnown {
 		if err := p.read(bounded); err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 		Key: KeyPrefix + own.Node, ExpectedRevision: p.revision.Load(), Value: value,
 	})
 	if err != nil {
-		p.known = errors.Is(err, store.ErrRateLimited) || errors.Is(err, store.ErrUnavailable)
+		p.revisionKnown = errors.Is(err, store.ErrRateLimited) || errors.Is(err, store.ErrUnavailable)
 		p.logger.Warn("record not stored", zap.Uint64("counter", own.Counter), zap.Error(err))
 		return err
 	}
@@ -167,18 +167,18 @@
 
 // read learns the own key's revision and what an earlier life left there.
 func (p *publisher) read(ctx context.Context) error {
-	found, err := p.store.Get(ctx, KeyPrefix+p.members.Own().Node)
+	loaded, err := p.store.Get(ctx, KeyPrefix+p.members.Own().Node)
 	if errors.Is(err, store.ErrNotFound) {
-		p.found(nil)
+		p.loaded(nil)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	p.found(&found)
+	p.loaded(&loaded)
 	if p.stored.Node != "" {
-		remembered := p.stored
-		p.members.Merge([]*roster.Record{&remembered})
+		previous := p.stored
+		p.members.Merge([]*roster.Record{&previous})
 	}
 	return nil
 }
--- a/internal/sidecar/membership/snapshot.go
+++ b/internal/sidecar/membership/snapshot.go
@@ -28,18 +28,18 @@
 )
 
 const (
-	// compactFrom is how many nodes' keys make a snapshot worth its calls. 984 keys are 0.4 MB and
+	// compactionThreshold is how many nodes' keys make a snapshot worth its calls. 984 keys are 0.4 MB and
 	// two calls for each node that starts: 0.39 GB where all start at once, 3 s of the store's link.
 	// A snapshot of as many has 0.03 MB.
-	compactFrom = 64
-	// compactInterval is the time between two looks at whether there are so many, compactRest that
+	compactionThreshold = 64
+	// compactionInterval is the time between two looks at whether there are so many, compactRest that
 	// after one which found few, compactTurn how much later each further node looks, should the ones
 	// before not.
-	compactInterval = 6 * time.Second
-	compactRest     = 30 * time.Second
-	compactTurn     = 4 * time.Second
-	// snapshotBytes bounds a snapshot once it is read.
-	snapshotBytes = 64 << 20
+	compactionInterval     = 6 * time.Second
+	idleCompactionInterval = 30 * time.Second
+	compactionRankDelay    = 4 * time.Second
+	// maxSnapshotBytes bounds a snapshot once it is read.
+	maxSnapshotBytes = 64 << 20
 )
 
 // encodeSnapshot returns the records as they are stored.
@@ -63,7 +63,7 @@
 		return nil, trace.Wrap(err, "decompress the snapshot of nodes")
 	}
 	var read []*roster.Record
-	if err := json.NewDecoder(io.LimitReader(decompressor, snapshotBytes)).Decode(&read); err != nil {
+	if err := json.NewDecoder(io.LimitReader(decompressor, maxSnapshotBytes)).Decode(&read); err != nil {
 		return nil, trace.Wrap(err, "decode the snapshot of nodes")
 	}
 	for _, record := range read {
@@ -84,18 +84,18 @@
 
 // compact keeps the snapshot when it is the node's turn, until the context ends.
 func (m *Membership) compact(ctx context.Context) {
-	interval := compactInterval
+	interval := compactionInterval
 	for last := clock.Now(); ctx.Err() == nil; {
-		pause.Wait(ctx, compactInterval/2)
+		pause.Wait(ctx, compactionInterval/2)
 		rank, ranked := m.options.CompactionRank()
-		few := m.options.Members.View().Count() < compactFrom
-		if few || !ranked || clock.Since(last) < interval+time.Duration(rank)*compactTurn {
+		few := m.options.Members.View().Count() < compactionThreshold
+		if few || !ranked || clock.Since(last) < interval+time.Duration(rank)*compactionRankDelay {
 			continue
 		}
-		last, interval = clock.Now(), compactRest
+		last, interval = clock.Now(), idleCompactionInterval
 		err := contain.Run("snapshot of nodes", m.options.Logger, func() {
 			if m.compactOnce(ctx) {
-				interval = compactInterval
+				interval = compactionInterval
 			}
 		})
 		if err != nil {
@@ -115,7 +115,7 @@
 		}
 		one.found = append(one.found, item)
 	})
-	if many = err != nil || len(one.found) >= compactFrom; err == nil && many {
+	if many = err != nil || len(one.found) >= compactionThreshold; err == nil && many {
 		err = one.write(ctx)
 	}
 	switch {
@@ -124,7 +124,7 @@
 		// A node has changed its key meanwhile, or another one compacts.
 		m.options.Logger.Info("snapshot of nodes left to another look", zap.Error(err))
 	default:
-		m.notRead(err)
+		m.logReadFailure(err)
 	}
 	return many
 }
--- a/internal/sidecar/membership/snapshot_test.go
+++ b/internal/sidecar/membership/snapshot_test.go
@@ -16,8 +16,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/store/memory"
 )
 
-// fill has so many nodes' keys in the store.
-func fill(t *testing.T, target *countingStore, nodes int) {
+// storeNodes has so many nodes' keys in the store.
+func storeNodes(t *testing.T, target *countingStore, nodes int) {
 	for i := range nodes {
 		record := &roster.Record{
 			Node: fmt.Sprintf("node-%04d", i), Epoch: 3, Counter: 2, RunID: uint64(i + 1), Zone: "z",
@@ -50,82 +50,82 @@
 	return count, snapshot
 }
 
-// TestTheSnapshot: many keys become one, which a node that starts reads with one call, whatever the
+// TestCompaction: many keys become one, which a node that starts reads with one call, whatever the
 // size; few stay as they are. A snapshot of 984 nodes has less than a tenth of the bytes.
-func TestTheSnapshot(t *testing.T) {
+func TestCompaction(t *testing.T) {
 	cases := []struct {
 		nodes, keysLeft int
 		reads           int64
 	}{{40, 41, 1}, {100, 0, 1}, {984, 0, 1}, {2000, 0, 1}}
-	for _, played := range cases {
-		t.Run(fmt.Sprint(played.nodes, " nodes"), func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(fmt.Sprint(tc.nodes, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				target := &countingStore{Store: memory.New(memory.Options{})}
-				fill(t, target, played.nodes)
-				keeper := begin(t, target, "keeper", false, true)
+				storeNodes(t, target, tc.nodes)
+				keeper := startNode(t, target, "keeper", false, true)
 				keeper.compacts.Store(true)
-				keeper.says("i-k", roster.Ready, 1)
-				pass(15 * time.Second)
+				keeper.report("i-k", roster.Ready, 1)
+				advance(15 * time.Second)
 				keeper.end()
 				left, bytes := keys(t, target)
-				g.Expect(left).To(Equal(played.keysLeft))
-				g.Expect(bytes).To(BeNumerically("<=", 40*played.nodes))
+				g.Expect(left).To(Equal(tc.keysLeft))
+				g.Expect(bytes).To(BeNumerically("<=", 40*tc.nodes))
 
 				target.gets.Store(0)
 				target.ranges.Store(0)
 				target.writes.Store(0)
-				begun := begin(t, target, "node-0007", false, true)
-				pass(15 * time.Second)
-				g.Expect(begun.members.View().Count()).To(Equal(played.nodes+1), "it knows all nodes")
+				begun := startNode(t, target, "node-0007", false, true)
+				advance(15 * time.Second)
+				g.Expect(begun.members.View().Count()).To(Equal(tc.nodes+1), "it knows all nodes")
 				g.Expect(begun.members.Own().Endpoint.ID).To(Equal("i-"+fmt.Sprintf("%x", 0xfc2bf3ef*8)), "and its own back end")
-				g.Expect(target.calls()).To(Equal([]int64{0, played.reads, 0}), "one read, and no write while nothing is new")
+				g.Expect(target.calls()).To(Equal([]int64{0, tc.reads, 0}), "one read, and no write while nothing is new")
 				begun.end()
 			})
 		})
 	}
 }
 
-// TestAWordAfterTheSnapshot: what a node says later lies beside the snapshot and goes before it.
-func TestAWordAfterTheSnapshot(t *testing.T) {
+// TestKeyWrittenAfterSnapshot: what a node says later lies beside the snapshot and goes before it.
+func TestKeyWrittenAfterSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		target := &countingStore{Store: memory.New(memory.Options{})}
-		fill(t, target, 100)
-		keeper := begin(t, target, "keeper", false, true)
+		storeNodes(t, target, 100)
+		keeper := startNode(t, target, "keeper", false, true)
 		keeper.compacts.Store(true)
-		keeper.says("i-k", roster.Ready, 1)
-		pass(15 * time.Second)
+		keeper.report("i-k", roster.Ready, 1)
+		advance(15 * time.Second)
 		defer keeper.end()
 
-		leaving := begin(t, target, "node-0007", false, true)
-		pass(4 * time.Second)
-		leaving.says(leaving.members.Own().Endpoint.ID, roster.Draining, 9)
+		leaving := startNode(t, target, "node-0007", false, true)
+		advance(4 * time.Second)
+		leaving.report(leaving.members.Own().Endpoint.ID, roster.Draining, 9)
 		leaving.end()
 		g.Expect(leaving.stored().Endpoint.State).To(Equal(roster.Draining))
-		again := begin(t, target, "node-0007", false, true)
-		pass(4 * time.Second)
+		again := startNode(t, target, "node-0007", false, true)
+		advance(4 * time.Second)
 		g.Expect(again.members.Own().Endpoint.State).To(Equal(roster.Draining))
 		again.end()
-		other := begin(t, target, "node-0008", false, true)
-		pass(4 * time.Second)
+		other := startNode(t, target, "node-0008", false, true)
+		advance(4 * time.Second)
 		g.Expect(other.members.View().Record("node-0007").Endpoint.State).To(Equal(roster.Draining))
 		other.end()
 	})
 }
 
-// TestASnapshotOfAnotherWriter names no node, and does not end one.
-func TestASnapshotOfAnotherWriter(t *testing.T) {
+// TestForeignSnapshot names no node, and does not end one.
+func TestForeignSnapshot(t *testing.T) {
 	for name, value := range map[string]string{"no compressed text": "{}", "cut off": "\x1f\x8b\x08\x00", "empty": ""} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				target := &countingStore{Store: memory.New(memory.Options{})}
-				fill(t, target, 3)
+				storeNodes(t, target, 3)
 				_, err := target.Store.CompareAndSwap(t.Context(), store.Swap{Key: membership.SnapshotKey, Value: []byte(value)})
 				g.Expect(err).NotTo(HaveOccurred())
-				begun := begin(t, target, "node-0001", false, true)
-				pass(10 * time.Second)
+				begun := startNode(t, target, "node-0001", false, true)
+				advance(10 * time.Second)
 				g.Expect(begun.members.View().Count()).To(Equal(3))
 				begun.end()
 			})
