--- a/internal/sidecar/membership/firststart_test.go
+++ b/internal/sidecar/membership/firststart_test.go
@@ -16,10 +16,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/store/memory"
 )
 
-// TestReadsOfFirstStart: few nodes read all keys, however many start. A node that has read meets a
-// quarter of those that it has found, as it does by its peers and the relays of other zones. With
-// waits drawn evenly over 0.75 s there are 26, 46 and 85 reads of 100, 400 and 800 nodes, where these
-// are 16, 25 and 48; beyond 500 nodes each counts twice.
+// TestReadsOfFirstStart checks that only few nodes read all keys, however many start together. A
+// node that has read contacts a quarter of the nodes that it found, as it does through its peers
+// and the relays of other zones. With delays drawn uniformly over 0.75 s, 100, 400 and 800 nodes
+// make 26, 46 and 85 reads instead of 16, 25 and 48. Above 500 nodes each read takes two calls.
 func TestReadsOfFirstStart(t *testing.T) {
 	const maxReads = 60
 	for _, size := range []int{100, 400, 800} {
@@ -71,7 +71,7 @@
 	}
 }
 
-// newTestNode returns a life of a node at the very first start that is not run yet.
+// newTestNode returns a node at the first start of the system that does not run yet.
 func newTestNode(t *testing.T, target *countingStore, node string, heartbeats time.Duration) *testNode {
 	created := &testNode{t: t, store: target}
 	created.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
--- a/internal/sidecar/membership/foreign_test.go
+++ b/internal/sidecar/membership/foreign_test.go
@@ -15,32 +15,32 @@
 	"github.com/kestrelstream/kestrelstream/internal/store/memory"
 )
 
-// TestForeignItems under the nodes' prefix name no node; the others hold, and what lies
-// under the own key is replaced.
+// TestForeignItems checks that invalid items under the nodes' prefix add no node and do not affect
+// the others, and that one under the node's own key is replaced.
 func TestForeignItems(t *testing.T) {
 	const whole = `{"node":"NAME","epoch":3,"counter":1,"address":"a:1","peerAddress":"a:2","zone":"z",` +
 		`"endpoint":{"id":"i","service":"s","slots":4,"state":"ready","sequence":9}}`
 	cases := []struct{ name, was, is string }{
-		{"bytes that cannot be read", whole, "\xff\xfe\x00"},
+		{"invalid bytes", whole, "\xff\xfe\x00"},
 		{"nothing", whole, ""},
 		{"null", whole, "null"},
 		{"a list", whole, "[]"},
-		{"another node's name", `"node":"NAME"`, `"node":"another"`},
+		{"name of another node", `"node":"NAME"`, `"node":"another"`},
 		{"no node", `"node":"NAME",`, ""},
-		{"a node of another type", `"node":"NAME"`, `"node":7`},
-		{"an epoch of another type", `"epoch":3`, `"epoch":"3"`},
-		{"an epoch beyond all lives", `"epoch":3`, `"epoch":18446744073709551615`},
+		{"node of wrong type", `"node":"NAME"`, `"node":7`},
+		{"epoch of wrong type", `"epoch":3`, `"epoch":"3"`},
+		{"epoch above the maximum", `"epoch":3`, `"epoch":18446744073709551615`},
 		{"no zone", `"zone":"z",`, ""},
 		{"no address", `"address":"a:1",`, ""},
-		{"an address without port", `"address":"a:1"`, `"address":"a"`},
-		{"no address for exchanges", `"peerAddress":"a:2",`, ""},
+		{"address without port", `"address":"a:1"`, `"address":"a"`},
+		{"no peer address", `"peerAddress":"a:2",`, ""},
 		{"no id", `"id":"i",`, ""},
 		{"no service", `"service":"s",`, ""},
-		{"a state that is none", `"ready"`, `"resting"`},
+		{"unknown state", `"ready"`, `"resting"`},
 		{"no state", `,"state":"ready"`, ""},
 		{"no slots", `"slots":4,`, ""},
-		{"slots below zero", `"slots":4`, `"slots":-4`},
-		{"a sequence of another type", `"sequence":9`, `"sequence":{}`},
+		{"negative slots", `"slots":4`, `"slots":-4`},
+		{"sequence of wrong type", `"sequence":9`, `"sequence":{}`},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
 				g.Expect(node.members.View().Record("aaa")).To(BeNil())
-				g.Expect(node.members.View().Record("zzz")).NotTo(BeNil(), "the others hold")
+				g.Expect(node.members.View().Record("zzz")).NotTo(BeNil(), "other items are still read")
 				g.Expect(node.members.Own().Endpoint.ID).To(Equal("own"))
 				item, err := target.Store.Get(t.Context(), membership.KeyPrefix+"self")
 				g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -1,7 +1,6 @@
-// Package membership lets nodes find each other through the store: each node
-// writes one key with its own record, rarely more than once a life, and reads the
-// keys of all others when it starts. The keys bear no lease: that the store is
-// silent says nothing about a node.
+// Package membership lets nodes discover each other through the store. Each node writes its own
+// record under one key, rarely more than once per run, and reads the keys of all others when it
+// starts. The keys have no lease, as an unreachable store does not mean that a node has failed.
 package membership
 
 import (
@@ -30,30 +29,30 @@
 	callTimeout   = 2 * time.Second
 	retryBase     = 100 * time.Millisecond
 	maxRetryDelay = 1500 * time.Millisecond
-	// pageSize is how many keys one read asks for.
+	// pageSize is the number of keys requested by one read.
 	pageSize = 500
-	// refreshInterval is the time between two reads of a node that reads the store
-	// for others. They may be seconds old; a change travels between the nodes
+	// refreshInterval is the time between two reads of a node that reads the store on behalf of
+	// others. Its reads may return data that is seconds old, as the nodes exchange changes among
 	// themselves.
 	refreshInterval = 20 * time.Second
-	// endpointWaitHeartbeats is how long the first write waits for the back end to make
-	// itself known, in heartbeats, so that one write is enough. The second one
-	// covers a heartbeat that is late.
+	// endpointWaitHeartbeats is how long the first write waits for the back end to announce itself,
+	// in heartbeat intervals, so that one write is enough. The second interval covers a late
+	// heartbeat.
 	endpointWaitHeartbeats = 2
-	// contactDelay is how long after its write a node waits for another one to be in
-	// touch with it before it reads the keys again, half of it at least. Where many
-	// nodes start together the first of them to read tell the others.
+	// contactDelay is how long after its write a node waits for contact from another one before it
+	// reads the keys again. When many nodes start together, the first ones to read inform the
+	// others.
 	contactDelay = 1500 * time.Millisecond
-	// maxContactDelay bounds the time between two such reads of a node that stays alone.
+	// maxContactDelay bounds the time between two such reads of a node that stays isolated.
 	maxContactDelay = refreshInterval
 )
 
-// Store is what membership needs of the store.
+// Store is the part of the store that membership uses.
 type Store interface {
 	store.Reader
 	store.Writer
 	store.Batcher
-	// RangeStale is Range, but what it returns may be seconds old.
+	// RangeStale is like Range but may return data that is seconds old.
 	RangeStale(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error)
 }
 
@@ -61,42 +60,42 @@
 type Options struct {
 	Store   Store
 	Members *roster.Roster
-	// FirstStart: the whole system starts for the first time, no node has a key.
+	// FirstStart means that the whole system starts for the first time and no node has a key yet.
 	FirstStart bool
-	// HeartbeatInterval is the usual time between two heartbeats of a back end.
+	// HeartbeatInterval is the expected time between two heartbeats of a back end.
 	HeartbeatInterval time.Duration
-	// OnDiscovery is called after each read that looked for other nodes. resumed says that the node goes
-	// on with the record that an earlier life of it left: it has no news for others.
+	// OnDiscovery is called after each read that searched for other nodes. resumed means that the
+	// node adopted the record of its previous run unchanged and has nothing new to publish.
 	OnDiscovery func(resumed bool)
-	// Met reports whether another node was in touch with this one.
+	// Met reports whether another node has contacted this one.
 	Met func() bool
-	// Reads reports whether the node reads the store for others.
+	// Reads reports whether the node reads the store on behalf of others.
 	Reads func() bool
-	// CompactionRank is the node's place among those that keep the snapshot of all records, from
-	// zero; false when it is none of them.
+	// CompactionRank returns the node's rank, from zero, among those that maintain the snapshot of
+	// all records, and false if it is not one of them.
 	CompactionRank func() (rank int, ranked bool)
 	Logger         *zap.Logger
 }
 
-// Membership keeps the node's key and finds the other nodes.
+// Membership maintains the node's key and discovers the other nodes.
 type Membership struct {
 	options   Options
 	publisher *publisher
-	// ownInSnapshot is the own record of the last snapshot that had one.
+	// ownInSnapshot is the node's own record in the last snapshot that contained one.
 	ownInSnapshot atomic.Pointer[roster.Record]
 }
 
-// New returns a membership that Run starts.
+// New returns a membership that is started by Run.
 func New(options Options) *Membership {
 	return &Membership{options: options, publisher: newPublisher(&options)}
 }
 
-// Run finds the other nodes and keeps the node's key until the context ends.
+// Run discovers the other nodes and maintains the node's key until the context is done.
 //
-// A node reads all keys when it starts. Where nodes start together each may have
-// read before the others wrote. So a node that nobody was in touch with after its
-// write reads again: of any two groups of nodes that know nothing of each other,
-// the last to read would have seen a key of the other one.
+// A node reads all keys when it starts. When nodes start together, each may have read before the
+// others wrote. Therefore a node that no other node has contacted since its write reads again: of
+// any two groups of nodes that do not know each other, the last node to read finds a key of the
+// other group.
 func (m *Membership) Run(ctx context.Context) {
 	if !m.options.FirstStart {
 		m.discoverWithRetry(ctx)
@@ -115,14 +114,14 @@
 	m.refresh(ctx)
 }
 
-// Restored takes in that the store has come back from an older copy: the own key is looked after
-// again.
+// Restored must be called when the store has been restored from an older copy. The own key is then
+// checked again.
 func (m *Membership) Restored() { m.publisher.scheduleRecheck() }
 
-// Withdraw removes the own key: the node and its back end do not come back.
+// Withdraw removes the own key, for a node that does not return.
 func (m *Membership) Withdraw(ctx context.Context) error { return m.publisher.withdraw(ctx) }
 
-// discoverWithRetry reads all keys, the own one among them, until that succeeds.
+// discoverWithRetry reads all keys, including the own one, until it succeeds.
 func (m *Membership) discoverWithRetry(ctx context.Context) {
 	backoff := pause.Backoff{Base: retryBase, Most: maxRetryDelay}
 	for ctx.Err() == nil {
@@ -137,15 +136,15 @@
 	}
 }
 
-// previousState is what an earlier life of the node previousState in the store.
+// previousState is what a previous run of the node left in the store.
 type previousState struct {
-	// item is the own key, with the record that it holds; snapshot the own record of the snapshot.
-	// All are nil when they are absent.
+	// item is the own key, record the record in it, and snapshot the own record in the snapshot.
+	// Each is nil if absent.
 	item             *store.KeyValue
 	record, snapshot *roster.Record
 }
 
-// records returns those that there are.
+// records returns the records that are present.
 func (l *previousState) records() (found []*roster.Record) {
 	for _, record := range []*roster.Record{l.snapshot, l.record} {
 		if record != nil {
@@ -155,8 +154,7 @@
 	return found
 }
 
-// discover reads all keys and returns what there is of the own node, which goes on where an earlier life
-// of it ended.
+// discover reads all keys, resumes from what a previous run of the node left, and returns that.
 func (m *Membership) discover(ctx context.Context) (own previousState, err error) {
 	name := KeyPrefix + m.options.Members.Own().Node
 	err = m.readAll(ctx, m.options.Store.Range, func(item store.KeyValue) {
@@ -177,7 +175,7 @@
 	return own, nil
 }
 
-// awaitEndpoint waits until the back end is known, but not for ever.
+// awaitEndpoint waits for a limited time until the back end is known.
 func (m *Membership) awaitEndpoint(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, endpointWaitHeartbeats*m.options.HeartbeatInterval)
 	defer cancel()
@@ -186,7 +184,7 @@
 	}
 }
 
-// awaitContact returns once another node was in touch with this one.
+// awaitContact reads the keys at increasing intervals until another node has contacted this one.
 func (m *Membership) awaitContact(ctx context.Context) {
 	for wait := m.firstContactDelay(); ; wait = min(2*max(wait, contactDelay), maxContactDelay) {
 		pause.Wait(ctx, wait)
@@ -199,14 +197,16 @@
 	}
 }
 
-// rampExponent says how much more likely a node is to read at the end of its first wait than at the
-// beginning, as the exponent of e: of a thousand nodes some three read in the first seventh.
+// rampExponent sets how much more likely a node is to read at the end of its first wait than at the
+// beginning, as an exponent of e. Of a thousand nodes about three read in the first seventh of the
+// wait.
 const rampExponent = 7
 
-// firstContactDelay is how long a node waits after its write to be met, before it reads the keys. Where
-// the whole system starts for the first time nobody calls yet, and keys come over a heartbeat's
-// interval. Few nodes read early in it and meet the others: about half of the reads of waits that are
-// drawn evenly over 0.75 s (TestAFirstStartOfMany).
+// firstContactDelay returns how long a node waits for contact after its write before it reads the
+// keys. At the first start of the whole system there are no requests yet, and keys are written over
+// the span of a heartbeat interval. The distribution makes few nodes read early, and these contact
+// the others, so that there are about half as many reads as with waits drawn uniformly over 0.75 s
+// (TestReadsOfFirstStart).
 func (m *Membership) firstContactDelay() time.Duration {
 	if !m.options.FirstStart {
 		return contactDelay
@@ -216,8 +216,8 @@
 	return contactDelay + time.Duration(delay*float64(time.Second))
 }
 
-// refresh reads all keys from time to time while the node reads for others: should
-// groups of nodes have lost each other, they find each other again.
+// refresh periodically reads all keys while the node reads on behalf of others, so that groups of
+// nodes that have lost each other reconnect.
 func (m *Membership) refresh(ctx context.Context) {
 	for {
 		pause.Wait(ctx, refreshInterval)
@@ -233,7 +233,7 @@
 	}
 }
 
-// logReadFailure logs a read of the keys that failed; it is tried again.
+// logReadFailure logs a failed read of the keys, which is retried.
 func (m *Membership) logReadFailure(err error) {
 	m.options.Logger.Warn("other nodes not read", zap.Error(err))
 }
@@ -241,7 +241,7 @@
 // rangeFunction reads one page of keys.
 type rangeFunction func(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error)
 
-// readAll takes in every key; seen is told of each.
+// readAll reads all keys page by page, merges each item and passes it to visit.
 func (m *Membership) readAll(ctx context.Context, read rangeFunction, visit func(store.KeyValue)) error {
 	from := readPrefix
 	for {
@@ -253,7 +253,7 @@
 		}
 		m.options.Members.Batch(func() {
 			for _, item := range found {
-				// A record that sets off a panic is left out; the log names it.
+				// A record that causes a panic is skipped; the panic is logged with its key.
 				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.mergeItem(item) })
 				visit(item)
 			}
@@ -265,8 +265,8 @@
 	}
 }
 
-// mergeItem merges one item. What is not a record of ours is left alone: another writer may have
-// put it there.
+// mergeItem merges one item. Invalid items are left in the store, as another application may have
+// written them.
 func (m *Membership) mergeItem(item store.KeyValue) {
 	if item.Key == SnapshotKey {
 		records, err := decodeSnapshot(item.Value)
@@ -288,20 +288,21 @@
 	m.options.Members.Merge(m.othersOnly(record))
 }
 
-// othersOnly leaves the own records out: what an earlier life has left is taken in as one.
+// othersOnly removes the node's own records. Those of a previous run are applied together by
+// Resume.
 func (m *Membership) othersOnly(records ...*roster.Record) []*roster.Record {
 	own := m.options.Members.Own()
 	return slices.DeleteFunc(records, own.SameNode)
 }
 
-// readRecord reads the record that an item holds.
+// readRecord decodes and validates the record in an item.
 func readRecord(item store.KeyValue) (*roster.Record, error) {
 	record := &roster.Record{}
 	if err := json.Unmarshal(item.Value, record); err != nil {
 		return nil, trace.Wrap(err, "read %s", item.Key)
 	}
 	if KeyPrefix+record.Node != item.Key {
-		return nil, trace.BadParameter("node: %q is not the key's", record.Node)
+		return nil, trace.BadParameter("node: %q does not match the key", record.Node)
 	}
 	return record, record.Validate()
 }
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -22,11 +22,11 @@
 
 const heartbeat = 1500 * time.Millisecond
 
-// countingStore counts calls and can turn them away.
+// countingStore counts calls and can make them fail.
 type countingStore struct {
 	*memory.Store
 	gets, ranges, writes atomic.Int64
-	// failure is the error of every call; nil for none.
+	// failure is the error of every call, nil for none.
 	failure atomic.Pointer[error]
 }
 
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// calls returns how many reads of one key, of all keys, and writes there were.
+// calls returns the numbers of reads of one key, reads of all keys, and writes.
 func (s *countingStore) calls() []int64 {
 	return []int64{s.gets.Load(), s.ranges.Load(), s.writes.Load()}
 }
@@ -71,7 +71,7 @@
 	return s.Store.CompareAndSwap(ctx, swap)
 }
 
-// Apply applies the swaps one by one: the tests' stores have one writer at a time.
+// Apply applies the swaps one by one, since the stores of the tests have one writer at a time.
 func (s *countingStore) Apply(ctx context.Context, swaps []store.Swap) (uint64, error) {
 	s.writes.Add(1)
 	if err := s.failing(); err != nil {
@@ -103,9 +103,9 @@
 	members *roster.Roster
 	node    *membership.Membership
 	met     atomic.Bool
-	// compacts: the node keeps the snapshot.
+	// compacts means that the node maintains the snapshot.
 	compacts atomic.Bool
-	// joined is called after each read that looked for others; tests that do not need it leave it.
+	// joined is called after each read that searched for other nodes; optional.
 	joined func()
 	end    func()
 }
@@ -137,7 +137,7 @@
 	}
 }
 
-// report has the back end say something of itself.
+// report sets the state that the back end reports.
 func (l *testNode) report(id string, state roster.State, sequence uint64) {
 	l.members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.Endpoint = &roster.Endpoint{ID: id, Service: "s", Slots: 4, State: state, Sequence: sequence}
@@ -146,7 +146,7 @@
 	advance(time.Second)
 }
 
-// stored returns what the node's key holds, nil when it is absent.
+// stored returns the record in the node's key, nil if it is absent.
 func (l *testNode) stored() *roster.Record {
 	found, err := l.store.Store.Get(l.t.Context(), membership.KeyPrefix+l.members.Own().Node)
 	if err != nil {
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestWritesOfOneRun: one write once the back end is known; another when it begins to leave;
-// none for what peers tell each other.
+// TestWritesOfOneRun checks that a node writes once its back end is known and again when the back
+// end starts draining, but not for changes that peers exchange among themselves.
 func TestWritesOfOneRun(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		node := startNode(t, target, "a", true, true)
@@ -195,8 +195,8 @@
 	})
 }
 
-// TestQuarantineIsStored: the verdict on a request outlives an end of all nodes; what
-// is only suspected costs no write.
+// TestQuarantineIsStored checks that a quarantined request survives a failure of all nodes and that
+// mere suspicion causes no write.
 func TestQuarantineIsStored(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		node := startNode(t, target, "a", true, true)
@@ -223,7 +223,7 @@
 	})
 }
 
-// TestSilentBackEnd does not keep its node from being found.
+// TestSilentBackEnd checks that a node whose back end sends no heartbeat is still discovered.
 func TestSilentBackEnd(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		node := startNode(t, target, "a", true, true)
@@ -234,8 +234,9 @@
 	})
 }
 
-// TestRestart: one read, no write, and knowing its back end. While it has nothing to say it goes on
-// as the life before ended; what it says then is above that and does not look like it.
+// TestRestart checks that a restarted node makes one read and no write and knows its back end. It
+// keeps the record of its previous run until it has something to publish; its next record is newer
+// and has another run id.
 func TestRestart(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		before := startNode(t, target, "a", true, true)
@@ -256,7 +257,8 @@
 	})
 }
 
-// TestRestartWithChanges, on another address after one that was leaving, goes above the life before.
+// TestRestartWithChanges checks that a node restarted at another address after a planned shutdown
+// supersedes the record of its previous run.
 func TestRestartWithChanges(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		before := startNode(t, target, "a", true, true)
@@ -278,7 +280,8 @@
 	})
 }
 
-// TestFirstStartFindsExistingKey: also at a first start an earlier life's key is found.
+// TestFirstStartFindsExistingKey checks that the key of a previous run is found even if the node is
+// told that the system starts for the first time.
 func TestFirstStartFindsExistingKey(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		before := startNode(t, target, "a", true, true)
@@ -293,8 +296,8 @@
 	})
 }
 
-// TestSimultaneousStart: each has read before the other wrote; one that nobody
-// was in touch with reads again, and both keys are found.
+// TestSimultaneousStart checks two nodes that each read before the other wrote: as no other node
+// contacts them, they read again and find each other.
 func TestSimultaneousStart(t *testing.T) {
 	for name, firstStart := range map[string]bool{"first start": true, "new nodes": false} {
 		t.Run(name, func(t *testing.T) {
@@ -312,7 +315,8 @@
 	}
 }
 
-// TestReadsOfIsolatedNode: a node that stays alone reads more and more rarely.
+// TestReadsOfIsolatedNode checks that an isolated node reads at increasing intervals and stops once
+// it was contacted.
 func TestReadsOfIsolatedNode(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		node := startNode(t, target, "a", true, false)
@@ -329,8 +333,8 @@
 	})
 }
 
-// TestUnavailableStore: the node asks again, ever more rarely, and has its key
-// written soon after the store is back.
+// TestUnavailableStore checks that a node retries with backoff while the store fails and has its
+// key written soon after it recovers.
 func TestUnavailableStore(t *testing.T) {
 	for name, outage := range map[string]error{
 		"refuses": store.ErrRateLimited, "unavailable": store.ErrUnavailable, "loses answers": store.ErrUnknownOutcome,
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -16,23 +16,24 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// publisher keeps the node's own key. All but withdraw is used by one goroutine.
+// publisher maintains the node's own key. All methods but withdraw, scheduleRecheck and signal are
+// called by one goroutine.
 type publisher struct {
 	store   Store
 	members *roster.Roster
 	logger  *zap.Logger
 	wake    chan struct{}
-	// written is closed once the key holds what the others need.
+	// written is closed once the stored record is up to date.
 	written     chan struct{}
 	writtenOnce sync.Once
-	// revisionKnown: revision and stored are those of the own key.
+	// revisionKnown means that revision and stored reflect the own key.
 	revisionKnown bool
-	// recheck: the key is to be read again, since the store may have recheck it.
+	// recheck means that the key must be read again, since the store may have lost it.
 	recheck atomic.Bool
-	// revision is that of the own key, zero when it is absent or not known.
+	// revision is the revision of the own key, zero if it is absent or unknown.
 	revision atomic.Uint64
 	stored   roster.Record
-	// withdrawn: the key is to be absent from now on.
+	// withdrawn means that the key must not be written any more.
 	withdrawn atomic.Bool
 }
 
@@ -51,12 +52,12 @@
 	return created
 }
 
-// recheckTimePerNode is the time over which nodes look after their keys when the store has come back
-// from a copy, for each of them: 500 nodes a second, each with a read and a write.
+// recheckTimePerNode is the time, per known node, over which the nodes spread their checks after
+// the store was restored from a copy: 500 nodes a second, each with a read and a write.
 const recheckTimePerNode = 2 * time.Millisecond
 
-// scheduleRecheck has the key read, and written again when it is gone or old, in the node's own time: all
-// nodes hear of it at once.
+// scheduleRecheck has the key read, and written again if it is missing or outdated, after a random
+// delay, as all nodes learn of the restore at once.
 func (p *publisher) scheduleRecheck() {
 	p.recheck.Store(true)
 	time.AfterFunc(rand.N(time.Duration(p.members.View().Count()+1)*recheckTimePerNode), p.signal)
@@ -69,7 +70,7 @@
 	}
 }
 
-// run brings the key up to date now and after each change, until the context ends.
+// run updates the key now and after each change, until the context is done.
 func (p *publisher) run(ctx context.Context) {
 	backoff := pause.Backoff{Base: retryBase, Most: maxRetryDelay}
 	for ctx.Err() == nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// loaded takes in the own key from a read of all, nil when it is absent.
+// loaded sets the state of the own key from a read, nil if it is absent.
 func (p *publisher) loaded(item *store.KeyValue) {
 	p.revisionKnown, p.stored = true, roster.Record{}
 	if item == nil {
@@ -96,26 +97,26 @@
 	p.revision.Store(item.Revision)
 	record, err := readRecord(*item)
 	if err != nil {
-		p.logger.Warn("the own key holds no record of this node, it will be replaced", zap.Error(err))
+		p.logger.Warn("own key does not hold a record of this node, replacing it", zap.Error(err))
 		return
 	}
 	p.stored = *record
 }
 
-// loadedSnapshot takes in the own record of the snapshot, nil when it has none: where there is no own
-// key, it is what the store has.
+// loadedSnapshot sets the own record in the snapshot, nil if it has none. Without an own key, this
+// is the stored record.
 func (p *publisher) loadedSnapshot(record *roster.Record) {
 	if record != nil && p.stored.Node == "" {
 		p.stored = *record
 	}
 }
 
-// outdated reports whether the stored record does not lead others to the node any
-// more, or does not say whether its back end is leaving or which requests are held back:
-// that has to outlive an end of all nodes at once. All else is told between
-// the nodes, and after a restart by the back end's next heartbeat. The epoch need
-// not be stored: a node goes above the one that it finds, by an amount that no two
-// lives share.
+// outdated reports whether the stored record must be replaced: others cannot reach the node by it,
+// or it does not say whether the back end is draining or which requests are quarantined, which must
+// survive a simultaneous failure of all nodes. All other state is exchanged between the nodes and,
+// after a restart, reported by the back end's next heartbeat. The epoch need not be up to date: a
+// node raises its own above the one that it finds, and runs that reach the same epoch differ in
+// their run id.
 func outdated(stored, own *roster.Record) bool {
 	if stored.Node != own.Node || stored.Address != own.Address || stored.PeerAddress != own.PeerAddress ||
 		stored.Zone != own.Zone || stored.Link != own.Link || !own.Evidence.SameQuarantined(stored.Evidence) {
@@ -131,8 +132,8 @@
 	return storedEndpoint.Service != ownEndpoint.Service || (storedEndpoint.State == roster.Ready) != (ownEndpoint.State == roster.Ready)
 }
 
-// publish brings the own key up to date. After an unknown outcome the key is read
-// first: a condition on its revision keeps a late write from undoing a later one.
+// publish updates the own key. After an unknown outcome the key is read first; writes are
+// conditional on its revision, so that a delayed write cannot undo a later one.
 func (p *publisher) publish(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// read learns the own key's revision and what an earlier life left there.
+// read loads the own key's revision and merges the record that a previous run left there.
 func (p *publisher) read(ctx context.Context) error {
 	loaded, err := p.store.Get(ctx, KeyPrefix+p.members.Own().Node)
 	if errors.Is(err, store.ErrNotFound) {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// withdraw removes the own key. Its revision is mostly known.
+// withdraw removes the own key, without a read if its revision is known and current.
 func (p *publisher) withdraw(ctx context.Context) error {
 	p.withdrawn.Store(true)
 	own := KeyPrefix + p.members.Own().Node
--- a/internal/sidecar/membership/snapshot.go
+++ b/internal/sidecar/membership/snapshot.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	// SnapshotKey holds the records of all nodes as one of them knew them. It lies before the nodes'
-	// keys, which are newer words than it has: one read brings both.
+	// SnapshotKey holds the records of all nodes as one of them knew them. It sorts before the
+	// nodes' keys, which are newer than the snapshot, so that one read returns both in that order.
 	SnapshotKey = "kestrel/members"
-	// readPrefix begins the snapshot's key and the nodes' keys.
+	// readPrefix is the common prefix of the snapshot's key and the nodes' keys.
 	readPrefix = "kestrel/"
 )
 
 const (
-	// compactionThreshold is how many nodes' keys make a snapshot worth its calls. 984 keys are 0.4 MB and
-	// two calls for each node that starts: 0.39 GB where all start at once, 3 s of the store's link.
-	// A snapshot of as many has 0.03 MB.
+	// compactionThreshold is the number of nodes' keys from which on a snapshot is worth its calls.
+	// 984 keys take 0.4 MB and two calls for each node that starts: 0.39 GB if all start at once, 3
+	// s of the store's link. A snapshot of as many records takes 0.03 MB.
 	compactionThreshold = 64
-	// compactionInterval is the time between two looks at whether there are so many, compactRest that
-	// after one which found few, compactTurn how much later each further node looks, should the ones
-	// before not.
+	// compactionInterval is the time between two checks for enough keys, idleCompactionInterval the
+	// time after a check that found too few, and compactionRankDelay how much later each further
+	// node by rank checks, in case those before it do not.
 	compactionInterval     = 6 * time.Second
 	idleCompactionInterval = 30 * time.Second
 	compactionRankDelay    = 4 * time.Second
-	// maxSnapshotBytes bounds a snapshot once it is read.
+	// maxSnapshotBytes bounds the size of a decompressed snapshot.
 	maxSnapshotBytes = 64 << 20
 )
 
-// encodeSnapshot returns the records as they are stored.
+// encodeSnapshot returns the records as compressed JSON.
 func encodeSnapshot(records []*roster.Record) ([]byte, error) {
 	written := &bytes.Buffer{}
 	compressor := gzip.NewWriter(written)
@@ -55,8 +55,8 @@
 	return written.Bytes(), nil
 }
 
-// decodeSnapshot reads what encodeSnapshot wrote. Another writer may have put something else there:
-// records that no node writes so are left out.
+// decodeSnapshot decodes the result of encodeSnapshot. Invalid records are skipped, as others may
+// write to the store as well.
 func decodeSnapshot(raw []byte) (records []*roster.Record, err error) {
 	decompressor, err := gzip.NewReader(bytes.NewReader(raw))
 	if err != nil {
@@ -74,15 +74,15 @@
 	return records, nil
 }
 
-// compactor moves what the nodes' keys say into the snapshot. It is used by one goroutine.
+// compactor moves the records in the nodes' keys into the snapshot. It is used by one goroutine.
 type compactor struct {
 	options *Options
-	// found are the nodes' keys, snapshot the revision of the snapshot's, as they were last read.
+	// found are the nodes' keys and snapshot is the revision of the snapshot, as last read.
 	found    []store.KeyValue
 	snapshot uint64
 }
 
-// compact keeps the snapshot when it is the node's turn, until the context ends.
+// compact maintains the snapshot whenever it is the node's turn, until the context is done.
 func (m *Membership) compact(ctx context.Context) {
 	interval := compactionInterval
 	for last := clock.Now(); ctx.Err() == nil; {
@@ -104,8 +104,8 @@
 	}
 }
 
-// compactOnce looks for nodes' keys and moves them into the snapshot when there are many. It reports
-// whether there were, or nobody knows.
+// compactOnce reads the nodes' keys and moves them into the snapshot if there are many. It reports
+// whether there are, or the read failed.
 func (m *Membership) compactOnce(ctx context.Context) (many bool) {
 	one := &compactor{options: &m.options}
 	err := m.readAll(ctx, m.options.Store.Range, func(item store.KeyValue) {
@@ -121,7 +121,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
-		// A node has changed its key meanwhile, or another one compacts.
+		// A node has changed its key meanwhile, or another node compacts.
 		m.options.Logger.Info("snapshot of nodes left to another look", zap.Error(err))
 	default:
 		m.logReadFailure(err)
@@ -129,8 +129,8 @@
 	return many
 }
 
-// write writes the snapshot and takes the keys away that it holds, some at a time. A key that was
-// written again meanwhile stays, and ends the work.
+// write writes the snapshot and deletes the keys that it covers, in several calls if there are
+// many. A key that was changed meanwhile stays and ends the operation.
 func (c *compactor) write(ctx context.Context) error {
 	records := c.options.Members.View().Records()
 	present := make([]*roster.Record, 0, len(records))
--- a/internal/sidecar/membership/snapshot_test.go
+++ b/internal/sidecar/membership/snapshot_test.go
@@ -16,7 +16,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/store/memory"
 )
 
-// storeNodes has so many nodes' keys in the store.
+// storeNodes writes the keys of the given number of nodes.
 func storeNodes(t *testing.T, target *countingStore, nodes int) {
 	for i := range nodes {
 		record := &roster.Record{
@@ -34,7 +34,7 @@
 	}
 }
 
-// keys returns how many nodes' keys there are, and the length of the snapshot.
+// keys returns the number of nodes' keys and the length of the snapshot.
 func keys(t *testing.T, target *countingStore) (count, snapshot int) {
 	found, _, err := target.Store.Range(t.Context(), "kestrel/", "kestrel/", 10_000)
 	if err != nil {
@@ -50,8 +50,9 @@
 	return count, snapshot
 }
 
-// TestCompaction: many keys become one, which a node that starts reads with one call, whatever the
-// size; few stay as they are. A snapshot of 984 nodes has less than a tenth of the bytes.
+// TestCompaction checks that many keys are replaced by one snapshot, which a starting node reads
+// with one call regardless of its size, and that few keys are left alone. A snapshot of 984 nodes
+// has less than a tenth of the bytes of their keys.
 func TestCompaction(t *testing.T) {
 	cases := []struct {
 		nodes, keysLeft int
@@ -77,16 +78,17 @@
 				target.writes.Store(0)
 				begun := startNode(t, target, "node-0007", false, true)
 				advance(15 * time.Second)
-				g.Expect(begun.members.View().Count()).To(Equal(tc.nodes+1), "it knows all nodes")
-				g.Expect(begun.members.Own().Endpoint.ID).To(Equal("i-"+fmt.Sprintf("%x", 0xfc2bf3ef*8)), "and its own back end")
-				g.Expect(target.calls()).To(Equal([]int64{0, tc.reads, 0}), "one read, and no write while nothing is new")
+				g.Expect(begun.members.View().Count()).To(Equal(tc.nodes+1), "knows all nodes")
+				g.Expect(begun.members.Own().Endpoint.ID).To(Equal("i-"+fmt.Sprintf("%x", 0xfc2bf3ef*8)), "knows its own back end")
+				g.Expect(target.calls()).To(Equal([]int64{0, tc.reads, 0}), "one read, and no write without changes")
 				begun.end()
 			})
 		})
 	}
 }
 
-// TestKeyWrittenAfterSnapshot: what a node says later lies beside the snapshot and goes before it.
+// TestKeyWrittenAfterSnapshot checks that a key written after the snapshot takes precedence over
+// it.
 func TestKeyWrittenAfterSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -114,7 +116,7 @@
 	})
 }
 
-// TestForeignSnapshot names no node, and does not end one.
+// TestForeignSnapshot checks that an invalid snapshot adds no node and does not make a node fail.
 func TestForeignSnapshot(t *testing.T) {
 	for name, value := range map[string]string{"no compressed text": "{}", "cut off": "\x1f\x8b\x08\x00", "empty": ""} {
 		t.Run(name, func(t *testing.T) {
