--- a/internal/sidecar/quarantine/blame_test.go
+++ b/internal/sidecar/quarantine/blame_test.go
@@ -19,13 +19,13 @@
 	return all
 }
 
-// TestBlame: which requests explain the ends, each given by what was at work.
-func TestBlame(t *testing.T) {
+// TestFindCulprits: which requests explain the ends, each given by what was at work.
+func TestFindCulprits(t *testing.T) {
 	cases := []struct {
 		name string
-		// ends are what was at work at each, a capital for the one on trial.
-		ends []string
-		want string
+		// crashes are what was at work at each, a capital for the one on trial.
+		crashes []string
+		want    string
 	}{
 		{"nothing ended", nil, ""},
 		{"one end has suspects only", []string{"abc"}, ""},
@@ -45,45 +45,45 @@
 		{"an end that is explained speaks against nobody else", []string{"ab", "Ac", "Ad", "Bd"}, "a"},
 		{"copies of one request at one back end are one end", []string{"aAb", "c"}, ""},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			var open []suspicion
-			for i, running := range played.ends {
-				crash := suspicion{endpoint: string(rune('0' + i)), digests: digests(strings.ToLower(running))}
+			var open []openCrash
+			for i, running := range tc.crashes {
+				crash := openCrash{endpoint: string(rune('0' + i)), digests: digests(strings.ToLower(running))}
 				if trial := strings.IndexFunc(running, unicode.IsUpper); trial >= 0 {
 					crash.trial = crash.digests[trial]
 				}
 				open = append(open, crash)
 			}
 			var blamed []fingerprint.Digest
-			for _, found := range blame(open) {
+			for _, found := range findCulprits(open) {
 				blamed = append(blamed, found.digest)
 			}
-			g.Expect(blamed).To(ConsistOf(digests(played.want)))
+			g.Expect(blamed).To(ConsistOf(digests(tc.want)))
 		})
 	}
 }
 
-// TestOldEndsSpeakForNobody: ends whose suspects nobody asks for again stay open. They do not
+// TestOldCrashesAreNotCoincidences: ends whose suspects nobody asks for again stay open. They do not
 // cost a later harmful request one more back end.
-func TestOldEndsSpeakForNobody(t *testing.T) {
+func TestOldCrashesAreNotCoincidences(t *testing.T) {
 	cases := []struct {
 		apart  time.Duration
 		blamed int
 	}{
 		{0, 0},
-		{coincidence, 0},
-		{coincidence + time.Nanosecond, 1},
+		{coincidenceWindow, 0},
+		{coincidenceWindow + time.Nanosecond, 1},
 		{time.Hour, 1},
 	}
-	for _, played := range cases {
+	for _, tc := range cases {
 		now := time.Now()
-		open := []suspicion{
-			{endpoint: "old", digests: digests("v"), at: now.Add(-played.apart)},
+		open := []openCrash{
+			{endpoint: "old", digests: digests("v"), at: now.Add(-tc.apart)},
 			{endpoint: "first", digests: digests("ax"), at: now.Add(-time.Hour)},
 			{endpoint: "second", digests: digests("ay"), trial: digests("a")[0], at: now},
 		}
-		NewWithT(t).Expect(blame(open)).To(HaveLen(played.blamed), "%v apart", played.apart)
+		NewWithT(t).Expect(findCulprits(open)).To(HaveLen(tc.blamed), "%v apart", tc.apart)
 	}
 }
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -19,39 +19,39 @@
 )
 
 const (
-	slots      = 9
-	attempts   = 2
-	mostVisits = 5
+	slots     = 9
+	attempts  = 2
+	maxVisits = 5
 	// meanWork is how long harmless requests are worked on, harmAfter how long a harmful
 	// one takes to end its back end.
-	meanWork  = 90 * time.Millisecond
-	harmAfter = 40 * time.Millisecond
-	// away is how long a back end is away after its end.
-	away = 3 * time.Second
-	// inTouchAfter is how long after the third end no back end may get the request any more.
-	inTouchAfter = 3 * time.Second
-	// exchangeEvery is the time between two exchanges that a node begins.
-	exchangeEvery = 800 * time.Millisecond
+	meanWork   = 90 * time.Millisecond
+	crashDelay = 40 * time.Millisecond
+	// restartDelay is how long a back end is restartDelay after its end.
+	restartDelay = 3 * time.Second
+	// convergenceTime is how long after the third end no back end may get the request any more.
+	convergenceTime = 3 * time.Second
+	// exchangeInterval is the time between two exchanges that a node begins.
+	exchangeInterval = 800 * time.Millisecond
 )
 
 // fleet is a service on nodes that decide by the product's own code, on a virtual clock.
 // All that happens is an event of one queue, so that a seed gives the same day every time.
 type fleet struct {
 	random *rand.Rand
-	// lost is the share of the news that is lost on its way.
-	lost   float64
-	nodes  []*fleetNode
-	events eventQueue
-	// sent counts the requests, heldHarmless those of the harmless that were held back.
-	sent, heldHarmless int
-	// harmfulEnds counts the back ends that ended under each harmful request, marked those
+	// lossRate is the share of the news that is lossRate on its way.
+	lossRate float64
+	nodes    []*fleetNode
+	events   eventQueue
+	// sent counts the requests, falsePositives those of the harmless that were held back.
+	sent, falsePositives int
+	// crashesByRequest counts the back ends that ended under each harmful request, marked those
 	// under all of them when mark was called.
-	harmfulEnds map[fingerprint.Fingerprint]int
-	marked      int
-	// thirdEnds is when the third back end ended under a harmful request; sentAfterwards
+	crashesByRequest map[fingerprint.Fingerprint]int
+	markedCrashes    int
+	// thirdCrashAt is when the third back end ended under a harmful request; sentAfterwards
 	// counts what back ends got of it more than inTouchAfter later.
-	thirdEnds      map[fingerprint.Fingerprint]time.Time
-	sentAfterwards int
+	thirdCrashAt   map[fingerprint.Fingerprint]time.Time
+	sentAfterThird int
 }
 
 // fleetNode is one node with its back end.
@@ -78,14 +78,14 @@
 	// there alone of those that are suspected.
 	at      *fleetNode
 	suspect bool
-	// then is called when it is over.
-	then func()
+	// onFinish is called when it is over.
+	onFinish func()
 }
 
-func newFleet(size int, seed uint64, lost float64) *fleet {
+func newFleet(size int, seed uint64, lossRate float64) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 1)), lost: lost,
-		harmfulEnds: map[fingerprint.Fingerprint]int{}, thirdEnds: map[fingerprint.Fingerprint]time.Time{},
+		random: rand.New(rand.NewPCG(seed, 1)), lossRate: lossRate,
+		crashesByRequest: map[fingerprint.Fingerprint]int{}, thirdCrashAt: map[fingerprint.Fingerprint]time.Time{},
 	}
 	for i := range size {
 		node := &fleetNode{fleet: f}
@@ -101,17 +101,17 @@
 
 // mark notes how many back ends have ended under harmful requests.
 func (f *fleet) mark() {
-	f.marked = 0
-	for _, count := range f.harmfulEnds {
-		f.marked += count
+	f.markedCrashes = 0
+	for _, count := range f.crashesByRequest {
+		f.markedCrashes += count
 	}
 }
 
-// anyNode returns a node drawn at random.
-func (f *fleet) anyNode() *fleetNode { return f.nodes[f.random.IntN(len(f.nodes))] }
+// randomNode returns a node drawn at random.
+func (f *fleet) randomNode() *fleetNode { return f.nodes[f.random.IntN(len(f.nodes))] }
 
-// upTo returns a time drawn at random, below the most.
-func (f *fleet) upTo(most time.Duration) time.Duration {
+// randomDuration returns a time drawn at random, below the most.
+func (f *fleet) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(f.random.Float64() * float64(most))
 }
 
@@ -119,8 +119,8 @@
 func (n *fleetNode) spread() {
 	own := n.members.Own()
 	for _, other := range n.fleet.nodes {
-		if other != n && n.fleet.random.Float64() >= n.fleet.lost {
-			delay := time.Millisecond + n.fleet.upTo(20*time.Millisecond)
+		if other != n && n.fleet.random.Float64() >= n.fleet.lossRate {
+			delay := time.Millisecond + n.fleet.randomDuration(20*time.Millisecond)
 			n.fleet.events.after(delay, func() { other.members.Merge([]*roster.Record{own}) })
 		}
 	}
@@ -131,8 +131,8 @@
 	if !time.Now().Before(until) {
 		return
 	}
-	n.fleet.events.after(exchangeEvery/2+n.fleet.upTo(exchangeEvery), func() {
-		other := n.fleet.anyNode()
+	n.fleet.events.after(exchangeInterval/2+n.fleet.randomDuration(exchangeInterval), func() {
+		other := n.fleet.randomNode()
 		other.members.Merge(n.members.View().Records())
 		n.members.Merge(other.members.View().Records())
 		n.exchange(until)
@@ -161,14 +161,14 @@
 	for _, request := range ended {
 		n.fleet.events.after(0, func() { n.fleet.crashed(n, request) })
 	}
-	n.fleet.events.after(away, func() {
+	n.fleet.events.after(restartDelay, func() {
 		n.lives++
 		n.down = false
 	})
 }
 
-// take begins a send at the node and reports whether it has room for it.
-func (n *fleetNode) take(request *flight) bool {
+// accept begins a send at the node and reports whether it has room for it.
+func (n *fleetNode) accept(request *flight) bool {
 	suspect := request.ends > 0 || n.quarantine.Suspects(request.print)
 	if n.down || len(n.running) >= slots || (suspect && n.onTrial) {
 		return false
@@ -179,50 +179,50 @@
 	return true
 }
 
-// answer ends a send at the node.
-func (n *fleetNode) answer(request *flight) {
+// complete ends a send at the node.
+func (n *fleetNode) complete(request *flight) {
 	n.running = slices.DeleteFunc(n.running, func(other *flight) bool { return other == request })
 	if request.suspect {
 		n.onTrial = false
 	}
 	request.at = nil
 	n.quarantine.Survived(request.print)
-	request.over()
+	request.finish()
 }
 
-func (f *flight) over() {
-	if f.then != nil {
-		f.then()
+func (f *flight) finish() {
+	if f.onFinish != nil {
+		f.onFinish()
 	}
 }
 
 // call carries a request through as nodes do.
-func (f *fleet) call(from *fleetNode, print fingerprint.Fingerprint, harmful bool, then func()) {
+func (f *fleet) call(from *fleetNode, print fingerprint.Fingerprint, harmful bool, onFinish func()) {
 	f.sent++
-	f.carry(&flight{from: from, print: print, harmful: harmful, then: then})
+	f.route(&flight{from: from, print: print, harmful: harmful, onFinish: onFinish})
 }
 
-// carry sends a request to nodes until one takes it.
-func (f *fleet) carry(request *flight) {
-	for request.visits < mostVisits && request.ends < attempts {
+// route sends a request to nodes until one takes it.
+func (f *fleet) route(request *flight) {
+	for request.visits < maxVisits && request.ends < attempts {
 		request.visits++
-		to := f.anyNode()
-		if f.holds(request.from, request) || f.holds(to, request) {
+		to := f.randomNode()
+		if f.isQuarantined(request.from, request) || f.isQuarantined(to, request) {
 			break
 		}
-		if to.take(request) {
+		if to.accept(request) {
 			f.work(to, request)
 			return
 		}
 	}
-	request.over()
+	request.finish()
 }
 
 // work has the node's back end work on a request until it answers or ends.
 func (f *fleet) work(at *fleetNode, request *flight) {
-	lasts, life := harmAfter, at.lives
-	if third, ended := f.thirdEnds[request.print]; request.harmful && ended && time.Since(third) > inTouchAfter {
-		f.sentAfterwards++
+	lasts, life := crashDelay, at.lives
+	if third, ended := f.thirdCrashAt[request.print]; request.harmful && ended && time.Since(third) > convergenceTime {
+		f.sentAfterThird++
 	}
 	if !request.harmful {
 		lasts = time.Duration(f.random.ExpFloat64() * float64(meanWork))
@@ -233,7 +233,7 @@
 		case request.harmful:
 			at.crash()
 		default:
-			at.answer(request)
+			at.complete(request)
 		}
 	})
 }
@@ -243,30 +243,30 @@
 func (f *fleet) crashed(at *fleetNode, request *flight) {
 	request.ends++
 	if request.harmful {
-		f.harmfulEnds[request.print]++
-		if f.harmfulEnds[request.print] == 3 {
-			f.thirdEnds[request.print] = time.Now()
+		f.crashesByRequest[request.print]++
+		if f.crashesByRequest[request.print] == 3 {
+			f.thirdCrashAt[request.print] = time.Now()
 		}
 	}
 	// What has met its last end is given up in any case.
-	if request.ends < attempts && f.holds(at, request) {
-		request.over()
+	if request.ends < attempts && f.isQuarantined(at, request) {
+		request.finish()
 		return
 	}
-	f.carry(request)
+	f.route(request)
 }
 
-// holds reports whether the node holds the request back, and counts it if it is harmless.
-func (f *fleet) holds(at *fleetNode, request *flight) bool {
+// isQuarantined reports whether the node isQuarantined the request back, and counts it if it is harmless.
+func (f *fleet) isQuarantined(at *fleetNode, request *flight) bool {
 	held := at.quarantine.Holds(request.print)
 	if held && !request.harmful {
-		f.heldHarmless++
+		f.falsePositives++
 	}
 	return held
 }
 
-// printOf returns the print of a request by its number.
-func printOf(number uint64) (print fingerprint.Fingerprint) {
+// fingerprintOf returns the print of a request by its number.
+func fingerprintOf(number uint64) (print fingerprint.Fingerprint) {
 	binary.LittleEndian.PutUint64(print.Content[:], number)
 	binary.LittleEndian.PutUint64(print.Call[:], number)
 	print.Call[len(print.Call)-1] = 1
@@ -288,11 +288,11 @@
 		if f.random.Float64() < commonShare {
 			asked = common
 		}
-		from := f.anyNode()
-		f.call(from, printOf(asked), false, func() {
+		from := f.randomNode()
+		f.call(from, fingerprintOf(asked), false, func() {
 			// The caller comes back once.
 			if f.random.Float64() < 0.5 {
-				f.events.after(100*time.Millisecond, func() { f.call(from, printOf(asked), false, nil) })
+				f.events.after(100*time.Millisecond, func() { f.call(from, fingerprintOf(asked), false, nil) })
 			}
 		})
 		f.events.after(time.Duration(f.random.ExpFloat64()/perSecond*float64(time.Second)), next)
@@ -300,13 +300,13 @@
 	f.events.after(0, next)
 }
 
-// playDays plays a day of a fleet for each of 30 seeds: what is arranged happens beside the
+// simulate plays a day of a fleet for each of 30 seeds: what is arranged happens beside the
 // traffic. It returns the fleets when all is quiet.
-func playDays(t *testing.T, lost float64, lasts time.Duration, arrange func(*fleet)) (played []*fleet) {
+func simulate(t *testing.T, lossRate float64, lasts time.Duration, arrange func(*fleet)) (played []*fleet) {
 	const days, size, perSecond = 30, 8, 250
 	for seed := range uint64(days) {
 		synctest.Test(t, func(*testing.T) {
-			f := newFleet(size, seed, lost)
+			f := newFleet(size, seed, lossRate)
 			until := time.Now().Add(lasts)
 			for _, node := range f.nodes {
 				node.exchange(until)
@@ -320,52 +320,52 @@
 	return played
 }
 
-// heldOf returns how many harmless requests were held back, of how many in all.
-func heldOf(played []*fleet) (held, sent int) {
+// countFalsePositives returns how many harmless requests were held back, of how many in all.
+func countFalsePositives(played []*fleet) (held, sent int) {
 	for _, f := range played {
-		held, sent = held+f.heldHarmless, sent+f.sent
+		held, sent = held+f.falsePositives, sent+f.sent
 	}
 	return held, sent
 }
 
-// mostHeld is the part of the harmless requests that may be held back.
-const mostHeld = 1e-4
+// maxFalsePositiveRate is the part of the harmless requests that may be held back.
+const maxFalsePositiveRate = 1e-4
 
-// TestEndsForOtherReasons: where up to a half of the back ends end three times a day,
+// TestUnrelatedCrashes: where up to a half of the back ends end three times a day,
 // together or one soon after the other, hardly any request is held back for it.
-func TestEndsForOtherReasons(t *testing.T) {
-	held, sent := heldOf(playDays(t, 0.1, 12*time.Second, func(f *fleet) {
+func TestUnrelatedCrashes(t *testing.T) {
+	held, sent := countFalsePositives(simulate(t, 0.1, 12*time.Second, func(f *fleet) {
 		for _, within := range []time.Duration{0, 50 * time.Millisecond, 400 * time.Millisecond} {
 			at := time.Duration(2+f.random.Float64()*6) * time.Second
 			// From a tenth to a half of the back ends.
 			ending := 1 + f.random.IntN(len(f.nodes)/2)
 			for _, i := range f.random.Perm(len(f.nodes))[:ending] {
-				f.events.after(at+f.upTo(within), f.nodes[i].crash)
+				f.events.after(at+f.randomDuration(within), f.nodes[i].crash)
 			}
 		}
 	}))
 	t.Logf("%d of %d harmless requests held back", held, sent)
-	NewWithT(t).Expect(float64(held)).To(BeNumerically("<=", mostHeld*float64(sent)))
+	NewWithT(t).Expect(float64(held)).To(BeNumerically("<=", maxFalsePositiveRate*float64(sent)))
 }
 
-// TestCopiesAtOnce: a harmful request comes to several nodes in the same moment, before
+// TestConcurrentCopies: a harmful request comes to several nodes in the same moment, before
 // anybody knows. Each copy may end two back ends; later ones end none.
-func TestCopiesAtOnce(t *testing.T) {
+func TestConcurrentCopies(t *testing.T) {
 	const copies, later = 3, 5
 	afterwards := 0
 	ends := map[int]int{}
-	for _, f := range playDays(t, 0.3, 15*time.Second, func(f *fleet) {
+	for _, f := range simulate(t, 0.3, 15*time.Second, func(f *fleet) {
 		for i := range copies {
-			f.events.after(time.Second, func() { f.call(f.nodes[i], printOf(0), true, nil) })
+			f.events.after(time.Second, func() { f.call(f.nodes[i], fingerprintOf(0), true, nil) })
 		}
 		// Exchanges have brought the news to all.
 		f.events.after(4*time.Second, f.mark)
 		for i := range later {
-			f.events.after(time.Duration(5+i)*time.Second, func() { f.call(f.nodes[i], printOf(0), true, nil) })
+			f.events.after(time.Duration(5+i)*time.Second, func() { f.call(f.nodes[i], fingerprintOf(0), true, nil) })
 		}
 	}) {
-		ends[f.harmfulEnds[printOf(0)]]++
-		afterwards += f.harmfulEnds[printOf(0)] - f.marked
+		ends[f.crashesByRequest[fingerprintOf(0)]]++
+		afterwards += f.crashesByRequest[fingerprintOf(0)] - f.markedCrashes
 	}
 	t.Logf("back ends that ended under %d copies: %v; %d afterwards", copies, ends, afterwards)
 	g := NewWithT(t)
@@ -378,61 +378,61 @@
 // TestHarmfulRequests come to one node after the other while a third of the news is lost: few
 // back ends end under each.
 func TestHarmfulRequests(t *testing.T) {
-	played := playDays(t, 0.3, 20*time.Second, func(f *fleet) {
+	played := simulate(t, 0.3, 20*time.Second, func(f *fleet) {
 		for harmful := range uint64(3) {
 			for visit := range 8 {
 				at := time.Duration(harmful)*4*time.Second + time.Duration(visit)*1500*time.Millisecond
 				f.events.after(time.Second+at, func() {
-					f.call(f.nodes[(int(harmful)+visit)%len(f.nodes)], printOf(harmful), true, nil)
+					f.call(f.nodes[(int(harmful)+visit)%len(f.nodes)], fingerprintOf(harmful), true, nil)
 				})
 			}
 		}
 	})
 	ends := map[int]int{}
 	for _, f := range played {
-		for _, count := range f.harmfulEnds {
+		for _, count := range f.crashesByRequest {
 			ends[count]++
 		}
 	}
-	held, sent := heldOf(played)
+	held, sent := countFalsePositives(played)
 	t.Logf("harmful requests by the back ends that ended: %v; %d of %d harmless ones held back", ends, held, sent)
 	g := NewWithT(t)
 	for count := range ends {
 		g.Expect(count).To(BeNumerically("<=", 3))
 	}
-	g.Expect(float64(held)).To(BeNumerically("<=", mostHeld*float64(sent)))
+	g.Expect(float64(held)).To(BeNumerically("<=", maxFalsePositiveRate*float64(sent)))
 }
 
-// TestHarmfulRequestsAmongOtherEnds: two harmful requests at a time, and back ends that end
+// TestHarmfulRequestsAmongUnrelatedCrashes: two harmful requests at a time, and back ends that end
 // for other reasons beside them. It takes three ends to tell who did it; where news of two of
 // them was lost a fourth back end ends, soon after the third (22 of 600 requests in 300 days,
 // one a fifth).
-func TestHarmfulRequestsAmongOtherEnds(t *testing.T) {
-	played := playDays(t, 0.3, 20*time.Second, func(f *fleet) {
+func TestHarmfulRequestsAmongUnrelatedCrashes(t *testing.T) {
+	played := simulate(t, 0.3, 20*time.Second, func(f *fleet) {
 		for harmful := range uint64(2) {
 			for visit := range 8 {
-				f.events.after(time.Second+f.upTo(time.Second)+time.Duration(visit)*1500*time.Millisecond, func() {
-					f.call(f.nodes[(4*int(harmful)+visit)%len(f.nodes)], printOf(harmful), true, nil)
+				f.events.after(time.Second+f.randomDuration(time.Second)+time.Duration(visit)*1500*time.Millisecond, func() {
+					f.call(f.nodes[(4*int(harmful)+visit)%len(f.nodes)], fingerprintOf(harmful), true, nil)
 				})
 			}
 		}
 		for range 4 {
-			f.events.after(f.upTo(6*time.Second), f.anyNode().crash)
+			f.events.after(f.randomDuration(6*time.Second), f.randomNode().crash)
 		}
 	})
 	ends, afterwards := map[int]int{}, 0
 	for _, f := range played {
-		afterwards += f.sentAfterwards
-		for _, count := range f.harmfulEnds {
+		afterwards += f.sentAfterThird
+		for _, count := range f.crashesByRequest {
 			ends[count]++
 		}
 	}
-	held, sent := heldOf(played)
+	held, sent := countFalsePositives(played)
 	t.Logf("harmful requests by the back ends that ended: %v; %d of %d harmless ones held back", ends, held, sent)
 	g := NewWithT(t)
 	g.Expect(afterwards).To(BeZero())
 	for count := range ends {
 		g.Expect(count).To(BeNumerically("<=", 4))
 	}
-	g.Expect(float64(held)).To(BeNumerically("<=", mostHeld*float64(sent)))
+	g.Expect(float64(held)).To(BeNumerically("<=", maxFalsePositiveRate*float64(sent)))
 }
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -40,17 +40,17 @@
 	// clearanceDelay is how long a clearance waits for more of them: the requests that were
 	// beside a harmful one come to their good ends within some milliseconds of each other.
 	clearanceDelay = 10 * time.Millisecond
-	// mostKnown bounds the verdicts of all nodes that a node keeps, in number.
-	mostKnown = 4096
+	// maxEntries bounds the verdicts of all nodes that a node keeps, in number.
+	maxEntries = 4096
 )
 
 // Quarantine is one node's view of harmful requests. It is safe for concurrent use.
 type Quarantine struct {
-	options Options
-	state   atomic.Pointer[state]
-	recent  recent
-	// spreading: news is about to be told.
-	spreading atomic.Bool
+	options     Options
+	state       atomic.Pointer[state]
+	completions completions
+	// broadcastPending: news is about to be told.
+	broadcastPending atomic.Bool
 
 	mu sync.Mutex // guards all below; taken under the roster's lock
 	// evidence is that of all nodes that have some.
@@ -58,8 +58,8 @@
 	// gone are those of them whose back end has ended for good: their records are
 	// forgotten after a while.
 	gone map[string]bool
-	// learnt is when the node heard of the ends that are told, by back end.
-	learnt map[string]time.Time
+	// firstSeen is when the node heard of the ends that are told, by back end.
+	firstSeen map[string]time.Time
 	// known are the verdicts so far. A verdict stays when its evidence goes.
 	known map[fingerprint.Digest]roster.Quarantined
 }
@@ -81,7 +81,7 @@
 	}
 	created := &Quarantine{
 		options: options, evidence: map[string]*roster.Evidence{}, gone: map[string]bool{},
-		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
+		firstSeen: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
 	if options.BroadcastAndWait == nil {
 		created.options.BroadcastAndWait = func() { created.options.After(0, options.Broadcast) }
@@ -158,12 +158,12 @@
 // later: a caller that is answered sooner comes back to a node that does not suspect its
 // request yet, and may end further back ends.
 func (q *Quarantine) Ended(crash roster.Crash) {
-	crash.Running = q.recent.withoutServed(crash.Running, clock.Now())
+	crash.Running = q.completions.withoutCompleted(crash.Running, clock.Now())
 	if len(crash.Running) == 0 {
 		return
 	}
 	if q.update(func(own *roster.Evidence) bool {
-		if slices.ContainsFunc(own.Crashes, func(told roster.Crash) bool { return told.Endpoint == crash.Endpoint }) {
+		if slices.ContainsFunc(own.Crashes, func(existing roster.Crash) bool { return existing.Endpoint == crash.Endpoint }) {
 			return false
 		}
 		own.Crashes = append(own.Crashes, crash)
@@ -176,11 +176,11 @@
 // Survived takes in that the back end beside this node has answered a request. One that is
 // suspected did not make the ends that are known now.
 func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
-	q.recent.add(print, clock.Now())
+	q.completions.add(print, clock.Now())
 	if !q.Suspects(print) {
 		return
 	}
-	endpoints := q.endsUnder(print)
+	endpoints := q.crashesDuring(print)
 	if len(endpoints) == 0 {
 		return
 	}
@@ -190,17 +190,17 @@
 		}), roster.Clearance{Fingerprint: print, Endpoints: endpoints})
 		return true
 	}) {
-		q.spreadSoon()
+		q.broadcastSoon()
 	}
 }
 
-// endsUnder returns the back ends under whose end the request was at work.
-func (q *Quarantine) endsUnder(print fingerprint.Fingerprint) (endpoints []string) {
+// crashesDuring returns the back ends under whose end the request was at work.
+func (q *Quarantine) crashesDuring(print fingerprint.Fingerprint) (endpoints []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			if runs(crash, print) {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			if wasRunning(crash, print) {
 				endpoints = append(endpoints, crash.Endpoint)
 			}
 		}
@@ -209,7 +209,7 @@
 	return endpoints
 }
 
-func runs(crash roster.Crash, print fingerprint.Fingerprint) bool {
+func wasRunning(crash roster.Crash, print fingerprint.Fingerprint) bool {
 	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		return running.Content == print.Content
 	})
@@ -228,31 +228,31 @@
 	return changed
 }
 
-// spreadSoon tells the others after clearanceDelay, once for all that changes meanwhile.
-func (q *Quarantine) spreadSoon() {
-	if !q.spreading.CompareAndSwap(false, true) {
+// broadcastSoon tells the others after clearanceDelay, once for all that changes meanwhile.
+func (q *Quarantine) broadcastSoon() {
+	if !q.broadcastPending.CompareAndSwap(false, true) {
 		return
 	}
 	q.options.After(clearanceDelay, func() {
-		q.spreading.Store(false)
+		q.broadcastPending.Store(false)
 		q.options.Broadcast()
 	})
 }
 
 // Follow takes in changed records. The roster's lock is held.
 func (q *Quarantine) Follow(changed []*roster.Record) {
-	if !q.take(changed) {
+	if !q.updateEvidence(changed) {
 		return
 	}
-	for _, held := range q.judge() {
+	for _, held := range q.evaluate() {
 		q.options.Logger.Warn("request held back", zap.Stringer("digest", held.Digest), zap.String("service", held.Service),
 			zap.Strings("ended", held.Endpoints))
 	}
-	q.options.After(0, q.settle)
+	q.options.After(0, q.reconcileOwnEvidence)
 }
 
-// take reports whether the records bring other evidence.
-func (q *Quarantine) take(changed []*roster.Record) (news bool) {
+// updateEvidence reports whether the records bring other evidence.
+func (q *Quarantine) updateEvidence(changed []*roster.Record) (news bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, record := range changed {
@@ -270,57 +270,57 @@
 		}
 	}
 	if news {
-		q.date(clock.Now())
+		q.recordFirstSeen(clock.Now())
 	}
 	return news
 }
 
-// date notes when ends that are told were first heard of, and forgets the others; the lock
+// recordFirstSeen notes when ends that are told were first heard of, and forgets the others; the lock
 // is held.
-func (q *Quarantine) date(now time.Time) {
-	dated := map[string]time.Time{}
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			dated[crash.Endpoint] = now
-			if before, known := q.learnt[crash.Endpoint]; known {
-				dated[crash.Endpoint] = before
+func (q *Quarantine) recordFirstSeen(now time.Time) {
+	next := map[string]time.Time{}
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			next[crash.Endpoint] = now
+			if before, known := q.firstSeen[crash.Endpoint]; known {
+				next[crash.Endpoint] = before
 			}
 		}
 	}
-	q.learnt = dated
+	q.firstSeen = next
 }
 
-// judge comes to the verdicts that the evidence allows, publishes the state, and returns
+// evaluate comes to the verdicts that the evidence allows, publishes the state, and returns
 // the new ones.
-func (q *Quarantine) judge() (fresh []roster.Quarantined) {
+func (q *Quarantine) evaluate() (fresh []roster.Quarantined) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	changed := q.lift()
-	for _, told := range q.evidence {
-		for _, held := range told.Quarantined {
-			fresh = q.learn(held, fresh)
+	removed := q.removeLifted()
+	for _, nodeEvidence := range q.evidence {
+		for _, held := range nodeEvidence.Quarantined {
+			fresh = q.addEntry(held, fresh)
 		}
 	}
 	for _, digestOf := range digestKinds {
 		open, services := q.open(digestOf)
-		for _, found := range blame(open) {
-			fresh = q.learn(roster.Quarantined{
-				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.lifts(found.digest),
+		for _, found := range findCulprits(open) {
+			fresh = q.addEntry(roster.Quarantined{
+				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.liftCount(found.digest),
 			}, fresh)
 		}
 	}
-	if len(q.known) > mostKnown {
-		q.options.Logger.Error("more requests held back than are kept in mind", zap.Int("held", len(q.known)), zap.Int("most", mostKnown))
+	if len(q.known) > maxEntries {
+		q.options.Logger.Error("more requests held back than are kept in mind", zap.Int("held", len(q.known)), zap.Int("most", maxEntries))
 	}
-	q.publish(changed || len(fresh) > 0)
+	q.publish(removed || len(fresh) > 0)
 	return fresh
 }
 
-// lift forgets verdicts that were lifted, and reports whether there are some. The lock is
+// removeLifted forgets verdicts that were lifted, and reports whether there are some. The lock is
 // held.
-func (q *Quarantine) lift() (changed bool) {
+func (q *Quarantine) removeLifted() (changed bool) {
 	for digest, held := range q.known {
-		if q.lifted(held) {
+		if q.isLifted(held) {
 			delete(q.known, digest)
 			changed = true
 			q.options.Logger.Warn("request not held back any more", zap.Stringer("digest", digest), zap.String("service", held.Service))
@@ -329,14 +329,16 @@
 	return changed
 }
 
-// lifted reports whether a verdict was lifted; the lock is held.
-func (q *Quarantine) lifted(held roster.Quarantined) bool { return held.Lifts < q.lifts(held.Digest) }
+// isLifted reports whether a verdict was isLifted; the lock is held.
+func (q *Quarantine) isLifted(held roster.Quarantined) bool {
+	return held.Lifts < q.liftCount(held.Digest)
+}
 
-// lifts returns how often verdicts on a request were lifted, as some node tells; the lock is
+// liftCount returns how often verdicts on a request were lifted, as some node tells; the lock is
 // held.
-func (q *Quarantine) lifts(digest fingerprint.Digest) (count int) {
-	for _, told := range q.evidence {
-		count = max(count, told.LiftCount(digest))
+func (q *Quarantine) liftCount(digest fingerprint.Digest) (count int) {
+	for _, nodeEvidence := range q.evidence {
+		count = max(count, nodeEvidence.LiftCount(digest))
 	}
 	return count
 }
@@ -348,9 +350,9 @@
 func content(print fingerprint.Fingerprint) fingerprint.Digest { return print.Content }
 func call(print fingerprint.Fingerprint) fingerprint.Digest    { return print.Call }
 
-// learn adds a verdict, unless it is known or there are too many.
-func (q *Quarantine) learn(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
-	if _, known := q.known[held.Digest]; known || len(q.known) > mostKnown || q.lifted(held) {
+// addEntry adds a verdict, unless it is known or there are too many.
+func (q *Quarantine) addEntry(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
+	if _, known := q.known[held.Digest]; known || len(q.known) > maxEntries || q.isLifted(held) {
 		return fresh
 	}
 	q.known[held.Digest] = held
@@ -380,45 +382,45 @@
 
 // open returns the ends that no verdict explains, with the requests that are not cleared,
 // and the services of the back ends. The lock is held.
-func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []suspicion, services map[string]string) {
+func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []openCrash, services map[string]string) {
 	cleared := q.cleared(digestOf)
 	services = map[string]string{}
 	seen := map[string]bool{}
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
 			services[crash.Endpoint] = crash.Service
 			if seen[crash.Endpoint] || q.explained(crash) {
 				continue
 			}
 			seen[crash.Endpoint] = true
-			left := suspicion{endpoint: crash.Endpoint, at: q.learnt[crash.Endpoint]}
+			left := openCrash{endpoint: crash.Endpoint, at: q.firstSeen[crash.Endpoint]}
 			if crash.Trial != nil {
 				left.trial = digestOf(*crash.Trial)
 			}
 			for _, running := range crash.Running {
-				if digest := digestOf(running); !cleared[clearing{digest, crash.Endpoint}] {
+				if digest := digestOf(running); !cleared[clearanceKey{digest, crash.Endpoint}] {
 					left.digests = append(left.digests, digest)
 				}
 			}
 			open = append(open, left)
 		}
 	}
-	slices.SortFunc(open, func(a, b suspicion) int { return cmp.Compare(a.endpoint, b.endpoint) })
+	slices.SortFunc(open, func(a, b openCrash) int { return cmp.Compare(a.endpoint, b.endpoint) })
 	return open, services
 }
 
-// clearing is one request that did not make the end of one back end.
-type clearing struct {
+// clearanceKey is one request that did not make the end of one back end.
+type clearanceKey struct {
 	digest   fingerprint.Digest
 	endpoint string
 }
 
-func (q *Quarantine) cleared(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) map[clearing]bool {
-	cleared := map[clearing]bool{}
-	for _, told := range q.evidence {
-		for _, clearance := range told.Cleared {
+func (q *Quarantine) cleared(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) map[clearanceKey]bool {
+	cleared := map[clearanceKey]bool{}
+	for _, nodeEvidence := range q.evidence {
+		for _, clearance := range nodeEvidence.Cleared {
 			for _, endpoint := range clearance.Endpoints {
-				cleared[clearing{digestOf(clearance.Fingerprint), endpoint}] = true
+				cleared[clearanceKey{digestOf(clearance.Fingerprint), endpoint}] = true
 			}
 		}
 	}
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -17,21 +17,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// pass lets news go round.
-func (f *fleet) pass() { f.events.runFor(100 * time.Millisecond) }
+// advance lets news go round.
+func (f *fleet) advance() { f.events.runFor(100 * time.Millisecond) }
 
 // crash tells of an end at a node, under a request on trial and another one.
-func (n *fleetNode) tell(endpoint string, trial *fingerprint.Fingerprint, beside ...fingerprint.Fingerprint) {
-	told := roster.Crash{Endpoint: endpoint, Service: "one", Running: beside, Trial: trial}
+func (n *fleetNode) reportCrash(endpoint string, trial *fingerprint.Fingerprint, beside ...fingerprint.Fingerprint) {
+	crash := roster.Crash{Endpoint: endpoint, Service: "one", Running: beside, Trial: trial}
 	if trial != nil {
-		told.Running = append(told.Running, *trial)
+		crash.Running = append(crash.Running, *trial)
 	}
-	n.quarantine.Ended(told)
-	n.fleet.pass()
+	n.quarantine.Ended(crash)
+	n.fleet.advance()
 }
 
-// holders counts the nodes that hold a request back.
-func (f *fleet) holders(print fingerprint.Fingerprint) (count int) {
+// countQuarantining counts the nodes that hold a request back.
+func (f *fleet) countQuarantining(print fingerprint.Fingerprint) (count int) {
 	for _, node := range f.nodes {
 		if node.quarantine.Holds(print) {
 			count++
@@ -40,26 +40,26 @@
 	return count
 }
 
-// TestAVerdictReachesAll and rests with those that saw the ends; what was beside is cleared
+// TestQuarantineReachesAllNodes and rests with those that saw the ends; what was beside is cleared
 // by its good end, and nothing of it is told on.
-func TestAVerdictReachesAll(t *testing.T) {
+func TestQuarantineReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(4, 1, 0)
-		harmful, harmless := printOf(1), printOf(2)
-		f.nodes[0].tell("i-0", nil, harmful, harmless)
+		harmful, harmless := fingerprintOf(1), fingerprintOf(2)
+		f.nodes[0].reportCrash("i-0", nil, harmful, harmless)
 		for _, node := range f.nodes {
 			g.Expect(node.quarantine.Suspects(harmless)).To(BeTrue())
 			g.Expect(node.quarantine.Idle()).To(BeFalse())
 		}
 		f.nodes[2].quarantine.Survived(harmless)
-		f.pass()
+		f.advance()
 		g.Expect(f.nodes[3].quarantine.Suspects(harmless)).To(BeFalse())
-		g.Expect(f.holders(harmful)).To(BeZero())
+		g.Expect(f.countQuarantining(harmful)).To(BeZero())
 
-		f.nodes[1].tell("i-1", &harmful)
-		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
-		g.Expect(f.holders(harmless)).To(BeZero())
+		f.nodes[1].reportCrash("i-1", &harmful)
+		g.Expect(f.countQuarantining(harmful)).To(Equal(len(f.nodes)))
+		g.Expect(f.countQuarantining(harmless)).To(BeZero())
 		for i, node := range f.nodes {
 			evidence := node.members.Own().Evidence
 			if i > 1 {
@@ -73,10 +73,10 @@
 	})
 }
 
-// TestAnEndIsToldBeforeItsRequestsAreAnswered: whoever waits for the end's evidence goes on when
+// TestCrashIsBroadcastBeforeReturn: whoever waits for the end's evidence goes on when
 // the peers have heard of it. A slow notice would let the next try of a harmful request run at a node
 // that does not suspect it.
-func TestAnEndIsToldBeforeItsRequestsAreAnswered(t *testing.T) {
+func TestCrashIsBroadcastBeforeReturn(t *testing.T) {
 	g := NewWithT(t)
 	members := roster.New(roster.Record{Node: "n-1", Epoch: 1, Counter: 1})
 	var told []roster.Crash
@@ -84,34 +84,34 @@
 		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		BroadcastAndWait: func() { told = members.Own().Evidence.Crashes },
 	})
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
 	g.Expect(told).To(HaveLen(1))
 
 	told = nil
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{printOf(1)}})
+	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
 	g.Expect(told).To(BeNil(), "it is no news")
 }
 
-// TestTwoCallersOfOneContent: where it does harm for one of them only, the other is served.
-func TestTwoCallersOfOneContent(t *testing.T) {
+// TestQuarantineOfOneCaller: where it does harm for one of them only, the other is served.
+func TestQuarantineOfOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(3, 1, 0)
-		harmful, harmless := printOf(1), printOf(1)
-		harmless.Call = printOf(2).Call
-		f.nodes[0].tell("i-0", nil, harmful)
+		harmful, harmless := fingerprintOf(1), fingerprintOf(1)
+		harmless.Call = fingerprintOf(2).Call
+		f.nodes[0].reportCrash("i-0", nil, harmful)
 		f.nodes[1].quarantine.Survived(harmless)
-		f.pass()
+		f.advance()
 		g.Expect(f.nodes[2].quarantine.Suspects(harmful)).To(BeTrue())
-		f.nodes[1].tell("i-1", &harmful)
-		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
-		g.Expect(f.holders(harmless)).To(BeZero())
+		f.nodes[1].reportCrash("i-1", &harmful)
+		g.Expect(f.countQuarantining(harmful)).To(Equal(len(f.nodes)))
+		g.Expect(f.countQuarantining(harmless)).To(BeZero())
 	})
 }
 
-// TestVerdictsOutliveTheirNodes: when both that saw the ends have gone, one of the others
+// TestQuarantineOutlivesNodes: when both that saw the ends have gone, one of the others
 // tells who comes new.
-func TestVerdictsOutliveTheirNodes(t *testing.T) {
+func TestQuarantineOutlivesNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(4, 1, 0)
@@ -122,50 +122,50 @@
 			})
 			node.spread()
 		}
-		f.pass()
-		harmful := printOf(1)
-		f.nodes[0].tell("a", nil, harmful)
-		f.nodes[1].tell("b", &harmful)
+		f.advance()
+		harmful := fingerprintOf(1)
+		f.nodes[0].reportCrash("a", nil, harmful)
+		f.nodes[1].reportCrash("b", &harmful)
 		for i, node := range f.nodes[:2] {
 			node.members.Update(func(record roster.Record) (roster.Record, bool) {
 				return record.MarkEnded(roster.Incarnation{ID: string(rune('a' + i))})
 			})
 			node.spread()
 		}
-		f.pass()
+		f.advance()
 		fresh := newFleet(1, 2, 0).nodes[0]
 		fresh.members.Merge(f.nodes[3].members.View().Records())
 		g.Expect(fresh.quarantine.Holds(harmful)).To(BeTrue())
 	})
 }
 
-// TestLifting ends a verdict at all nodes, also at one that has heard of the ends and not of
+// TestLift ends a verdict at all nodes, also at one that has heard of the ends and not of
 // that; later ends make another one.
-func TestLifting(t *testing.T) {
+func TestLift(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(3, 1, 0)
-		harmful := printOf(1)
-		f.nodes[0].tell("i-0", nil, harmful)
-		f.nodes[1].tell("i-1", &harmful)
+		harmful := fingerprintOf(1)
+		f.nodes[0].reportCrash("i-0", nil, harmful)
+		f.nodes[1].reportCrash("i-1", &harmful)
 		late := f.nodes[0].members.View().Records()
-		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
+		g.Expect(f.countQuarantining(harmful)).To(Equal(len(f.nodes)))
 
 		for _, held := range f.nodes[2].quarantine.Quarantined() {
 			g.Expect(f.nodes[2].lift(held.Digest.String())).To(Equal(http.StatusNoContent))
 		}
-		f.pass()
-		g.Expect(f.holders(harmful)).To(BeZero())
+		f.advance()
+		g.Expect(f.countQuarantining(harmful)).To(BeZero())
 		g.Expect(f.nodes[2].lift(harmful.Content.String())).To(Equal(http.StatusNotFound))
 		g.Expect(f.nodes[2].lift("x")).To(Equal(http.StatusBadRequest))
 		f.nodes[2].members.Merge(late)
-		f.pass()
-		g.Expect(f.holders(harmful)).To(BeZero())
+		f.advance()
+		g.Expect(f.countQuarantining(harmful)).To(BeZero())
 
-		f.nodes[0].tell("i-2", nil, harmful)
-		g.Expect(f.holders(harmful)).To(BeZero())
-		f.nodes[1].tell("i-3", &harmful)
-		g.Expect(f.holders(harmful)).To(Equal(len(f.nodes)))
+		f.nodes[0].reportCrash("i-2", nil, harmful)
+		g.Expect(f.countQuarantining(harmful)).To(BeZero())
+		f.nodes[1].reportCrash("i-3", &harmful)
+		g.Expect(f.countQuarantining(harmful)).To(Equal(len(f.nodes)))
 	})
 }
 
@@ -176,14 +176,14 @@
 	return recorder.Code
 }
 
-// TestEvidenceAsItTravels keeps its meaning.
-func TestEvidenceAsItTravels(t *testing.T) {
+// TestEvidenceRoundTrip keeps its meaning.
+func TestEvidenceRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	harmful := printOf(1)
+	harmful := fingerprintOf(1)
 	sent := &roster.Evidence{
-		Crashes: []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Fingerprint{harmful}, Trial: &harmful}},
-		Cleared: []roster.Clearance{{Fingerprint: harmful, Endpoints: []string{"i-0"}}},
-		Quarantined:    []roster.Quarantined{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
+		Crashes:     []roster.Crash{{Endpoint: "i-0", Service: "one", Running: []fingerprint.Fingerprint{harmful}, Trial: &harmful}},
+		Cleared:     []roster.Clearance{{Fingerprint: harmful, Endpoints: []string{"i-0"}}},
+		Quarantined: []roster.Quarantined{{Digest: harmful.Content, Service: "one", Endpoints: []string{"i-0"}}},
 	}
 	encoded, err := json.Marshal(sent)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -7,29 +7,29 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// settle brings the own evidence to what is still needed: the verdicts on requests that
+// reconcileOwnEvidence brings the own evidence to what is still needed: the verdicts on requests that
 // ended back ends here or at nodes that have gone, the ends that are open, and what is
 // cleared of those.
-func (q *Quarantine) settle() {
-	heir := q.isHeir()
+func (q *Quarantine) reconcileOwnEvidence() {
+	successor := q.isSuccessor()
 	if q.update(func(own *roster.Evidence) bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		before := len(own.Quarantined)
-		own.Quarantined = slices.DeleteFunc(own.Quarantined, q.lifted)
+		own.Quarantined = slices.DeleteFunc(own.Quarantined, q.isLifted)
 		changed := len(own.Quarantined) != before
-		changed = q.keepVerdicts(own) || changed
-		if heir {
+		changed = q.keepLocalEntries(own) || changed
+		if successor {
 			changed = q.inherit(own) || changed
 		}
 		return q.prune(own) || changed
 	}) {
-		q.spreadSoon()
+		q.broadcastSoon()
 	}
 }
 
-// keepVerdicts adds the verdicts on requests that were at work at ends seen here.
-func (q *Quarantine) keepVerdicts(own *roster.Evidence) (added bool) {
+// keepLocalEntries adds the verdicts on requests that were at work at ends seen here.
+func (q *Quarantine) keepLocalEntries(own *roster.Evidence) (added bool) {
 	for _, crash := range own.Crashes {
 		for _, running := range crash.Running {
 			for _, digest := range [...]fingerprint.Digest{running.Content, running.Call} {
@@ -50,9 +50,9 @@
 	return true
 }
 
-// isHeir reports whether the node takes over what nodes knew that have gone: the first by
+// isSuccessor reports whether the node takes over what nodes knew that have gone: the first by
 // name that is there. Should two nodes think so, both do.
-func (q *Quarantine) isHeir() bool {
+func (q *Quarantine) isSuccessor() bool {
 	self := q.options.Members.Own().Node
 	for _, record := range q.options.Members.View().Records() {
 		if !record.BackendAbsent() && !record.Leaving {
@@ -66,7 +66,7 @@
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
 		for _, held := range q.evidence[node].Clone().Quarantined {
-			if !own.Full() && !q.lifted(held) && keep(own, held) {
+			if !own.Full() && !q.isLifted(held) && keep(own, held) {
 				added = true
 			}
 		}
@@ -82,7 +82,7 @@
 	own.Crashes = slices.DeleteFunc(own.Crashes, q.explained)
 	for i, crash := range own.Crashes {
 		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Fingerprint) bool {
-			return byContent[clearing{running.Content, crash.Endpoint}] && byCall[clearing{running.Call, crash.Endpoint}]
+			return byContent[clearanceKey{running.Content, crash.Endpoint}] && byCall[clearanceKey{running.Call, crash.Endpoint}]
 		})
 	}
 	own.Crashes = slices.DeleteFunc(own.Crashes, func(crash roster.Crash) bool { return len(crash.Running) == 0 })
@@ -92,9 +92,9 @@
 
 // needed reports whether a node still tells of an end with the request.
 func (q *Quarantine) needed(clearance roster.Clearance) bool {
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Fingerprint) {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			if slices.Contains(clearance.Endpoints, crash.Endpoint) && wasRunning(crash, clearance.Fingerprint) {
 				return true
 			}
 		}
