--- a/internal/sidecar/quarantine/admin.go
+++ b/internal/sidecar/quarantine/admin.go
@@ -7,16 +7,16 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// Paths of the operators' pages.
+// Paths of the operator interface.
 const (
-	// PathList lists the verdicts.
+	// PathList lists the quarantined requests.
 	PathList = "/quarantine"
-	// PathLift lifts the one whose digest the query names.
+	// PathLift releases the request whose digest is in the query.
 	PathLift        = "/quarantine/lift"
 	digestParameter = "digest"
 )
 
-// ServeLift lifts a verdict.
+// ServeLift releases a request from quarantine.
 func (q *Quarantine) ServeLift(w http.ResponseWriter, r *http.Request) {
 	var digest fingerprint.Digest
 	if err := digest.UnmarshalText([]byte(r.URL.Query().Get(digestParameter))); err != nil {
--- a/internal/sidecar/quarantine/blame.go
+++ b/internal/sidecar/quarantine/blame.go
@@ -9,57 +9,58 @@
 )
 
 const (
-	// minCrashes is how many back ends must have ended under a request before it is
-	// blamed. One end has as many suspects as the back end had slots. With two the harm
-	// stays below the three that an outsider needs to see it.
+	// minCrashes is how many back ends must have crashed while running a request before it is
+	// quarantined. A single crash has as many suspects as the back end had slots. With two, fewer
+	// back ends are lost than the three crashes from which an outside observer could identify the
+	// request.
 	minCrashes = 2
-	// conclusiveCrashes is from how many on a request is blamed though another one shares its
-	// ends, or a back end ends without it at that time: two suspects rarely share so many,
-	// since they run one at a time.
+	// conclusiveCrashes is the number of crashes from which on a request is quarantined even if
+	// another suspect was running at one of them, or a back end crashed without it at about the
+	// same time. Two suspects rarely share that many, as a back end runs one suspect at a time.
 	conclusiveCrashes = 3
-	// coincidenceWindow is within which an open end without a request shows that back ends end for
-	// another reason than the request. Where a tenth to a half of them end three times, 44 of
-	// 1,350,000 harmless requests were held back, 81 when it took two such ends, and as many
-	// back ends ended under harmful ones (300 days of TestEndsForOtherReasons and
-	// TestHarmfulRequests). Older ends stay open for days when nobody asks again for what was
-	// at work there: they say nothing.
+	// coincidenceWindow is the time within which an unexplained crash without the request indicates
+	// that back ends crash for another reason. In simulations in which a tenth to a half of the
+	// back ends crashed three times, 44 of 1,350,000 harmless requests were quarantined, compared
+	// with 81 if two such crashes were required, while as many back ends crashed under harmful
+	// requests (300 days of TestUnrelatedCrashes and TestHarmfulRequests). Older crashes indicate
+	// nothing, as they stay unexplained for days if nobody repeats the requests that were running.
 	coincidenceWindow = 10 * time.Second
 )
 
-// openCrash is one end of a back end and the requests that may have made it.
+// openCrash is an unexplained crash and the requests that may have caused it.
 type openCrash struct {
 	endpoint string
-	// at is when the node learnt of it.
+	// at is when the node learned of the crash.
 	at      time.Time
 	digests []fingerprint.Digest
-	// trial is the one of them that was suspected before; the zero digest for none.
+	// trial is the one of them that was a suspect before, the zero digest if there was none.
 	trial fingerprint.Digest
 }
 
-// culprit is a request and the back ends that it ended.
+// culprit is a request and the back ends that it crashed.
 type culprit struct {
 	digest    fingerprint.Digest
 	endpoints []string
 }
 
-// suspect is what speaks against one request.
+// suspect collects the crashes at which a request was running.
 type suspect struct {
 	digest fingerprint.Digest
-	// crashes are the places of the crashes at which it was at work.
+	// crashes are the indices of the crashes at which it was running.
 	crashes []int
-	// onTrial: it was on trial at one of them.
+	// onTrial means that it was the trial request at one of them.
 	onTrial bool
 }
 
-// findCulprits returns the requests that explain the ends: first the one that was at work at the
-// most of them, then the one at the most of the others. Ends that are explained speak
-// against nobody else.
+// findCulprits returns the requests that explain the crashes: first the one that was running at the
+// most of them, then the one that was running at the most of the rest. An explained crash no longer
+// counts against other requests.
 //
-// Only a request that was on trial at an end is blamed. One that is asked for all the time
-// is at work wherever back ends end together: without that, 284 of 10,000 harmless requests
-// were held back where half of the back ends ended three times and a tenth of the requests
-// were for one thing (TestEndsForOtherReasons). Of two requests at as many ends that share
-// one, neither is blamed: the next run of each tells.
+// Only a request that was the trial request at a crash is blamed. One that is made all the time is
+// running wherever back ends crash together: without this rule, 284 of 10,000 harmless requests
+// were quarantined when half of the back ends crashed three times and a tenth of the requests were
+// identical (TestUnrelatedCrashes). If two requests were running at the same number of crashes and
+// share one, neither is blamed; the next run of each decides.
 func findCulprits(open []openCrash) (blamed []culprit) {
 	for {
 		top := topSuspects(open)
@@ -79,7 +80,7 @@
 	}
 }
 
-// topSuspects returns the requests to be blamed first, none when nobody is.
+// topSuspects returns the requests to be blamed first, none if there is no conclusive one.
 func topSuspects(open []openCrash) []*suspect {
 	suspects := collectSuspects(open)
 	most := 0
@@ -95,7 +96,7 @@
 	})
 }
 
-// collectSuspects returns what speaks against each request, in the order of digests.
+// collectSuspects returns the suspects of all crashes, ordered by digest.
 func collectSuspects(open []openCrash) []*suspect {
 	byDigest := map[fingerprint.Digest]*suspect{}
 	for i, crash := range open {
@@ -105,7 +106,7 @@
 				entry = &suspect{digest: digest}
 				byDigest[digest] = entry
 			}
-			// Copies of one request may be at work side by side.
+			// Copies of a request may have been running in parallel.
 			if !slices.Contains(entry.crashes, i) {
 				entry.crashes = append(entry.crashes, i)
 			}
@@ -115,15 +116,15 @@
 	return slices.SortedFunc(maps.Values(byDigest), func(a, b *suspect) int { return a.digest.Compare(b.digest) })
 }
 
-// sharesCrash reports whether another one of the requests was at work at one of the ends.
+// sharesCrash reports whether another one of the requests was running at one of the crashes.
 func (a *suspect) sharesCrash(others []*suspect) bool {
 	return slices.ContainsFunc(others, func(other *suspect) bool {
 		return other != a && slices.ContainsFunc(other.crashes, func(end int) bool { return slices.Contains(a.crashes, end) })
 	})
 }
 
-// coincides reports whether a back end ended without the request about when the last one
-// ended under it.
+// coincides reports whether a back end crashed without the request at about the time of the last
+// crash with it.
 func (a *suspect) coincides(open []openCrash) bool {
 	last := slices.MaxFunc(a.crashes, func(i, j int) int { return open[i].at.Compare(open[j].at) })
 	for i, crash := range open {
--- a/internal/sidecar/quarantine/blame_test.go
+++ b/internal/sidecar/quarantine/blame_test.go
@@ -11,7 +11,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// digests returns one digest a letter.
+// digests returns one digest per letter.
 func digests(letters string) (all []fingerprint.Digest) {
 	for i := range len(letters) {
 		all = append(all, fingerprint.Digest{letters[i]})
@@ -19,31 +19,32 @@
 	return all
 }
 
-// TestFindCulprits: which requests explain the ends, each given by what was at work.
+// TestFindCulprits checks which requests explain crashes that are given by the requests running at
+// each.
 func TestFindCulprits(t *testing.T) {
 	cases := []struct {
 		name string
-		// crashes are what was at work at each, a capital for the one on trial.
+		// crashes are the requests running at each crash, in upper case for the trial request.
 		crashes []string
 		want    string
 	}{
-		{"nothing ended", nil, ""},
-		{"one end has suspects only", []string{"abc"}, ""},
+		{"no crash", nil, ""},
+		{"single crash", []string{"abc"}, ""},
 		{"the only one at both, on trial at the second", []string{"abc", "Ade"}, "a"},
 		{"at both, never on trial", []string{"abc", "ade"}, ""},
-		{"at all that end together, never on trial", []string{"abc", "ade", "af", "ag"}, ""},
-		{"two at both: the next run of each tells", []string{"abc", "Abd"}, ""},
+		{"at all simultaneous crashes, never on trial", []string{"abc", "ade", "af", "ag"}, ""},
+		{"two at both: undecided until the next run of each", []string{"abc", "Abd"}, ""},
 		{"two at both, one of them on trial at a third", []string{"abc", "abd", "Ae"}, "a"},
 		{"two at three, one of them on trial", []string{"abc", "abd", "Abe"}, "a"},
-		{"ends for other reasons", []string{"ab", "Cd", "Ef", "gh"}, ""},
-		{"two harmful ones at two ends each: it may be something else", []string{"ax", "Ay", "bw", "Bz"}, ""},
+		{"unrelated crashes", []string{"ab", "Cd", "Ef", "gh"}, ""},
+		{"two harmful ones at two crashes each: inconclusive", []string{"ax", "Ay", "bw", "Bz"}, ""},
 		{"two harmful ones at three each", []string{"ax", "Ay", "Av", "bw", "Bz", "Bu"}, "ab"},
-		{"two harmful ones, and one beside both", []string{"ax", "Ay", "bx", "Bz"}, ""},
-		{"two harmful ones, one at more ends", []string{"ax", "Ay", "Av", "bx", "Bz"}, "ab"},
-		{"one back end ends without it as well", []string{"ax", "Ay", "v"}, ""},
-		{"back ends end without it as well", []string{"ax", "Ay", "v", "w"}, ""},
-		{"an end that is explained speaks against nobody else", []string{"ab", "Ac", "Ad", "Bd"}, "a"},
-		{"copies of one request at one back end are one end", []string{"aAb", "c"}, ""},
+		{"two harmful ones, and one running with both", []string{"ax", "Ay", "bx", "Bz"}, ""},
+		{"two harmful ones, one at more crashes", []string{"ax", "Ay", "Av", "bx", "Bz"}, "ab"},
+		{"one back end crashes without it as well", []string{"ax", "Ay", "v"}, ""},
+		{"two back ends crash without it as well", []string{"ax", "Ay", "v", "w"}, ""},
+		{"explained crash does not count against others", []string{"ab", "Ac", "Ad", "Bd"}, "a"},
+		{"copies of one request at one back end are one crash", []string{"aAb", "c"}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestOldCrashesAreNotCoincidences: ends whose suspects nobody asks for again stay open. They do not
-// cost a later harmful request one more back end.
+// TestOldCrashesAreNotCoincidences guards against old crashes that stay unexplained, because nobody
+// repeats their requests, delaying the quarantine of a later harmful request by another crash.
 func TestOldCrashesAreNotCoincidences(t *testing.T) {
 	cases := []struct {
 		apart  time.Duration
--- a/internal/sidecar/quarantine/events_test.go
+++ b/internal/sidecar/quarantine/events_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function to run at a given time.
 type event struct {
 	at time.Time
-	// number orders the events of one moment as they were asked for.
+	// number orders events of the same time by when they were scheduled.
 	number int
 	run    func()
 }
 
-// eventQueue runs events in their order on the clock of the goroutine that runs it. It
-// implements heap.Interface.
+// eventQueue runs events in order on the clock of the goroutine that runs it. It implements
+// heap.Interface.
 type eventQueue struct {
 	events []event
 	asked  int
 }
 
-// after has something run after the delay.
+// after schedules a function to run after the delay.
 func (q *eventQueue) after(delay time.Duration, run func()) {
 	q.asked++
 	heap.Push(q, event{at: time.Now().Add(delay), number: q.asked, run: run})
 }
 
-// run runs all events, also those that they ask for.
+// run runs all events, including those that they schedule.
 func (q *eventQueue) run() {
 	for q.Len() > 0 {
 		q.runNext()
 	}
 }
 
-// runFor runs the events of the next time.
+// runFor runs the events of the given time span.
 func (q *eventQueue) runFor(span time.Duration) {
 	until := time.Now().Add(span)
 	for q.Len() > 0 && !q.events[0].at.After(until) {
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -22,63 +22,66 @@
 	slots     = 9
 	attempts  = 2
 	maxVisits = 5
-	// meanWork is how long harmless requests are worked on, harmAfter how long a harmful
-	// one takes to end its back end.
+	// meanWork is the mean processing time of a harmless request, crashDelay the time after which a
+	// harmful one crashes its back end.
 	meanWork   = 90 * time.Millisecond
 	crashDelay = 40 * time.Millisecond
-	// restartDelay is how long a back end is restartDelay after its end.
+	// restartDelay is the time until a crashed back end is available again.
 	restartDelay = 3 * time.Second
-	// convergenceTime is how long after the third end no back end may get the request any more.
+	// convergenceTime is the time after the third crash from which on no back end may receive the
+	// request.
 	convergenceTime = 3 * time.Second
-	// exchangeInterval is the time between two exchanges that a node begins.
+	// exchangeInterval is the mean time between two exchanges that a node initiates.
 	exchangeInterval = 800 * time.Millisecond
 )
 
-// fleet is a service on nodes that decide by the product's own code, on a virtual clock.
-// All that happens is an event of one queue, so that a seed gives the same day every time.
+// fleet simulates a service whose nodes run the quarantine's own code on a virtual clock.
+// Everything that happens is an event in one queue, so that a seed always gives the same run.
 type fleet struct {
 	random *rand.Rand
-	// lossRate is the share of the news that is lossRate on its way.
+	// lossRate is the fraction of broadcasts that are lost.
 	lossRate float64
 	nodes    []*fleetNode
 	events   eventQueue
-	// sent counts the requests, falsePositives those of the harmless that were held back.
+	// sent counts the requests, falsePositives the harmless ones that were quarantined.
 	sent, falsePositives int
-	// crashesByRequest counts the back ends that ended under each harmful request, marked those
-	// under all of them when mark was called.
+	// crashesByRequest counts the crashes under each harmful request. markedCrashes is the total
+	// when mark was called.
 	crashesByRequest map[fingerprint.Fingerprint]int
 	markedCrashes    int
-	// thirdCrashAt is when the third back end ended under a harmful request; sentAfterwards
-	// counts what back ends got of it more than inTouchAfter later.
+	// thirdCrashAt is when the third back end crashed under a harmful request. sentAfterThird
+	// counts how often back ends received it more than convergenceTime later.
 	thirdCrashAt   map[fingerprint.Fingerprint]time.Time
 	sentAfterThird int
 }
 
-// fleetNode is one node with its back end.
+// fleetNode is a node with its back end.
 type fleetNode struct {
 	fleet      *fleet
 	members    *roster.Roster
 	quarantine *quarantine.Quarantine
-	// lives counts the back ends so far; down says that the last one has ended.
-	lives   int
-	down    bool
-	onTrial bool
-	// running is what is at work at the back end, the longest first.
+	// restarts counts the restarts of the back end; down means that it has crashed and not
+	// restarted yet.
+	restarts int
+	down     bool
+	onTrial  bool
+	// running are the requests in progress at the back end, oldest first.
 	running []*flight
 }
 
-// flight is a request on its way: held back, or sent to some nodes, once more after an end.
+// flight is a request in progress: refused because it is quarantined, or sent to some nodes and
+// retried once after a crash.
 type flight struct {
 	from    *fleetNode
 	print   fingerprint.Fingerprint
 	harmful bool
-	// visits counts the nodes it was sent to, ends the back ends that ended under it.
-	visits, ends int
-	// at is the node where it is at work, nil when it is not; suspect says that it runs
-	// there alone of those that are suspected.
+	// visits counts the nodes that it was sent to, crashes the back ends that crashed under it.
+	visits, crashes int
+	// at is the node that is running it, nil if none. suspect means that it runs there as the only
+	// suspect.
 	at      *fleetNode
 	suspect bool
-	// onFinish is called when it is over.
+	// onFinish is called when it is finished.
 	onFinish func()
 }
 
@@ -99,7 +102,7 @@
 	return f
 }
 
-// mark notes how many back ends have ended under harmful requests.
+// mark stores the number of crashes under harmful requests so far.
 func (f *fleet) mark() {
 	f.markedCrashes = 0
 	for _, count := range f.crashesByRequest {
@@ -107,15 +110,15 @@
 	}
 }
 
-// randomNode returns a node drawn at random.
+// randomNode returns a random node.
 func (f *fleet) randomNode() *fleetNode { return f.nodes[f.random.IntN(len(f.nodes))] }
 
-// randomDuration returns a time drawn at random, below the most.
+// randomDuration returns a random duration below the given maximum.
 func (f *fleet) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(f.random.Float64() * float64(most))
 }
 
-// spread tells all others of the node's record, some in vain.
+// spread sends the node's record to all others, with losses.
 func (n *fleetNode) spread() {
 	own := n.members.Own()
 	for _, other := range n.fleet.nodes {
@@ -126,7 +129,7 @@
 	}
 }
 
-// exchange compares the node with others until the time is over.
+// exchange periodically exchanges all records with a random node until the given time.
 func (n *fleetNode) exchange(until time.Time) {
 	if !time.Now().Before(until) {
 		return
@@ -139,9 +142,9 @@
 	})
 }
 
-func (n *fleetNode) endpoint() string { return fmt.Sprint(n.members.Own().Node, "-", n.lives) }
+func (n *fleetNode) endpoint() string { return fmt.Sprint(n.members.Own().Node, "-", n.restarts) }
 
-// crash ends the node's back end under what is at work there.
+// crash crashes the node's back end with all requests running there.
 func (n *fleetNode) crash() {
 	if n.down {
 		return
@@ -162,14 +165,14 @@
 		n.fleet.events.after(0, func() { n.fleet.crashed(n, request) })
 	}
 	n.fleet.events.after(restartDelay, func() {
-		n.lives++
+		n.restarts++
 		n.down = false
 	})
 }
 
-// accept begins a send at the node and reports whether it has room for it.
+// accept starts a request at the node and reports whether there is room for it.
 func (n *fleetNode) accept(request *flight) bool {
-	suspect := request.ends > 0 || n.quarantine.Suspects(request.print)
+	suspect := request.crashes > 0 || n.quarantine.Suspects(request.print)
 	if n.down || len(n.running) >= slots || (suspect && n.onTrial) {
 		return false
 	}
@@ -179,7 +182,7 @@
 	return true
 }
 
-// complete ends a send at the node.
+// complete finishes a request at the node successfully.
 func (n *fleetNode) complete(request *flight) {
 	n.running = slices.DeleteFunc(n.running, func(other *flight) bool { return other == request })
 	if request.suspect {
@@ -196,15 +199,15 @@
 	}
 }
 
-// call carries a request through as nodes do.
+// call sends a request with the retries that nodes make.
 func (f *fleet) call(from *fleetNode, print fingerprint.Fingerprint, harmful bool, onFinish func()) {
 	f.sent++
 	f.route(&flight{from: from, print: print, harmful: harmful, onFinish: onFinish})
 }
 
-// route sends a request to nodes until one takes it.
+// route sends a request to random nodes until one accepts it.
 func (f *fleet) route(request *flight) {
-	for request.visits < maxVisits && request.ends < attempts {
+	for request.visits < maxVisits && request.crashes < attempts {
 		request.visits++
 		to := f.randomNode()
 		if f.isQuarantined(request.from, request) || f.isQuarantined(to, request) {
@@ -218,9 +221,9 @@
 	request.finish()
 }
 
-// work has the node's back end work on a request until it answers or ends.
+// work runs a request at the node's back end until it completes or the back end crashes.
 func (f *fleet) work(at *fleetNode, request *flight) {
-	lasts, life := crashDelay, at.lives
+	lasts, restart := crashDelay, at.restarts
 	if third, ended := f.thirdCrashAt[request.print]; request.harmful && ended && time.Since(third) > convergenceTime {
 		f.sentAfterThird++
 	}
@@ -229,7 +232,7 @@
 	}
 	f.events.after(lasts, func() {
 		switch {
-		case request.at != at || at.lives != life: // the back end ended before
+		case request.at != at || at.restarts != restart: // the back end crashed earlier
 		case request.harmful:
 			at.crash()
 		default:
@@ -238,25 +241,25 @@
 	})
 }
 
-// crashed sends a request again under which a node's back end has ended, unless the node
-// answers that it holds the request back.
+// crashed retries a request after a crash, unless the node answers that the request is quarantined.
 func (f *fleet) crashed(at *fleetNode, request *flight) {
-	request.ends++
+	request.crashes++
 	if request.harmful {
 		f.crashesByRequest[request.print]++
 		if f.crashesByRequest[request.print] == 3 {
 			f.thirdCrashAt[request.print] = time.Now()
 		}
 	}
-	// What has met its last end is given up in any case.
-	if request.ends < attempts && f.isQuarantined(at, request) {
+	// After the last attempt the request fails in any case.
+	if request.crashes < attempts && f.isQuarantined(at, request) {
 		request.finish()
 		return
 	}
 	f.route(request)
 }
 
-// isQuarantined reports whether the node isQuarantined the request back, and counts it if it is harmless.
+// isQuarantined reports whether the node has quarantined the request, and counts a false positive
+// if it is harmless.
 func (f *fleet) isQuarantined(at *fleetNode, request *flight) bool {
 	held := at.quarantine.Holds(request.print)
 	if held && !request.harmful {
@@ -265,7 +268,7 @@
 	return held
 }
 
-// fingerprintOf returns the print of a request by its number.
+// fingerprintOf returns the fingerprint of the request with the given number.
 func fingerprintOf(number uint64) (print fingerprint.Fingerprint) {
 	binary.LittleEndian.PutUint64(print.Content[:], number)
 	binary.LittleEndian.PutUint64(print.Call[:], number)
@@ -273,8 +276,8 @@
 	return print
 }
 
-// traffic sends harmless requests until the time is over: most ask for something of their
-// own, a tenth for one and the same thing.
+// traffic sends harmless requests until the given time. Most have unique content; a tenth are
+// identical.
 func (f *fleet) traffic(until time.Time, perSecond float64) {
 	const common, commonShare = 7, 0.1
 	number := uint64(1000)
@@ -290,7 +293,7 @@
 		}
 		from := f.randomNode()
 		f.call(from, fingerprintOf(asked), false, func() {
-			// The caller comes back once.
+			// Half of the callers repeat the request once.
 			if f.random.Float64() < 0.5 {
 				f.events.after(100*time.Millisecond, func() { f.call(from, fingerprintOf(asked), false, nil) })
 			}
@@ -300,8 +303,8 @@
 	f.events.after(0, next)
 }
 
-// simulate plays a day of a fleet for each of 30 seeds: what is arranged happens beside the
-// traffic. It returns the fleets when all is quiet.
+// simulate runs a fleet with traffic for each of 30 seeds, with the events that arrange schedules,
+// and returns the fleets when all events have run.
 func simulate(t *testing.T, lossRate float64, lasts time.Duration, arrange func(*fleet)) (played []*fleet) {
 	const days, size, perSecond = 30, 8, 250
 	for seed := range uint64(days) {
@@ -320,7 +323,8 @@
 	return played
 }
 
-// countFalsePositives returns how many harmless requests were held back, of how many in all.
+// countFalsePositives returns the number of harmless requests that were quarantined and the number
+// of all requests.
 func countFalsePositives(played []*fleet) (held, sent int) {
 	for _, f := range played {
 		held, sent = held+f.falsePositives, sent+f.sent
@@ -328,11 +332,11 @@
 	return held, sent
 }
 
-// maxFalsePositiveRate is the part of the harmless requests that may be held back.
+// maxFalsePositiveRate is the fraction of harmless requests that may be quarantined.
 const maxFalsePositiveRate = 1e-4
 
-// TestUnrelatedCrashes: where up to a half of the back ends end three times a day,
-// together or one soon after the other, hardly any request is held back for it.
+// TestUnrelatedCrashes checks that when up to half of the back ends crash three times, together or
+// shortly after each other, hardly any request is quarantined for it.
 func TestUnrelatedCrashes(t *testing.T) {
 	held, sent := countFalsePositives(simulate(t, 0.1, 12*time.Second, func(f *fleet) {
 		for _, within := range []time.Duration{0, 50 * time.Millisecond, 400 * time.Millisecond} {
@@ -344,12 +348,12 @@
 			}
 		}
 	}))
-	t.Logf("%d of %d harmless requests held back", held, sent)
+	t.Logf("%d of %d harmless requests quarantined", held, sent)
 	NewWithT(t).Expect(float64(held)).To(BeNumerically("<=", maxFalsePositiveRate*float64(sent)))
 }
 
-// TestConcurrentCopies: a harmful request comes to several nodes in the same moment, before
-// anybody knows. Each copy may end two back ends; later ones end none.
+// TestConcurrentCopies checks a harmful request that arrives at several nodes at once, before any
+// node knows it: each copy may crash two back ends, later ones none.
 func TestConcurrentCopies(t *testing.T) {
 	const copies, later = 3, 5
 	afterwards := 0
@@ -358,7 +362,7 @@
 		for i := range copies {
 			f.events.after(time.Second, func() { f.call(f.nodes[i], fingerprintOf(0), true, nil) })
 		}
-		// Exchanges have brought the news to all.
+		// By now exchanges have informed all nodes.
 		f.events.after(4*time.Second, f.mark)
 		for i := range later {
 			f.events.after(time.Duration(5+i)*time.Second, func() { f.call(f.nodes[i], fingerprintOf(0), true, nil) })
@@ -367,7 +371,7 @@
 		ends[f.crashesByRequest[fingerprintOf(0)]]++
 		afterwards += f.crashesByRequest[fingerprintOf(0)] - f.markedCrashes
 	}
-	t.Logf("back ends that ended under %d copies: %v; %d afterwards", copies, ends, afterwards)
+	t.Logf("crashes under %d copies: %v; %d afterwards", copies, ends, afterwards)
 	g := NewWithT(t)
 	g.Expect(afterwards).To(BeZero())
 	for count := range ends {
@@ -375,8 +379,8 @@
 	}
 }
 
-// TestHarmfulRequests come to one node after the other while a third of the news is lost: few
-// back ends end under each.
+// TestHarmfulRequests checks that few back ends crash under harmful requests that arrive at one
+// node after another while a third of the broadcasts are lost.
 func TestHarmfulRequests(t *testing.T) {
 	played := simulate(t, 0.3, 20*time.Second, func(f *fleet) {
 		for harmful := range uint64(3) {
@@ -395,7 +399,7 @@
 		}
 	}
 	held, sent := countFalsePositives(played)
-	t.Logf("harmful requests by the back ends that ended: %v; %d of %d harmless ones held back", ends, held, sent)
+	t.Logf("harmful requests by number of crashes: %v; %d of %d harmless ones quarantined", ends, held, sent)
 	g := NewWithT(t)
 	for count := range ends {
 		g.Expect(count).To(BeNumerically("<=", 3))
@@ -403,10 +407,10 @@
 	g.Expect(float64(held)).To(BeNumerically("<=", maxFalsePositiveRate*float64(sent)))
 }
 
-// TestHarmfulRequestsAmongUnrelatedCrashes: two harmful requests at a time, and back ends that end
-// for other reasons beside them. It takes three ends to tell who did it; where news of two of
-// them was lost a fourth back end ends, soon after the third (22 of 600 requests in 300 days,
-// one a fifth).
+// TestHarmfulRequestsAmongUnrelatedCrashes checks two concurrent harmful requests among crashes
+// with other causes. Three crashes are needed to identify the culprit; if broadcasts of two of them
+// are lost, a fourth back end crashes soon after the third (22 of 600 requests in 300 simulated
+// days; a fifth one for one request).
 func TestHarmfulRequestsAmongUnrelatedCrashes(t *testing.T) {
 	played := simulate(t, 0.3, 20*time.Second, func(f *fleet) {
 		for harmful := range uint64(2) {
@@ -428,7 +432,7 @@
 		}
 	}
 	held, sent := countFalsePositives(played)
-	t.Logf("harmful requests by the back ends that ended: %v; %d of %d harmless ones held back", ends, held, sent)
+	t.Logf("harmful requests by number of crashes: %v; %d of %d harmless ones quarantined", ends, held, sent)
 	g := NewWithT(t)
 	g.Expect(afterwards).To(BeZero())
 	for count := range ends {
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine finds requests that end the back ends that run them, and holds them
-// back at every node. What a node sees travels in its record; each node comes to the same
-// verdict from the same records, without a leader. The verdicts of a node are kept in the
-// store with its record, so that they outlive an end of all nodes.
+// Package quarantine identifies requests that crash the back ends that run them and blocks them at
+// every node. What a node observes is part of its record, and each node reaches the same
+// conclusions from the same records, without a leader. Quarantined requests are stored with a
+// node's record, so that they survive a failure of all nodes.
 package quarantine
 
 import (
@@ -21,26 +21,26 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Options configure a quarantine.
+// Options configure a Quarantine.
 type Options struct {
 	Members *roster.Roster
-	// Broadcast tells the peers of the own record.
+	// Broadcast sends the node's own record to the peers.
 	Broadcast func()
-	// BroadcastAndWait is Spread, but returns when the peers have heard, or a short time later; nil to have
-	// Spread run beside.
+	// BroadcastAndWait is like Broadcast but returns when the peers have received the record, or
+	// after a short timeout. If nil, Broadcast is run asynchronously instead.
 	BroadcastAndWait func()
-	// After runs something after a delay, in no goroutine that holds a lock; nil for the
-	// runtime's timers.
+	// After runs a function after a delay, in a goroutine that holds no lock. If nil, runtime
+	// timers are used.
 	After    func(delay time.Duration, run func())
 	Logger   *zap.Logger
 	Registry prometheus.Registerer
 }
 
 const (
-	// clearanceDelay is how long a clearance waits for more of them: the requests that were
-	// beside a harmful one come to their good ends within some milliseconds of each other.
+	// clearanceDelay is how long a clearance waits to be broadcast together with others: requests
+	// that were running beside a harmful one complete within some milliseconds of each other.
 	clearanceDelay = 10 * time.Millisecond
-	// maxEntries bounds the verdicts of all nodes that a node keeps, in number.
+	// maxEntries bounds the quarantined requests of all nodes that a node keeps.
 	maxEntries = 4096
 )
 
@@ -49,30 +49,29 @@
 	options     Options
 	state       atomic.Pointer[state]
 	completions completions
-	// broadcastPending: news is about to be told.
+	// broadcastPending means that a broadcast is scheduled.
 	broadcastPending atomic.Bool
 
-	mu sync.Mutex // guards all below; taken under the roster's lock
-	// evidence is that of all nodes that have some.
+	mu sync.Mutex // guards the fields below; acquired while holding the roster's lock
+	// evidence is the evidence of all nodes that have some.
 	evidence map[string]*roster.Evidence
-	// gone are those of them whose back end has ended for good: their records are
-	// forgotten after a while.
+	// gone are those of them whose back end has ended. Their records are forgotten after a while.
 	gone map[string]bool
-	// firstSeen is when the node heard of the ends that are told, by back end.
+	// firstSeen is when the node learned of each published crash, by back end.
 	firstSeen map[string]time.Time
-	// known are the verdicts so far. A verdict stays when its evidence goes.
+	// known are the quarantined requests. They stay when their evidence is removed.
 	known map[fingerprint.Digest]roster.Quarantined
 }
 
-// state is what requests are compared with. It is immutable.
+// state is what requests are checked against. It is immutable.
 type state struct {
 	held map[fingerprint.Digest]roster.Quarantined
-	// suspects are the requests at work at ends that no verdict explains.
+	// suspects are the requests that were running at unexplained crashes.
 	suspects map[fingerprint.Digest]bool
 }
 
-// New returns a quarantine that holds nothing back. The roster's observer is to call
-// Follow.
+// New returns a quarantine without entries. The caller must register Follow as an observer of the
+// roster.
 func New(options Options) *Quarantine {
 	if options.After == nil {
 		options.After = func(delay time.Duration, run func()) {
@@ -102,14 +101,14 @@
 	)
 }
 
-// Idle reports whether nothing is held back or suspected: requests need not be identified
-// then.
+// Idle reports whether there are no quarantined requests and no suspects. Requests then need no
+// fingerprint.
 func (q *Quarantine) Idle() bool {
 	now := q.state.Load()
 	return len(now.held)+len(now.suspects) == 0
 }
 
-// Holds reports whether a request is held back.
+// Holds reports whether a request is quarantined.
 func (q *Quarantine) Holds(print fingerprint.Fingerprint) bool {
 	held := q.state.Load().held
 	_, content := held[print.Content]
@@ -117,14 +116,13 @@
 	return content || call
 }
 
-// Suspects reports whether a request was at work when a back end ended, and it is open
-// which one ended it.
+// Suspects reports whether a request was running at a crash whose cause is not yet known.
 func (q *Quarantine) Suspects(print fingerprint.Fingerprint) bool {
 	suspects := q.state.Load().suspects
 	return suspects[print.Content] || suspects[print.Call]
 }
 
-// Quarantined returns all verdicts, by digest.
+// Quarantined returns all quarantined requests, ordered by digest.
 func (q *Quarantine) Quarantined() []roster.Quarantined {
 	var all []roster.Quarantined
 	for _, held := range q.state.Load().held {
@@ -134,11 +132,11 @@
 	return all
 }
 
-// ErrNotQuarantined says that a request is not held back.
-var ErrNotQuarantined = errors.New("quarantine: no request with this digest is held back")
+// ErrNotQuarantined is returned for a digest that is not quarantined.
+var ErrNotQuarantined = errors.New("quarantine: no request with this digest is quarantined")
 
-// Lift ends a verdict at all nodes. Back ends get the request again; when two more end under
-// it, it is held back again.
+// Lift releases a request from quarantine at all nodes. It is quarantined again if two more back
+// ends crash while running it.
 func (q *Quarantine) Lift(digest fingerprint.Digest) error {
 	held, known := q.state.Load().held[digest]
 	if !known {
@@ -153,10 +151,10 @@
 	return nil
 }
 
-// Ended takes in the unplanned end of the back end beside this node. What came to a good
-// end here of late is not suspected. It returns when the peers have heard, or a short time
-// later: a caller that is answered sooner comes back to a node that does not suspect its
-// request yet, and may end further back ends.
+// Ended records a crash of the node's own back end. Requests that completed here recently are not
+// suspected. It returns when the peers have been informed, or after a short timeout: a caller that
+// receives its response sooner might retry at a node that does not suspect the request yet and
+// crash further back ends.
 func (q *Quarantine) Ended(crash roster.Crash) {
 	crash.Running = q.completions.withoutCompleted(crash.Running, clock.Now())
 	if len(crash.Running) == 0 {
@@ -173,8 +171,8 @@
 	}
 }
 
-// Survived takes in that the back end beside this node has answered a request. One that is
-// suspected did not make the ends that are known now.
+// Survived records that the node's own back end has completed a request. A suspect is thereby
+// cleared of the crashes known so far.
 func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
 	q.completions.add(print, clock.Now())
 	if !q.Suspects(print) {
@@ -194,7 +192,7 @@
 	}
 }
 
-// crashesDuring returns the back ends under whose end the request was at work.
+// crashesDuring returns the back ends that crashed while running the request.
 func (q *Quarantine) crashesDuring(print fingerprint.Fingerprint) (endpoints []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -215,7 +213,7 @@
 	})
 }
 
-// update changes the own evidence and reports whether it did.
+// update changes the node's own evidence and reports whether it changed.
 func (q *Quarantine) update(change func(own *roster.Evidence) bool) (changed bool) {
 	_, changed = q.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		own := record.Evidence.Clone()
@@ -228,7 +226,7 @@
 	return changed
 }
 
-// broadcastSoon tells the others after clearanceDelay, once for all that changes meanwhile.
+// broadcastSoon broadcasts the record after clearanceDelay, once for all changes until then.
 func (q *Quarantine) broadcastSoon() {
 	if !q.broadcastPending.CompareAndSwap(false, true) {
 		return
@@ -239,7 +237,7 @@
 	})
 }
 
-// Follow takes in changed records. The roster's lock is held.
+// Follow processes changed records. It is called with the roster's lock held.
 func (q *Quarantine) Follow(changed []*roster.Record) {
 	if !q.updateEvidence(changed) {
 		return
@@ -251,7 +249,7 @@
 	q.options.After(0, q.reconcileOwnEvidence)
 }
 
-// updateEvidence reports whether the records bring other evidence.
+// updateEvidence stores the evidence in the records and reports whether it changed.
 func (q *Quarantine) updateEvidence(changed []*roster.Record) (news bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -275,8 +273,8 @@
 	return news
 }
 
-// recordFirstSeen notes when ends that are told were first heard of, and forgets the others; the lock
-// is held.
+// recordFirstSeen records when published crashes were first seen and forgets all others. The lock
+// must be held.
 func (q *Quarantine) recordFirstSeen(now time.Time) {
 	next := map[string]time.Time{}
 	for _, nodeEvidence := range q.evidence {
@@ -290,8 +288,8 @@
 	q.firstSeen = next
 }
 
-// evaluate comes to the verdicts that the evidence allows, publishes the state, and returns
-// the new ones.
+// evaluate derives new quarantined requests from the evidence, publishes the state, and returns the
+// new entries.
 func (q *Quarantine) evaluate() (fresh []roster.Quarantined) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -310,14 +308,14 @@
 		}
 	}
 	if len(q.known) > maxEntries {
-		q.options.Logger.Error("more requests held back than are kept in mind", zap.Int("held", len(q.known)), zap.Int("most", maxEntries))
+		q.options.Logger.Error("limit of quarantined requests exceeded", zap.Int("held", len(q.known)), zap.Int("most", maxEntries))
 	}
 	q.publish(removed || len(fresh) > 0)
 	return fresh
 }
 
-// removeLifted forgets verdicts that were lifted, and reports whether there are some. The lock is
-// held.
+// removeLifted removes entries that were released from quarantine and reports whether there were
+// any. The lock must be held.
 func (q *Quarantine) removeLifted() (changed bool) {
 	for digest, held := range q.known {
 		if q.isLifted(held) {
@@ -329,13 +327,13 @@
 	return changed
 }
 
-// isLifted reports whether a verdict was isLifted; the lock is held.
+// isLifted reports whether an entry was released from quarantine. The lock must be held.
 func (q *Quarantine) isLifted(held roster.Quarantined) bool {
 	return held.Lifts < q.liftCount(held.Digest)
 }
 
-// liftCount returns how often verdicts on a request were lifted, as some node tells; the lock is
-// held.
+// liftCount returns how often a request was released from quarantine, according to any node. The
+// lock must be held.
 func (q *Quarantine) liftCount(digest fingerprint.Digest) (count int) {
 	for _, nodeEvidence := range q.evidence {
 		count = max(count, nodeEvidence.LiftCount(digest))
@@ -343,14 +341,14 @@
 	return count
 }
 
-// digestKinds are the digests of a request that are judged, in this order: where all callers
-// of a content end back ends it is the content that does.
+// digestKinds are the digests by which crashes are evaluated, in this order: if the content crashes
+// back ends for all callers, the content is quarantined rather than the calls.
 var digestKinds = [...]func(fingerprint.Fingerprint) fingerprint.Digest{content, call}
 
 func content(print fingerprint.Fingerprint) fingerprint.Digest { return print.Content }
 func call(print fingerprint.Fingerprint) fingerprint.Digest    { return print.Call }
 
-// addEntry adds a verdict, unless it is known or there are too many.
+// addEntry adds a quarantined request unless it is known, was released, or there are too many.
 func (q *Quarantine) addEntry(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
 	if _, known := q.known[held.Digest]; known || len(q.known) > maxEntries || q.isLifted(held) {
 		return fresh
@@ -359,7 +357,7 @@
 	return append(fresh, held)
 }
 
-// publish replaces the state; the lock is held.
+// publish replaces the state. The lock must be held.
 func (q *Quarantine) publish(verdicts bool) {
 	next := &state{held: q.state.Load().held, suspects: map[fingerprint.Digest]bool{}}
 	if verdicts {
@@ -368,7 +366,8 @@
 			next.held[digest] = held
 		}
 	}
-	// A verdict on one kind of digest explains ends for both: what is open is known only now.
+	// An entry by one kind of digest explains crashes for both kinds, so the remaining open crashes
+	// are known only now.
 	for _, digestOf := range digestKinds {
 		open, _ := q.open(digestOf)
 		for _, crash := range open {
@@ -380,8 +379,8 @@
 	q.state.Store(next)
 }
 
-// open returns the ends that no verdict explains, with the requests that are not cleared,
-// and the services of the back ends. The lock is held.
+// open returns the crashes that no quarantined request explains, with the requests that are not
+// cleared, and the services of the back ends. The lock must be held.
 func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []openCrash, services map[string]string) {
 	cleared := q.cleared(digestOf)
 	services = map[string]string{}
@@ -409,7 +408,7 @@
 	return open, services
 }
 
-// clearanceKey is one request that did not make the end of one back end.
+// clearanceKey identifies a request that did not cause the crash of a back end.
 type clearanceKey struct {
 	digest   fingerprint.Digest
 	endpoint string
@@ -427,7 +426,7 @@
 	return cleared
 }
 
-// explained reports whether a request that is held back was at work at the end.
+// explained reports whether a quarantined request was running at the crash.
 func (q *Quarantine) explained(crash roster.Crash) bool {
 	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		_, byContent := q.known[running.Content]
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -17,10 +17,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// advance lets news go round.
+// advance runs events until broadcasts have arrived.
 func (f *fleet) advance() { f.events.runFor(100 * time.Millisecond) }
 
-// crash tells of an end at a node, under a request on trial and another one.
+// reportCrash reports a crash at a node with a trial request and others running.
 func (n *fleetNode) reportCrash(endpoint string, trial *fingerprint.Fingerprint, beside ...fingerprint.Fingerprint) {
 	crash := roster.Crash{Endpoint: endpoint, Service: "one", Running: beside, Trial: trial}
 	if trial != nil {
@@ -30,7 +30,7 @@
 	n.fleet.advance()
 }
 
-// countQuarantining counts the nodes that hold a request back.
+// countQuarantining counts the nodes that have quarantined a request.
 func (f *fleet) countQuarantining(print fingerprint.Fingerprint) (count int) {
 	for _, node := range f.nodes {
 		if node.quarantine.Holds(print) {
@@ -40,8 +40,9 @@
 	return count
 }
 
-// TestQuarantineReachesAllNodes and rests with those that saw the ends; what was beside is cleared
-// by its good end, and nothing of it is told on.
+// TestQuarantineReachesAllNodes checks that a quarantined request is known to all nodes but
+// published only by those whose back ends crashed, and that a harmless request is cleared by its
+// completion and leaves no evidence.
 func TestQuarantineReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -67,15 +68,14 @@
 				continue
 			}
 			g.Expect(evidence.Crashes).To(BeEmpty())
-			// Of the content and of the call.
+			// One entry by content and one by call.
 			g.Expect(evidence.Quarantined).NotTo(BeEmpty())
 		}
 	})
 }
 
-// TestCrashIsBroadcastBeforeReturn: whoever waits for the end's evidence goes on when
-// the peers have heard of it. A slow notice would let the next try of a harmful request run at a node
-// that does not suspect it.
+// TestCrashIsBroadcastBeforeReturn guards against responses that are sent before the peers know of
+// the crash: the next attempt of a harmful request would run at a node that does not suspect it.
 func TestCrashIsBroadcastBeforeReturn(t *testing.T) {
 	g := NewWithT(t)
 	members := roster.New(roster.Record{Node: "n-1", Epoch: 1, Counter: 1})
@@ -89,10 +89,11 @@
 
 	told = nil
 	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
-	g.Expect(told).To(BeNil(), "it is no news")
+	g.Expect(told).To(BeNil(), "already reported")
 }
 
-// TestQuarantineOfOneCaller: where it does harm for one of them only, the other is served.
+// TestQuarantineOfOneCaller checks that content that is harmful for one caller only is still served
+// to the other.
 func TestQuarantineOfOneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -109,8 +110,8 @@
 	})
 }
 
-// TestQuarantineOutlivesNodes: when both that saw the ends have gone, one of the others
-// tells who comes new.
+// TestQuarantineOutlivesNodes checks that after both nodes whose back ends crashed have gone,
+// another one publishes the entry to new nodes.
 func TestQuarantineOutlivesNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -139,8 +140,8 @@
 	})
 }
 
-// TestLift ends a verdict at all nodes, also at one that has heard of the ends and not of
-// that; later ends make another one.
+// TestLift checks that a request is released at all nodes, including one that learns of the crashes
+// again later, and that later crashes quarantine it again.
 func TestLift(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -169,14 +170,14 @@
 	})
 }
 
-// lift asks the node as an operator does, and returns the status.
+// lift sends an operator's request to the node and returns the status.
 func (n *fleetNode) lift(digest string) int {
 	recorder := httptest.NewRecorder()
 	n.quarantine.ServeLift(recorder, httptest.NewRequest(http.MethodPost, quarantine.PathLift+"?digest="+digest, nil))
 	return recorder.Code
 }
 
-// TestEvidenceRoundTrip keeps its meaning.
+// TestEvidenceRoundTrip checks that evidence survives encoding as JSON.
 func TestEvidenceRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	harmful := fingerprintOf(1)
--- a/internal/sidecar/quarantine/recent.go
+++ b/internal/sidecar/quarantine/recent.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// recentWindow is how long at least a good end speaks for a request; twice that at most.
-	// What is asked for all the time is at work at every back end that ends.
+	// recentWindow is the minimum time for which a completed request is exempt from suspicion; the
+	// maximum is twice that. Without this, requests that are made all the time would be suspects of
+	// every crash.
 	recentWindow = 5 * time.Second
-	// maxRecent bounds the requests remembered of each of two such times, in number.
+	// maxRecent bounds the number of requests remembered per window.
 	maxRecent = 4096
 )
 
-// completions remembers which requests came to a good end of late. It is safe for concurrent
-// use.
+// completions remembers which requests completed recently. It is safe for concurrent use.
 type completions struct {
-	mu sync.Mutex // guards all below
-	// currentWindow and previousWindow hold the requests of this time and of the one before, by call.
+	mu sync.Mutex // guards the fields below
+	// currentWindow and previousWindow hold the call digests of the requests that completed in
+	// each.
 	currentWindow, previousWindow map[fingerprint.Digest]struct{}
 	windowStart                   time.Time
 }
 
-// add notes a good end.
+// add records a completed request.
 func (r *completions) add(print fingerprint.Fingerprint, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,8 +35,8 @@
 	}
 }
 
-// withoutCompleted returns those of the requests that had no good end of late, and forgets the
-// others: a request that begins to end back ends is spoken for once.
+// withoutCompleted returns the requests that have not completed recently, and forgets the others,
+// so that a request that starts to crash back ends is exempt only once.
 func (r *completions) withoutCompleted(running []fingerprint.Fingerprint, now time.Time) (left []fingerprint.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +59,7 @@
 	return currentWindow || previousWindow
 }
 
-// rotate forgets what is too old; the lock is held.
+// rotate discards expired windows. The lock must be held.
 func (r *completions) rotate(now time.Time) {
 	elapsed := now.Sub(r.windowStart)
 	if r.currentWindow != nil && elapsed < recentWindow {
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -7,9 +7,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// reconcileOwnEvidence brings the own evidence to what is still needed: the verdicts on requests that
-// ended back ends here or at nodes that have gone, the ends that are open, and what is
-// cleared of those.
+// reconcileOwnEvidence reduces the node's own evidence to what is still needed: quarantined
+// requests that crashed the node's own back end or were inherited from nodes that have gone,
+// unexplained crashes, and clearances for those.
 func (q *Quarantine) reconcileOwnEvidence() {
 	successor := q.isSuccessor()
 	if q.update(func(own *roster.Evidence) bool {
@@ -28,7 +28,8 @@
 	}
 }
 
-// keepLocalEntries adds the verdicts on requests that were at work at ends seen here.
+// keepLocalEntries adds the quarantined requests that were running at crashes of the node's own
+// back end.
 func (q *Quarantine) keepLocalEntries(own *roster.Evidence) (added bool) {
 	for _, crash := range own.Crashes {
 		for _, running := range crash.Running {
@@ -50,8 +51,8 @@
 	return true
 }
 
-// isSuccessor reports whether the node takes over what nodes knew that have gone: the first by
-// name that is there. Should two nodes think so, both do.
+// isSuccessor reports whether the node takes over the entries of nodes that have gone, as the first
+// live one by name. If two nodes believe so for a while, both take them over.
 func (q *Quarantine) isSuccessor() bool {
 	self := q.options.Members.Own().Node
 	for _, record := range q.options.Members.View().Records() {
@@ -62,7 +63,7 @@
 	return false
 }
 
-// inherit adds the verdicts of nodes that have gone.
+// inherit adds the quarantined requests of nodes that have gone.
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
 		for _, held := range q.evidence[node].Clone().Quarantined {
@@ -74,8 +75,8 @@
 	return added
 }
 
-// prune drops ends that are explained, requests that are cleared of an end, and clearances
-// that no end needs any more.
+// prune removes explained crashes, requests that are cleared of a crash, and clearances that no
+// crash needs any more.
 func (q *Quarantine) prune(own *roster.Evidence) (pruned bool) {
 	before := size(own)
 	byContent, byCall := q.cleared(content), q.cleared(call)
@@ -90,7 +91,7 @@
 	return size(own) != before
 }
 
-// needed reports whether a node still tells of an end with the request.
+// needed reports whether a node still publishes a crash at which the request was running.
 func (q *Quarantine) needed(clearance roster.Clearance) bool {
 	for _, nodeEvidence := range q.evidence {
 		for _, crash := range nodeEvidence.Crashes {
@@ -102,7 +103,7 @@
 	return false
 }
 
-// size is how many entries the evidence has.
+// size returns the number of entries in the evidence.
 func size(own *roster.Evidence) int {
 	total := len(own.Cleared) + len(own.Quarantined) + len(own.Lifted) + len(own.Crashes)
 	for _, crash := range own.Crashes {
