--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -1,7 +1,6 @@
-// Package membership lets nodes find each other through the store: each node
-// writes one key with its own record, rarely more than once a life, and reads the
-// keys of all others when it starts. The keys bear no lease: that the store is
-// silent says nothing about a node.
+// Package membership lets nodes discover each other through the store. Each node writes its own
+// record under one key, rarely more than once per run, and reads the keys of all others when it
+// starts. The keys have no lease, as an unreachable store does not mean that a node has failed.
 package membership
 
 import (
@@ -27,33 +26,33 @@
 const KeyPrefix = "kestrel/nodes/"
 
 const (
-	callTimeout = 2 * time.Second
-	pauseBase   = 100 * time.Millisecond
-	pauseMost   = 1500 * time.Millisecond
-	// pageKeys is how many keys one read asks for.
-	pageKeys = 500
-	// settledInterval is the time between two reads of a node that reads the store
-	// for others. They may be seconds old; a change travels between the nodes
+	callTimeout   = 2 * time.Second
+	retryBase     = 100 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
+	// pageSize is the number of keys requested by one read.
+	pageSize = 500
+	// refreshInterval is the time between two reads of a node that reads the store on behalf of
+	// others. Its reads may return data that is seconds old, as the nodes exchange changes among
 	// themselves.
-	settledInterval = 20 * time.Second
-	// endpointPatience is how long the first write waits for the back end to make
-	// itself known, in heartbeats, so that one write is enough. The second one
-	// covers a heartbeat that is late.
-	endpointPatience = 2
-	// meetDelay is how long after its write a node waits for another one to be in
-	// touch with it before it reads the keys again, half of it at least. Where many
-	// nodes start together the first of them to read tell the others.
-	meetDelay = 1500 * time.Millisecond
-	// meetMost bounds the time between two such reads of a node that stays alone.
-	meetMost = settledInterval
+	refreshInterval = 20 * time.Second
+	// endpointWaitHeartbeats is how long the first write waits for the back end to announce itself,
+	// in heartbeat intervals, so that one write is enough. The second interval covers a late
+	// heartbeat.
+	endpointWaitHeartbeats = 2
+	// contactDelay is how long after its write a node waits for contact from another one before it
+	// reads the keys again. When many nodes start together, the first ones to read inform the
+	// others.
+	contactDelay = 1500 * time.Millisecond
+	// maxContactDelay bounds the time between two such reads of a node that stays isolated.
+	maxContactDelay = refreshInterval
 )
 
-// Store is what membership needs of the store.
+// Store is the part of the store that membership uses.
 type Store interface {
 	store.Reader
 	store.Writer
 	store.Batcher
-	// RangeStale is Range, but what it returns may be seconds old.
+	// RangeStale is like Range but may return data that is seconds old.
 	RangeStale(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error)
 }
 
@@ -61,45 +60,45 @@
 type Options struct {
 	Store   Store
 	Members *roster.Roster
-	// FirstStart: the whole system starts for the first time, no node has a key.
+	// FirstStart means that the whole system starts for the first time and no node has a key yet.
 	FirstStart bool
-	// HeartbeatInterval is the usual time between two heartbeats of a back end.
+	// HeartbeatInterval is the expected time between two heartbeats of a back end.
 	HeartbeatInterval time.Duration
-	// OnDiscovery is called after each read that looked for other nodes. resumed says that the node goes
-	// on with the record that an earlier life of it left: it has no news for others.
+	// OnDiscovery is called after each read that searched for other nodes. resumed means that the
+	// node adopted the record of its previous run unchanged and has nothing new to publish.
 	OnDiscovery func(resumed bool)
-	// Met reports whether another node was in touch with this one.
+	// Met reports whether another node has contacted this one.
 	Met func() bool
-	// Reads reports whether the node reads the store for others.
+	// Reads reports whether the node reads the store on behalf of others.
 	Reads func() bool
-	// CompactionRank is the node's place among those that keep the snapshot of all records, from
-	// zero; false when it is none of them.
+	// CompactionRank returns the node's rank, from zero, among those that maintain the snapshot of
+	// all records, and false if it is not one of them.
 	CompactionRank func() (rank int, ranked bool)
 	Logger         *zap.Logger
 }
 
-// Membership keeps the node's key and finds the other nodes.
+// Membership maintains the node's key and discovers the other nodes.
 type Membership struct {
 	options   Options
 	publisher *publisher
-	// ownInSnapshot is the own record of the last snapshot that had one.
+	// ownInSnapshot is the node's own record in the last snapshot that contained one.
 	ownInSnapshot atomic.Pointer[roster.Record]
 }
 
-// New returns a membership that Run starts.
+// New returns a membership that is started by Run.
 func New(options Options) *Membership {
 	return &Membership{options: options, publisher: newPublisher(&options)}
 }
 
-// Run finds the other nodes and keeps the node's key until the context ends.
+// Run discovers the other nodes and maintains the node's key until the context is done.
 //
-// A node reads all keys when it starts. Where nodes start together each may have
-// read before the others wrote. So a node that nobody was in touch with after its
-// write reads again: of any two groups of nodes that know nothing of each other,
-// the last to read would have seen a key of the other one.
+// A node reads all keys when it starts. When nodes start together, each may have read before the
+// others wrote. Therefore a node that no other node has contacted since its write reads again: of
+// any two groups of nodes that do not know each other, the last node to read finds a key of the
+// other group.
 func (m *Membership) Run(ctx context.Context) {
 	if !m.options.FirstStart {
-		m.findUntilRead(ctx)
+		m.discoverWithRetry(ctx)
 	}
 	m.awaitEndpoint(ctx)
 	var running sync.WaitGroup
@@ -111,42 +110,42 @@
 	case <-ctx.Done():
 		return
 	}
-	m.meet(ctx)
+	m.awaitContact(ctx)
 	m.refresh(ctx)
 }
 
-// Restored takes in that the store has come back from an older copy: the own key is looked after
-// again.
-func (m *Membership) Restored() { m.publisher.restored() }
+// Restored must be called when the store has been restored from an older copy. The own key is then
+// checked again.
+func (m *Membership) Restored() { m.publisher.scheduleRecheck() }
 
-// Withdraw removes the own key: the node and its back end do not come back.
+// Withdraw removes the own key, for a node that does not return.
 func (m *Membership) Withdraw(ctx context.Context) error { return m.publisher.withdraw(ctx) }
 
-// findUntilRead reads all keys, the own one among them, until that succeeds.
-func (m *Membership) findUntilRead(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
+// discoverWithRetry reads all keys, including the own one, until it succeeds.
+func (m *Membership) discoverWithRetry(ctx context.Context) {
+	backoff := pause.Backoff{Base: retryBase, Max: maxRetryDelay}
 	for ctx.Err() == nil {
-		left, err := m.find(ctx)
+		left, err := m.discover(ctx)
 		if err == nil {
-			m.publisher.found(left.item)
-			m.publisher.remembered(left.snapshot)
+			m.publisher.loaded(left.item)
+			m.publisher.loadedSnapshot(left.snapshot)
 			return
 		}
-		m.notRead(err)
+		m.logReadFailure(err)
 		backoff.Pause(ctx)
 	}
 }
 
-// left is what an earlier life of the node left in the store.
-type left struct {
-	// item is the own key, with the record that it holds; snapshot the own record of the snapshot.
-	// All are nil when they are absent.
+// previousState is what a previous run of the node left in the store.
+type previousState struct {
+	// item is the own key, record the record in it, and snapshot the own record in the snapshot.
+	// Each is nil if absent.
 	item             *store.KeyValue
 	record, snapshot *roster.Record
 }
 
-// records returns those that there are.
-func (l *left) records() (found []*roster.Record) {
+// records returns the records that are present.
+func (l *previousState) records() (found []*roster.Record) {
 	for _, record := range []*roster.Record{l.snapshot, l.record} {
 		if record != nil {
 			found = append(found, record)
@@ -155,9 +154,8 @@
 	return found
 }
 
-// find reads all keys and returns what there is of the own node, which goes on where an earlier life
-// of it ended.
-func (m *Membership) find(ctx context.Context) (own left, err error) {
+// discover reads all keys, resumes from what a previous run of the node left, and returns that.
+func (m *Membership) discover(ctx context.Context) (own previousState, err error) {
 	name := KeyPrefix + m.options.Members.Own().Node
 	err = m.readAll(ctx, m.options.Store.Range, func(item store.KeyValue) {
 		if item.Key != name {
@@ -169,7 +167,7 @@
 		}
 	})
 	if err != nil {
-		return left{}, err
+		return previousState{}, err
 	}
 	own.snapshot = m.ownInSnapshot.Load()
 	resumed := m.options.Members.Resume(own.records())
@@ -177,50 +175,52 @@
 	return own, nil
 }
 
-// awaitEndpoint waits until the back end is known, but not for ever.
+// awaitEndpoint waits for a limited time until the back end is known.
 func (m *Membership) awaitEndpoint(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, endpointPatience*m.options.HeartbeatInterval)
+	ctx, cancel := context.WithTimeout(ctx, endpointWaitHeartbeats*m.options.HeartbeatInterval)
 	defer cancel()
 	for ctx.Err() == nil && m.options.Members.Own().Endpoint == nil {
-		pause.Wait(ctx, pauseBase)
+		pause.Wait(ctx, retryBase)
 	}
 }
 
-// meet returns once another node was in touch with this one.
-func (m *Membership) meet(ctx context.Context) {
-	for wait := m.firstMeetDelay(); ; wait = min(2*max(wait, meetDelay), meetMost) {
+// awaitContact reads the keys at increasing intervals until another node has contacted this one.
+func (m *Membership) awaitContact(ctx context.Context) {
+	for wait := m.firstContactDelay(); ; wait = min(2*max(wait, contactDelay), maxContactDelay) {
 		pause.Wait(ctx, wait)
 		if ctx.Err() != nil || m.options.Met() {
 			return
 		}
-		if _, err := m.find(ctx); err != nil {
-			m.notRead(err)
+		if _, err := m.discover(ctx); err != nil {
+			m.logReadFailure(err)
 		}
 	}
 }
 
-// rampGrowth says how much more likely a node is to read at the end of its first wait than at the
-// beginning, as the exponent of e: of a thousand nodes some three read in the first seventh.
-const rampGrowth = 7
+// rampExponent sets how much more likely a node is to read at the end of its first wait than at the
+// beginning, as an exponent of e. Of a thousand nodes about three read in the first seventh of the
+// wait.
+const rampExponent = 7
 
-// firstMeetDelay is how long a node waits after its write to be met, before it reads the keys. Where
-// the whole system starts for the first time nobody calls yet, and keys come over a heartbeat's
-// interval. Few nodes read early in it and meet the others: about half of the reads of waits that are
-// drawn evenly over 0.75 s (TestAFirstStartOfMany).
-func (m *Membership) firstMeetDelay() time.Duration {
+// firstContactDelay returns how long a node waits for contact after its write before it reads the
+// keys. At the first start of the whole system there are no requests yet, and keys are written over
+// the span of a heartbeat interval. The distribution makes few nodes read early, and these contact
+// the others, so that there are about half as many reads as with waits drawn uniformly over 0.75 s
+// (TestReadsOfFirstStart).
+func (m *Membership) firstContactDelay() time.Duration {
 	if !m.options.FirstStart {
-		return meetDelay
+		return contactDelay
 	}
-	most := max(m.options.HeartbeatInterval, meetDelay).Seconds()
-	drawn := most * math.Log1p(rand.Float64()*math.Expm1(rampGrowth)) / rampGrowth
-	return meetDelay + time.Duration(drawn*float64(time.Second))
+	span := max(m.options.HeartbeatInterval, contactDelay).Seconds()
+	delay := span * math.Log1p(rand.Float64()*math.Expm1(rampExponent)) / rampExponent
+	return contactDelay + time.Duration(delay*float64(time.Second))
 }
 
-// refresh reads all keys from time to time while the node reads for others: should
-// groups of nodes have lost each other, they find each other again.
+// refresh periodically reads all keys while the node reads on behalf of others, so that groups of
+// nodes that have lost each other reconnect.
 func (m *Membership) refresh(ctx context.Context) {
 	for {
-		pause.Wait(ctx, settledInterval)
+		pause.Wait(ctx, refreshInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -228,46 +228,46 @@
 			continue
 		}
 		if err := m.readAll(ctx, m.options.Store.RangeStale, func(store.KeyValue) {}); err != nil {
-			m.notRead(err)
+			m.logReadFailure(err)
 		}
 	}
 }
 
-// notRead logs a read of the keys that failed; it is tried again.
-func (m *Membership) notRead(err error) {
+// logReadFailure logs a failed read of the keys, which is retried.
+func (m *Membership) logReadFailure(err error) {
 	m.options.Logger.Warn("other nodes not read", zap.Error(err))
 }
 
 // rangeFunction reads one page of keys.
 type rangeFunction func(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error)
 
-// readAll takes in every key; seen is told of each.
-func (m *Membership) readAll(ctx context.Context, read rangeFunction, seen func(store.KeyValue)) error {
+// readAll reads all keys page by page, merges each item and passes it to visit.
+func (m *Membership) readAll(ctx context.Context, read rangeFunction, visit func(store.KeyValue)) error {
 	from := readPrefix
 	for {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		found, _, err := read(bounded, readPrefix, from, pageKeys)
+		found, _, err := read(bounded, readPrefix, from, pageSize)
 		cancel()
 		if err != nil {
 			return err
 		}
 		m.options.Members.Batch(func() {
 			for _, item := range found {
-				// A record that sets off a panic is left out; the log names it.
-				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.take(item) })
-				seen(item)
+				// A record that causes a panic is skipped; the panic is logged with its key.
+				_ = contain.Run("record "+item.Key, m.options.Logger, func() { m.mergeItem(item) })
+				visit(item)
 			}
 		})
-		if len(found) < pageKeys {
+		if len(found) < pageSize {
 			return nil
 		}
 		from = found[len(found)-1].Key + "\x00"
 	}
 }
 
-// take merges one item. What is not a record of ours is left alone: another writer may have
-// put it there.
-func (m *Membership) take(item store.KeyValue) {
+// mergeItem merges one item. Invalid items are left in the store, as another application may have
+// written them.
+func (m *Membership) mergeItem(item store.KeyValue) {
 	if item.Key == SnapshotKey {
 		records, err := decodeSnapshot(item.Value)
 		if err != nil {
@@ -277,7 +277,7 @@
 		if own := slices.IndexFunc(records, m.options.Members.Own().SameNode); own >= 0 {
 			m.ownInSnapshot.Store(records[own])
 		}
-		m.options.Members.Merge(m.ofOthers(records...))
+		m.options.Members.Merge(m.othersOnly(records...))
 		return
 	}
 	record, err := readRecord(item)
@@ -285,23 +285,24 @@
 		m.options.Logger.Warn("item of the store is no node's record", zap.String("key", item.Key), zap.Error(err))
 		return
 	}
-	m.options.Members.Merge(m.ofOthers(record))
+	m.options.Members.Merge(m.othersOnly(record))
 }
 
-// ofOthers leaves the own records out: what an earlier life has left is taken in as one.
-func (m *Membership) ofOthers(records ...*roster.Record) []*roster.Record {
+// othersOnly removes the node's own records. Those of a previous run are applied together by
+// Resume.
+func (m *Membership) othersOnly(records ...*roster.Record) []*roster.Record {
 	own := m.options.Members.Own()
 	return slices.DeleteFunc(records, own.SameNode)
 }
 
-// readRecord reads the record that an item holds.
+// readRecord decodes and validates the record in an item.
 func readRecord(item store.KeyValue) (*roster.Record, error) {
 	record := &roster.Record{}
 	if err := json.Unmarshal(item.Value, record); err != nil {
 		return nil, trace.Wrap(err, "read %s", item.Key)
 	}
 	if KeyPrefix+record.Node != item.Key {
-		return nil, trace.BadParameter("node: %q is not the key's", record.Node)
+		return nil, trace.BadParameter("node: %q does not match the key", record.Node)
 	}
 	return record, record.Validate()
 }
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -16,29 +16,30 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// publisher keeps the node's own key. All but withdraw is used by one goroutine.
+// publisher maintains the node's own key. All methods but withdraw, scheduleRecheck and signal are
+// called by one goroutine.
 type publisher struct {
 	store   Store
 	members *roster.Roster
 	logger  *zap.Logger
 	wake    chan struct{}
-	// written is closed once the key holds what the others need.
-	written chan struct{}
-	once    sync.Once
-	// known: revision and stored are those of the own key.
-	known bool
-	// lost: the key is to be read again, since the store may have lost it.
-	lost atomic.Bool
-	// revision is that of the own key, zero when it is absent or not known.
+	// written is closed once the stored record is up to date.
+	written     chan struct{}
+	writtenOnce sync.Once
+	// revisionKnown means that revision and stored reflect the own key.
+	revisionKnown bool
+	// recheck means that the key must be read again, since the store may have lost it.
+	recheck atomic.Bool
+	// revision is the revision of the own key, zero if it is absent or unknown.
 	revision atomic.Uint64
 	stored   roster.Record
-	// withdrawn: the key is to be absent from now on.
+	// withdrawn means that the key must not be written any more.
 	withdrawn atomic.Bool
 }
 
 func newPublisher(options *Options) *publisher {
 	created := &publisher{
-		store: options.Store, members: options.Members, logger: options.Logger, known: options.FirstStart,
+		store: options.Store, members: options.Members, logger: options.Logger, revisionKnown: options.FirstStart,
 		wake: make(chan struct{}, 1), written: make(chan struct{}),
 	}
 	options.Members.Observe(func(changed []*roster.Record) {
@@ -51,15 +52,15 @@
 	return created
 }
 
-// restoredPerNode is the time over which nodes look after their keys when the store has come back
-// from a copy, for each of them: 500 nodes a second, each with a read and a write.
-const restoredPerNode = 2 * time.Millisecond
+// recheckTimePerNode is the time, per known node, over which the nodes spread their checks after
+// the store was restored from a copy: 500 nodes a second, each with a read and a write.
+const recheckTimePerNode = 2 * time.Millisecond
 
-// restored has the key read, and written again when it is gone or old, in the node's own time: all
-// nodes hear of it at once.
-func (p *publisher) restored() {
-	p.lost.Store(true)
-	time.AfterFunc(rand.N(time.Duration(p.members.View().Count()+1)*restoredPerNode), p.signal)
+// scheduleRecheck has the key read, and written again if it is missing or outdated, after a random
+// delay, as all nodes learn of the restore at once.
+func (p *publisher) scheduleRecheck() {
+	p.recheck.Store(true)
+	time.AfterFunc(rand.N(time.Duration(p.members.View().Count()+1)*recheckTimePerNode), p.signal)
 }
 
 func (p *publisher) signal() {
@@ -69,16 +70,16 @@
 	}
 }
 
-// run brings the key up to date now and after each change, until the context ends.
+// run updates the key now and after each change, until the context is done.
 func (p *publisher) run(ctx context.Context) {
-	backoff := pause.Backoff{Base: pauseBase, Max: pauseMost}
+	backoff := pause.Backoff{Base: retryBase, Max: maxRetryDelay}
 	for ctx.Err() == nil {
 		if err := p.publish(ctx); err != nil {
 			backoff.Pause(ctx)
 			continue
 		}
 		backoff.Reset()
-		p.once.Do(func() { close(p.written) })
+		p.writtenOnce.Do(func() { close(p.written) })
 		select {
 		case <-p.wake:
 		case <-ctx.Done():
@@ -86,9 +87,9 @@
 	}
 }
 
-// found takes in the own key from a read of all, nil when it is absent.
-func (p *publisher) found(item *store.KeyValue) {
-	p.known, p.stored = true, roster.Record{}
+// loaded sets the state of the own key from a read, nil if it is absent.
+func (p *publisher) loaded(item *store.KeyValue) {
+	p.revisionKnown, p.stored = true, roster.Record{}
 	if item == nil {
 		p.revision.Store(0)
 		return
@@ -96,50 +97,50 @@
 	p.revision.Store(item.Revision)
 	record, err := readRecord(*item)
 	if err != nil {
-		p.logger.Warn("the own key holds no record of this node, it will be replaced", zap.Error(err))
+		p.logger.Warn("own key does not hold a record of this node, replacing it", zap.Error(err))
 		return
 	}
 	p.stored = *record
 }
 
-// remembered takes in the own record of the snapshot, nil when it has none: where there is no own
-// key, it is what the store has.
-func (p *publisher) remembered(record *roster.Record) {
+// loadedSnapshot sets the own record in the snapshot, nil if it has none. Without an own key, this
+// is the stored record.
+func (p *publisher) loadedSnapshot(record *roster.Record) {
 	if record != nil && p.stored.Node == "" {
 		p.stored = *record
 	}
 }
 
-// outdated reports whether the stored record does not lead others to the node any
-// more, or does not say whether its back end is leaving or which requests are held back:
-// that has to outlive an end of all nodes at once. All else is told between
-// the nodes, and after a restart by the back end's next heartbeat. The epoch need
-// not be stored: a node goes above the one that it finds, by an amount that no two
-// lives share.
+// outdated reports whether the stored record must be replaced: others cannot reach the node by it,
+// or it does not say whether the back end is draining or which requests are quarantined, which must
+// survive a simultaneous failure of all nodes. All other state is exchanged between the nodes and,
+// after a restart, reported by the back end's next heartbeat. The epoch need not be up to date: a
+// node raises its own above the one that it finds, and runs that reach the same epoch differ in
+// their run id.
 func outdated(stored, own *roster.Record) bool {
 	if stored.Node != own.Node || stored.Address != own.Address || stored.PeerAddress != own.PeerAddress ||
 		stored.Zone != own.Zone || stored.Link != own.Link || !own.Evidence.SameQuarantined(stored.Evidence) {
 		return true
 	}
-	held, now := stored.Endpoint, own.Endpoint
+	storedEndpoint, ownEndpoint := stored.Endpoint, own.Endpoint
 	switch {
-	case now == nil:
+	case ownEndpoint == nil:
 		return false
-	case held == nil:
+	case storedEndpoint == nil:
 		return true
 	}
-	return held.Service != now.Service || (held.State == roster.Ready) != (now.State == roster.Ready)
+	return storedEndpoint.Service != ownEndpoint.Service || (storedEndpoint.State == roster.Ready) != (ownEndpoint.State == roster.Ready)
 }
 
-// publish brings the own key up to date. After an unknown outcome the key is read
-// first: a condition on its revision keeps a late write from undoing a later one.
+// publish updates the own key. After an unknown outcome the key is read first; writes are
+// conditional on its revision, so that a delayed write cannot undo a later one.
 func (p *publisher) publish(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if p.lost.Swap(false) {
-		p.known = false
+	if p.recheck.Swap(false) {
+		p.revisionKnown = false
 	}
-	if !p.known {
+	if !p.revisionKnown {
 		if err := p.read(bounded); err != nil {
 			return err
 		}
@@ -156,7 +157,7 @@
 		Key: KeyPrefix + own.Node, ExpectedRevision: p.revision.Load(), Value: value,
 	})
 	if err != nil {
-		p.known = errors.Is(err, store.ErrRateLimited) || errors.Is(err, store.ErrUnavailable)
+		p.revisionKnown = errors.Is(err, store.ErrRateLimited) || errors.Is(err, store.ErrUnavailable)
 		p.logger.Warn("record not stored", zap.Uint64("counter", own.Counter), zap.Error(err))
 		return err
 	}
@@ -165,25 +166,25 @@
 	return nil
 }
 
-// read learns the own key's revision and what an earlier life left there.
+// read loads the own key's revision and merges the record that a previous run left there.
 func (p *publisher) read(ctx context.Context) error {
-	found, err := p.store.Get(ctx, KeyPrefix+p.members.Own().Node)
+	loaded, err := p.store.Get(ctx, KeyPrefix+p.members.Own().Node)
 	if errors.Is(err, store.ErrNotFound) {
-		p.found(nil)
+		p.loaded(nil)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	p.found(&found)
+	p.loaded(&loaded)
 	if p.stored.Node != "" {
-		remembered := p.stored
-		p.members.Merge([]*roster.Record{&remembered})
+		previous := p.stored
+		p.members.Merge([]*roster.Record{&previous})
 	}
 	return nil
 }
 
-// withdraw removes the own key. Its revision is mostly known.
+// withdraw removes the own key, without a read if its revision is known and current.
 func (p *publisher) withdraw(ctx context.Context) error {
 	p.withdrawn.Store(true)
 	own := KeyPrefix + p.members.Own().Node
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -22,7 +22,7 @@
 	return &roster.Endpoint{ID: id, Service: "s", Slots: 4, State: state, Sequence: sequence}
 }
 
-func TestMergeTakesTheNewest(t *testing.T) {
+func TestMergeKeepsNewestVersion(t *testing.T) {
 	cases := []struct {
 		name         string
 		epoch, count uint64
@@ -37,56 +37,56 @@
 	for _, offered := range cases {
 		t.Run(offered.name, func(t *testing.T) {
 			g := NewWithT(t)
-			held := roster.New(record("self", 1, 1))
+			members := roster.New(record("self", 1, 1))
 			first := record("other", 2, 5)
-			held.Merge([]*roster.Record{&first})
-			before := held.View().Digest()
+			members.Merge([]*roster.Record{&first})
+			before := members.View().Digest()
 			second := record("other", offered.epoch, offered.count)
 			second.Leaving = true
-			changed := held.Merge([]*roster.Record{&second})
+			changed := members.Merge([]*roster.Record{&second})
 			g.Expect(len(changed) == 1).To(Equal(offered.taken))
-			g.Expect(held.View().Record("other").Leaving).To(Equal(offered.taken))
-			g.Expect(held.View().Digest() != before).To(Equal(offered.taken))
+			g.Expect(members.View().Record("other").Leaving).To(Equal(offered.taken))
+			g.Expect(members.View().Digest() != before).To(Equal(offered.taken))
 		})
 	}
 }
 
-// TestAnEarlierLifeIsRefuted: the node goes above what an earlier life left, and
-// takes over what that life knew of the back end.
-func TestAnEarlierLifeIsRefuted(t *testing.T) {
+// TestPreviousRunIsSuperseded checks that a node raises its epoch above the record of a previous
+// run and adopts what that run knew about the back end.
+func TestPreviousRunIsSuperseded(t *testing.T) {
 	cases := []struct {
-		name       string
-		heard      *roster.Endpoint
-		remembered *roster.Endpoint
-		ended      []string
-		want       *roster.Endpoint
+		name     string
+		heard    *roster.Endpoint
+		previous *roster.Endpoint
+		ended    []string
+		want     *roster.Endpoint
 	}{
-		{"nothing heard yet", nil, endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
-		{"a late heartbeat before the word that it drains", endpoint("i-1", roster.Ready, 3), endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
-		{"a newer heartbeat", endpoint("i-1", roster.Draining, 5), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-1", roster.Draining, 5)},
+		{"no heartbeat yet", nil, endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
+		{"heartbeat older than draining", endpoint("i-1", roster.Ready, 3), endpoint("i-1", roster.Draining, 4), nil, endpoint("i-1", roster.Draining, 4)},
+		{"newer heartbeat", endpoint("i-1", roster.Draining, 5), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-1", roster.Draining, 5)},
 		{"another back end since", endpoint("i-2", roster.Ready, 1), endpoint("i-1", roster.Ready, 4), nil, endpoint("i-2", roster.Ready, 1)},
-		{"a late heartbeat of one that has ended", endpoint("i-1", roster.Ready, 9), endpoint("i-0", roster.Ready, 1), []string{"i-1"}, endpoint("i-1", roster.Gone, 9)},
+		{"late heartbeat of an ended back end", endpoint("i-1", roster.Ready, 9), endpoint("i-0", roster.Ready, 1), []string{"i-1"}, endpoint("i-1", roster.Gone, 9)},
 		{"gone stays gone", endpoint("i-1", roster.Ready, 9), endpoint("i-1", roster.Gone, 2), nil, endpoint("i-1", roster.Gone, 2)},
-		{"nothing remembered", endpoint("i-1", roster.Ready, 9), nil, nil, endpoint("i-1", roster.Ready, 9)},
+		{"previous run knew no back end", endpoint("i-1", roster.Ready, 9), nil, nil, endpoint("i-1", roster.Ready, 9)},
 	}
-	for _, life := range cases {
-		t.Run(life.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			own := record("self", 1, 1)
-			own.Endpoint = life.heard
+			own.Endpoint = tc.heard
 			held := roster.New(own)
-			remembered := record("self", 4, 2)
-			remembered.Endpoint, remembered.Ended = life.remembered, life.ended
-			held.Merge([]*roster.Record{&remembered})
+			previous := record("self", 4, 2)
+			previous.Endpoint, previous.Ended = tc.previous, tc.ended
+			held.Merge([]*roster.Record{&previous})
 			g.Expect(held.Own().Epoch).To(BeEquivalentTo(5))
-			g.Expect(held.Own().Endpoint).To(Equal(life.want))
+			g.Expect(held.Own().Endpoint).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestEvidenceOutlivesItsNode: a life that starts takes over what the one before knew of
-// requests that end back ends, beside what it has seen itself.
-func TestEvidenceOutlivesItsNode(t *testing.T) {
+// TestEvidenceIsMergedFromPreviousRun checks that a restarted node adopts what its previous run
+// knew about requests that crash back ends, in addition to its own evidence.
+func TestEvidenceIsMergedFromPreviousRun(t *testing.T) {
 	g := NewWithT(t)
 	held := func(letter byte) roster.Quarantined { return roster.Quarantined{Digest: fingerprint.Digest{letter}} }
 	crash := func(endpoint string) roster.Crash {
@@ -95,19 +95,20 @@
 	own := record("self", 1, 1)
 	own.Evidence = &roster.Evidence{Crashes: []roster.Crash{crash("i-1"), crash("i-2")}, Quarantined: []roster.Quarantined{held('a')}}
 	members := roster.New(own)
-	remembered := record("self", 4, 2)
-	remembered.Evidence = &roster.Evidence{
+	previous := record("self", 4, 2)
+	previous.Evidence = &roster.Evidence{
 		Crashes: []roster.Crash{crash("i-0"), crash("i-1")}, Cleared: []roster.Clearance{{Endpoints: []string{"i-0"}}},
 		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}
-	members.Merge([]*roster.Record{&remembered})
+	members.Merge([]*roster.Record{&previous})
 	g.Expect(members.Own().Evidence).To(Equal(&roster.Evidence{
-		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: remembered.Evidence.Cleared,
+		Crashes: []roster.Crash{crash("i-0"), crash("i-1"), crash("i-2")}, Cleared: previous.Evidence.Cleared,
 		Quarantined: []roster.Quarantined{held('b'), held('a')},
 	}))
 }
 
-// TestEvidenceIsBounded: the newest stays, and none at all is nil.
+// TestEvidenceIsBounded checks that the newest entries are kept and that empty evidence becomes
+// nil.
 func TestEvidenceIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(roster.Evidence{}.Bounded()).To(BeNil())
@@ -128,10 +129,10 @@
 	g.Expect(bounded.Full()).To(BeTrue())
 }
 
-// TestClaims plays heartbeats of several ids in the order in which they come.
-func TestClaims(t *testing.T) {
+// TestIncarnationTracker applies heartbeats of several ids in order of arrival.
+func TestIncarnationTracker(t *testing.T) {
 	const interval = 1500 * time.Millisecond
-	type beat struct {
+	type event struct {
 		at       time.Duration
 		id       string
 		state    roster.State
@@ -140,88 +141,88 @@
 		confirm  bool
 	}
 	cases := []struct {
-		name  string
-		beats []beat
-		id    string
-		state roster.State
+		name   string
+		events []event
+		id     string
+		state  roster.State
 	}{
-		{"the first is taken", []beat{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
-		{"draining", []beat{{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 2, false, false}}, "a", roster.Draining},
-		{"a late heartbeat does not undo draining", []beat{
+		{"first heartbeat", []event{{0, "a", roster.Ready, 1, false, false}}, "a", roster.Ready},
+		{"draining", []event{{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 2, false, false}}, "a", roster.Draining},
+		{"late heartbeat does not undo draining", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", roster.Draining, 3, false, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Draining},
-		{"an ended id does not come back", []beat{
+		{"ended id does not return", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "a", roster.Ready, 2, false, false},
 		}, "a", roster.Gone},
-		{"the next one follows an ended one at once", []beat{
+		{"next id after an end at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {1, "a", "", 0, true, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"one late heartbeat of an earlier one changes nothing", []beat{
+		{"single late heartbeats of an earlier id", []event{
 			{0, "b", roster.Ready, 1, false, false}, {1, "a", roster.Ready, 40, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false}, {2 * interval, "b", roster.Ready, 3, false, false},
 		}, "b", roster.Ready},
-		{"a late heartbeat that came first gives way", []beat{
+		{"late heartbeat that arrived first is replaced", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 		}, "b", roster.Ready},
-		{"an ended process gives way to the first heartbeat of the next one", []beat{
+		{"lost process is replaced by the first heartbeat", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"a process that was taken for ended goes on", []beat{
+		{"process wrongly considered lost continues", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "a", "lost", 0, false, false}, {2, "a", roster.Ready, 41, false, false},
 			{3, "b", roster.Ready, 1, false, false},
 		}, "a", roster.Ready},
-		{"and may not come back alone", []beat{
+		{"replaced id does not return with one heartbeat", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {interval, "b", roster.Ready, 2, false, false},
 			{interval + 1, "a", roster.Ready, 41, false, false},
 		}, "b", roster.Ready},
-		{"a silent one gives way at once", []beat{
+		{"silent id is replaced at once", []event{
 			{0, "a", roster.Ready, 1, false, false}, {4 * interval, "b", roster.Ready, 1, false, false},
 		}, "b", roster.Ready},
-		{"the back end's own word decides", []beat{
+		{"id confirmed by the back end", []event{
 			{0, "a", roster.Ready, 40, false, false}, {1, "b", roster.Ready, 1, false, false}, {2, "b", "", 0, false, true},
 		}, "b", roster.Ready},
-		{"an unknown id from the back end is no claim", []beat{
+		{"unknown id from the back end is ignored", []event{
 			{0, "a", roster.Ready, 40, false, false}, {2, "c", "", 0, false, true},
 		}, "a", roster.Ready},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			start := time.Unix(1000, 0)
 			claims := roster.IncarnationTracker{Interval: interval}
 			own := record("self", 1, 1)
-			for _, beat := range played.beats {
-				now := start.Add(beat.at)
+			for _, event := range tc.events {
+				now := start.Add(event.at)
 				switch {
-				case beat.state == "lost":
-					claims.MarkLost(own, beat.id)
-				case beat.end:
-					own, _ = own.MarkEnded(roster.Incarnation{ID: beat.id})
-				case beat.confirm:
-					own, _ = claims.Confirm(own, beat.id, now)
+				case event.state == "lost":
+					claims.MarkLost(own, event.id)
+				case event.end:
+					own, _ = own.MarkEnded(roster.Incarnation{ID: event.id})
+				case event.confirm:
+					own, _ = claims.Confirm(own, event.id, now)
 				default:
-					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(beat.id, beat.state, beat.sequence)}, now)
+					own, _ = claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint(event.id, event.state, event.sequence)}, now)
 				}
 			}
-			g.Expect(own.Endpoint.ID).To(Equal(played.id))
-			g.Expect(own.Endpoint.State).To(Equal(played.state))
+			g.Expect(own.Endpoint.ID).To(Equal(tc.id))
+			g.Expect(own.Endpoint.State).To(Equal(tc.state))
 		})
 	}
 }
 
-func TestUnchangedHeartbeatsMakeNoNewRecord(t *testing.T) {
+func TestUnchangedHeartbeatsDoNotChangeRecord(t *testing.T) {
 	g := NewWithT(t)
-	held := roster.New(record("self", 1, 1))
+	members := roster.New(record("self", 1, 1))
 	claims := roster.IncarnationTracker{Interval: time.Second}
-	told := 0
-	held.Observe(func([]*roster.Record) { told++ })
+	notifications := 0
+	members.Observe(func([]*roster.Record) { notifications++ })
 	for sequence := uint64(1); sequence <= 5; sequence++ {
-		held.Update(func(own roster.Record) (roster.Record, bool) {
+		members.Update(func(own roster.Record) (roster.Record, bool) {
 			return claims.ApplyHeartbeat(own, roster.Heartbeat{Endpoint: *endpoint("a", roster.Ready, sequence)}, time.Unix(int64(sequence), 0))
 		})
 	}
-	g.Expect(told).To(Equal(1))
-	g.Expect(held.Own().Counter).To(BeEquivalentTo(2))
+	g.Expect(notifications).To(Equal(1))
+	g.Expect(members.Own().Counter).To(BeEquivalentTo(2))
 }
 
 func TestEndedIDsAreBounded(t *testing.T) {
@@ -234,9 +235,10 @@
 	g.Expect(own.HasEnded(roster.Incarnation{ID: string(rune('A' + 99))})).To(BeTrue())
 }
 
-// TestNodesThatLeftAreForgotten after a while, and do not come back by way of a
-// peer that still knows them; one that returns with another back end does.
-func TestNodesThatLeftAreForgotten(t *testing.T) {
+// TestGoneNodesAreForgotten checks that a node whose back end has ended is forgotten after a while
+// and not learned again from a peer that still knows it, while one that returns with another back
+// end is.
+func TestGoneNodesAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Unix(0, 0)
 	held, peer := roster.New(record("self", 1, 1)), roster.New(record("self", 1, 1))
@@ -255,7 +257,7 @@
 	g.Expect(held.View().Record("left")).NotTo(BeNil())
 	g.Expect(held.Forget(began.Add(time.Hour))).To(Equal([]string{"left"}))
 	g.Expect(held.View().Record("left")).To(BeNil())
-	g.Expect(held.View().Digest()).To(Equal(peer.View().Digest()), "nothing is to be exchanged for it")
+	g.Expect(held.View().Digest()).To(Equal(peer.View().Digest()), "forgetting causes no exchange")
 	g.Expect(held.View().Buckets(4)).To(Equal(peer.View().Buckets(4)))
 	g.Expect(held.Merge(peer.View().Records())).To(BeEmpty())
 	back := record("left", 2, 1)
@@ -264,9 +266,9 @@
 	g.Expect(held.Forget(began.Add(2 * time.Hour))).To(BeEmpty())
 }
 
-// TestChangesOfALargeRosterAreTakenTogether but none is left out, and the own
-// record never waits.
-func TestChangesOfALargeRosterAreTakenTogether(t *testing.T) {
+// TestChangesOfLargeRosterAreCoalesced checks that rapid changes of a large roster share views,
+// that none is lost, and that the node's own record is never delayed.
+func TestChangesOfLargeRosterAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		members := roster.New(record("self", 1, 1))
@@ -294,10 +296,11 @@
 	})
 }
 
-// TestTwoLivesOfTheSameVersion: a life that has come to the epoch and the counter of
-// one that it had not heard of goes above it and takes over what that one knew; the
-// others agree on one of the two meanwhile, and see that they differ.
-func TestTwoLivesOfTheSameVersion(t *testing.T) {
+// TestRunsWithEqualVersions checks two runs of a node that reached the same epoch and counter
+// without knowing of each other. The node supersedes the other run and adopts what it knew. Until
+// then, other nodes that receive both records keep the same one, and nodes with different ones have
+// different digests.
+func TestRunsWithEqualVersions(t *testing.T) {
 	g := NewWithT(t)
 	before, now := record("self", 2, 3), record("self", 2, 3)
 	before.RunID, now.RunID = 9, 5
@@ -326,9 +329,9 @@
 	}
 }
 
-// TestANewVersionIsNews: a back end that comes back under its id with other software
-// is told to the others.
-func TestANewVersionIsNews(t *testing.T) {
+// TestSoftwareVersionChangeIsPublished checks that a back end that returns under its id with other
+// software is reported as a change.
+func TestSoftwareVersionChangeIsPublished(t *testing.T) {
 	g := NewWithT(t)
 	claims := roster.IncarnationTracker{Interval: time.Second}
 	now := time.Unix(100, 0)
@@ -347,9 +350,9 @@
 	g.Expect(held.Endpoint.Version).To(Equal("v2"))
 }
 
-// TestAFleetThatStartsAgain from what it had left has no news: its nodes' digests are equal at once. A
-// word of the earlier life that the store lacks is found and gone above.
-func TestAFleetThatStartsAgain(t *testing.T) {
+// TestResumeAfterFullRestart checks that nodes that all resume their stored records have equal
+// digests at once, and that a newer record of the previous run that the store lacks is superseded.
+func TestResumeAfterFullRestart(t *testing.T) {
 	for _, size := range []int{100, 1000, 2000} {
 		g := NewWithT(t)
 		var left []*roster.Record
@@ -367,7 +370,7 @@
 		}
 		first, second := start(0), start(1)
 		g.Expect(first.View().Digest()).To(Equal(second.View().Digest()))
-		// The earlier life had said more than the store has.
+		// The previous run had published more than the store has.
 		unheard := *left[0]
 		unheard.Counter++
 		unheard.Endpoint = &roster.Endpoint{ID: "i-0", Service: "s", Slots: 4, State: roster.Draining, Sequence: 9}
@@ -378,13 +381,14 @@
 	}
 }
 
-// TestTogether: many records replace the view once, and what others see meanwhile is whole.
-func TestTogether(t *testing.T) {
+// TestBatch checks that a batch replaces the view once and that readers see the previous view until
+// then.
+func TestBatch(t *testing.T) {
 	g := NewWithT(t)
 	made := roster.New(roster.Record{Node: "self", Epoch: 1, Counter: 1})
 	before := made.View()
-	told := 0
-	made.Observe(func(changed []*roster.Record) { told += len(changed) })
+	notifications := 0
+	made.Observe(func(changed []*roster.Record) { notifications += len(changed) })
 	made.Batch(func() {
 		for i := range 300 {
 			made.Merge([]*roster.Record{{Node: fmt.Sprint("n", i), Epoch: 1, Zone: "z"}})
@@ -392,36 +396,37 @@
 		}
 	})
 	g.Expect(made.View().Count()).To(Equal(301))
-	g.Expect(told).To(Equal(300))
+	g.Expect(notifications).To(Equal(300))
 	made.Merge([]*roster.Record{{Node: "later", Epoch: 1, Zone: "z"}})
 	g.Expect(made.View().Count()).To(Equal(302))
 }
 
-// TestABackEndThatEndedAfterARestartStaysGone: what an earlier life knew of it comes later.
-func TestABackEndThatEndedAfterARestartStaysGone(t *testing.T) {
+// TestEndAfterRestartIsFinal guards against an ended back end that accepts work again when a record
+// of the previous run, in which it is ready, arrives after its end.
+func TestEndAfterRestartIsFinal(t *testing.T) {
 	cases := []struct {
 		name  string
 		heard bool
 		ended roster.Incarnation
 	}{
-		{"heard in this life", true, roster.Incarnation{ID: "i-1", Born: 7}},
-		{"only its end is heard", false, roster.Incarnation{ID: "i-1", Born: 7}},
-		{"only its end is heard, without its start", false, roster.Incarnation{ID: "i-1"}},
+		{"heartbeat in this run", true, roster.Incarnation{ID: "i-1", Born: 7}},
+		{"only its end in this run", false, roster.Incarnation{ID: "i-1", Born: 7}},
+		{"only its end in this run, without start time", false, roster.Incarnation{ID: "i-1"}},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			endpoint := roster.Endpoint{ID: "i-1", Born: 7, Service: "s", Slots: 4, State: roster.Ready, Sequence: 20}
 			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
-			if played.heard {
+			if tc.heard {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
-					said := endpoint
-					said.Sequence = 19
-					record.Endpoint = &said
+					reported := endpoint
+					reported.Sequence = 19
+					record.Endpoint = &reported
 					return record, true
 				})
 			}
-			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(played.ended) })
+			node.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(tc.ended) })
 			node.Merge([]*roster.Record{{Node: "n", Epoch: 1, Counter: 5, RunID: 1, Endpoint: &endpoint}})
 			g.Expect(node.Own().Endpoint.State).To(Equal(roster.Gone))
 			g.Expect(node.Own().AcceptsWork()).To(BeFalse())
