--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -245,8 +245,8 @@
 func (m *Membership) readAll(ctx context.Context, read rangeFunction, visit func(store.KeyValue)) error {
 	from := readPrefix
 	for {
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		found, _, err := read(bounded, readPrefix, from, pageSize)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		found, _, err := read(callCtx, readPrefix, from, pageSize)
 		cancel()
 		if err != nil {
 			return err
--- a/internal/sidecar/membership/publisher.go
+++ b/internal/sidecar/membership/publisher.go
@@ -135,13 +135,13 @@
 // publish updates the own key. After an unknown outcome the key is read first; writes are
 // conditional on its revision, so that a delayed write cannot undo a later one.
 func (p *publisher) publish(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if p.recheck.Swap(false) {
 		p.revisionKnown = false
 	}
 	if !p.revisionKnown {
-		if err := p.read(bounded); err != nil {
+		if err := p.read(callCtx); err != nil {
 			return err
 		}
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	revision, err := p.store.CompareAndSwap(bounded, store.Swap{
+	revision, err := p.store.CompareAndSwap(callCtx, store.Swap{
 		Key: KeyPrefix + own.Node, ExpectedRevision: p.revision.Load(), Value: value,
 	})
 	if err != nil {
--- a/internal/sidecar/membership/snapshot.go
+++ b/internal/sidecar/membership/snapshot.go
@@ -151,8 +151,8 @@
 	for ; len(swaps) > 0; calls++ {
 		part := swaps[:min(len(swaps), store.MostSwaps)]
 		swaps = swaps[len(part):]
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := c.options.Store.Apply(bounded, part)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		_, err := c.options.Store.Apply(callCtx, part)
 		cancel()
 		if err != nil {
 			return trace.Wrap(err, "write the snapshot of nodes after %d calls", calls)
--- a/internal/sidecar/quarantine/events_test.go
+++ b/internal/sidecar/quarantine/events_test.go
@@ -16,14 +16,14 @@
 // eventQueue runs events in order on the clock of the goroutine that runs it. It implements
 // heap.Interface.
 type eventQueue struct {
-	events []event
-	asked  int
+	events    []event
+	scheduled int
 }
 
 // after schedules a function to run after the delay.
 func (q *eventQueue) after(delay time.Duration, run func()) {
-	q.asked++
-	heap.Push(q, event{at: time.Now().Add(delay), number: q.asked, run: run})
+	q.scheduled++
+	heap.Push(q, event{at: time.Now().Add(delay), number: q.scheduled, run: run})
 }
 
 // run runs all events, including those that they schedule.
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -35,7 +35,7 @@
 		for _, running := range crash.Running {
 			for _, digest := range [...]fingerprint.Digest{running.Content, running.Call} {
 				if held, known := q.known[digest]; known {
-					added = keep(own, held) || added
+					added = addIfMissing(own, held) || added
 				}
 			}
 		}
@@ -43,7 +43,7 @@
 	return added
 }
 
-func keep(own *roster.Evidence, held roster.Quarantined) bool {
+func addIfMissing(own *roster.Evidence, held roster.Quarantined) bool {
 	if slices.ContainsFunc(own.Quarantined, func(kept roster.Quarantined) bool { return kept.Digest == held.Digest }) {
 		return false
 	}
@@ -67,7 +67,7 @@
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
 		for _, held := range q.evidence[node].Clone().Quarantined {
-			if !own.Full() && !q.isLifted(held) && keep(own, held) {
+			if !own.Full() && !q.isLifted(held) && addIfMissing(own, held) {
 				added = true
 			}
 		}
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -56,7 +56,7 @@
 func TestPreviousRunIsSuperseded(t *testing.T) {
 	cases := []struct {
 		name     string
-		heard    *roster.Endpoint
+		reported *roster.Endpoint
 		previous *roster.Endpoint
 		ended    []string
 		want     *roster.Endpoint
@@ -73,7 +73,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			own := record("self", 1, 1)
-			own.Endpoint = tc.heard
+			own.Endpoint = tc.reported
 			held := roster.New(own)
 			previous := record("self", 4, 2)
 			previous.Endpoint, previous.Ended = tc.previous, tc.ended
@@ -405,9 +405,9 @@
 // of the previous run, in which it is ready, arrives after its end.
 func TestEndAfterRestartIsFinal(t *testing.T) {
 	cases := []struct {
-		name  string
-		heard bool
-		ended roster.Incarnation
+		name      string
+		heartbeat bool
+		ended     roster.Incarnation
 	}{
 		{"heartbeat in this run", true, roster.Incarnation{ID: "i-1", Born: 7}},
 		{"only its end in this run", false, roster.Incarnation{ID: "i-1", Born: 7}},
@@ -418,7 +418,7 @@
 			g := NewWithT(t)
 			endpoint := roster.Endpoint{ID: "i-1", Born: 7, Service: "s", Slots: 4, State: roster.Ready, Sequence: 20}
 			node := roster.New(roster.Record{Node: "n", Epoch: 1, Counter: 1, RunID: 2})
-			if tc.heard {
+			if tc.heartbeat {
 				node.Update(func(record roster.Record) (roster.Record, bool) {
 					reported := endpoint
 					reported.Sequence = 19
