--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -72,8 +72,8 @@
 
 func newSuspendClock(read func() (time.Duration, error)) *suspendClock {
 	created := &suspendClock{read: read, listeners: map[*wakeListener]struct{}{}, deadlines: map[*deadline]struct{}{}}
-	if before, err := read(); err == nil { // CheckSupport reports the error
-		created.initial = before
+	if initial, err := read(); err == nil { // CheckSupport reports the error
+		created.initial = initial
 	}
 	created.wallOffset.Store(wallOffset(time.Now()))
 	return created
@@ -228,7 +228,7 @@
 }
 
 // recordSuspension counts a suspension since the previous check and returns the listeners to call.
-func (s *suspendClock) recordSuspension(now time.Time) (slept time.Duration, listeners []*wakeListener) {
+func (s *suspendClock) recordSuspension(now time.Time) (slept time.Duration, notified []*wakeListener) {
 	s.wallOffset.Store(wallOffset(now))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -100,7 +100,7 @@
 		c.logger.Info("newer configuration announced", zap.String("peer", peer.Node),
 			zap.Uint64("version", version), zap.Uint64("inForce", held), c.proofAge())
 	}
-	c.peers.report(peer, version, now, delay)
+	c.peers.reportVersion(peer, version, now, delay)
 	c.signal()
 }
 
@@ -264,8 +264,8 @@
 	}
 }
 
-// upToDate reports whether the node has every version that peers have reported.
-func (c *catchUp) upToDate() bool {
+// level reports whether the node has every version that peers have reported.
+func (c *catchUp) level() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.running || c.exchanger.options.Configuration.Version() >= c.newest
@@ -274,7 +274,7 @@
 // await waits until the node has every version that peers have reported, and reports whether that
 // happened before the context ended.
 func (c *catchUp) await(ctx context.Context) bool {
-	if c.upToDate() {
+	if c.level() {
 		return true
 	}
 	c.mu.Lock()
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -24,13 +24,13 @@
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	known := &sources{}
-	hear := func(node string, version uint64, now time.Time, delay time.Duration) {
-		known.report(&roster.Record{Node: node}, version, now, delay)
+	reportVersion := func(node string, version uint64, now time.Time, delay time.Duration) {
+		known.reportVersion(&roster.Record{Node: node}, version, now, delay)
 	}
-	hear("early", 8, at(0), 0)
-	hear("late", 8, at(10), 0)
-	hear("old", 6, at(20), 0)
-	hear("far", 9, at(20), 100*time.Millisecond)
+	reportVersion("early", 8, at(0), 0)
+	reportVersion("late", 8, at(10), 0)
+	reportVersion("old", 6, at(20), 0)
+	reportVersion("far", 9, at(20), 100*time.Millisecond)
 	g.Expect(known.next(7, at(30)).peer.Node).To(Equal("late"))
 	g.Expect(known.untried(7)).To(BeTrue())
 	known.next(7, at(30)).fetching = true
@@ -38,7 +38,7 @@
 	known.next(7, at(30)).recordFailure(at(30))
 	g.Expect(known.next(7, at(30))).To(BeNil(), "one is asked, one has failed, one is not due, one has nothing newer")
 	g.Expect(known.wait(7, at(30), time.Minute)).To(Equal(90 * time.Millisecond))
-	hear("far", 9, at(40), time.Hour)
+	reportVersion("far", 9, at(40), time.Hour)
 	g.Expect(known.next(7, at(130)).peer.Node).To(Equal("far"), "what was said again does not delay it")
 	known.next(7, at(130)).recordFailure(at(130))
 	g.Expect(known.untried(7)).To(BeFalse())
@@ -109,7 +109,7 @@
 			if healthy.Load() {
 				return nil
 			}
-			return errors.New("refused")
+			return errors.New("call refused")
 		}
 		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		time.Sleep(storeDelay - time.Millisecond)
@@ -118,7 +118,7 @@
 		g.Expect(calls.Load()).To(And(BeNumerically(">=", 10), BeNumerically("<=", 25)))
 		healthy.Store(true)
 		time.Sleep(2 * maxStorePause)
-		g.Expect(late.exchanger.updater.upToDate()).To(BeTrue())
+		g.Expect(late.exchanger.updater.level()).To(BeTrue())
 		before := calls.Load()
 		time.Sleep(time.Minute)
 		g.Expect(calls.Load()).To(Equal(before))
@@ -141,7 +141,7 @@
 		in.set(peer.record.PeerAddress, nil)
 		late.exchanger.HandlePeerVersion(peer.record, 9)
 		time.Sleep(1100 * time.Millisecond)
-		g.Expect(late.exchanger.updater.upToDate()).To(BeFalse())
+		g.Expect(late.exchanger.updater.level()).To(BeFalse())
 		peer.offer(t, 9)
 		in.set(peer.record.PeerAddress, answer)
 		time.Sleep(2 * retryMax)
--- a/internal/sidecar/exchange/confirm.go
+++ b/internal/sidecar/exchange/confirm.go
@@ -44,7 +44,7 @@
 
 // confirmation is the state of one confirmation, shared by all requests that wait for it.
 type confirmation struct {
-	proof *proofChecker
+	level *proofChecker
 	ctx   context.Context
 	// asked is the number of nodes that were asked; storeRead reports whether the store was read.
 	asked     int
@@ -58,13 +58,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	began := clock.Now()
-	running := &confirmation{proof: c, ctx: ctx, results: make(chan error, maxConfirmPeers+1)}
-	proof := running.await()
-	if proof {
+	running := &confirmation{level: c, ctx: ctx, results: make(chan error, maxConfirmPeers+1)}
+	level := running.await()
+	if level {
 		c.confirmed.set(clock.Now())
 	}
-	c.logConfirmation(proof, running, began)
-	return proof
+	c.logConfirmation(level, running, began)
+	return level
 }
 
 // await asks until a reply brings proof or the time is over. Proof that the node obtained elsewhere
@@ -72,19 +72,19 @@
 func (c *confirmation) await() bool {
 	hedge := time.NewTicker(confirmHedgeDelay)
 	defer hedge.Stop()
-	c.askNext()
+	c.ask()
 	for {
 		select {
 		case err := <-c.results:
 			if err == nil && c.awaitUpToDate() && c.proven() {
 				return true
 			}
-			c.askNext()
+			c.ask()
 		case <-hedge.C:
 			if c.asked >= confirmPeersBeforeStore && c.proven() {
 				return true
 			}
-			c.askNext()
+			c.ask()
 		case <-c.ctx.Done():
 			return c.proven()
 		}
@@ -92,26 +92,26 @@
 }
 
 // awaitUpToDate waits until the node has every version that peers have reported.
-func (c *confirmation) awaitUpToDate() bool { return c.proof.exchanger.updater.await(c.ctx) }
+func (c *confirmation) awaitUpToDate() bool { return c.level.exchanger.updater.await(c.ctx) }
 
 // proven reports whether the node has every version that peers have reported, and proof no older than
 // the limit for refusals.
 func (c *confirmation) proven() bool {
-	e := c.proof.exchanger
-	return e.updater.upToDate() && e.options.Configuration.UpToDateWithin(e.limits.refuse)
+	e := c.level.exchanger
+	return e.updater.level() && e.options.Configuration.UpToDateWithin(e.limits.refuse)
 }
 
-// askNext asks another node. It also reads the store once confirmPeersBeforeStore nodes did not help or
+// ask asks another node. It also reads the store once confirmPeersBeforeStore nodes did not help or
 // no other node is left.
-func (c *confirmation) askNext() {
-	reader := c.proof.pick()
+func (c *confirmation) ask() {
+	reader := c.level.pick()
 	if reader != nil && c.asked < maxConfirmPeers {
 		c.asked++
-		go func() { c.results <- c.proof.ask(c.ctx, reader, 0) }()
+		go func() { c.results <- c.level.ask(c.ctx, reader, 0) }()
 	}
-	if (reader == nil || c.asked > confirmPeersBeforeStore) && !c.storeRead && c.proof.storeReads.startRound(clock.Now()) > 0 {
+	if (reader == nil || c.asked > confirmPeersBeforeStore) && !c.storeRead && c.level.storeReads.startRound(clock.Now()) > 0 {
 		c.storeRead = true
-		go func() { c.results <- c.proof.readStore(c.ctx) }()
+		go func() { c.results <- c.level.readStore(c.ctx) }()
 	}
 }
 
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -153,9 +153,9 @@
 	for _, message := range []Message{
 		{}, {BucketCount: -1}, {BucketCount: 1 << 30}, {BucketCount: 4, DifferingBuckets: []int{4}}, {BucketCount: 4, DifferingBuckets: []int{-1}}, {BucketCount: 1, DifferingBuckets: []int{0, 0}},
 	} {
-		g.Expect(message.validComparison()).To(BeFalse())
+		g.Expect(message.comparable()).To(BeFalse())
 	}
-	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).validComparison()).To(BeTrue())
+	g.Expect((&Message{BucketCount: 4, DifferingBuckets: []int{0, 3}}).comparable()).To(BeTrue())
 	answering := newMember(t, "first")
 	for _, body := range []string{"", "{", `{"digest":1}`, `{"from":{"node":"x"},"of":-1}`} {
 		response, err := http.Post("http://"+answering.record.PeerAddress+PathRoot+pathExchange, "application/json", strings.NewReader(body))
@@ -235,7 +235,7 @@
 // receives it, since a record reaches all nodes, and that the next record is accepted.
 func TestPanickingRecordIsContained(t *testing.T) {
 	g := NewWithT(t)
-	receiver, sender := newMember(t, "receiver"), newMember(t, "sender")
+	receiver, sender := newMember(t, "hearing"), newMember(t, "telling")
 	receiver.members.Observe(func(changed []*roster.Record) {
 		for _, record := range changed {
 			if record.Node == "harmful" {
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -289,12 +289,12 @@
 		Digest:      e.options.Roster.View().Digest(),
 		Version:     e.options.Configuration.Version(),
 		ProofAge:    e.proof.proofAge(),
-		SharedState: e.sharedState(),
+		SharedState: e.state(),
 	}
 }
 
-// sharedState returns what this node knows of operators' orders and deployment-wide facts.
-func (e *Exchanger) sharedState() (state SharedState) {
+// state returns what this node knows of operators' orders and deployment-wide facts.
+func (e *Exchanger) state() (state SharedState) {
 	if e.options.Store != nil {
 		state.Era = e.options.Store.Era()
 	}
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -111,7 +111,7 @@
 	if !proven {
 		age = held.Age()
 	}
-	if left := c.exchanger.limits.readStore - age; left > 0 {
+	if left := c.exchanger.limits.storeReads - age; left > 0 {
 		return left
 	}
 	return c.storeReads.wait(clock.Now())
@@ -160,8 +160,8 @@
 // askable returns the other nodes among the given ones that have no pending request.
 func (c *proofChecker) askable(nodes []*roster.Record) []*roster.Record {
 	return slices.DeleteFunc(c.exchanger.peersOf(nodes), func(record *roster.Record) bool {
-		_, pending := c.pending.Load(record.Node)
-		return pending
+		_, waiting := c.pending.Load(record.Node)
+		return waiting
 	})
 }
 
--- a/internal/sidecar/exchange/limits.go
+++ b/internal/sidecar/exchange/limits.go
@@ -16,15 +16,15 @@
 
 // limits are ages of a node's proof that it is up to date.
 type limits struct {
-	// refresh is the age from which other nodes are asked for newer proof, readStore the age from which
+	// refresh is the age from which other nodes are asked for newer proof, storeReads the age from which
 	// the store is read.
-	refresh, readStore time.Duration
+	refresh, storeReads time.Duration
 	// refuse is the greatest age at which a request may be refused for good.
 	refuse time.Duration
 }
 
 func newLimits(bound time.Duration) limits {
-	return limits{refresh: ProofRefreshAge(bound), readStore: fraction(bound, readStoreShare), refuse: fraction(bound, refuseShare)}
+	return limits{refresh: ProofRefreshAge(bound), storeReads: fraction(bound, readStoreShare), refuse: fraction(bound, refuseShare)}
 }
 
 // ProofRefreshAge returns the age from which nodes ask for a newer proof, given the time within which a
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -98,8 +98,8 @@
 	return count
 }
 
-// validComparison reports whether the message requests a comparison with valid buckets.
-func (m *Message) validComparison() bool {
+// comparable reports whether the message requests a comparison with valid buckets.
+func (m *Message) comparable() bool {
 	if m.BucketCount < 1 || m.BucketCount > maxBuckets || len(m.DifferingBuckets) > m.BucketCount {
 		return false
 	}
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -79,7 +79,7 @@
 // sharedStore holds the newest version of a fleet.
 type sharedStore struct{ version atomic.Uint64 }
 
-var errRefused = errors.New("refused")
+var errRefused = errors.New("call refused")
 
 // storeMember is a virtual member with a store that may refuse its calls.
 type storeMember struct {
--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -83,7 +83,7 @@
 	reply := e.newMessage()
 	view := e.options.Roster.View()
 	switch {
-	case received.validComparison():
+	case received.comparable():
 		reply.Records = missingRecords(view.InBuckets(received.DifferingBuckets, received.BucketCount), received.Records)
 	case received.Digest != view.Digest():
 		reply.Buckets = view.Buckets(bucketCount(view.Count()))
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -36,8 +36,8 @@
 	all map[string]*source
 }
 
-// report records the version that a peer has reported. A new peer is not asked before the delay is over.
-func (s *sources) report(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
+// reportVersion records the version that a peer has reported. A new peer is not asked before the delay is over.
+func (s *sources) reportVersion(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
 	if s.all == nil {
 		s.all = map[string]*source{}
 	}
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -226,7 +226,7 @@
 // notice returns a notice of a record.
 func (e *Exchanger) notice(record *roster.Record) *Notice {
 	return &Notice{
-		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.sharedState(),
+		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.state(),
 	}
 }
 
--- a/internal/sidecar/exchange/stamp.go
+++ b/internal/sidecar/exchange/stamp.go
@@ -15,6 +15,6 @@
 
 // within reports whether the moment lies within the last span.
 func (s *atomicTime) within(span time.Duration) bool {
-	held := s.value.Load()
-	return held != nil && clock.Since(*held) <= span
+	value := s.value.Load()
+	return value != nil && clock.Since(*value) <= span
 }
