--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -61,7 +61,7 @@
 		Dial:          (&net.Dialer{}).DialContext,
 		Refresh:       func(context.Context) error { return nil },
 		IsReader:      created.reads.Load,
-		OnUnreachable: func(*roster.Record) {},
+		Suspect: func(*roster.Record) {},
 		Logger:        zap.NewNop(),
 	})
 	container.Add(created.exchanger.Service())
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -57,8 +57,8 @@
 	Repeats Granter
 	// Observer observes how the node stays up to date; it may be nil.
 	Observer Observer
-	// OnUnreachable is called with nodes that do not respond.
-	OnUnreachable func(*roster.Record)
+	// Suspect is called with nodes that do not respond.
+	Suspect func(*roster.Record)
 	Logger        *zap.Logger
 }
 
@@ -234,7 +234,7 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			e.MarkLost(peer.Node)
-			e.options.OnUnreachable(peer)
+			e.options.Suspect(peer)
 		}
 		return err
 	}
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -117,7 +117,7 @@
 		Roster: members, Configuration: made.keeper, Dial: in.dial,
 		Refresh:       func(ctx context.Context) error { return made.refresh(ctx) },
 		IsReader:      func() bool { return false },
-		OnUnreachable: func(*roster.Record) {},
+		Suspect: func(*roster.Record) {},
 		Logger:        zap.NewNop(),
 	})
 	made.container.Add(made.exchanger.Service())
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -185,7 +185,7 @@
 		Contention:    created.contention,
 		IsReader:      created.reads,
 		Observer:      observed,
-		OnUnreachable: created.egress.Suspect,
+		Suspect: created.egress.Suspect,
 		Logger:        options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
