--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -273,8 +273,8 @@
 	return asked
 }
 
-// HadContact reports whether this node was in contact with another one since it started.
-func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
+// Met reports whether this node was in contact with another one since it started.
+func (e *Exchanger) Met() bool { return e.hadContact.Load() }
 
 // Reachable reports whether a node is not recorded as lost.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -191,7 +191,7 @@
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		Joined: created.join, Met: created.exchanger.HadContact, Reads: created.reads, Logger: options.Logger,
+		Joined: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
 		CompactRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
