--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -345,7 +345,7 @@
 	e.lost.remove(received.From.Node) // it is there, whoever began
 	e.mergeState(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.HandlePeerVersion(received.From, received.Version)
+	e.Behind(received.From, received.Version)
 }
 
 // post sends a message and returns the reply.
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -188,7 +188,7 @@
 	e.mergeState(&notice.SharedState)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
-		e.HandlePeerVersion(sender, notice.Version)
+		e.Behind(sender, notice.Version)
 	}
 	if count := fanout(notice); count > 0 && len(news) > 0 {
 		go e.forward(notice.Record, count)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -290,7 +290,7 @@
 
 // Behind implements egress.Observer.
 func (o *callObserver) Behind(node string, version uint64) {
-	o.sidecar.exchanger.HandlePeerVersion(o.sidecar.members.View().Record(node), version)
+	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
 }
 
 // caller names the service beside this node.
