--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -38,7 +38,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.MarkLost(node) },
+		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
@@ -60,7 +60,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.MarkLost(node) },
+		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
