--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -43,7 +43,7 @@
 	Node string
 	// View returns the other nodes, Usable whether one is believed to be there.
 	View   func() *roster.View
-	Usable readers.Reachable
+	Usable readers.Usable
 	// Known reports whether the view holds about all nodes. One that has just started and takes
 	// itself for alone would take all shares for its own.
 	Known func() bool
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -19,7 +19,7 @@
 
 // Granters returns the nodes that give out tokens, by their names: those with the fastest links.
 // The package is right whatever each node takes for granters; where they agree no share is idle.
-func Granters(view *roster.View, usable readers.Reachable) []*roster.Record {
+func Granters(view *roster.View, usable readers.Usable) []*roster.Record {
 	var able []*roster.Record
 	for _, record := range view.Records() {
 		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && usable(record) {
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -48,7 +48,7 @@
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
 	Node   string
 	View   func() *roster.View
-	Usable readers.Reachable
+	Usable readers.Usable
 	Known  func() bool
 	Send   func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error)
 	Lost   func(node string)
