--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -230,7 +230,7 @@
 // round trip counts towards the age of the proof, since the reply may have spent all of it on the way.
 func (c *proofChecker) recordProof(version uint64, told *int64, asked time.Time) {
 	if age, valid := proofAge(told); valid {
-		c.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
+		c.exchanger.options.Configuration.Proven(version, asked.Add(-age))
 	}
 }
 
--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -37,4 +37,4 @@
 func (l *level) ProofAge() (time.Duration, bool) { return l.keeper.ProofAge() }
 
 // Proven implements egress.Level.
-func (l *level) Proven(version uint64, at time.Time) { l.keeper.RecordProof(version, at) }
+func (l *level) Proven(version uint64, at time.Time) { l.keeper.Proven(version, at) }
