--- a/internal/sidecar/encoded/encoded.go
+++ b/internal/sidecar/encoded/encoded.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// NewReader returns a reader of the JSON in a body, decompressing it as the header requires.
-func NewReader(header http.Header, body io.Reader) (io.Reader, error) {
+// Reader returns a reader of the JSON in a body, decompressing it as the header requires.
+func Reader(header http.Header, body io.Reader) (io.Reader, error) {
 	if header.Get(headerEncoding) != ContentCoding {
 		return body, nil
 	}
--- a/internal/sidecar/encoded/encoded_test.go
+++ b/internal/sidecar/encoded/encoded_test.go
@@ -30,7 +30,7 @@
 			g.Expect(body.Compressed).To(Equal(test.compressed))
 			header := http.Header{}
 			body.SetContentEncoding(header)
-			plain, err := encoded.NewReader(header, bytes.NewReader(body.Bytes))
+			plain, err := encoded.Reader(header, bytes.NewReader(body.Bytes))
 			g.Expect(err).NotTo(HaveOccurred())
 			var read string
 			g.Expect(json.NewDecoder(plain).Decode(&read)).To(Succeed())
@@ -43,7 +43,7 @@
 // cannot be encoded, are errors.
 func TestInvalidBody(t *testing.T) {
 	g := NewWithT(t)
-	_, err := encoded.NewReader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
+	_, err := encoded.Reader(http.Header{"Content-Encoding": {"gzip"}}, strings.NewReader("{}"))
 	g.Expect(err).To(HaveOccurred())
 	_, err = encoded.JSON(func() {}, 0)
 	g.Expect(err).To(HaveOccurred())
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -358,7 +358,7 @@
 	}
 	defer resp.Body.Close()
 	received := &Message{}
-	plain, err := encoded.NewReader(resp.Header, resp.Body)
+	plain, err := encoded.Reader(resp.Header, resp.Body)
 	if err == nil {
 		err = json.NewDecoder(io.LimitReader(plain, maxMessageBytes)).Decode(received)
 	}
--- a/internal/sidecar/exchange/fetch.go
+++ b/internal/sidecar/exchange/fetch.go
@@ -61,7 +61,7 @@
 
 // decodedBody returns the body of a response, decompressed when it is compressed.
 func decodedBody(resp *http.Response, onData func()) (io.Reader, error) {
-	return encoded.NewReader(resp.Header, &progressReader{Reader: resp.Body, onData: onData})
+	return encoded.Reader(resp.Header, &progressReader{Reader: resp.Body, onData: onData})
 }
 
 // progressReader calls onData whenever it reads data.
