--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
-	// IsReader reports whether the node reads the store itself.
-	IsReader func() bool
+	// Reads reports whether the node reads the store itself.
+	Reads func() bool
 	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
 	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
@@ -59,7 +59,7 @@
 	Observer Observer
 	// Suspect is called with nodes that do not respond.
 	Suspect func(*roster.Record)
-	Logger        *zap.Logger
+	Logger  *zap.Logger
 }
 
 // EraTracker tracks how often the store was restored from an older copy.
@@ -285,11 +285,11 @@
 // newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
 	return &Message{
-		From:        e.options.Roster.Own(),
-		Digest:      e.options.Roster.View().Digest(),
-		Version:     e.options.Configuration.Version(),
-		ProofAge:    e.proof.proofAge(),
-		Told: e.state(),
+		From:     e.options.Roster.Own(),
+		Digest:   e.options.Roster.View().Digest(),
+		Version:  e.options.Configuration.Version(),
+		ProofAge: e.proof.proofAge(),
+		Told:     e.state(),
 	}
 }
 
