--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -74,10 +74,10 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// HandlePeerVersion processes a version that a peer reported. When it is above the one in force,
+// Behind processes a version that a peer reported. When it is above the one in force,
 // the node catches up, normally from the first peer that reported it. A reader waits first for
 // its own watch, another node for a peer of its zone.
-func (e *Exchanger) HandlePeerVersion(peer *roster.Record, version uint64) {
+func (e *Exchanger) Behind(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
@@ -100,7 +100,7 @@
 		c.logger.Info("newer configuration announced", zap.String("peer", peer.Node),
 			zap.Uint64("version", version), zap.Uint64("inForce", held), c.proofAge())
 	}
-	c.peers.report(peer, version, now, delay)
+	c.peers.reportVersion(peer, version, now, delay)
 	c.signal()
 }
 
@@ -126,7 +126,7 @@
 	switch {
 	case e.options.Configuration.Version() == 0:
 		return 0
-	case e.options.IsReader():
+	case e.options.Reads():
 		return watchDelay
 	case peer.Zone == e.options.Roster.Own().Zone:
 		return 0
@@ -264,8 +264,8 @@
 	}
 }
 
-// upToDate reports whether the node has every version that peers have reported.
-func (c *catchUp) upToDate() bool {
+// level reports whether the node has every version that peers have reported.
+func (c *catchUp) level() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.running || c.exchanger.options.Configuration.Version() >= c.newest
@@ -274,7 +274,7 @@
 // await waits until the node has every version that peers have reported, and reports whether that
 // happened before the context ended.
 func (c *catchUp) await(ctx context.Context) bool {
-	if c.upToDate() {
+	if c.level() {
 		return true
 	}
 	c.mu.Lock()
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -24,13 +24,13 @@
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	known := &sources{}
-	hear := func(node string, version uint64, now time.Time, delay time.Duration) {
-		known.report(&roster.Record{Node: node}, version, now, delay)
+	reportVersion := func(node string, version uint64, now time.Time, delay time.Duration) {
+		known.reportVersion(&roster.Record{Node: node}, version, now, delay)
 	}
-	hear("early", 8, at(0), 0)
-	hear("late", 8, at(10), 0)
-	hear("old", 6, at(20), 0)
-	hear("far", 9, at(20), 100*time.Millisecond)
+	reportVersion("early", 8, at(0), 0)
+	reportVersion("late", 8, at(10), 0)
+	reportVersion("old", 6, at(20), 0)
+	reportVersion("far", 9, at(20), 100*time.Millisecond)
 	g.Expect(known.next(7, at(30)).peer.Node).To(Equal("late"))
 	g.Expect(known.untried(7)).To(BeTrue())
 	known.next(7, at(30)).fetching = true
@@ -38,7 +38,7 @@
 	known.next(7, at(30)).recordFailure(at(30))
 	g.Expect(known.next(7, at(30))).To(BeNil(), "one is asked, one has failed, one is not due, one has nothing newer")
 	g.Expect(known.wait(7, at(30), time.Minute)).To(Equal(90 * time.Millisecond))
-	hear("far", 9, at(40), time.Hour)
+	reportVersion("far", 9, at(40), time.Hour)
 	g.Expect(known.next(7, at(130)).peer.Node).To(Equal("far"), "what was said again does not delay it")
 	known.next(7, at(130)).recordFailure(at(130))
 	g.Expect(known.untried(7)).To(BeFalse())
@@ -75,9 +75,9 @@
 			answer(connection)
 		})
 		peer.offer(t, 8)
-		late.exchanger.HandlePeerVersion(peer.record, 8)
+		late.exchanger.Behind(peer.record, 8)
 		time.Sleep(20 * time.Millisecond)
-		late.exchanger.HandlePeerVersion(peer.record, 9)
+		late.exchanger.Behind(peer.record, 9)
 		time.Sleep(300 * time.Millisecond)
 		peer.offer(t, 9) // the peer had it announced before it was in force
 		time.Sleep(time.Second)
@@ -90,7 +90,7 @@
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		for version := uint64(8); version < 20; version++ {
 			peer.offer(t, version)
-			late.exchanger.HandlePeerVersion(peer.record, version)
+			late.exchanger.Behind(peer.record, version)
 			time.Sleep(100 * time.Millisecond)
 			g.Expect(late.keeper.Version()).To(Equal(version))
 		}
@@ -109,16 +109,16 @@
 			if healthy.Load() {
 				return nil
 			}
-			return errors.New("refused")
+			return errors.New("call refused")
 		}
-		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		time.Sleep(storeDelay - time.Millisecond)
 		g.Expect(calls.Load()).To(BeZero())
 		time.Sleep(time.Minute)
 		g.Expect(calls.Load()).To(And(BeNumerically(">=", 10), BeNumerically("<=", 25)))
 		healthy.Store(true)
 		time.Sleep(2 * maxStorePause)
-		g.Expect(late.exchanger.updater.upToDate()).To(BeTrue())
+		g.Expect(late.exchanger.updater.level()).To(BeTrue())
 		before := calls.Load()
 		time.Sleep(time.Minute)
 		g.Expect(calls.Load()).To(Equal(before))
@@ -135,13 +135,13 @@
 			time.Sleep(time.Second)
 			return nil
 		}
-		late.exchanger.HandlePeerVersion(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		<-asked
 		answer := in.nodes[peer.record.PeerAddress]
 		in.set(peer.record.PeerAddress, nil)
-		late.exchanger.HandlePeerVersion(peer.record, 9)
+		late.exchanger.Behind(peer.record, 9)
 		time.Sleep(1100 * time.Millisecond)
-		g.Expect(late.exchanger.updater.upToDate()).To(BeFalse())
+		g.Expect(late.exchanger.updater.level()).To(BeFalse())
 		peer.offer(t, 9)
 		in.set(peer.record.PeerAddress, answer)
 		time.Sleep(2 * retryMax)
@@ -157,9 +157,9 @@
 		late.exchanger.updater.logger = zap.New(core)
 		in.set("quiet:1", silent)
 		peer.offer(t, 8)
-		late.exchanger.HandlePeerVersion(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
+		late.exchanger.Behind(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
 		time.Sleep(10 * time.Millisecond)
-		late.exchanger.HandlePeerVersion(peer.record, 8)
+		late.exchanger.Behind(peer.record, 8)
 		time.Sleep(2 * time.Second)
 		g.Expect(logged.FilterMessage("newer configuration announced").Len()).To(Equal(1), "once a version")
 		caught := logged.FilterMessage("configuration caught up").All()
@@ -207,7 +207,7 @@
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		_, proven := late.keeper.ProofAge()
 		g.Expect(proven).To(BeFalse())
-		peer.keeper.RecordProof(7, time.Now())
+		peer.keeper.Proven(7, time.Now())
 		time.Sleep(time.Second)
 		g.Expect(late.exchanger.proof.ask(t.Context(), peer.record, 0)).To(Succeed())
 		age, proven := late.keeper.ProofAge()
@@ -216,11 +216,11 @@
 		g.Expect(late.exchanger.ExchangeWith(t.Context(), peer.record)).To(Succeed())
 
 		peer.offer(t, 8)
-		peer.keeper.RecordProof(8, time.Now())
+		peer.keeper.Proven(8, time.Now())
 		late.exchanger.proof.recordProof(8, new(int64), time.Now())
 		age, _ = late.keeper.ProofAge()
 		g.Expect(age).To(Equal(time.Second), "it does not hold that version")
-		late.keeper.RecordProof(7, time.Now().Add(-time.Hour))
+		late.keeper.Proven(7, time.Now().Add(-time.Hour))
 		age, _ = late.keeper.ProofAge()
 		g.Expect(age).To(Equal(time.Second), "older proof takes nothing away")
 	})
@@ -236,7 +236,7 @@
 				<-ctx.Done()
 				return ctx.Err()
 			}
-			late.keeper.RecordProof(7, time.Now())
+			late.keeper.Proven(7, time.Now())
 			return nil
 		}
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "there is nobody else, and the store does not answer")
@@ -247,7 +247,7 @@
 		time.Sleep(time.Minute)
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
 		peer.offer(t, 8)
-		peer.keeper.RecordProof(8, time.Now())
+		peer.keeper.Proven(8, time.Now())
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
 		g.Expect(late.keeper.Version()).To(BeEquivalentTo(8))
 
@@ -266,7 +266,7 @@
 func TestConfirmsShareRequests(t *testing.T) {
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
-		peer.keeper.RecordProof(7, time.Now())
+		peer.keeper.Proven(7, time.Now())
 		var asked atomic.Int64
 		plain := late.exchanger.client.Transport
 		late.exchanger.client.Transport = countingTransport{plain, &asked}
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
-	// IsReader reports whether the node reads the store itself.
-	IsReader func() bool
+	// Reads reports whether the node reads the store itself.
+	Reads func() bool
 	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
 	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
@@ -57,9 +57,9 @@
 	Repeats Granter
 	// Observer observes how the node stays up to date; it may be nil.
 	Observer Observer
-	// OnUnreachable is called with nodes that do not respond.
-	OnUnreachable func(*roster.Record)
-	Logger        *zap.Logger
+	// Suspect is called with nodes that do not respond.
+	Suspect func(*roster.Record)
+	Logger  *zap.Logger
 }
 
 // EraTracker tracks how often the store was restored from an older copy.
@@ -187,7 +187,7 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if teller := readers.AssignedReader(view, own, e.Reachable); teller != nil {
+		if teller := readers.AssignedReader(view, own, e.Usable); teller != nil {
 			return teller
 		}
 	}
@@ -233,8 +233,8 @@
 	answer, err := e.post(ctx, peer, e.newMessage())
 	if err != nil {
 		if ctx.Err() == nil {
-			e.MarkLost(peer.Node)
-			e.options.OnUnreachable(peer)
+			e.Lost(peer.Node)
+			e.options.Suspect(peer)
 		}
 		return err
 	}
@@ -273,28 +273,28 @@
 	return asked
 }
 
-// HadContact reports whether this node was in contact with another one since it started.
-func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
+// Met reports whether this node was in contact with another one since it started.
+func (e *Exchanger) Met() bool { return e.hadContact.Load() }
 
-// Reachable reports whether a node is not recorded as lost.
-func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
+// Usable reports whether a node is not recorded as lost.
+func (e *Exchanger) Usable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
 
-// MarkLost records that a node did not respond; it is retried more often until it does.
-func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
+// Lost records that a node did not respond; it is retried more often until it does.
+func (e *Exchanger) Lost(node string) { e.lost.add(node, clock.Now()) }
 
 // newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
 	return &Message{
-		From:        e.options.Roster.Own(),
-		Digest:      e.options.Roster.View().Digest(),
-		Version:     e.options.Configuration.Version(),
-		ProofAge:    e.proof.proofAge(),
-		SharedState: e.sharedState(),
+		From:     e.options.Roster.Own(),
+		Digest:   e.options.Roster.View().Digest(),
+		Version:  e.options.Configuration.Version(),
+		ProofAge: e.proof.proofAge(),
+		Told:     e.state(),
 	}
 }
 
-// sharedState returns what this node knows of operators' orders and deployment-wide facts.
-func (e *Exchanger) sharedState() (state SharedState) {
+// state returns what this node knows of operators' orders and deployment-wide facts.
+func (e *Exchanger) state() (state Told) {
 	if e.options.Store != nil {
 		state.Era = e.options.Store.Era()
 	}
@@ -312,7 +312,7 @@
 
 // mergeEra merges a peer's era of the store. What a peer in an earlier era considers recorded
 // in the store may have been lost since.
-func (e *Exchanger) mergeEra(state *SharedState) {
+func (e *Exchanger) mergeEra(state *Told) {
 	if e.options.Store == nil {
 		return
 	}
@@ -327,7 +327,7 @@
 // mergeState merges a peer's shared state. It precedes the merge of the peer's records, so that a
 // node that learns of a new back-end version knows the roll-out behind it. New orders are forwarded
 // in the zone.
-func (e *Exchanger) mergeState(state *SharedState) {
+func (e *Exchanger) mergeState(state *Told) {
 	e.mergeEra(state)
 	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
 	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Hear(state.Evacuations)
@@ -343,9 +343,9 @@
 func (e *Exchanger) handleMessage(received *Message) {
 	e.hadContact.Store(true)
 	e.lost.remove(received.From.Node) // it is there, whoever began
-	e.mergeState(&received.SharedState)
+	e.mergeState(&received.Told)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.HandlePeerVersion(received.From, received.Version)
+	e.Behind(received.From, received.Version)
 }
 
 // post sends a message and returns the reply.
@@ -358,7 +358,7 @@
 	}
 	defer resp.Body.Close()
 	received := &Message{}
-	plain, err := encoded.NewReader(resp.Header, resp.Body)
+	plain, err := encoded.Reader(resp.Header, resp.Body)
 	if err == nil {
 		err = json.NewDecoder(io.LimitReader(plain, maxMessageBytes)).Decode(received)
 	}
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -111,7 +111,7 @@
 	if !proven {
 		age = held.Age()
 	}
-	if left := c.exchanger.limits.readStore - age; left > 0 {
+	if left := c.exchanger.limits.storeReads - age; left > 0 {
 		return left
 	}
 	return c.storeReads.wait(clock.Now())
@@ -144,8 +144,8 @@
 func (c *proofChecker) pick() *roster.Record {
 	e := c.exchanger
 	view := e.options.Roster.View()
-	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Reachable)
-	all := readers.All(view, e.Reachable)
+	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Usable)
+	all := readers.All(view, e.Usable)
 	for _, candidates := range [][]*roster.Record{near, all, view.Records()} {
 		if found := c.withoutStale(c.askable(candidates)); len(found) > 0 {
 			return found[rand.N(len(found))]
@@ -160,8 +160,8 @@
 // askable returns the other nodes among the given ones that have no pending request.
 func (c *proofChecker) askable(nodes []*roster.Record) []*roster.Record {
 	return slices.DeleteFunc(c.exchanger.peersOf(nodes), func(record *roster.Record) bool {
-		_, pending := c.pending.Load(record.Node)
-		return pending
+		_, waiting := c.pending.Load(record.Node)
+		return waiting
 	})
 }
 
@@ -230,7 +230,7 @@
 // round trip counts towards the age of the proof, since the reply may have spent all of it on the way.
 func (c *proofChecker) recordProof(version uint64, told *int64, asked time.Time) {
 	if age, valid := proofAge(told); valid {
-		c.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
+		c.exchanger.options.Configuration.Proven(version, asked.Add(-age))
 	}
 }
 
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -36,8 +36,8 @@
 	all map[string]*source
 }
 
-// report records the version that a peer has reported. A new peer is not asked before the delay is over.
-func (s *sources) report(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
+// reportVersion records the version that a peer has reported. A new peer is not asked before the delay is over.
+func (s *sources) reportVersion(peer *roster.Record, version uint64, now time.Time, delay time.Duration) {
 	if s.all == nil {
 		s.all = map[string]*source{}
 	}
@@ -47,8 +47,8 @@
 		s.all[peer.Node] = held
 	}
 	held.peer, held.version, held.reportedAt = peer, max(held.version, version), now
-	if due := now.Add(delay); held.failures == 0 && due.Before(held.notBefore) {
-		held.notBefore = due
+	if notBefore := now.Add(delay); held.failures == 0 && notBefore.Before(held.notBefore) {
+		held.notBefore = notBefore
 	}
 }
 
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -17,14 +17,14 @@
 
 // knowsOthers reports whether the node knows about all others.
 func (s *Sidecar) knowsOthers() bool {
-	return s.joined.Load() != nil || (s.exchanger.HadContact() && clock.Since(s.started) >= metLongEnough)
+	return s.joined.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= metLongEnough)
 }
 
 func (s *Sidecar) addQuota() {
 	s.quota = quota.New(quota.Options{
 		Node:   s.options.Settings.Node,
 		View:   s.members.View,
-		Usable: func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		Usable: func(record *roster.Record) bool { return s.exchanger.Usable(record) },
 		Known:  s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
@@ -38,7 +38,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.MarkLost(node) },
+		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
@@ -48,7 +48,7 @@
 	s.repeats = repeats.New(repeats.Options{
 		Node:     s.options.Settings.Node,
 		View:     s.members.View,
-		Usable:   func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		Usable:   func(record *roster.Record) bool { return s.exchanger.Usable(record) },
 		Known:    s.knowsOthers,
 		Limits:   func() repeats.Limits { return s.settings.Load().Retries },
 		Services: func() []string { return s.keeper.Table().ServiceNames() },
@@ -60,7 +60,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.MarkLost(node) },
+		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -40,7 +40,7 @@
 
 // reads reports whether this node reads the store.
 func (s *Sidecar) reads() bool {
-	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Reachable)
+	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Usable)
 }
 
 // compactors is how many of the nodes that read the store keep the snapshot of all records, one
@@ -87,7 +87,7 @@
 	case joined != nil:
 		return s.reads()
 	}
-	return s.exchanger.HadContact() && s.reads()
+	return s.exchanger.Met() && s.reads()
 }
 
 // join tells the peers that were found in the store of this node, and asks some of
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -176,22 +176,22 @@
 		Refresh: func(ctx context.Context) error {
 			return configuration.Refresh(ctx, options.Store, created.place(), created.keeper)
 		},
-		Bound:         settings.applyBound(),
-		Store:         options.Store,
-		Rollouts:      created.rollouts,
-		Evacuations:   created.evacuations,
-		Quota:         created.quota,
-		Repeats:       created.repeats,
-		Contention:    created.contention,
-		IsReader:      created.reads,
-		Observer:      observed,
-		OnUnreachable: created.egress.Suspect,
-		Logger:        options.Logger,
+		Bound:       settings.applyBound(),
+		Store:       options.Store,
+		Rollouts:    created.rollouts,
+		Evacuations: created.evacuations,
+		Quota:       created.quota,
+		Repeats:     created.repeats,
+		Contention:  created.contention,
+		Reads:       created.reads,
+		Observer:    observed,
+		Suspect:     created.egress.Suspect,
+		Logger:      options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		OnDiscovery: created.join, Met: created.exchanger.HadContact, Reads: created.reads, Logger: options.Logger,
+		OnDiscovery: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
 		CompactionRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
@@ -281,7 +281,7 @@
 }
 
 // Unreachable implements egress.Observer.
-func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.MarkLost(node) }
+func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.Lost(node) }
 
 // Regained implements egress.Observer.
 func (o *callObserver) Regained(node string) {
@@ -290,7 +290,7 @@
 
 // Behind implements egress.Observer.
 func (o *callObserver) Behind(node string, version uint64) {
-	o.sidecar.exchanger.HandlePeerVersion(o.sidecar.members.View().Record(node), version)
+	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
 }
 
 // caller names the service beside this node.
