--- a/internal/sidecar/choice/choice_test.go
+++ b/internal/sidecar/choice/choice_test.go
@@ -13,78 +13,77 @@
 
 const ms = time.Millisecond
 
-func TestDraw(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Work: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+func TestSelect(t *testing.T) {
+	near := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms}
+	far := choice.Candidate{Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
 	}
 	cases := []struct {
-		name       string
-		candidates []choice.Candidate
-		aim        time.Duration
-		want       int
+		name          string
+		candidates    []choice.Candidate
+		targetLatency time.Duration
+		want          int
 	}{
 		{"none", nil, 300 * ms, -1},
 		{"the zone", []choice.Candidate{far, near}, 300 * ms, 1},
-		{"the zone, although it is twice as slow", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Work = 160 * ms })}, 400 * ms, 1},
+		{"the zone, although it is twice as slow", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.ServiceTime = 160 * ms })}, 400 * ms, 1},
 		{"the region, although another one's back end is faster", []choice.Candidate{
-			with(far, func(c *choice.Candidate) { c.OtherRegion, c.Work = true, 20*ms }), far,
+			with(far, func(c *choice.Candidate) { c.OtherRegion, c.ServiceTime = true, 20*ms }), far,
 		}, 300 * ms, 1},
 		{"another region when the own one's would be late", []choice.Candidate{
-			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), with(far, func(c *choice.Candidate) { c.Busy = 60 }),
+			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), with(far, func(c *choice.Candidate) { c.Outstanding = 60 }),
 		}, 300 * ms, 0},
-		{"another zone when this one's would be late", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Work = 320 * ms })}, 300 * ms, 0},
-		{"another zone when this one's queue is long", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Busy = 40 })}, 300 * ms, 0},
+		{"another zone when this one's would be late", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.ServiceTime = 320 * ms })}, 300 * ms, 0},
+		{"another zone when this one's queue is long", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Outstanding = 40 })}, 300 * ms, 0},
 		{"the shorter of two queues that are both too long", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Busy = 200 }), with(near, func(c *choice.Candidate) { c.Busy = 150 }),
+			with(near, func(c *choice.Candidate) { c.Outstanding = 200 }), with(near, func(c *choice.Candidate) { c.Outstanding = 150 }),
 		}, 300 * ms, 1},
-		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
+		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.RecentlyFailed = true })}, 300 * ms, 0},
 		{"not the one at which many fail, although it answers fast", []choice.Candidate{
-			far, with(near, func(c *choice.Candidate) { c.Failing, c.Work = 0.3, 5*ms }),
+			far, with(near, func(c *choice.Candidate) { c.FailureRate, c.ServiceTime = 0.3, 5*ms }),
 		}, 300 * ms, 0},
-		{"the zone in spite of a failure now and then", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Failing = 0.04 })}, 300 * ms, 1},
+		{"the zone in spite of occasional failures", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.FailureRate = 0.04 })}, 300 * ms, 1},
 		{"of two in the zone the one that works, although it is slower", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), with(near, func(c *choice.Candidate) { c.Work = 130 * ms }),
+			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), with(near, func(c *choice.Candidate) { c.ServiceTime = 130 * ms }),
 		}, 300 * ms, 1},
-		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
+		{"one that failed before a draining one", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
-		{"one that leaves before a silent one", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Silent = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
+		{"a draining one before an unresponsive one", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Unresponsive = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
 		}, 300 * ms, 1},
-		{"a silent one before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
+		{"an unresponsive one before one that was tried", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Unresponsive = true }),
 		}, 300 * ms, 1},
-		{"one that leaves before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Leaving = true }),
+		{"a draining one before one that was tried", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Draining = true }),
 		}, 300 * ms, 1},
 		{"without a target latency the less busy", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Busy = 20 }), near,
+			with(near, func(c *choice.Candidate) { c.Outstanding = 20 }), near,
 		}, 0, 1},
 	}
-	for _, chosen := range cases {
-		t.Run(chosen.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for seed := range uint64(20) {
-				g.Expect(drawFrom(chosen.candidates, chosen.aim, rand.New(rand.NewPCG(seed, 0)))).To(Equal(chosen.want))
+				g.Expect(selectFrom(tc.candidates, tc.targetLatency, rand.New(rand.NewPCG(seed, 0)))).To(Equal(tc.want))
 			}
 		})
 	}
 }
 
-// drawFrom draws from candidates in any order and returns the place of the chosen
-// one in it.
-func drawFrom(candidates []choice.Candidate, aim time.Duration, random *rand.Rand) int {
-	return chosenFrom(choice.Draw, candidates, aim, random)
+// selectFrom runs Select on candidates in any order and returns the position of the selected one.
+func selectFrom(candidates []choice.Candidate, targetLatency time.Duration, random *rand.Rand) int {
+	return selectWith(choice.Select, candidates, targetLatency, random)
 }
 
-// drawFunc is Draw or DrawBalanced.
-type drawFunc func(choice.Pool, time.Duration, func(int) int, choice.Weights) (int, choice.Candidate)
+// selectFunc is Select or SelectBalanced.
+type selectFunc func(choice.Pool, time.Duration, func(int) int, choice.Weights) (int, choice.Candidate)
 
-// chosenFrom is drawFrom with another choice.
-func chosenFrom(draw drawFunc, candidates []choice.Candidate, aim time.Duration, random *rand.Rand) int {
+// selectWith is selectFrom with the given selection function.
+func selectWith(selectBackend selectFunc, candidates []choice.Candidate, targetLatency time.Duration, random *rand.Rand) int {
 	var places []int
 	near := 0
 	for place, candidate := range candidates {
@@ -95,21 +94,21 @@
 			places = append(places, place)
 		}
 	}
-	pool := choice.Pool{Near: near, Far: len(candidates) - near, Describe: func(index int) choice.Candidate {
+	pool := choice.Pool{Local: near, Remote: len(candidates) - near, Describe: func(index int) choice.Candidate {
 		return candidates[places[index]]
 	}}
-	index, _ := draw(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := selectBackend(pool, targetLatency, random.IntN, choice.DefaultWeights())
 	if index < 0 {
 		return index
 	}
 	return places[index]
 }
 
-// TestDrawLooksOn: one usable back end among many is found, wherever it is, and a
-// good one among slow ones nearly always.
-func TestDrawLooksOn(t *testing.T) {
+// TestSelectSamplesAgain checks that the only usable back end among many is found at any position,
+// and that a good one among slow ones is found nearly always.
+func TestSelectSamplesAgain(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	good := choice.Candidate{SameZone: true, Slots: 8, Work: 80 * ms, Held: 80 * ms}
+	good := choice.Candidate{SameZone: true, Slots: 8, ServiceTime: 80 * ms, HoldTime: 80 * ms}
 	pool := func(count, place int, other func(*choice.Candidate)) []choice.Candidate {
 		candidates := make([]choice.Candidate, count)
 		for i := range candidates {
@@ -121,15 +120,15 @@
 		return candidates
 	}
 	for name, unusable := range map[string]func(*choice.Candidate){
-		"avoided": func(c *choice.Candidate) { c.Avoid = true },
-		"leaving": func(c *choice.Candidate) { c.Leaving = true },
-		"silent":  func(c *choice.Candidate) { c.Silent = true },
+		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
+		"leaving": func(c *choice.Candidate) { c.Draining = true },
+		"silent":  func(c *choice.Candidate) { c.Unresponsive = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for place := range 40 {
-				g.Expect(drawFrom(pool(40, place, unusable), 300*ms, random)).To(Equal(place))
+				g.Expect(selectFrom(pool(40, place, unusable), 300*ms, random)).To(Equal(place))
 			}
 		})
 	}
@@ -138,12 +137,12 @@
 		candidates := pool(20, -1, func(*choice.Candidate) {})
 		for i := range candidates {
 			if i%5 < 2 {
-				candidates[i].Work *= 12
+				candidates[i].ServiceTime *= 12
 			}
 		}
 		slow := 0
 		for range 1000 {
-			if drawFrom(candidates, 300*ms, random)%5 < 2 {
+			if selectFrom(candidates, 300*ms, random)%5 < 2 {
 				slow++
 			}
 		}
@@ -151,36 +150,37 @@
 	})
 }
 
-// TestDrawBalanced: where requests compete for room they go where least is there for each slot and
-// work is shortest, and leave the zone once that is worth its price.
-func TestDrawBalanced(t *testing.T) {
-	near := choice.Candidate{SameZone: true, Slots: 8, Busy: 4, Work: 80 * ms, Held: 80 * ms}
-	far := choice.Candidate{Slots: 8, Busy: 4, Work: 80 * ms, Held: 80 * ms, RoundTrip: 2 * ms}
+// TestSelectBalanced checks that, while requests compete for capacity, the back end with the fewest
+// requests per slot and the shortest service time is selected, and that another zone is used once
+// the gain exceeds the penalty.
+func TestSelectBalanced(t *testing.T) {
+	near := choice.Candidate{SameZone: true, Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, HoldTime: 80 * ms}
+	far := choice.Candidate{Slots: 8, Outstanding: 4, ServiceTime: 80 * ms, HoldTime: 80 * ms, RoundTrip: 2 * ms}
 	with := func(from choice.Candidate, change func(*choice.Candidate)) choice.Candidate {
 		change(&from)
 		return from
 	}
 	busy := func(from choice.Candidate, count float64) choice.Candidate {
-		return with(from, func(c *choice.Candidate) { c.Busy = count })
+		return with(from, func(c *choice.Candidate) { c.Outstanding = count })
 	}
 	slow := func(from choice.Candidate, times time.Duration) choice.Candidate {
-		return with(from, func(c *choice.Candidate) { c.Work *= times })
+		return with(from, func(c *choice.Candidate) { c.ServiceTime *= times })
 	}
 	cases := []struct {
-		name       string
-		candidates []choice.Candidate
-		aim        time.Duration
-		want       int
+		name          string
+		candidates    []choice.Candidate
+		targetLatency time.Duration
+		want          int
 	}{
 		{"none", nil, 300 * ms, -1},
 		{"the zone", []choice.Candidate{far, near}, 300 * ms, 1},
-		{"the zone, although more is there", []choice.Candidate{far, busy(near, 7)}, 300 * ms, 1},
+		{"the zone, although it has more requests", []choice.Candidate{far, busy(near, 7)}, 300 * ms, 1},
 		{"another zone when this one's queues are long", []choice.Candidate{far, busy(near, 24)}, 300 * ms, 0},
 		{"the zone when queues are as long elsewhere", []choice.Candidate{busy(far, 24), busy(near, 24)}, 300 * ms, 1},
-		{"less there", []choice.Candidate{near, busy(near, 2)}, 300 * ms, 1},
-		{"less there, though both are far beyond the target", []choice.Candidate{busy(near, 200), busy(near, 150)}, 300 * ms, 1},
+		{"fewer requests", []choice.Candidate{near, busy(near, 2)}, 300 * ms, 1},
+		{"fewer requests, though both are far beyond the target", []choice.Candidate{busy(near, 200), busy(near, 150)}, 300 * ms, 1},
 		{"the faster one", []choice.Candidate{slow(near, 2), near}, 300 * ms, 1},
-		{"the faster one for as much there, by slot", []choice.Candidate{
+		{"the one with more slots for as many requests", []choice.Candidate{
 			with(near, func(c *choice.Candidate) { c.Slots = 4 }), near,
 		}, 300 * ms, 1},
 		{"another zone when an idle one alone would be late", []choice.Candidate{busy(slow(near, 12), 0), far}, 300 * ms, 1},
@@ -191,83 +191,83 @@
 			with(far, func(c *choice.Candidate) { c.OtherRegion = true }), busy(far, 40),
 		}, 300 * ms, 0},
 		{"not the one at which many fail", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Failing = 0.4 }), busy(near, 9),
+			with(near, func(c *choice.Candidate) { c.FailureRate = 0.4 }), busy(near, 9),
 		}, 300 * ms, 1},
-		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.Avoid = true })}, 300 * ms, 0},
-		{"one that failed before one that leaves", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Leaving = true }), with(far, func(c *choice.Candidate) { c.Avoid = true }),
+		{"not the one that failed", []choice.Candidate{far, with(near, func(c *choice.Candidate) { c.RecentlyFailed = true })}, 300 * ms, 0},
+		{"one that failed before a draining one", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Draining = true }), with(far, func(c *choice.Candidate) { c.RecentlyFailed = true }),
 		}, 300 * ms, 1},
-		{"a silent one before one that was tried", []choice.Candidate{
-			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Silent = true }),
+		{"an unresponsive one before one that was tried", []choice.Candidate{
+			with(near, func(c *choice.Candidate) { c.Tried = true }), with(far, func(c *choice.Candidate) { c.Unresponsive = true }),
 		}, 300 * ms, 1},
 		{"a route without a target", []choice.Candidate{busy(near, 7), near}, 0, 1},
-		{"a back end that tells no slots", []choice.Candidate{with(near, func(c *choice.Candidate) { c.Slots = 0 }), near}, 300 * ms, 1},
+		{"a back end that reports no slots", []choice.Candidate{with(near, func(c *choice.Candidate) { c.Slots = 0 }), near}, 300 * ms, 1},
 	}
 	random := rand.New(rand.NewPCG(3, 4))
-	for _, drawn := range cases {
-		t.Run(drawn.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			for range 20 {
-				g.Expect(chosenFrom(choice.DrawBalanced, drawn.candidates, drawn.aim, random)).To(Equal(drawn.want))
+				g.Expect(selectWith(choice.SelectBalanced, tc.candidates, tc.targetLatency, random)).To(Equal(tc.want))
 			}
 		})
 	}
 	t.Run("the only usable one of many", func(t *testing.T) {
 		g := NewWithT(t)
 		for place := range 40 {
-			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Leaving = true })}, 40)
+			candidates := slices.Repeat([]choice.Candidate{with(near, func(c *choice.Candidate) { c.Draining = true })}, 40)
 			candidates[place] = near
-			g.Expect(chosenFrom(choice.DrawBalanced, candidates, 300*ms, random)).To(Equal(place))
+			g.Expect(selectWith(choice.SelectBalanced, candidates, 300*ms, random)).To(Equal(place))
 		}
 	})
 }
 
-func TestWorthwhile(t *testing.T) {
+func TestEligibleForRetry(t *testing.T) {
 	g := NewWithT(t)
-	for _, left := range []choice.Candidate{{Tried: true}, {Leaving: true}, {Silent: true}} {
-		g.Expect(left.Worthwhile()).To(BeFalse())
+	for _, left := range []choice.Candidate{{Tried: true}, {Draining: true}, {Unresponsive: true}} {
+		g.Expect(left.EligibleForRetry()).To(BeFalse())
 	}
-	g.Expect(choice.Candidate{Avoid: true}.Worthwhile()).To(BeTrue())
+	g.Expect(choice.Candidate{RecentlyFailed: true}.EligibleForRetry()).To(BeTrue())
 }
 
-// TestEqualsShare: equal back ends get equal shares.
-func TestEqualsShare(t *testing.T) {
+// TestEqualCandidates checks that equal back ends get equal shares of the requests.
+func TestEqualCandidates(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	equal := choice.Candidate{SameZone: true, Slots: 4}
 	same := []choice.Candidate{equal, equal, equal, equal, equal}
 	taken := make([]int, len(same))
-	const draws = 5000
-	for range draws {
-		taken[drawFrom(same, time.Second, random)]++
+	const selections = 5000
+	for range selections {
+		taken[selectFrom(same, time.Second, random)]++
 	}
 	for _, count := range taken {
-		g.Expect(count).To(BeNumerically("~", draws/len(same), 100))
+		g.Expect(count).To(BeNumerically("~", selections/len(same), 100))
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestMaximumWait(t *testing.T) {
 	cases := []struct {
 		name    string
 		request choice.Request
 		wait    time.Duration
 	}{
-		{"no target latency", choice.Request{Remaining: time.Second, CallerTime: time.Second}, 500 * ms},
-		{"time to spare", choice.Request{Aim: 600 * ms, Remaining: 4 * time.Second, CallerTime: 4 * time.Second, Expected: 200 * ms}, 300 * ms},
-		{"part of it gone", choice.Request{Aim: 600 * ms, Remaining: 4 * time.Second, CallerTime: 4 * time.Second, Expected: 200 * ms, Elapsed: 100 * ms}, 200 * ms},
-		{"time to come back, but not within the route's time-out", choice.Request{Aim: 400 * ms, Remaining: 1190 * ms, CallerTime: 2500 * ms, Expected: 100 * ms}, 250 * ms},
-		{"hardly in time", choice.Request{Aim: 400 * ms, Remaining: 4 * time.Second, CallerTime: 4 * time.Second, Expected: 390 * ms}, 100 * ms},
-		{"came back", choice.Request{Aim: 600 * ms, Remaining: 4 * time.Second, CallerTime: 4 * time.Second, Expected: 200 * ms, Returning: true}, 300 * ms},
-		{"no time to come back", choice.Request{Aim: 100 * ms, Remaining: 250 * ms, CallerTime: 250 * ms, Expected: 20 * ms}, 125 * ms},
-		{"no time to come back, slow back end", choice.Request{Aim: 200 * ms, Remaining: 590 * ms, CallerTime: 590 * ms, Expected: 400 * ms}, 190 * ms},
-		{"no time to come back, too slow a back end", choice.Request{Aim: 200 * ms, Remaining: 590 * ms, CallerTime: 590 * ms, Expected: 580 * ms}, 50 * ms},
-		{"came back, no time to do so again", choice.Request{Aim: 200 * ms, Remaining: 400 * ms, CallerTime: 400 * ms, Expected: 100 * ms, Returning: true}, 200 * ms},
-		{"hardly any time at all", choice.Request{Aim: 100 * ms, Remaining: 40 * ms, CallerTime: 40 * ms, Expected: 20 * ms}, 20 * ms},
-	}
-	for _, asked := range cases {
-		t.Run(asked.name, func(t *testing.T) {
+		{"no target latency", choice.Request{Remaining: time.Second, CallerRemaining: time.Second}, 500 * ms},
+		{"time to spare", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms}, 300 * ms},
+		{"part of it gone", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms, Elapsed: 100 * ms}, 200 * ms},
+		{"time to retry, but not within the route's timeout", choice.Request{LatencyTarget: 400 * ms, Remaining: 1190 * ms, CallerRemaining: 2500 * ms, ExpectedServiceTime: 100 * ms}, 250 * ms},
+		{"hardly in time", choice.Request{LatencyTarget: 400 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 390 * ms}, 100 * ms},
+		{"a retry", choice.Request{LatencyTarget: 600 * ms, Remaining: 4 * time.Second, CallerRemaining: 4 * time.Second, ExpectedServiceTime: 200 * ms, Returning: true}, 300 * ms},
+		{"no time to retry", choice.Request{LatencyTarget: 100 * ms, Remaining: 250 * ms, CallerRemaining: 250 * ms, ExpectedServiceTime: 20 * ms}, 125 * ms},
+		{"no time to retry, slow back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, ExpectedServiceTime: 400 * ms}, 190 * ms},
+		{"no time to retry, too slow a back end", choice.Request{LatencyTarget: 200 * ms, Remaining: 590 * ms, CallerRemaining: 590 * ms, ExpectedServiceTime: 580 * ms}, 50 * ms},
+		{"a retry, no time for another", choice.Request{LatencyTarget: 200 * ms, Remaining: 400 * ms, CallerRemaining: 400 * ms, ExpectedServiceTime: 100 * ms, Returning: true}, 200 * ms},
+		{"hardly any time at all", choice.Request{LatencyTarget: 100 * ms, Remaining: 40 * ms, CallerRemaining: 40 * ms, ExpectedServiceTime: 20 * ms}, 20 * ms},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(choice.Patience(asked.request)).To(Equal(asked.wait))
+			g.Expect(choice.MaximumWait(tc.request)).To(Equal(tc.wait))
 		})
 	}
 }
@@ -277,23 +277,23 @@
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	g.Expect(pace.Factor(now)).To(Equal(1.0))
 	pace.Observe(time.Hour, 0)
-	g.Expect(pace.Factor(now)).To(Equal(1.0), "nothing was expected")
+	g.Expect(pace.Factor(now)).To(Equal(1.0), "no expected service time")
 	for range 200 {
 		pace.Observe(50*ms, 100*ms)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 0.5, 0.01))
 	pace.Observe(time.Hour, 100*ms)
-	g.Expect(pace.Factor(now)).To(BeNumerically("<", 1.0), "one request alone says little")
-	g.Expect(choice.Faded(5, 0, 0)).To(Equal(5.0))
-	g.Expect(choice.Faded(5, 3*time.Second, time.Second)).To(BeNumerically("~", 3, 0.001))
-	g.Expect(choice.Faded(5, time.Hour, time.Second)).To(BeNumerically("~", 1, 0.001))
-	g.Expect(choice.Faded(0, 0, 0)).To(Equal(1.0))
-	g.Expect(choice.Faded(1e12, 0, 0)).To(Equal(24.0), "whatever is told")
-	g.Expect(choice.Faded(5, 8*time.Second, 8*time.Second)).To(BeNumerically("~", 3, 0.001), "heard rarely")
+	g.Expect(pace.Factor(now)).To(BeNumerically("<", 1.0), "a single request has little weight")
+	g.Expect(choice.DecayedPace(5, 0, 0)).To(Equal(5.0))
+	g.Expect(choice.DecayedPace(5, 3*time.Second, time.Second)).To(BeNumerically("~", 3, 0.001))
+	g.Expect(choice.DecayedPace(5, time.Hour, time.Second)).To(BeNumerically("~", 1, 0.001))
+	g.Expect(choice.DecayedPace(0, 0, 0)).To(Equal(1.0))
+	g.Expect(choice.DecayedPace(1e12, 0, 0)).To(Equal(24.0), "reports are bounded")
+	g.Expect(choice.DecayedPace(5, 8*time.Second, 8*time.Second)).To(BeNumerically("~", 3, 0.001), "rarely refreshed")
 }
 
-// TestPaceOfRunningRequests: that a back end became slow shows before it ends the
-// first request, and a few that hang do not make it slow.
+// TestPaceOfRunningRequests checks that a slowdown is visible before the first slow request
+// completes, and that a single hanging request does not make the back end slow.
 func TestPaceOfRunningRequests(t *testing.T) {
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
@@ -311,110 +311,111 @@
 	for _, run := range runs[1:] {
 		pace.End(run)
 	}
-	g.Expect(pace.Factor(now.Add(500*ms))).To(BeNumerically("<", 1.2), "one that hangs")
+	g.Expect(pace.Factor(now.Add(500*ms))).To(BeNumerically("<", 1.2), "a single hanging request")
 	pace.End(runs[0])
 	g.Expect(pace.Factor(now.Add(500 * ms))).To(BeNumerically("~", 1, 0.01))
 }
 
-// TestToldPace: what a back end tells of its machine counts at once, and is no part of what is
-// learned beside it; an old word is worth its average, a very old one nothing.
-func TestToldPace(t *testing.T) {
+// TestReportedPace checks that a reported factor takes effect at once and is not learned as well.
+// An old report counts as the mean of the reports, a very old one not at all.
+func TestReportedPace(t *testing.T) {
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
-	answer := func(worked time.Duration, told float64) {
+	answer := func(worked time.Duration, reported float64) {
 		now = now.Add(40 * ms)
-		pace.Tell(told, now)
-		pace.ObserveTold(worked, 100*ms, told, now)
+		pace.SetReported(reported, now)
+		pace.ObserveReported(worked, 100*ms, reported, now)
 	}
 	for range 400 {
 		answer(80*ms, 0.8)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 0.8, 0.01))
 	answer(200*ms, 2)
-	g.Expect(pace.Factor(now)).To(BeNumerically("~", 2, 0.02), "told just now")
-	g.Expect(pace.Factor(now.Add(300*ms))).To(BeNumerically("~", 1.4, 0.02), "half way to the average")
-	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 0.8, 0.02), "the average")
-	told, age := pace.Told(now.Add(time.Second))
-	g.Expect(told).To(Equal(2.0))
+	g.Expect(pace.Factor(now)).To(BeNumerically("~", 2, 0.02), "current report")
+	g.Expect(pace.Factor(now.Add(300*ms))).To(BeNumerically("~", 1.4, 0.02), "half way to the mean")
+	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 0.8, 0.02), "the mean")
+	reported, age := pace.Reported(now.Add(time.Second))
+	g.Expect(reported).To(Equal(2.0))
 	g.Expect(age).To(Equal(time.Second))
 	g.Expect(pace.Factor(now.Add(time.Minute))).To(BeNumerically("~", 1, 0.02), "too old")
-	told, _ = pace.Told(now.Add(time.Minute))
-	g.Expect(told).To(BeZero())
+	reported, _ = pace.Reported(now.Add(time.Minute))
+	g.Expect(reported).To(BeZero())
 }
 
-// TestToldPaceOfALiar: what a back end tells falsely all the time, work corrects.
-func TestToldPaceOfALiar(t *testing.T) {
+// TestWrongReportedPace checks that observed service times correct a factor that is always reported
+// wrongly.
+func TestWrongReportedPace(t *testing.T) {
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	for range 400 {
-		pace.Tell(0.5, now)
-		pace.ObserveTold(150*ms, 100*ms, 0.5, now)
+		pace.SetReported(0.5, now)
+		pace.ObserveReported(150*ms, 100*ms, 0.5, now)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically("~", 1.5, 0.02))
-	pace.Tell(1e9, now)
-	g.Expect(pace.Factor(now)).To(BeNumerically("<=", 24), "whatever is told")
-	pace.Tell(0, now)
-	g.Expect(pace.Factor(now)).To(BeNumerically("~", 3, 0.02), "it tells no more")
+	pace.SetReported(1e9, now)
+	g.Expect(pace.Factor(now)).To(BeNumerically("<=", 24), "reports are bounded")
+	pace.SetReported(0, now)
+	g.Expect(pace.Factor(now)).To(BeNumerically("~", 3, 0.02), "the report was cleared")
 }
 
-// TestPaceThatIsToldNoMore: after its last report, of a short busy time, a back end tells nothing
-// and works as before. What is learned does not take the old report for a present one.
-func TestPaceThatIsToldNoMore(t *testing.T) {
+// TestReportedPaceStops covers a back end whose reports end with one from a short load peak while
+// its service time stays normal. The learned factor must not treat the old report as current.
+func TestReportedPaceStops(t *testing.T) {
 	g := NewWithT(t)
 	pace, now := &choice.Pace{}, time.Unix(100, 0)
 	for range 200 {
 		now = now.Add(40 * ms)
-		pace.Tell(1, now)
-		pace.ObserveTold(100*ms, 100*ms, 1, now)
+		pace.SetReported(1, now)
+		pace.ObserveReported(100*ms, 100*ms, 1, now)
 	}
-	pace.Tell(4, now)
+	pace.SetReported(4, now)
 	for range 2000 {
 		now = now.Add(40 * ms)
-		pace.ObserveTold(100*ms, 100*ms, 0, now)
+		pace.ObserveReported(100*ms, 100*ms, 0, now)
 		if now.Sub(time.Unix(100, 0)) > 12*time.Second {
 			g.Expect(pace.Factor(now)).To(BeNumerically("~", 1, 0.1))
 		}
 	}
-	pace.Tell(3, now)
-	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 3, 0.1), "what is older than half a minute is no part of the average")
-	pace.Tell(1e-9, now)
+	pace.SetReported(3, now)
+	g.Expect(pace.Factor(now.Add(5*time.Second))).To(BeNumerically("~", 3, 0.1), "reports older than half a minute do not count in the mean")
+	pace.SetReported(1e-9, now)
 	for range 100 {
-		pace.ObserveTold(time.Nanosecond, 100*ms, 1e-9, now)
+		pace.ObserveReported(time.Nanosecond, 100*ms, 1e-9, now)
 	}
 	g.Expect(pace.Factor(now)).To(BeNumerically(">=", 0.1), "bounded below")
 }
 
-// TestBalancedCostKeepsTheRank: however full and slow an ordinary back end is, it comes before one
-// that is to be chosen only when nothing else is left.
+// TestBalancedCostKeepsTheRank checks that an ordinary back end, however loaded and slow, costs
+// less than one that is only a last resort.
 func TestBalancedCostKeepsTheRank(t *testing.T) {
 	weights := choice.DefaultWeights()
-	idle := choice.Candidate{SameZone: true, Slots: 6, Work: 100 * ms}
+	idle := choice.Candidate{SameZone: true, Slots: 6, ServiceTime: 100 * ms}
 	for name, last := range map[string]func(*choice.Candidate){
-		"avoided": func(c *choice.Candidate) { c.Avoid = true },
-		"leaving": func(c *choice.Candidate) { c.Leaving = true },
-		"silent":  func(c *choice.Candidate) { c.Silent = true },
+		"avoided": func(c *choice.Candidate) { c.RecentlyFailed = true },
+		"leaving": func(c *choice.Candidate) { c.Draining = true },
+		"silent":  func(c *choice.Candidate) { c.Unresponsive = true },
 		"tried":   func(c *choice.Candidate) { c.Tried = true },
 	} {
 		resort := idle
 		last(&resort)
 		for _, ordinary := range []choice.Candidate{
-			{Slots: 1, Busy: 40, Work: 100 * ms},
-			{Slots: 6, Busy: 240, Work: 2400 * ms},
-			{Slots: 6, Work: 100 * ms, RoundTrip: 16 * time.Second},
-			{Slots: 1, Busy: 1e9, Work: time.Hour, RoundTrip: time.Hour, OtherRegion: true, Failing: 1},
+			{Slots: 1, Outstanding: 40, ServiceTime: 100 * ms},
+			{Slots: 6, Outstanding: 240, ServiceTime: 2400 * ms},
+			{Slots: 6, ServiceTime: 100 * ms, RoundTrip: 16 * time.Second},
+			{Slots: 1, Outstanding: 1e9, ServiceTime: time.Hour, RoundTrip: time.Hour, OtherRegion: true, FailureRate: 1},
 		} {
 			g := NewWithT(t)
 			g.Expect(choice.BalancedCost(ordinary, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(resort, 300*ms, weights)), name)
 		}
 	}
-	longer := choice.Candidate{Slots: 6, Busy: 49, Work: 2400 * ms}
-	shorter := choice.Candidate{Slots: 6, Busy: 48, Work: 2400 * ms}
+	longer := choice.Candidate{Slots: 6, Outstanding: 49, ServiceTime: 2400 * ms}
+	shorter := choice.Candidate{Slots: 6, Outstanding: 48, ServiceTime: 2400 * ms}
 	NewWithT(t).Expect(choice.BalancedCost(shorter, 300*ms, weights)).To(BeNumerically("<", choice.BalancedCost(longer, 300*ms, weights)))
 }
 
-func TestWork(t *testing.T) {
+func TestServiceTime(t *testing.T) {
 	g := NewWithT(t)
-	work := &choice.Work{}
+	work := &choice.ServiceTime{}
 	g.Expect(work.Mean(70 * ms)).To(Equal(70 * ms))
 	work.Observe(20 * ms)
 	work.Observe(40 * ms)
@@ -424,26 +425,26 @@
 func TestFailures(t *testing.T) {
 	g := NewWithT(t)
 	failures := &choice.Failures{}
-	g.Expect(failures.Share()).To(BeZero())
+	g.Expect(failures.Rate()).To(BeZero())
 	for i := range 200 {
 		failures.Observe(i%2 == 0)
 	}
-	g.Expect(failures.Share()).To(BeNumerically("~", 0.5, 0.05))
+	g.Expect(failures.Rate()).To(BeNumerically("~", 0.5, 0.05))
 	for range 200 {
 		failures.Observe(false)
 	}
-	g.Expect(failures.Share()).To(BeNumerically("<", 0.01))
-	g.Expect(choice.FadedShare(1e12, 0, 0)).To(Equal(1.0), "whatever is told")
-	g.Expect(choice.FadedShare(0.4, 3*time.Second, 0)).To(BeNumerically("~", 0.2, 0.001))
+	g.Expect(failures.Rate()).To(BeNumerically("<", 0.01))
+	g.Expect(choice.DecayedFailureRate(1e12, 0, 0)).To(Equal(1.0), "reports are bounded")
+	g.Expect(choice.DecayedFailureRate(0.4, 3*time.Second, 0)).To(BeNumerically("~", 0.2, 0.001))
 }
 
-// TestBriefSends: the first sends wait a part of the time only, and never the last one that
-// is left.
-func TestBriefSends(t *testing.T) {
+// TestShortWaits checks that the first sends wait only a part of the permitted time, but never the
+// last remaining one.
+func TestShortWaits(t *testing.T) {
 	cases := []struct {
 		name              string
 		sends, candidates int
-		brief             bool
+		short             bool
 	}{
 		{"the first of many", 0, 22, true},
 		{"the second", 1, 22, true},
@@ -452,18 +453,18 @@
 		{"the second of three", 1, 3, false},
 		{"the first of two", 0, 2, false},
 		{"the only one", 0, 1, false},
-		{"nothing is known", 0, 0, false},
+		{"no known candidates", 0, 0, false},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			request := choice.Request{
-				Aim: 600 * ms, Remaining: 4000 * ms, CallerTime: 4000 * ms, Expected: 200 * ms,
+				LatencyTarget: 600 * ms, Remaining: 4000 * ms, CallerRemaining: 4000 * ms, ExpectedServiceTime: 200 * ms,
 			}
-			whole := choice.Patience(request)
-			request.Sends, request.Candidates = met.sends, met.candidates
-			wait := choice.Patience(request)
-			if met.brief {
+			whole := choice.MaximumWait(request)
+			request.Sends, request.Candidates = tc.sends, tc.candidates
+			wait := choice.MaximumWait(request)
+			if tc.short {
 				g.Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<", whole/2)))
 			} else {
 				g.Expect(wait).To(Equal(whole))
--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -175,10 +175,10 @@
 	}
 	a.call.observeShare(response.Header)
 	a.observeNotices(response.Header, now)
-	a.worked, a.version = reply.Worked, reply.Version
+	a.worked, a.version = reply.ServiceTime, reply.Version
 	a.hasFreeSlots = reply.Running+reply.Waiting < reply.Slots
-	if reply.Worked > 0 && response.StatusCode < http.StatusMultipleChoices && !a.canary {
-		a.call.work().Observe(reply.Worked)
+	if reply.ServiceTime > 0 && response.StatusCode < http.StatusMultipleChoices && !a.canary {
+		a.call.work().Observe(reply.ServiceTime)
 	}
 	if reply.Version > a.call.table.Version() {
 		a.call.handler.options.Observer.Behind(a.target.node, reply.Version)
@@ -189,7 +189,7 @@
 // observeProof records the age of the peer's proof that it holds the newest configuration. The time
 // since the request was sent counts against it.
 func (a *attempt) observeProof(header http.Header, version uint64) {
-	if age, valid := hop.Milliseconds(header.Get(hop.HeaderProof)); valid {
+	if age, valid := hop.ParseMilliseconds(header.Get(hop.HeaderProof)); valid {
 		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
 	}
 }
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -49,7 +49,7 @@
 	started time.Time
 
 	table *route.Table
-	route *route.Matched
+	route *route.CompiledRoute
 	// tenant is the tenant that the caller's API key belongs to; nil without one.
 	tenant *route.Tenant
 	// tokens are the request's tokens of its tenant's rate limit, one for each run that it may
@@ -166,7 +166,7 @@
 		limit = c.route.Timeout
 	}
 	text := c.request.Header.Get(c.handler.options.Vocabulary.Deadline)
-	if asked, valid := hop.Milliseconds(text); valid {
+	if asked, valid := hop.ParseMilliseconds(text); valid {
 		c.returning = c.handler.callerTimeout(c.route.Name).isReturning(asked)
 		limit = min(limit, asked)
 		c.callerTime = asked
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -18,19 +18,19 @@
 func (c *call) choose() (*attempt, *outcome.Failure) {
 	candidateSet := c.candidateSet(clock.Now(), c.selection())
 	index, seen := candidateSet.draw()
-	if plan := c.handler.plan(c.service); seen.Closed && plan != nil && !plan.Moves() {
+	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Moves() {
 		// The canary back ends have no capacity. That is no reason to refuse the request: fall back
 		// to the versions in use.
 		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
 		index, seen = candidateSet.draw()
 	}
 	if candidateSet.limitExceeded {
-		c.handler.options.Observer.Diverted(c.service, index >= 0 && !seen.Closed)
+		c.handler.options.Observer.Diverted(c.service, index >= 0 && !seen.Excluded)
 	}
 	switch {
 	case index < 0:
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, defaultRetryAfter, errNoEndpoint)
-	case seen.Closed:
+	case seen.Excluded:
 		return nil, candidateSet.closedFailure()
 	}
 	record := candidateSet.records[index]
@@ -66,9 +66,9 @@
 
 // draw returns the index of the chosen back end and its description.
 func (s *candidateSet) draw() (index int, seen choice.Candidate) {
-	draw := choice.Draw
+	draw := choice.Select
 	if s.contention {
-		draw = choice.DrawBalanced
+		draw = choice.SelectBalanced
 	}
 	return draw(s.pool(), s.call.route.TargetLatency, rand.IntN, s.call.handler.options.Weights)
 }
@@ -108,7 +108,7 @@
 	described := peer.candidate(record, s.origin, s.expectedWork, s.now)
 	if s.contention {
 		described.RoundTrip += s.call.transferTime(record)
-		described.Busy += s.call.handler.zoneLoads.others(record, s.now) * peer.unreportedWeight(record, s.now)
+		described.Outstanding += s.call.handler.zoneLoads.others(record, s.now) * peer.unreportedWeight(record, s.now)
 	}
 	s.applyNotices(&described, peer, record)
 	described.Tried = s.call.attempted(peer)
@@ -135,13 +135,13 @@
 
 // pool returns the candidates for the choice.
 func (s *candidateSet) pool() choice.Pool {
-	return choice.Pool{Near: s.subset.near, Far: len(s.records) - s.subset.near, Describe: s.describe}
+	return choice.Pool{Local: s.subset.near, Remote: len(s.records) - s.subset.near, Describe: s.describe}
 }
 
 // hasAlternative reports whether another back end is left for a request that was refused.
 func (s *candidateSet) hasAlternative() bool {
 	for index := range s.records {
-		if s.describe(index).Worthwhile() {
+		if s.describe(index).EligibleForRetry() {
 			return true
 		}
 	}
@@ -152,13 +152,13 @@
 const maxTransferTime = 10 * time.Second
 
 // work returns the estimate of the processing time of the route's requests.
-func (c *call) work() *choice.Work {
+func (c *call) work() *choice.ServiceTime {
 	key := c.route.Name
 	if value, found := c.handler.work.Load(key); found {
-		return value.(*choice.Work)
+		return value.(*choice.ServiceTime)
 	}
-	value, _ := c.handler.work.LoadOrStore(key, &choice.Work{})
-	return value.(*choice.Work)
+	value, _ := c.handler.work.LoadOrStore(key, &choice.ServiceTime{})
+	return value.(*choice.ServiceTime)
 }
 
 // assumedWork is the estimate of a route's processing time before anything was measured.
--- a/internal/sidecar/egress/comeback_test.go
+++ b/internal/sidecar/egress/comeback_test.go
@@ -39,11 +39,11 @@
 			}
 			made := &call{
 				handler: newHandler(t, &fakeObserver{}, probeOK), request: request, started: time.Now(),
-				route: &route.Matched{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: test.timeout}},
+				route: &route.CompiledRoute{Route: route.Route{Name: "safe", TargetLatency: aim, Timeout: test.timeout}},
 			}
 			g.Expect(made.setDeadline()).To(BeNil())
 			choiceRequest := made.choiceRequest(time.Until(made.deadline), aim/4)
-			g.Expect(choiceRequest.Hurried()).To(Equal(test.hurried))
+			g.Expect(choiceRequest.LacksRetryTime()).To(Equal(test.hurried))
 		})
 	}
 }
@@ -78,14 +78,14 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			made := &call{request: &http.Request{ContentLength: body.length}}
-			request := choice.Request{Aim: time.Second, Remaining: 6 * time.Second, CallerTime: 6 * time.Second, Expected: 250 * time.Millisecond}
+			request := choice.Request{LatencyTarget: time.Second, Remaining: 6 * time.Second, CallerRemaining: 6 * time.Second, ExpectedServiceTime: 250 * time.Millisecond}
 			wait := made.maxAttemptWait(request, &attempt{candidates: 22})
 			if body.large {
-				g.Expect(wait).To(Equal(choice.Patience(request)))
+				g.Expect(wait).To(Equal(choice.MaximumWait(request)))
 				g.Expect(made.refusalLimit()).To(Equal(maxLargeBodyRefusals))
 				return
 			}
-			g.Expect(wait).To(BeNumerically("<", choice.Patience(request)/2))
+			g.Expect(wait).To(BeNumerically("<", choice.MaximumWait(request)/2))
 			g.Expect(made.refusalLimit()).To(Equal(maxRefusals))
 		})
 	}
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -275,7 +275,7 @@
 }
 
 // match returns the route of a request; nil without a table or a route.
-func match(table *route.Table, r *http.Request) *route.Matched {
+func match(table *route.Table, r *http.Request) *route.CompiledRoute {
 	if table == nil {
 		return nil
 	}
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -122,16 +122,16 @@
 // has no capacity in time or it has left.
 func (s *candidateSet) applyNotices(described *choice.Candidate, peer *target, record *roster.Record) {
 	if age, leaves := peer.leavingFor(record, s.now); leaves {
-		described.Leaving = true
-		described.Closed = age >= s.call.handler.options.DrainAfter()
+		described.Draining = true
+		described.Excluded = age >= s.call.handler.options.DrainAfter()
 	}
 	limit := peer.limitOf(record)
 	if limit == nil {
 		return
 	}
 	described.Wait = limit.Wait(s.call.class(), s.now)
-	if described.Wait > 0 && described.Wait > s.nextMaxWait(described.Work) {
-		described.Closed = true
+	if described.Wait > 0 && described.Wait > s.nextMaxWait(described.ServiceTime) {
+		described.Excluded = true
 		s.limitExceeded = true
 	}
 }
--- a/internal/sidecar/egress/silence.go
+++ b/internal/sidecar/egress/silence.go
@@ -57,7 +57,7 @@
 func (h *Handler) register(a *attempt) *pending {
 	record, peer := a.record, a.target
 	entry := &pending{attempt: a}
-	probeDelay := max(time.Duration(float64(a.seen.Work)*probeDelayFactor), minProbeDelay)
+	probeDelay := max(time.Duration(float64(a.seen.ServiceTime)*probeDelayFactor), minProbeDelay)
 	sent := clock.Now()
 	waiting := &peer.outstanding
 	waiting.mutex.Lock()
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -73,7 +73,7 @@
 		if before != nil && before.matches(record) {
 			next.others = before.others
 		}
-		next.others = next.others.After(others, record.Endpoint.Slots, load.Held, now)
+		next.others = next.others.After(others, record.Endpoint.Slots, load.HoldTime, now)
 		if t.report.CompareAndSwap(before, next) {
 			return others
 		}
@@ -127,13 +127,13 @@
 func (t *target) candidate(record *roster.Record, origin location, expectedWork time.Duration, now time.Time) choice.Candidate {
 	described := choice.Candidate{
 		SameZone: record.Zone == origin.zone, OtherRegion: origin.crossesRegion(record.Zone),
-		Busy:    float64(t.inFlight.Load()),
-		Slots:   record.Endpoint.Slots,
-		Work:    expectedWork,
-		Held:    expectedWork,
-		Avoid:   t.avoided(now),
-		Leaving: !record.AcceptsWork(),
-		Silent:  t.silent.Load(),
+		Outstanding:    float64(t.inFlight.Load()),
+		Slots:          record.Endpoint.Slots,
+		ServiceTime:    expectedWork,
+		HoldTime:       expectedWork,
+		RecentlyFailed: t.avoided(now),
+		Draining:       !record.AcceptsWork(),
+		Unresponsive:   t.silent.Load(),
 	}
 	switch {
 	case described.OtherRegion:
@@ -143,10 +143,10 @@
 	}
 	if report := t.report.Load(); report != nil && report.matches(record) {
 		age := now.Sub(report.receivedAt)
-		described.Busy += report.others.Others(now)
-		described.Work = time.Duration(float64(expectedWork) * choice.Faded(report.Factor, age, report.others.HalfLife()))
-		described.Held = report.Held
-		described.Failing = choice.FadedShare(report.Failing, age, report.others.HalfLife())
+		described.Outstanding += report.others.Others(now)
+		described.ServiceTime = time.Duration(float64(expectedWork) * choice.DecayedPace(report.Factor, age, report.others.HalfLife()))
+		described.HoldTime = report.HoldTime
+		described.FailureRate = choice.DecayedFailureRate(report.FailureRate, age, report.others.HalfLife())
 	}
 	return described
 }
--- a/internal/sidecar/egress/target_test.go
+++ b/internal/sidecar/egress/target_test.go
@@ -45,13 +45,13 @@
 	}
 	now := time.Now()
 	peer := &target{}
-	peer.observe(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, Held: time.Second}, record(1, "a"), now)
+	peer.observe(hop.Reply{Running: 3, Waiting: 2, Slots: 4, Factor: 7, HoldTime: time.Second}, record(1, "a"), now)
 	described := func(of *roster.Record) choice.Candidate { return peer.candidate(of, location{}, time.Second, now) }
-	g.Expect(described(record(1, "a")).Busy).To(Equal(5.0))
-	g.Expect(described(record(1, "a")).Work).To(Equal(7 * time.Second))
+	g.Expect(described(record(1, "a")).Outstanding).To(Equal(5.0))
+	g.Expect(described(record(1, "a")).ServiceTime).To(Equal(7 * time.Second))
 	for _, later := range []*roster.Record{record(2, "a"), record(1, "b")} {
-		g.Expect(described(later).Busy).To(BeZero())
-		g.Expect(described(later).Work).To(Equal(time.Second))
+		g.Expect(described(later).Outstanding).To(BeZero())
+		g.Expect(described(later).ServiceTime).To(Equal(time.Second))
 	}
 }
 
@@ -62,7 +62,7 @@
 	now := time.Now()
 	peer := &target{}
 	peer.inFlight.Store(2)
-	peer.observe(hop.Reply{Running: 3, Slots: 4, Factor: 1, Held: time.Second}, record, now)
+	peer.observe(hop.Reply{Running: 3, Slots: 4, Factor: 1, HoldTime: time.Second}, record, now)
 	peer.inFlight.Store(4)
-	g.Expect(peer.candidate(record, location{}, time.Second, now).Busy).To(Equal(5.0))
+	g.Expect(peer.candidate(record, location{}, time.Second, now).Outstanding).To(Equal(5.0))
 }
--- a/internal/sidecar/egress/tenant.go
+++ b/internal/sidecar/egress/tenant.go
@@ -12,8 +12,8 @@
 // identify sets the tenant that the caller's API key belongs to. Open routes serve callers without
 // one; back ends learn the tenant there too if there is one. No key is logged.
 func (c *call) identify() *outcome.Failure {
-	c.tenant = c.table.Holder(c.request.Header.Get(c.handler.options.Vocabulary.APIKey))
-	if c.tenant == nil && c.table.Authenticated(c.route) {
+	c.tenant = c.table.TenantByKey(c.request.Header.Get(c.handler.options.Vocabulary.APIKey))
+	if c.tenant == nil && c.table.RequiresKey(c.route) {
 		return outcome.Refusal(http.StatusUnauthorized, outcome.StepIdentify, 0, errNoTenant)
 	}
 	return nil
--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -85,7 +85,7 @@
 			continue
 		}
 		seen := peer.candidate(record, origin, 0, now)
-		busy += seen.Busy
+		busy += seen.Outstanding
 		slots += seen.Slots
 	}
 	if slots == 0 {
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -240,11 +240,11 @@
 	delete(header, "Expect")
 	c.setTenant(header)
 	remaining := clock.Until(c.deadline)
-	request := c.choiceRequest(remaining, a.seen.Work)
+	request := c.choiceRequest(remaining, a.seen.ServiceTime)
 	metadata := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
-		MaximumWait: c.maxAttemptWait(request, a), Expected: c.work().Mean(c.assumedWork()),
-		Returning: request.Returning && !request.Hurried(),
+		MaximumWait: c.maxAttemptWait(request, a), ExpectedServiceTime: c.work().Mean(c.assumedWork()),
+		Returning: request.Returning && !request.LacksRetryTime(),
 		Suspect:   a.crashed,
 		Nested:    c.nested,
 		OverShare: c.overShare,
@@ -276,7 +276,7 @@
 
 // hasLargeBody reports whether the receiving node reads the body before it has a slot. A body of
 // unknown length waits at this node until there is one.
-func (c *call) hasLargeBody() bool { return c.request.ContentLength > hop.LargeBody }
+func (c *call) hasLargeBody() bool { return c.request.ContentLength > hop.LargeBodyBytes }
 
 // refusalLimit returns how many nodes may refuse the request.
 func (c *call) refusalLimit() int {
@@ -300,17 +300,17 @@
 	if !c.hasLargeBody() {
 		request.Sends, request.Candidates = sends, candidates
 	}
-	return choice.Patience(request)
+	return choice.MaximumWait(request)
 }
 
 // choiceRequest describes the request for the choice.
 func (c *call) choiceRequest(remaining, expected time.Duration) choice.Request {
 	return choice.Request{
-		Aim:        c.route.TargetLatency,
-		Remaining:  remaining,
-		CallerTime: c.callerTime,
-		Elapsed:    clock.Since(c.started),
-		Expected:   expected,
-		Returning:  c.returning,
+		LatencyTarget:       c.route.TargetLatency,
+		Remaining:           remaining,
+		CallerRemaining:     c.callerTime,
+		Elapsed:             clock.Since(c.started),
+		ExpectedServiceTime: expected,
+		Returning:           c.returning,
 	}
 }
--- a/internal/sidecar/egress/visits.go
+++ b/internal/sidecar/egress/visits.go
@@ -28,19 +28,19 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (v *attemptRecord) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("node", v.target.node)
-	encoder.AddFloat64("busy", v.seen.Busy)
+	encoder.AddFloat64("busy", v.seen.Outstanding)
 	encoder.AddInt("slots", v.seen.Slots)
-	encoder.AddDuration("work", v.seen.Work)
+	encoder.AddDuration("work", v.seen.ServiceTime)
 	encoder.AddDuration("reportAge", v.reportAge)
-	if v.seen.Failing >= minLoggedFailing {
-		encoder.AddFloat64("failing", v.seen.Failing)
+	if v.seen.FailureRate >= minLoggedFailing {
+		encoder.AddFloat64("failing", v.seen.FailureRate)
 	}
 	if v.seen.Wait > 0 {
 		encoder.AddDuration("limitWait", v.seen.Wait)
 	}
-	if v.seen.Avoid || v.seen.Leaving {
-		encoder.AddBool("avoided", v.seen.Avoid)
-		encoder.AddBool("leaving", v.seen.Leaving)
+	if v.seen.RecentlyFailed || v.seen.Draining {
+		encoder.AddBool("avoided", v.seen.RecentlyFailed)
+		encoder.AddBool("leaving", v.seen.Draining)
 	}
 	if v.outcome != "" {
 		encoder.AddString("outcome", string(v.outcome))
--- a/internal/sidecar/hop/limit_test.go
+++ b/internal/sidecar/hop/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/hop"
 )
 
-func TestLimitLine(t *testing.T) {
+func TestLimitHeader(t *testing.T) {
 	for _, sent := range []hop.Limit{{PerSecond: 12.8, Room: 3.25}, {PerSecond: 0, Room: -7.5}, {PerSecond: 1000, Room: 1000}} {
 		received, err := hop.ParseLimit(sent.Format())
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -16,6 +16,6 @@
 	}
 	for _, line := range []string{"", "1", "1 2 3", "x 1", "1 x", "-1 0", "1  2", "99999999999999999999 1", "1.5 2"} {
 		_, err := hop.ParseLimit(line)
-		NewWithT(t).Expect(err).To(MatchError(hop.ErrLine), line)
+		NewWithT(t).Expect(err).To(MatchError(hop.ErrMalformedHeader), line)
 	}
 }
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -11,37 +11,36 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// Request is what the caller's node tells the arriving one beside the request
-// itself.
+// Request is the metadata that the caller's node sends with a request to the receiving node.
 type Request struct {
-	// Service is the one the caller's node means to reach, Caller the one beside
-	// the node where the request began. Neither holds a blank.
+	// Service is the intended service, Caller the service beside the node where the request entered
+	// the mesh. Neither contains a space.
 	Service, Caller string
-	// Remaining is the time until the answer is of no use.
+	// Remaining is the time until the deadline.
 	Remaining time.Duration
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
 	// MaximumWait is how long the request may wait for a slot.
 	MaximumWait time.Duration
-	// Expected is how long back ends usually work on such a request.
-	Expected time.Duration
-	// Returning: the caller was refused before and has come back.
+	// ExpectedServiceTime is how long back ends usually work on such a request.
+	ExpectedServiceTime time.Duration
+	// Returning: the caller was refused before and is retrying.
 	Returning bool
-	// Suspect: a back end ended under the request at an earlier send.
+	// Suspect: a back end crashed while it ran the request at an earlier send.
 	Suspect bool
 	// Nested and OverShare are as in precedence.Precedence.
 	Nested, OverShare bool
-	// Repeated: the request has reached a back end before, so that the calls of its run are repeats.
+	// Repeated: the request reached a back end before, so the nested calls of its run are repeats.
 	Repeated bool
-	// Usual is told with requests to a version that is compared with others: how often
-	// answers of those are bad. It is nil with all other requests.
+	// Usual is sent with requests to a version under comparison: the usual rate of bad answers to
+	// such requests. It is nil otherwise.
 	Usual *rollout.Usual
 }
 
-// ErrLine says that a header between nodes cannot be read.
-var ErrLine = errors.New("hop: header between nodes cannot be read")
+// ErrMalformedHeader is returned for an internal header that cannot be parsed.
+var ErrMalformedHeader = errors.New("hop: internal header cannot be read")
 
-// Format writes the request as a header value. Times are whole microseconds.
+// Format returns the header value of the request. Durations are whole microseconds.
 func (r *Request) Format() string {
 	line := make([]byte, 0, 96)
 	line = append(line, r.Service...)
@@ -65,105 +64,105 @@
 	}
 	for _, number := range [...]int64{
 		max(r.Remaining.Microseconds(), 1), int64(r.Priority), max(r.MaximumWait.Microseconds(), 0),
-		max(r.Expected.Microseconds(), 0), flags,
+		max(r.ExpectedServiceTime.Microseconds(), 0), flags,
 	} {
 		line = strconv.AppendInt(append(line, ' '), number, 10)
 	}
 	if r.Usual != nil {
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Failing*shareUnits), 10)
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Slow*shareUnits), 10)
+		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Failing*shareScale), 10)
+		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Slow*shareScale), 10)
 	}
 	return string(line)
 }
 
 const (
-	// shareUnits make a whole number of a share.
-	shareUnits     = 1000
-	usualNumbers   = 2
-	requestNames   = 2
-	requestNumbers = 5
-	replyNumbers   = 8
-	// The flags of a request. Nodes of the version before take any of them for the first.
+	// shareScale converts shares to whole numbers.
+	shareScale         = 1000
+	usualFieldCount    = 2
+	requestNameCount   = 2
+	requestNumberCount = 5
+	replyNumberCount   = 8
+	// Flags of a request. Nodes of the previous release read any non-zero value as flagReturning.
 	flagReturning = 1
 	flagSuspect   = 2
 	flagNested    = 4
 	flagOverShare = 8
 	flagRepeated  = 16
-	// slackPart is where the version before has its additional number.
-	slackPart = 5
+	// legacySlackIndex is the position of the additional number that the previous release sends.
+	legacySlackIndex = 5
 )
 
-// ParseRequest reads a request's header value. Nodes of the version before tell
-// one more number, in what time the request must have a slot; it is left out.
+// ParseRequest parses the header value of a request. Nodes of the previous release send one more
+// number, the time within which the request must get a slot; it is ignored.
 func ParseRequest(line string) (Request, error) {
 	parts := strings.Split(line, " ")
-	if len(parts) == requestNames+requestNumbers+1 {
-		parts = slices.Delete(parts, slackPart, slackPart+1)
+	if len(parts) == requestNameCount+requestNumberCount+1 {
+		parts = slices.Delete(parts, legacySlackIndex, legacySlackIndex+1)
 	}
-	compared := len(parts) == requestNames+requestNumbers+usualNumbers
-	if (len(parts) != requestNames+requestNumbers && !compared) || parts[0] == "" {
-		return Request{}, fmt.Errorf("%w: %d parts", ErrLine, len(parts))
+	hasUsual := len(parts) == requestNameCount+requestNumberCount+usualFieldCount
+	if (len(parts) != requestNameCount+requestNumberCount && !hasUsual) || parts[0] == "" {
+		return Request{}, fmt.Errorf("%w: %d fields", ErrMalformedHeader, len(parts))
 	}
-	numbers, err := parseNumbers(parts[requestNames:])
+	numbers, err := parseNumbers(parts[requestNameCount:])
 	if err != nil {
 		return Request{}, err
 	}
 	read := Request{
 		Service: parts[0], Caller: parts[1],
 		Remaining: microseconds(numbers[0]), Priority: int(numbers[1]), MaximumWait: microseconds(numbers[2]),
-		Expected: microseconds(numbers[3]), Returning: numbers[4]&flagReturning != 0, Suspect: numbers[4]&flagSuspect != 0,
+		ExpectedServiceTime: microseconds(numbers[3]), Returning: numbers[4]&flagReturning != 0, Suspect: numbers[4]&flagSuspect != 0,
 		Nested: numbers[4]&flagNested != 0, OverShare: numbers[4]&flagOverShare != 0,
 		Repeated: numbers[4]&flagRepeated != 0,
 	}
-	if compared {
+	if hasUsual {
 		read.Usual = &rollout.Usual{
-			Failing: min(float64(numbers[5])/shareUnits, 1), Slow: min(float64(numbers[6])/shareUnits, 1),
+			Failing: min(float64(numbers[5])/shareScale, 1), Slow: min(float64(numbers[6])/shareScale, 1),
 		}
 	}
 	return read, nil
 }
 
-// Reply is what the arriving node tells of itself with each reply.
+// Reply is the state that the receiving node reports with each reply.
 type Reply struct {
-	// Version is that of the configuration in force there.
+	// Version is the version of the configuration in force at the node.
 	Version uint64
-	// Running, Waiting and Slots describe its back end's load, Held how long a
-	// slot is held.
+	// Running, Waiting and Slots describe the load of its back end, HoldTime how long a slot is
+	// held.
 	Running, Waiting, Slots int
-	Held                    time.Duration
-	// Factor is how much longer the back end works than others do.
+	HoldTime                time.Duration
+	// Factor is the service time of the back end relative to that of others.
 	Factor float64
-	// Worked is how long it worked on this request; zero when it did not.
-	Worked time.Duration
-	// Failing is the share of its requests that fail.
-	Failing float64
+	// ServiceTime is how long the back end worked on this request; zero if it did not.
+	ServiceTime time.Duration
+	// FailureRate is the share of the back end's requests that fail.
+	FailureRate float64
 }
 
-// factorUnits make a whole number of a factor.
-const factorUnits = 1000
+// factorScale converts factors to whole numbers.
+const factorScale = 1000
 
-// Format writes the reply as a header value.
+// Format returns the header value of the reply.
 func (r *Reply) Format() string {
 	line := make([]byte, 0, 64)
 	line = strconv.AppendUint(line, r.Version, 10)
 	for _, number := range [...]int64{
-		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.Held.Microseconds(),
-		int64(r.Factor * factorUnits), r.Worked.Microseconds(), int64(r.Failing * factorUnits),
+		int64(r.Running), int64(r.Waiting), int64(r.Slots), r.HoldTime.Microseconds(),
+		int64(r.Factor * factorScale), r.ServiceTime.Microseconds(), int64(r.FailureRate * factorScale),
 	} {
 		line = strconv.AppendInt(append(line, ' '), max(number, 0), 10)
 	}
 	return string(line)
 }
 
-// ParseReply reads a reply's header value. Nodes of the version before do not
-// tell of failures.
+// ParseReply parses the header value of a reply. Nodes of the previous release send no failure
+// rate.
 func ParseReply(line string) (Reply, error) {
 	parts := strings.Split(line, " ")
-	if len(parts) == replyNumbers-1 {
+	if len(parts) == replyNumberCount-1 {
 		parts = append(parts, "0")
 	}
-	if len(parts) != replyNumbers {
-		return Reply{}, fmt.Errorf("%w: %d parts", ErrLine, len(parts))
+	if len(parts) != replyNumberCount {
+		return Reply{}, fmt.Errorf("%w: %d fields", ErrMalformedHeader, len(parts))
 	}
 	numbers, err := parseNumbers(parts)
 	if err != nil {
@@ -171,19 +170,19 @@
 	}
 	return Reply{
 		Version: numbers[0], Running: int(numbers[1]), Waiting: int(numbers[2]), Slots: int(numbers[3]),
-		Held: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorUnits, Worked: microseconds(numbers[6]),
-		Failing: float64(numbers[7]) / factorUnits,
+		HoldTime: microseconds(numbers[4]), Factor: float64(numbers[5]) / factorScale, ServiceTime: microseconds(numbers[6]),
+		FailureRate: float64(numbers[7]) / factorScale,
 	}, nil
 }
 
-// parseNumbers reads whole numbers of at most 53 bits.
+// parseNumbers parses whole numbers of at most 53 bits.
 func parseNumbers(parts []string) ([]uint64, error) {
 	numbers := make([]uint64, len(parts))
 	for index, part := range parts {
 		const bits = 53
 		number, err := strconv.ParseUint(part, 10, bits)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrLine, err)
+			return nil, fmt.Errorf("%w: %w", ErrMalformedHeader, err)
 		}
 		numbers[index] = number
 	}
--- a/internal/sidecar/ingress/export_test.go
+++ b/internal/sidecar/ingress/export_test.go
@@ -1,4 +1,4 @@
 package ingress
 
-// SetMarks has replies tell of tenants' shares.
-func (h *Handler) SetMarks(marks bool) { h.options.Marks = marks }
+// SetReportShares enables or disables the tenants' shares in replies.
+func (h *Handler) SetReportShares(marks bool) { h.options.ReportShares = marks }
--- a/internal/sidecar/ingress/handler_test.go
+++ b/internal/sidecar/ingress/handler_test.go
@@ -31,104 +31,103 @@
 
 type silentObserver struct{}
 
-func (silentObserver) Arrived(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
-func (silentObserver) BackendEnded(int)                                                    {}
-func (silentObserver) BackendSent()                                                        {}
-func (silentObserver) NoticeUnreadable()                                                   {}
+func (silentObserver) RequestCompleted(outcome.Outcome, outcome.Step, time.Duration, time.Duration) {}
+func (silentObserver) BackendCrashed(int)                                                           {}
+func (silentObserver) BackendSent()                                                                 {}
+func (silentObserver) NoticeUnreadable()                                                            {}
 
-// played is a handler with a back end that answers as it is told.
-type played struct {
+// fixture is a handler with a back end whose answers the test sets.
+type fixture struct {
 	handler *ingress.Handler
 	answer  atomic.Pointer[http.HandlerFunc]
-	// told changes what the caller's node tells, nil for nothing.
-	told func(*hop.Request)
-	// limit is what the caller's node knows of the back end's limit, empty for nothing.
+	// reported changes the metadata sent by the caller's node, nil for no change.
+	reported func(*hop.Request)
+	// limit is the header for the rate limit from the caller's node, empty for none.
 	limit string
-	// serves says whether a newer configuration leads a request here, nil for always.
-	serves func(request *http.Request, service string, version uint64) bool
-	// emptied: the zone is to take nothing.
-	emptied atomic.Bool
+	// routesTo overrides whether a newer configuration routes a request here, nil for always.
+	routesTo func(request *http.Request, service string, version uint64) bool
+	// evacuated: the zone is being evacuated.
+	evacuated atomic.Bool
 }
 
-// play returns a handler whose requests compete for room when the function, if there is one, says so. Its
-// configuration says that back ends bear anything while they are cold.
-func play(t *testing.T, contended ...func() bool) *played {
-	made := playUnconfigured(t, contended...)
-	made.handler.SetService(&route.Service{Name: "one"})
-	return made
+// newFixture returns a handler with the given Contended option, if any. Its configuration allows
+// any rate of requests to cold back ends.
+func newFixture(t *testing.T, contended ...func() bool) *fixture {
+	f := newUnconfigured(t, contended...)
+	f.handler.SetService(&route.Service{Name: "one"})
+	return f
 }
 
-// playUnconfigured is play before a configuration came.
-func playUnconfigured(t *testing.T, contended ...func() bool) *played {
-	return playWith(t, func(options *ingress.Options) {
+// newUnconfigured is newFixture before a configuration is in force.
+func newUnconfigured(t *testing.T, contended ...func() bool) *fixture {
+	return newWithOptions(t, func(options *ingress.Options) {
 		if len(contended) > 0 {
 			options.Contended = contended[0]
 		}
 	})
 }
 
-// playWith is playUnconfigured with changed options.
-func playWith(t *testing.T, change func(*ingress.Options)) *played {
-	made := &played{}
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*made.answer.Load())(w, r) }))
+// newWithOptions is newUnconfigured with changed options.
+func newWithOptions(t *testing.T, change func(*ingress.Options)) *fixture {
+	f := &fixture{}
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { (*f.answer.Load())(w, r) }))
 	t.Cleanup(backend.Close)
 	endpoint := &roster.Endpoint{ID: "i-1", Service: "one", Slots: 4, State: roster.Ready}
 	options := ingress.Options{
 		Vocabulary: vocabulary, Address: backend.Listener.Addr().String(),
-		Endpoint:   func() *roster.Endpoint { return endpoint },
-		Identified: func(string) {}, Version: func() uint64 { return 1 },
-		DrainAfter: func() time.Duration { return time.Second },
-		Emptied:    made.emptied.Load,
-		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newScripted(),
-		Serves: func(request *http.Request, service string, version uint64) bool {
-			return made.serves == nil || made.serves(request, service, version)
+		Endpoint:           func() *roster.Endpoint { return endpoint },
+		OnInstanceMismatch: func(string) {}, Version: func() uint64 { return 1 },
+		DrainDelay: func() time.Duration { return time.Second },
+		Evacuated:  f.evacuated.Load,
+		Dial:       (&net.Dialer{}).DialContext, Logger: zap.NewNop(), Observer: silentObserver{}, Quarantine: newFakeQuarantine(),
+		RoutesTo: func(request *http.Request, service string, version uint64) bool {
+			return f.routesTo == nil || f.routesTo(request, service, version)
 		},
 	}
 	change(&options)
-	made.handler = ingress.New(options)
-	made.handler.Follow(endpoint)
-	return made
+	f.handler = ingress.New(options)
+	f.handler.Follow(endpoint)
+	return f
 }
 
-// send passes one request through the handler and returns what the node says of
-// itself with the reply.
-func (p *played) send(t *testing.T, ctx context.Context) hop.Reply {
-	reply, err := hop.ParseReply(p.receive(ctx).Header().Get(hop.HeaderReply))
+// send passes one request through the handler and returns the node's state from the reply.
+func (f *fixture) send(t *testing.T, ctx context.Context) hop.Reply {
+	reply, err := hop.ParseReply(f.receive(ctx).Header().Get(hop.HeaderReply))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return reply
 }
 
-// counts has the back end answer every request with success, and counts them.
-func (p *played) counts() *atomic.Int64 {
+// countRequests makes the back end answer all requests with success and returns their count.
+func (f *fixture) countRequests() *atomic.Int64 {
 	ran := &atomic.Int64{}
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		signed(http.StatusOK)(w, r)
 	})
-	p.answer.Store(&answer)
+	f.answer.Store(&answer)
 	return ran
 }
 
-// receive passes one request through the handler and returns the answer.
-func (p *played) receive(ctx context.Context) *httptest.ResponseRecorder {
-	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, Expected: 10 * time.Millisecond}
-	if p.told != nil {
-		p.told(&told)
+// receive passes one request through the handler and returns the response.
+func (f *fixture) receive(ctx context.Context) *httptest.ResponseRecorder {
+	reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
+	if f.reported != nil {
+		f.reported(&reported)
 	}
 	req := httptest.NewRequestWithContext(ctx, http.MethodGet, "/a/", strings.NewReader(""))
-	req.Header.Set(hop.HeaderHop, told.Format())
-	if p.limit != "" {
-		req.Header.Set(hop.HeaderLimit, p.limit)
+	req.Header.Set(hop.HeaderHop, reported.Format())
+	if f.limit != "" {
+		req.Header.Set(hop.HeaderLimit, f.limit)
 	}
 	req.Header.Set(vocabulary.RequestID, "r")
 	recorder := httptest.NewRecorder()
-	p.handler.ServeHTTP(recorder, req)
+	f.handler.ServeHTTP(recorder, req)
 	return recorder
 }
 
-// signed answers as a back end does that ran the request.
+// signed answers like a back end that ran the request.
 func signed(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(vocabulary.RequestID, r.Header.Get(vocabulary.RequestID))
@@ -137,16 +136,16 @@
 	}
 }
 
-// TestTheShareOfFailures: what counts against a back end, as peers are told.
-func TestTheShareOfFailures(t *testing.T) {
+// TestFailureRate checks which answers count as failures in the rate reported to other nodes.
+func TestFailureRate(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer http.HandlerFunc
 		failed bool
 	}{
 		{"a success", signed(http.StatusOK), false},
-		{"a refusal of the request itself", signed(http.StatusNotFound), false},
-		{"a failure of its own", signed(http.StatusInternalServerError), true},
+		{"a client error", signed(http.StatusNotFound), false},
+		{"a server error", signed(http.StatusInternalServerError), true},
 		{"not processed", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(vocabulary.NotProcessed, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -158,68 +157,68 @@
 		}, false},
 		{"a broken connection", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true},
 	}
-	for _, held := range cases {
-		t.Run(held.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			made := play(t)
-			made.answer.Store(&held.answer)
+			f := newFixture(t)
+			f.answer.Store(&tc.answer)
 			var last hop.Reply
 			for range 40 {
-				last = made.send(t, t.Context())
+				last = f.send(t, t.Context())
 			}
-			if held.failed {
-				g.Expect(last.Failing).To(BeNumerically(">", 0.5))
+			if tc.failed {
+				g.Expect(last.FailureRate).To(BeNumerically(">", 0.5))
 				return
 			}
-			g.Expect(last.Failing).To(BeZero())
+			g.Expect(last.FailureRate).To(BeZero())
 		})
 	}
 }
 
-// TestCallersThatLeave say nothing of the back end, unless it kept them waiting
-// for long.
-func TestCallersThatLeave(t *testing.T) {
+// TestCancelledRequests checks that cancelled requests do not count against the back end unless it
+// kept them waiting for long.
+func TestCancelledRequests(t *testing.T) {
 	for wait, failed := range map[time.Duration]bool{0: false, 100 * time.Millisecond: true} {
 		g := NewWithT(t)
-		made := play(t)
+		f := newFixture(t)
 		hanging := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-		made.answer.Store(&hanging)
+		f.answer.Store(&hanging)
 		for range 3 {
 			ctx, leave := context.WithTimeout(t.Context(), wait)
-			last := made.send(t, ctx)
+			last := f.send(t, ctx)
 			leave()
-			g.Expect(last.Failing > 0).To(Equal(failed))
+			g.Expect(last.FailureRate > 0).To(Equal(failed))
 		}
 	}
 }
 
-// TestAStoppingNodeTakesNothing that comes after it refuses, and finishes what
-// came before.
-func TestAStoppingNodeTakesNothing(t *testing.T) {
+// TestStoppingNodeRejectsNewRequests checks that requests in progress are completed and later ones
+// refused.
+func TestStoppingNodeRejectsNewRequests(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	begun, finish := make(chan struct{}), make(chan struct{})
 	waiting := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-finish
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&waiting)
+	f.answer.Store(&waiting)
 	first := make(chan *httptest.ResponseRecorder)
-	go func() { first <- made.receive(t.Context()) }()
+	go func() { first <- f.receive(t.Context()) }()
 	<-begun
-	made.handler.Refuse()
-	g.Expect(made.handler.InFlight()).To(Equal(1))
-	refused := made.receive(t.Context())
+	f.handler.RejectNew()
+	g.Expect(f.handler.InFlight()).To(Equal(1))
+	refused := f.receive(t.Context())
 	g.Expect(refused.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(refused.Header().Get(outcome.HeaderOutcome)).To(BeEquivalentTo(outcome.NotRun))
 	g.Expect(refused.Header().Get("Retry-After")).NotTo(BeEmpty())
 	close(finish)
 	g.Expect((<-first).Code).To(Equal(http.StatusOK))
-	g.Expect(made.handler.InFlight()).To(BeZero())
+	g.Expect(f.handler.InFlight()).To(BeZero())
 }
 
-// watchedBody tells each time it is read.
+// watchedBody calls begun on each read.
 type watchedBody struct {
 	io.Reader
 	begun func()
@@ -230,67 +229,67 @@
 	return b.Reader.Read(p)
 }
 
-// TestALargeBodyHoldsNoSlotWhileItComes: the body of an upload is received before a
-// slot is taken, so that the link's time is not the back end's.
-func TestALargeBodyHoldsNoSlotWhileItComes(t *testing.T) {
+// TestLargeBodyIsReceivedBeforeAdmission checks that no slot is held during the transfer of a large
+// body.
+func TestLargeBodyIsReceivedBeforeAdmission(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		content, _ := io.ReadAll(r.Body)
 		w.Header().Set("Length", strconv.Itoa(len(content)))
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
+	f.answer.Store(&answer)
 	for length, running := range map[int]int{100: 1, 60_000: 0, 360_000: 0} {
-		told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, Expected: 10 * time.Millisecond}
+		reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second, ExpectedServiceTime: 10 * time.Millisecond}
 		seen := -1
 		body := &watchedBody{Reader: strings.NewReader(strings.Repeat("x", length)), begun: func() {
 			if seen < 0 {
-				seen = made.handler.Load().Running
+				seen = f.handler.Load().Running
 			}
 		}}
 		req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/a/", body)
 		req.ContentLength = int64(length)
-		req.Header.Set(hop.HeaderHop, told.Format())
+		req.Header.Set(hop.HeaderHop, reported.Format())
 		req.Header.Set(vocabulary.RequestID, "r")
 		req.Header.Set("Expect", "100-continue")
 		recorder := httptest.NewRecorder()
-		made.handler.ServeHTTP(recorder, req)
+		f.handler.ServeHTTP(recorder, req)
 		g.Expect(recorder.Code).To(Equal(http.StatusOK))
 		g.Expect(recorder.Header().Get("Length")).To(Equal(strconv.Itoa(length)))
 		g.Expect(seen).To(Equal(running))
 	}
 }
 
-// TestACallerThatHasLeft: a request whose caller closed the connection before the
-// node came to read it is not passed on (finding 0009).
-func TestACallerThatHasLeft(t *testing.T) {
+// TestRequestOfDisconnectedCaller checks that a request is not forwarded if its caller closed the
+// connection before the node read it (finding 0009).
+func TestRequestOfDisconnectedCaller(t *testing.T) {
 	g := NewWithT(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	made := play(t)
-	arrived := made.counts()
-	// A request before has a connection to the back end ready.
-	made.send(t, t.Context())
+	f := newFixture(t)
+	arrived := f.countRequests()
+	// An earlier request leaves an idle connection to the back end.
+	f.send(t, t.Context())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	told := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
+	reported := hop.Request{Service: "one", Caller: "two", Remaining: time.Minute, MaximumWait: time.Second}
 	const callers = 20
 	for range callers {
 		connection, err := net.Dial("tcp", listener.Addr().String())
 		g.Expect(err).NotTo(HaveOccurred())
-		_, err = fmt.Fprintf(connection, "GET /a/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\n%s: %s\r\n\r\n", hop.HeaderHop, told.Format())
+		_, err = fmt.Fprintf(connection, "GET /a/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\n%s: %s\r\n\r\n", hop.HeaderHop, reported.Format())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(connection.Close()).To(Succeed())
 	}
 	ended := make(chan struct{}, callers)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() { ended <- struct{}{} }()
-		made.handler.ServeHTTP(w, r)
+		f.handler.ServeHTTP(w, r)
 	})}
 	defer server.Close()
 	go func() { _ = server.Serve(listener) }()
 	for range callers {
 		g.Eventually(ended).WithTimeout(10 * time.Second).Should(Receive())
 	}
-	g.Expect(arrived.Load()).To(BeEquivalentTo(1), "but the first")
+	g.Expect(arrived.Load()).To(BeEquivalentTo(1), "only the first request")
 }
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -16,13 +16,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-var errCold = errors.New("the back end is, or may be, cold and has got what it bears")
+var errCold = errors.New("the warm-up rate of a back end that is, or may be, cold is used up")
 
-// healthTimeout bounds the question whether the back end is cold: it is on the same machine,
-// and answers at once or waits for a slot.
+// healthTimeout bounds the health check. The back end is on the same machine and answers at once or
+// waits for a slot.
 const healthTimeout = 300 * time.Millisecond
 
-// SetService takes in what the configuration says of the back end's service, nil for nothing.
+// SetService applies the configuration of the back end's service, nil for none.
 func (h *Handler) SetService(service *route.Service) {
 	if service == nil {
 		return
@@ -32,14 +32,14 @@
 	h.warmup.Configure(service.WarmupRate, service.WarmupTime)
 }
 
-// WarmsUp takes in the back end's word that it is cold for that much longer.
-func (h *Handler) WarmsUp(left time.Duration) { h.warmup.Told(left, clock.Now()) }
+// SetWarmupRemaining records the remaining warm-up time that the back end reports.
+func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
 
-// MayBeCold takes in that the back end may have turned cold unheard.
-func (h *Handler) MayBeCold() { h.warmup.Suspect(clock.Now()) }
+// MarkPossiblyCold records that the back end may have restarted cold without a report.
+func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
 
-// bear refuses a request that a cold back end would not bear. It has not run.
-func (a *arrival) bear() *outcome.Failure {
+// checkWarmup refuses a request that exceeds the capacity of a cold back end. It was not run.
+func (a *arrival) checkWarmup() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
 	if verdict.Ask {
 		go func() { _ = contain.Run("health", a.handler.options.Logger, a.handler.askHealth) }()
@@ -47,11 +47,11 @@
 	if !verdict.Refused {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, refusedWait/2), errCold)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, defaultRetryAfter/2), errCold)
 }
 
-// newHealthClient returns the client of the back end's health path. Each question has a
-// connection of its own: those of requests tell nothing of a process that was replaced.
+// newHealthClient returns the client for the back end's health check. It opens a new connection
+// each time, since a kept one could belong to a process that was replaced.
 func newHealthClient(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Client {
 	return &http.Client{
 		Timeout:   healthTimeout,
@@ -59,8 +59,8 @@
 	}
 }
 
-// askHealth asks the back end for how much longer it is cold. Without an answer of the back
-// end that is meant nothing is known.
+// askHealth asks the back end for its remaining warm-up time. An answer of another instance is
+// ignored.
 func (h *Handler) askHealth() {
 	path, endpoint := h.health.Load(), h.options.Endpoint()
 	if path == nil || *path == "" || endpoint == nil {
@@ -74,13 +74,13 @@
 	}
 	_ = response.Body.Close()
 	names := &h.options.Vocabulary
-	left, told := hop.Milliseconds(response.Header.Get(names.WarmupLeft))
+	left, reported := hop.ParseMilliseconds(response.Header.Get(names.WarmupLeft))
 	if found := response.Header.Get(names.InstanceID); found != endpoint.ID {
 		h.options.Logger.Info("health of another back end", zap.String("endpoint", endpoint.ID), zap.String("found", found))
 		return
 	}
-	h.hearHealth(response.Header, endpoint, asked)
-	if told || response.StatusCode == http.StatusOK {
+	h.applyHealthNotice(response.Header, endpoint, asked)
+	if reported || response.StatusCode == http.StatusOK {
 		h.warmup.Answer(left, asked, clock.Now())
 		h.options.Logger.Info("back end asked whether it is cold", zap.String("endpoint", endpoint.ID), zap.Duration("left", left))
 	}
--- a/internal/sidecar/ingress/warmup_test.go
+++ b/internal/sidecar/ingress/warmup_test.go
@@ -12,11 +12,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// TestAColdBackEndIsNotOverrun: what it would not bear is refused unrun and says when to come
-// back, until the back end itself says that it is warm.
-func TestAColdBackEndIsNotOverrun(t *testing.T) {
+// TestColdBackEndIsNotOverloaded checks that excess requests are refused without being run, with a
+// Retry-After, until the back end reports that it is warm.
+func TestColdBackEndIsNotOverloaded(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
+	f := newFixture(t)
 	var ran, asked atomic.Int64
 	warm := make(chan struct{})
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,11 +29,11 @@
 		ran.Add(1)
 		signed(http.StatusOK)(w, r)
 	})
-	made.answer.Store(&answer)
-	made.handler.SetService(&route.Service{Name: "one", HealthPath: "/health", WarmupRate: 3, WarmupTime: time.Hour})
+	f.answer.Store(&answer)
+	f.handler.SetService(&route.Service{Name: "one", HealthPath: "/health", WarmupRate: 3, WarmupTime: time.Hour})
 	var refused int
 	for range 20 {
-		recorder := made.receive(t.Context())
+		recorder := f.receive(t.Context())
 		if recorder.Code == http.StatusOK {
 			continue
 		}
@@ -47,35 +47,36 @@
 	g.Expect(refused).To(BeNumerically(">", 0))
 	g.Eventually(asked.Load).Should(BeNumerically(">", 0))
 	close(warm)
-	g.Eventually(func() int { return made.receive(t.Context()).Code }).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return f.receive(t.Context()).Code }).Should(Equal(http.StatusOK))
 }
 
-// TestAColdBackEndIsNotOverrunBeforeAConfigurationCame, as after a loss of power while the store is away.
-func TestAColdBackEndIsNotOverrunBeforeAConfigurationCame(t *testing.T) {
+// TestColdBackEndBeforeAConfiguration covers a start after a power failure while the store is
+// unavailable.
+func TestColdBackEndBeforeAConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	made := playUnconfigured(t)
-	ran := made.counts()
-	made.handler.WarmsUp(time.Hour)
+	f := newUnconfigured(t)
+	ran := f.countRequests()
+	f.handler.SetWarmupRemaining(time.Hour)
 	for range 20 {
-		made.receive(t.Context())
+		f.receive(t.Context())
 	}
-	made.handler.SetService(&route.Service{Name: "one", WarmupRate: 3, WarmupTime: time.Hour})
+	f.handler.SetService(&route.Service{Name: "one", WarmupRate: 3, WarmupTime: time.Hour})
 	for range 20 {
-		made.receive(t.Context())
+		f.receive(t.Context())
 	}
 	g.Expect(ran.Load()).To(BeNumerically("<=", 3))
 }
 
-// TestAnEmptiedZoneTakesNothing, as the node beside the back end sees it.
-func TestAnEmptiedZoneTakesNothing(t *testing.T) {
+// TestEvacuatedZoneRejectsRequests checks the node beside the back end.
+func TestEvacuatedZoneRejectsRequests(t *testing.T) {
 	g := NewWithT(t)
-	made := play(t)
-	ran := made.counts()
-	made.emptied.Store(true)
-	recorder := made.receive(t.Context())
+	f := newFixture(t)
+	ran := f.countRequests()
+	f.evacuated.Store(true)
+	recorder := f.receive(t.Context())
 	g.Expect(recorder.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(recorder.Header().Get(outcome.HeaderOutcome)).To(Equal(string(outcome.NotRun)))
 	g.Expect(ran.Load()).To(BeZero())
-	made.emptied.Store(false)
-	g.Expect(made.receive(t.Context()).Code).To(Equal(http.StatusOK))
+	f.evacuated.Store(false)
+	g.Expect(f.receive(t.Context()).Code).To(Equal(http.StatusOK))
 }
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -323,7 +323,7 @@
 		}
 		return far[i-len(near)]
 	}
-	pool := choice.Pool{Near: len(near), Far: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
+	pool := choice.Pool{Local: len(near), Remote: len(far), Describe: func(i int) choice.Candidate { return f.describe(r, index(i)) }}
 	r.to = index(f.policy.choose(pool, f.service.aim, f.random))
 	r.tried = append(r.tried, r.to)
 	r.from.inFlight[r.to]++
@@ -349,19 +349,19 @@
 	}
 	work := time.Duration(float64(f.service.work) * takes)
 	candidate := choice.Candidate{
-		SameZone: s.zone == r.from.zone, Slots: f.service.slots, Work: work, Held: work, Tried: slices.Contains(r.tried, index),
-		Busy: float64(r.from.inFlight[index]) + r.from.beliefs[index].others(f.clock()),
+		SameZone: s.zone == r.from.zone, Slots: f.service.slots, ServiceTime: work, HoldTime: work, Tried: slices.Contains(r.tried, index),
+		Outstanding: float64(r.from.inFlight[index]) + r.from.beliefs[index].others(f.clock()),
 	}
 	if !candidate.SameZone {
 		candidate.RoundTrip = zoneTrip
 	}
-	candidate.Leaving = index == 0 && f.now < f.joins
+	candidate.Draining = index == 0 && f.now < f.joins
 	if f.policy.average {
 		unheard := 1 - r.from.beliefs[index].(*estimated).Weight(f.clock())
-		candidate.Busy += r.from.averages[s.zone].PerSlot(f.clock()) * float64(f.service.slots) * unheard
+		candidate.Outstanding += r.from.averages[s.zone].PerSlot(f.clock()) * float64(f.service.slots) * unheard
 	}
 	if f.policy.knows {
-		candidate.Busy = float64(s.running + len(s.queue))
+		candidate.Outstanding = float64(s.running + len(s.queue))
 	}
 	return candidate
 }
@@ -450,9 +450,9 @@
 
 // cheapestOfAll is the choice before back ends were drawn.
 func cheapestOfAll(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	best, lowest, start := -1, 0.0, random.IntN(pool.Near)
-	for offset := range pool.Near {
-		index := (start + offset) % pool.Near
+	best, lowest, start := -1, 0.0, random.IntN(pool.Local)
+	for offset := range pool.Local {
+		index := (start + offset) % pool.Local
 		cost := choice.Cost(pool.Describe(index), aim, choice.DefaultWeights())
 		if best < 0 || cost < lowest {
 			best, lowest = index, cost
@@ -462,7 +462,7 @@
 }
 
 func drawn(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	index, _ := choice.Draw(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := choice.Select(pool, aim, random.IntN, choice.DefaultWeights())
 	return index
 }
 
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -37,7 +37,7 @@
 }
 
 func balanced(pool choice.Pool, aim time.Duration, random *rand.Rand) int {
-	index, _ := choice.DrawBalanced(pool, aim, random.IntN, choice.DefaultWeights())
+	index, _ := choice.SelectBalanced(pool, aim, random.IntN, choice.DefaultWeights())
 	return index
 }
 
@@ -54,8 +54,8 @@
 				}
 			}
 		}
-		consider(0, pool.Near)
-		consider(pool.Near, pool.Far)
+		consider(0, pool.Local)
+		consider(pool.Local, pool.Remote)
 		return best
 	}
 }
@@ -63,25 +63,25 @@
 // hotAndCold goes by the work among back ends with room, and by what is there among the others.
 func hotAndCold(c choice.Candidate, aim time.Duration) float64 {
 	const hot, behindTheCold = 0.8, 10
-	if used := c.Busy / float64(c.Slots); used > hot {
+	if used := c.Outstanding / float64(c.Slots); used > hot {
 		return behindTheCold + used + fixedPrices(c)
 	}
-	return float64(c.Work)/float64(aim) + fixedPrices(c)
+	return float64(c.ServiceTime)/float64(aim) + fixedPrices(c)
 }
 
 // cubic goes by the third power of what is there.
 func cubic(c choice.Candidate, aim time.Duration) float64 {
-	perSlot := (1 + c.Busy) / float64(c.Slots)
-	return 0.18*perSlot*perSlot*perSlot*float64(c.Work)/float64(aim) + fixedPrices(c)
+	perSlot := (1 + c.Outstanding) / float64(c.Slots)
+	return 0.18*perSlot*perSlot*perSlot*float64(c.ServiceTime)/float64(aim) + fixedPrices(c)
 }
 
 func fixedPrices(c choice.Candidate) float64 {
 	weights, sum := choice.DefaultWeights(), 0.0
 	if !c.SameZone {
-		sum += weights.ForeignZone
+		sum += weights.OtherZone
 	}
 	if c.Tried {
-		sum += weights.Repeated
+		sum += weights.AlreadyTried
 	}
 	return sum
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -27,13 +27,13 @@
 		Usable: func(record *roster.Record) bool { return s.exchanger.Usable(record) },
 		Known:  s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
-			tenant := s.keeper.Table().Limited(name)
+			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
 				return quota.Limit{}, false
 			}
 			return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 		},
-		Tenants: func() []string { return s.keeper.Table().LimitedNames() },
+		Tenants: func() []string { return s.keeper.Table().LimitedTenantNames() },
 		Bounds:  func() quota.Bounds { return s.settings.Load().Quota },
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
--- a/internal/sidecar/route/change.go
+++ b/internal/sidecar/route/change.go
@@ -6,40 +6,40 @@
 	"slices"
 )
 
-// Change leads from one version of a document to a later one. It is what nodes
-// pass on: a version mostly differs from the one before in a few routes.
+// Change is the difference between one version of a document and a later one. Nodes exchange
+// changes since consecutive versions mostly differ in a few routes.
 type Change struct {
-	// Version is the one that the change leads to, Base the one it starts from.
-	// Without a base the change holds the document whole.
+	// Version is the resulting version, Base the version that the change applies to. Without a base
+	// the change holds the whole document.
 	Version uint64 `json:"version"`
 	Base    uint64 `json:"base,omitempty"`
-	// Routes and Services are those that are new or differ.
+	// Routes and Services are the added and modified ones.
 	Routes   []Route   `json:"routes,omitempty"`
 	Services []Service `json:"services,omitempty"`
-	// Places are the hosts and prefixes of routes that are gone, Gone the names
-	// of services that are.
-	Places []string `json:"places,omitempty"`
-	Gone   []string `json:"gone,omitempty"`
-	Limits Limits   `json:"limits"`
-	// Tenants are those that are new or differ, GoneTenants the names of those that are gone.
-	Tenants     []Tenant `json:"tenants,omitempty"`
-	GoneTenants []string `json:"goneTenants,omitempty"`
-	// RouteCount, ServiceCount and TenantCount are those of the later version.
+	// RemovedRoutes holds the keys (host and path prefix) of removed routes, RemovedServices the
+	// names of removed services.
+	RemovedRoutes   []string `json:"places,omitempty"`
+	RemovedServices []string `json:"gone,omitempty"`
+	Limits          Limits   `json:"limits"`
+	// Tenants are the added and modified ones, RemovedTenants the names of removed ones.
+	Tenants        []Tenant `json:"tenants,omitempty"`
+	RemovedTenants []string `json:"goneTenants,omitempty"`
+	// RouteCount, ServiceCount and TenantCount are the counts of the resulting version.
 	RouteCount   int `json:"routeCount"`
 	ServiceCount int `json:"serviceCount"`
 	TenantCount  int `json:"tenantCount,omitempty"`
 }
 
-// ErrBase says that a change does not start from the document it is applied to.
-var ErrBase = errors.New("route: the change starts from another document")
+// ErrBaseMismatch is returned when a change does not apply to the given base document.
+var ErrBaseMismatch = errors.New("route: the change applies to another base document")
 
-// place identifies a route within a document.
-func (r *Route) place() string { return normalizeHost(r.Host) + r.PathPrefix }
+// key identifies a route within a document.
+func (r *Route) key() string { return normalizeHost(r.Host) + r.PathPrefix }
 
 // name identifies a service within a document.
 func (s *Service) name() string { return s.Name }
 
-// ChangeFrom returns what leads from the base, which may be nil, to the document.
+// ChangeFrom returns the change from base, which may be nil, to the document.
 func (d *Document) ChangeFrom(base *Document) *Change {
 	change := &Change{
 		Version: d.Version, Limits: d.Limits,
@@ -50,56 +50,56 @@
 		return change
 	}
 	change.Base = base.Version
-	change.Routes, change.Places = differing(base.Routes, d.Routes, (*Route).place)
-	change.Services, change.Gone = differing(base.Services, d.Services, (*Service).name)
-	change.Tenants, change.GoneTenants = differing(base.Tenants, d.Tenants, (*Tenant).name)
+	change.Routes, change.RemovedRoutes = diffItems(base.Routes, d.Routes, (*Route).key)
+	change.Services, change.RemovedServices = diffItems(base.Services, d.Services, (*Service).name)
+	change.Tenants, change.RemovedTenants = diffItems(base.Tenants, d.Tenants, (*Tenant).name)
 	return change
 }
 
-// Apply returns the document that the change makes of the base, which may be nil
-// when the change is whole. Neither is modified.
+// Apply returns the document that results from applying the change to base, which may be nil when
+// the change holds the whole document. Neither is modified.
 func (c *Change) Apply(base *Document) (*Document, error) {
 	document := &Document{Version: c.Version, Limits: c.Limits}
 	switch {
 	case c.Base == 0:
 		document.Routes, document.Services, document.Tenants = c.Routes, c.Services, c.Tenants
 	case base == nil || base.Version != c.Base:
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	default:
-		document.Routes = replaced(base.Routes, c.Routes, c.Places, (*Route).place)
-		document.Services = replaced(base.Services, c.Services, c.Gone, (*Service).name)
-		document.Tenants = replaced(base.Tenants, c.Tenants, c.GoneTenants, (*Tenant).name)
+		document.Routes = applyItems(base.Routes, c.Routes, c.RemovedRoutes, (*Route).key)
+		document.Services = applyItems(base.Services, c.Services, c.RemovedServices, (*Service).name)
+		document.Tenants = applyItems(base.Tenants, c.Tenants, c.RemovedTenants, (*Tenant).name)
 	}
 	if len(document.Routes) != c.RouteCount || len(document.Services) != c.ServiceCount || len(document.Tenants) != c.TenantCount {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	return document, nil
 }
 
-// differing returns the items of after that before lacks or has otherwise, and
-// the keys of those that after lacks.
-func differing[T any](before, after []T, key func(*T) string) (changed []T, gone []string) {
-	held := make(map[string]*T, len(before))
+// diffItems returns the items that are added or modified in after, and the sorted keys of those
+// that are missing from it.
+func diffItems[T any](before, after []T, key func(*T) string) (changed []T, removed []string) {
+	previous := make(map[string]*T, len(before))
 	for i := range before {
-		held[key(&before[i])] = &before[i]
+		previous[key(&before[i])] = &before[i]
 	}
 	for i := range after {
 		k := key(&after[i])
-		if old := held[k]; old == nil || !reflect.DeepEqual(*old, after[i]) {
+		if earlier := previous[k]; earlier == nil || !reflect.DeepEqual(*earlier, after[i]) {
 			changed = append(changed, after[i])
 		}
-		delete(held, k)
+		delete(previous, k)
 	}
-	for k := range held {
-		gone = append(gone, k)
+	for k := range previous {
+		removed = append(removed, k)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-// replaced returns before with the changed items in it and without those that
-// are gone. Items that stay are shared with before.
-func replaced[T any](before, changed []T, gone []string, key func(*T) string) []T {
+// applyItems returns before with the changed items merged and the removed ones left out. Unchanged
+// items are shared with before.
+func applyItems[T any](before, changed []T, removed []string, key func(*T) string) []T {
 	next := make(map[string]*T, len(changed))
 	for i := range changed {
 		next[key(&changed[i])] = &changed[i]
@@ -107,7 +107,7 @@
 	after := make([]T, 0, len(before)+len(changed))
 	for i := range before {
 		k := key(&before[i])
-		if _, lost := slices.BinarySearch(gone, k); lost {
+		if _, found := slices.BinarySearch(removed, k); found {
 			continue
 		}
 		if newer := next[k]; newer != nil {
--- a/internal/sidecar/route/tenant_test.go
+++ b/internal/sidecar/route/tenant_test.go
@@ -10,7 +10,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/route"
 )
 
-// TestTenantsOfADocument: what is refused is named by field, and no error shows a key.
+// TestTenantsOfADocument checks that errors name the invalid field and never contain a key.
 func TestTenantsOfADocument(t *testing.T) {
 	below := -1
 	cases := []struct {
@@ -27,22 +27,22 @@
 		{"a burst below zero", []route.Tenant{{Name: "a", Burst: -1}}, "tenants.a.burst: "},
 		{"a priority below zero", []route.Tenant{{Name: "a", Priority: &below}}, "tenants.a.priority: "},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			err := (&route.Document{Version: 1, Tenants: played.tenants}).Validate()
-			if played.says == "" {
+			err := (&route.Document{Version: 1, Tenants: tc.tenants}).Validate()
+			if tc.says == "" {
 				g.Expect(err).NotTo(HaveOccurred())
 				return
 			}
-			g.Expect(err).To(MatchError(ContainSubstring(played.says)))
+			g.Expect(err).To(MatchError(ContainSubstring(tc.says)))
 			g.Expect(err.Error()).NotTo(ContainSubstring("secret"))
 		})
 	}
 }
 
-// TestAKeyIsNotPrinted by any verb.
-func TestAKeyIsNotPrinted(t *testing.T) {
+// TestKeyIsNotPrinted checks all formatting verbs.
+func TestKeyIsNotPrinted(t *testing.T) {
 	g := NewWithT(t)
 	tenant := route.Tenant{Name: "a", Keys: []route.Key{"secret"}}
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s", "%q", "%x"} {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestTenantsTravel with a change, as the few that differ.
-func TestTenantsTravel(t *testing.T) {
+// TestTenantsInChanges checks that a change carries only the tenants that differ.
+func TestTenantsInChanges(t *testing.T) {
 	g := NewWithT(t)
 	tenant := func(name string, keys ...route.Key) route.Tenant {
 		return route.Tenant{Name: name, Keys: keys, Rate: 3}
@@ -64,15 +64,15 @@
 	change := &route.Change{}
 	g.Expect(json.Unmarshal(encoded, change)).To(Succeed())
 	g.Expect(change.Tenants).To(HaveLen(2))
-	made, err := change.Apply(base)
+	result, err := change.Apply(base)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(made.Tenants).To(ConsistOf(next.Tenants))
-	g.Expect(base.LostKeys(next)).To(Equal(map[string]bool{"goes": true, "differs": true}))
-	g.Expect(next.LostKeys(next)).To(BeEmpty())
+	g.Expect(result.Tenants).To(ConsistOf(next.Tenants))
+	g.Expect(base.TenantsWithRevokedKeys(next)).To(Equal(map[string]bool{"goes": true, "differs": true}))
+	g.Expect(next.TenantsWithRevokedKeys(next)).To(BeEmpty())
 }
 
-// BenchmarkHolder: from a key to its tenant among 2,000, 20 ns and no allocation.
-func BenchmarkHolder(b *testing.B) {
+// BenchmarkTenantByKey measures the lookup of a key among 2,000 tenants: 20 ns without allocation.
+func BenchmarkTenantByKey(b *testing.B) {
 	document := &route.Document{Version: 1}
 	for i := range 2000 {
 		document.Tenants = append(document.Tenants, route.Tenant{Name: fmt.Sprint(i), Keys: []route.Key{route.Key(fmt.Sprint("key-of-", i))}})
@@ -83,7 +83,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if table.Holder("key-of-77") == nil {
+		if table.TenantByKey("key-of-77") == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -107,7 +107,7 @@
 	repeats     *repeats.Repeats
 	// contention says whether requests compete for room, work what the back end works on.
 	contention *contention.Switch
-	work       *nested.Work
+	work       *nested.ActiveRequests
 	egress     *egress.Handler
 	ingress    *ingress.Handler
 	stopping   atomic.Bool
@@ -150,7 +150,7 @@
 		started:    clock.Now(),
 		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
 		contention: contention.NewSwitch(settings.OverloadControl),
-		work:       &nested.Work{},
+		work:       &nested.ActiveRequests{},
 		claims:     roster.Claims{Interval: settings.HeartbeatInterval},
 	}
 	observed := newMetrics(options.Registry)
@@ -205,29 +205,29 @@
 func (s *Sidecar) addIngress(observed *metrics) {
 	settings := &s.options.Settings
 	s.ingress = ingress.New(ingress.Options{
-		Vocabulary: s.options.Vocabulary,
-		Address:    settings.BackendAddress,
-		LinkMbps:   settings.LinkMbps,
-		Work:       s.work,
-		DecodeLoad: s.options.DecodeLoad,
-		Told:       s.loadTold,
+		Vocabulary:     s.options.Vocabulary,
+		Address:        settings.BackendAddress,
+		LinkMbps:       settings.LinkMbps,
+		ActiveRequests: s.work,
+		DecodeLoad:     s.options.DecodeLoad,
+		RecordLoad:     s.loadTold,
 
-		DecodeNotice: s.options.DecodeNotice,
-		Leaves:       s.leaves,
-		Restarted:    !settings.FirstStart,
-		Contended:    s.contention.On,
-		Judge:        &judge{sidecar: s},
-		Quarantine:   &guard{Quarantine: s.quarantine, sidecar: s},
-		Endpoint:     func() *roster.Endpoint { return s.members.Own().Endpoint },
-		Identified:   s.identified,
-		Version:      s.keeper.Version,
-		Proof:        func() (time.Duration, bool) { return s.exchanger.FreshProof() },
-		Serves:       s.serves,
-		Emptied:      func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
-		DrainAfter:   s.drainAfter,
-		Dial:         s.options.Network.Dialer(0, dial.Silence{}),
-		Logger:       s.logger,
-		Observer:     observed,
+		DecodeNotice:       s.options.DecodeNotice,
+		OnDraining:         s.leaves,
+		Restarted:          !settings.FirstStart,
+		Contended:          s.contention.On,
+		Judge:              &judge{sidecar: s},
+		Quarantine:         &guard{Quarantine: s.quarantine, sidecar: s},
+		Endpoint:           func() *roster.Endpoint { return s.members.Own().Endpoint },
+		OnInstanceMismatch: s.identified,
+		Version:            s.keeper.Version,
+		Proof:              func() (time.Duration, bool) { return s.exchanger.FreshProof() },
+		RoutesTo:           s.serves,
+		Evacuated:          func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
+		DrainDelay:         s.drainAfter,
+		Dial:               s.options.Network.Dialer(0, dial.Silence{}),
+		Logger:             s.logger,
+		Observer:           observed,
 	})
 }
 
@@ -246,7 +246,7 @@
 		Emptied:     s.evacuations.Zones,
 		Quarantine:  s.quarantine,
 		Quota:       s.quota,
-		Nested:      &nestedCalls{contention: s.contention, recognizer: nested.NewRecognizer(s.work, s.started)},
+		Nested:      &nestedCalls{contention: s.contention, recognizer: nested.NewClassifier(s.work, s.started)},
 		RetryBudget: s.repeats,
 		Contended:   s.contention.On,
 		Weights:     choice.DefaultWeights(),
