--- a/internal/sidecar/admission/flow_test.go
+++ b/internal/sidecar/admission/flow_test.go
@@ -16,13 +16,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/shares"
 )
 
-// manual is a clock that is set by hand.
-type manual struct{ at time.Time }
+// manualClock is a clock that is set by the test.
+type manualClock struct{ at time.Time }
 
-func (m *manual) now() time.Time { return m.at }
+func (m *manualClock) now() time.Time { return m.at }
 
-// await returns the ticket of whoever got the slot that was freed.
-func await(waiting []*waiter) (got *waiter, left []*waiter) {
+// takeGranted returns the waiter that got the freed slot, and the remaining ones.
+func takeGranted(waiting []*waiter) (got *waiter, left []*waiter) {
 	for i, entry := range waiting {
 		select {
 		case err := <-entry.result:
@@ -35,21 +35,21 @@
 	return nil, waiting
 }
 
-// TestWithoutTenantsTheOrderIsByLevelMagnitudeAndAge: without tenants there are no turns, whatever
-// comes and goes meanwhile.
-func TestWithoutTenantsTheOrderIsByLevelMagnitudeAndAge(t *testing.T) {
+// TestOrderWithoutTenants checks that without tenants there is no fair queueing: the order is by level,
+// magnitude and age under random arrivals and departures.
+func TestOrderWithoutTenants(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 0))
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	running, err := gate.enter(Ticket{MaximumWait: time.Hour})
+	running, err := gate.enter(RequestInfo{MaximumWait: time.Hour})
 	g.Expect(err).NotTo(HaveOccurred())
 	var waiting []*waiter
 	for step := range 4000 {
 		clock.at = clock.at.Add(time.Duration(random.IntN(20)) * time.Millisecond)
 		if step < 200 || random.IntN(2) == 0 {
-			entry, err := gate.enter(Ticket{
+			entry, err := gate.enter(RequestInfo{
 				Priority: random.IntN(3), Nested: random.IntN(8) == 0, OverShare: random.IntN(4) == 0, Returning: random.IntN(3) == 0,
 				Work: time.Duration(random.IntN(300)) * time.Millisecond, MaximumWait: 10 * time.Hour,
 			})
@@ -59,23 +59,23 @@
 		if step < 200 || len(waiting) == 0 {
 			continue
 		}
-		// The newest first: of equal ones that which joined last.
+		// Among equal requests the newest is expected, the one that joined last.
 		wanted := waiting[0]
 		for _, other := range waiting[1:] {
-			if cmp.Or(cmp.Compare(other.ticket.precedence().Level(), wanted.ticket.precedence().Level()),
-				cmp.Compare(magnitude(other.ticket.Work), magnitude(wanted.ticket.Work))) <= 0 {
+			if cmp.Or(cmp.Compare(other.info.precedence().Level(), wanted.info.precedence().Level()),
+				cmp.Compare(magnitude(other.info.Work), magnitude(wanted.info.Work))) <= 0 {
 				wanted = other
 			}
 		}
 		(&Slot{gate: gate, entry: running, started: clock.at}).Release(true)
-		running, waiting = await(waiting)
+		running, waiting = takeGranted(waiting)
 		g.Expect(running).To(BeIdenticalTo(wanted), "step %d", step)
 	}
 }
 
-// TestTurnsGoByTimeNotByNumber: of two tenants that always wait, one with work four times as long,
-// each holds slots for the same time.
-func TestTurnsGoByTimeNotByNumber(t *testing.T) {
+// TestTenantsShareSlotTimeNotRequestCount checks that two tenants that always have requests waiting hold
+// slots for the same time, although the requests of one take four times as long.
+func TestTenantsShareSlotTimeNotRequestCount(t *testing.T) {
 	g := NewWithT(t)
 	held := compete(t, map[string]demand{
 		"long":  {every: 20 * time.Millisecond, work: 200 * time.Millisecond},
@@ -84,9 +84,9 @@
 	g.Expect(held["short"].Seconds() / held["long"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestRoomThatOneDoesNotUseIsThereForTheOthers: a small tenant has all that it asks for, two that
-// ask for more than their shares have equal parts of the rest.
-func TestRoomThatOneDoesNotUseIsThereForTheOthers(t *testing.T) {
+// TestUnusedShareGoesToOtherTenants checks that a small tenant gets all that it asks for, and that two
+// that ask for more than their shares get equal parts of the rest.
+func TestUnusedShareGoesToOtherTenants(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
 	held := compete(t, map[string]demand{
@@ -98,30 +98,30 @@
 	g.Expect(held["larger"].Seconds() / held["large"].Seconds()).To(BeNumerically("~", 1, 0.05))
 }
 
-// TestWhoWasAwayGainsNoCredit: a tenant that comes after ten seconds has its share from then on,
-// and not what it did not ask for before.
-func TestWhoWasAwayGainsNoCredit(t *testing.T) {
+// TestIdleTenantGainsNoCredit checks that a tenant that arrives after ten seconds gets its share from
+// then on, without compensation for the time before.
+func TestIdleTenantGainsNoCredit(t *testing.T) {
 	g := NewWithT(t)
 	const work = 100 * time.Millisecond
 	held := compete(t, map[string]demand{
 		"there": {every: 10 * time.Millisecond, work: work},
-		"away":  {every: 10 * time.Millisecond, work: work, from: 10 * time.Second},
+		"away":  {every: 10 * time.Millisecond, work: work, start: 10 * time.Second},
 	}, 4, 12*time.Second)
 	g.Expect(held["away"].Seconds()).To(BeNumerically("~", 2*4/2, 0.5))
 }
 
-// TestRequestsWithoutATenantAreNotOneTenant: four requests without a tenant that wait beside one of a
-// tenant have four parts of five.
-func TestRequestsWithoutATenantAreNotOneTenant(t *testing.T) {
+// TestRequestsWithoutTenantCountSeparately checks that four waiting requests without a tenant beside
+// those of one tenant get four fifths of the slots.
+func TestRequestsWithoutTenantCountSeparately(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	running, _ := gate.enter(Ticket{MaximumWait: time.Hour})
+	running, _ := gate.enter(RequestInfo{MaximumWait: time.Hour})
 	var waiting []*waiter
 	join := func(tenant string, count int) {
 		for range count {
-			entry, err := gate.enter(Ticket{Tenant: tenant, Work: 100 * time.Millisecond, MaximumWait: time.Hour})
+			entry, err := gate.enter(RequestInfo{Tenant: tenant, Work: 100 * time.Millisecond, MaximumWait: time.Hour})
 			g.Expect(err).NotTo(HaveOccurred())
 			waiting = append(waiting, entry)
 		}
@@ -132,71 +132,73 @@
 	for range 100 {
 		clock.at = clock.at.Add(100 * time.Millisecond)
 		(&Slot{gate: gate, entry: running, started: clock.at.Add(-100 * time.Millisecond)}).Release(true)
-		running, waiting = await(waiting)
-		served[running.ticket.Tenant]++
-		join(running.ticket.Tenant, 1)
+		running, waiting = takeGranted(waiting)
+		served[running.info.Tenant]++
+		join(running.info.Tenant, 1)
 	}
 	g.Expect(served[""]).To(BeNumerically("~", 80, 2))
 }
 
-// TestRefusedIsWhoHasAskedForTheMost: not who came last.
-func TestRefusedIsWhoHasAskedForTheMost(t *testing.T) {
+// TestDisplacedIsTenantWithLargestExcess checks that a request of the tenant that has asked for the most
+// is displaced, not the request that arrived last.
+func TestDisplacedIsTenantWithLargestExcess(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(1)
-	_, _ = gate.enter(Ticket{MaximumWait: time.Hour})
+	_, _ = gate.enter(RequestInfo{MaximumWait: time.Hour})
 	var flood []*waiter
 	for range 4 {
-		entry, err := gate.enter(Ticket{Tenant: "flood", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
+		entry, err := gate.enter(RequestInfo{Tenant: "flood", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
 		g.Expect(err).NotTo(HaveOccurred())
 		flood = append(flood, entry)
 	}
-	small, err := gate.enter(Ticket{Tenant: "small", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
+	small, err := gate.enter(RequestInfo{Tenant: "small", Work: 100 * time.Millisecond, MaximumWait: 440 * time.Millisecond})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(gate.waiting.holds(small)).To(BeTrue())
-	g.Expect(flood[0].result).To(Receive(MatchError(ErrDisplaced)), "the oldest of the tenant with the most")
+	g.Expect(flood[0].result).To(Receive(MatchError(ErrDisplaced)), "the oldest request of the tenant with the largest excess")
 	g.Expect(gate.waiting.holds(flood[3])).To(BeTrue())
 }
 
-// TestTenantsThatComeAndGoAreForgotten: memory stays bounded.
-func TestTenantsThatComeAndGoAreForgotten(t *testing.T) {
+// TestTenantAccountsAreBounded checks that accounts of tenants without requests are removed, so that
+// memory stays bounded.
+func TestTenantAccountsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 100_000 {
-		entry, err := gate.enter(Ticket{Tenant: fmt.Sprint(number), Work: time.Millisecond, MaximumWait: time.Second})
+		entry, err := gate.enter(RequestInfo{Tenant: fmt.Sprint(number), Work: time.Millisecond, MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		clock.at = clock.at.Add(time.Millisecond)
 		(&Slot{gate: gate, entry: entry, started: clock.at.Add(-time.Millisecond)}).Release(true)
 	}
-	g.Expect(len(gate.waiting.standings.classes[0].tenants)).To(BeNumerically("<=", mostTenants))
+	g.Expect(len(gate.waiting.accounts.classes[0].tenants)).To(BeNumerically("<=", maxTenants))
 	top, others := gate.Usage(3)
 	g.Expect(top).To(HaveLen(3))
-	g.Expect(others).To(Equal(99_997*time.Millisecond), "what the forgotten ones had is counted")
+	g.Expect(others).To(Equal(99_997*time.Millisecond), "slot time of removed accounts is counted")
 }
 
-// TestPrioritiesThatComeAndGoAreForgotten: memory stays bounded whatever nodes tell.
-func TestPrioritiesThatComeAndGoAreForgotten(t *testing.T) {
+// TestClassesAreBounded checks that memory stays bounded whatever priorities other nodes send.
+func TestClassesAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	clock := &manual{at: time.Unix(1, 0)}
+	clock := &manualClock{at: time.Unix(1, 0)}
 	gate := New(clock.now)
 	gate.Resize(2)
 	for number := range 10_000 {
-		entry, err := gate.enter(Ticket{Priority: number, Bounded: true, Tenant: "t", MaximumWait: time.Second})
+		entry, err := gate.enter(RequestInfo{Priority: number, PreventStarvation: true, Tenant: "t", MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		(&Slot{gate: gate, entry: entry, started: clock.at}).Release(true)
 	}
-	g.Expect(len(gate.waiting.standings.classes)).To(BeNumerically("<=", mostClasses))
+	g.Expect(len(gate.waiting.accounts.classes)).To(BeNumerically("<=", maxClasses))
 }
 
-// demand is how often a tenant's requests come, and how long they take.
+// demand is how often a tenant sends requests, how long they take and when it starts.
 type demand struct {
-	every, work, from time.Duration
+	every, work, start time.Duration
 }
 
-// compete plays tenants at one back end and returns for how long each held slots.
+// compete simulates tenants at one back end and returns the slot time of each.
 func compete(t *testing.T, tenants map[string]demand, slots int, last time.Duration) map[string]time.Duration {
 	held := map[string]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
@@ -206,10 +208,10 @@
 		results := make(chan string, 1<<16)
 		for name, asks := range tenants {
 			go func() {
-				time.Sleep(asks.from)
+				time.Sleep(asks.start)
 				for time.Now().Before(end) {
 					go func() {
-						slot, err := gate.Acquire(context.Background(), Ticket{Tenant: name, Bounded: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
+						slot, err := gate.Acquire(context.Background(), RequestInfo{Tenant: name, PreventStarvation: true, Work: asks.work, MaximumWait: 500 * time.Millisecond})
 						if err != nil {
 							return
 						}
@@ -227,16 +229,17 @@
 			name := <-results
 			held[name] += tenants[name].work
 		}
-		time.Sleep(5 * time.Second) // lets the last ones end
+		time.Sleep(5 * time.Second) // let the last requests end
 	})
 	return held
 }
 
-// BenchmarkTurn: a request of one of 2,000 tenants that wait joins the queue, and the next one gets the slot.
+// BenchmarkTurn adds a request to a queue of 2,000 waiting requests, of none, 77 or 2,000 tenants, and
+// grants the next one a slot.
 func BenchmarkTurn(b *testing.B) {
 	for _, tenants := range []int{0, 77, 2000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			clock := &manual{at: time.Unix(1, 0)}
+			clock := &manualClock{at: time.Unix(1, 0)}
 			gate := New(clock.now)
 			names := make([]string, max(tenants, 1))
 			for i := range tenants {
@@ -244,19 +247,19 @@
 			}
 			waiting := make([]*waiter, 2000)
 			for i := range waiting {
-				ticket := Ticket{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
-				of := gate.waiting.standings.join(ticket, clock.at)
-				waiting[i] = &waiter{ticket: ticket, work: ticket.Work, standing: of, kind: of.class.kind(magnitude(ticket.Work))}
+				info := RequestInfo{Tenant: names[i%len(names)], Work: 100 * time.Millisecond}
+				owner := gate.waiting.accounts.accountFor(info, clock.at)
+				waiting[i] = &waiter{info: info, work: info.Work, account: owner, kind: owner.class.kind(magnitude(info.Work))}
 				gate.waiting.add(waiting[i])
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				next := gate.waiting.next()
-				beside := next.group.flow.length
+				queued := next.group.flow.length
 				gate.waiting.remove(next)
-				next.standing.begin(next, beside, true)
-				next.standing.end(next, 90*time.Millisecond, clock.at)
-				next.standing = gate.waiting.standings.join(next.ticket, clock.at)
+				next.account.begin(next, queued, true)
+				next.account.end(next, 90*time.Millisecond, clock.at)
+				next.account = gate.waiting.accounts.accountFor(next.info, clock.at)
 				gate.waiting.workBefore(next)
 				gate.waiting.add(next)
 				gate.waiting.last(clock.at)
@@ -265,16 +268,18 @@
 	}
 }
 
-// TestManyTenantsAtOneBackEnd: 77 tenants by a skew ask for one and a half times the room. None that asks
-// for enough to say so has less than nine tenths of its max-min share.
-func TestManyTenantsAtOneBackEnd(t *testing.T) {
+// TestMaxMinSharesOfManyTenants has 77 tenants with skewed demands ask for one and a half times the
+// capacity. Each tenant with enough demand to be measured must get at least nine tenths of its max-min
+// fair share.
+func TestMaxMinSharesOfManyTenants(t *testing.T) {
 	const (
 		tenants = 77
 		skew    = 1.2
 		slots   = 18
 		work    = 100 * time.Millisecond
 		last    = 20 * time.Second
-		// enough is how much a tenant asks for, for the last of its requests to matter little.
+		// enough is the demand above which the last request of a tenant has little influence on its
+		// measured share.
 		enough = 2 * time.Second
 	)
 	g := NewWithT(t)
@@ -287,14 +292,14 @@
 	for i := range tenants {
 		part := math.Pow(float64(i+1), -skew) / total * 1.5 * slots
 		wanted = append(wanted, part*last.Seconds())
-		asks[fmt.Sprint(i)] = demand{every: time.Duration(float64(work) / part), work: work, from: time.Duration(i) * time.Millisecond}
+		asks[fmt.Sprint(i)] = demand{every: time.Duration(float64(work) / part), work: work, start: time.Duration(i) * time.Millisecond}
 	}
 	held := compete(t, asks, slots, last)
 	served := 0.0
 	for _, had := range held {
 		served += had.Seconds()
 	}
-	g.Expect(served).To(BeNumerically(">", slots*last.Seconds()*0.97), "the room is used")
+	g.Expect(served).To(BeNumerically(">", slots*last.Seconds()*0.97), "the capacity is used")
 	share := shares.MaxMin(slices.Sorted(slices.Values(wanted)), served)
 	least := math.Inf(1)
 	for i, asked := range wanted {
@@ -302,6 +307,6 @@
 			least = min(least, held[fmt.Sprint(i)].Seconds()/min(share, asked))
 		}
 	}
-	t.Logf("least served to max-min share: %.3f", least)
+	t.Logf("lowest ratio of served to max-min share: %.3f", least)
 	g.Expect(least).To(BeNumerically(">=", 0.9))
 }
--- a/internal/sidecar/admission/reserve_test.go
+++ b/internal/sidecar/admission/reserve_test.go
@@ -11,10 +11,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// TestShortUrgentWorkBesideLongWork: less urgent requests that take long come
-// faster than they can be served; urgent short ones mostly begin in time all the
-// same, and once they cease every slot serves the others.
-func TestShortUrgentWorkBesideLongWork(t *testing.T) {
+// TestReserveKeepsSlotsForShortUrgentRequests has long, less urgent requests arrive faster than they can
+// be served. Short urgent requests must mostly start in time nevertheless, and all slots must serve the
+// others once the urgent ones stop arriving.
+func TestReserveKeepsSlotsForShortUrgentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			slots  = 6
@@ -29,9 +29,9 @@
 		var late, urgent, running, most atomic.Int64
 		began := time.Now()
 		learned := func() bool { return time.Since(began) > period/4 }
-		serve := func(ticket admission.Ticket, work time.Duration) {
-			slot, err := gate.Acquire(t.Context(), ticket)
-			if ticket.Priority == 1 && learned() {
+		serve := func(info admission.RequestInfo, work time.Duration) {
+			slot, err := gate.Acquire(t.Context(), info)
+			if info.Priority == 1 && learned() {
 				urgent.Add(1)
 				if err != nil {
 					late.Add(1)
@@ -46,12 +46,12 @@
 			slot.Release(true)
 		}
 		for i := 0; time.Since(began) < 2*period; i++ {
-			go serve(admission.Ticket{Priority: 2, Work: long, MaximumWait: long}, long)
+			go serve(admission.RequestInfo{Priority: 2, Work: long, MaximumWait: long}, long)
 			if time.Since(began) < period {
-				// Urgent ones come in pairs, at uneven times.
+				// Urgent requests arrive in pairs at irregular intervals.
 				time.Sleep(time.Duration(i%7) * time.Millisecond)
 				for range i % 3 {
-					go serve(admission.Ticket{Priority: 1, Work: short, MaximumWait: slack}, short)
+					go serve(admission.RequestInfo{Priority: 1, Work: short, MaximumWait: slack}, short)
 				}
 			} else if time.Since(began) < period+period/2 {
 				most.Store(0)
@@ -61,20 +61,20 @@
 		synctest.Wait()
 		g.Expect(urgent.Load()).To(BeNumerically(">", 300))
 		g.Expect(late.Load()).To(BeNumerically("<", urgent.Load()*12/100))
-		g.Expect(most.Load()).To(BeEquivalentTo(slots), "the reserve is given up")
-		time.Sleep(time.Second) // lets the last ones end
+		g.Expect(most.Load()).To(BeEquivalentTo(slots), "the reserve is released")
+		time.Sleep(time.Second) // let the last requests end
 	})
 }
 
-// TestOnePriorityReservesNothing: all slots are used.
-func TestOnePriorityReservesNothing(t *testing.T) {
+// TestNoReserveWithOnePriority checks that all slots are used.
+func TestNoReserveWithOnePriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := admission.New(time.Now)
 		gate.Resize(3)
 		for range 50 {
 			go func() {
-				slot, err := gate.Acquire(t.Context(), ticket(3, time.Second))
+				slot, err := gate.Acquire(t.Context(), info(3, time.Second))
 				if err == nil {
 					time.Sleep(50 * time.Millisecond)
 					slot.Release(true)
--- a/internal/sidecar/admission/usage.go
+++ b/internal/sidecar/admission/usage.go
@@ -6,36 +6,39 @@
 	"time"
 )
 
-// Usage is for how long a tenant's requests have held slots.
+// Usage is the slot time that the requests of a tenant have used.
 type Usage struct {
-	Tenant string
-	Held   time.Duration
+	Tenant   string
+	SlotTime time.Duration
 }
 
-// Usage returns that of the tenants with the most, and what all others add up to, those included
-// that were forgotten meanwhile. Requests without a tenant are left out.
+// Usage returns the tenants that have used the most slot time, and the sum of all others, including
+// tenants whose accounts were removed. Requests without a tenant are left out.
 func (g *Gate) Usage(most int) (top []Usage, others time.Duration) {
 	g.mutex.Lock()
-	all, others := g.waiting.standings.usage()
+	all, others := g.waiting.accounts.usage()
 	g.mutex.Unlock()
-	slices.SortFunc(all, func(a, b Usage) int { return cmp.Or(cmp.Compare(b.Held, a.Held), cmp.Compare(a.Tenant, b.Tenant)) })
+	slices.SortFunc(all, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.SlotTime, a.SlotTime), cmp.Compare(a.Tenant, b.Tenant))
+	})
 	for _, rest := range all[min(most, len(all)):] {
-		others += rest.Held
+		others += rest.SlotTime
 	}
 	return all[:min(most, len(all))], others
 }
 
-// usage returns that of all tenants, each added up over the classes, and that of those who were forgotten.
-func (s *standings) usage() (all []Usage, forgotten time.Duration) {
+// usage returns the slot time of each tenant, summed over the classes, and that of tenants whose accounts
+// were removed.
+func (s *accounts) usage() (all []Usage, forgotten time.Duration) {
 	held := map[string]time.Duration{}
-	for _, competes := range s.classes {
-		forgotten += competes.forgotten
-		for tenant, of := range competes.tenants {
-			held[tenant] += of.held
+	for _, class := range s.classes {
+		forgotten += class.forgotten
+		for tenant, entry := range class.tenants {
+			held[tenant] += entry.held
 		}
 	}
 	for tenant, sum := range held {
-		all = append(all, Usage{Tenant: tenant, Held: sum})
+		all = append(all, Usage{Tenant: tenant, SlotTime: sum})
 	}
 	return all, forgotten
 }
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -36,7 +36,7 @@
 	record := candidateSet.records[index]
 	chosen := c.handler.targets.forRecord(record)
 	if limit := chosen.limitOf(record); limit != nil {
-		limit.Sent(c.class(), candidateSet.now)
+		limit.Consume(c.class(), candidateSet.now)
 	}
 	if candidateSet.contention {
 		c.handler.zoneLoads.forRecord(record).sent.Add(1)
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -65,7 +65,7 @@
 	// countedInShare: the request was offered to the queue and counts against its tenant's share.
 	countedInShare bool
 	// limited is the refusal by the back end's rate limit, nil if there was none.
-	limited *admission.LimitedError
+	limited *admission.RateLimitError
 	// onTrial: the request is suspected of crashing back ends and holds the handler's trial.
 	onTrial bool
 }
@@ -97,7 +97,7 @@
 	served, sent := false, false
 	defer func() {
 		if !sent {
-			slot.Return()
+			slot.Refund()
 			return
 		}
 		slot.Release(served)
@@ -235,7 +235,7 @@
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, a.retryAfter(), err)
 	}
 	if a.handler.drainExpired(a.endpoint.Incarnation()) {
-		slot.Return()
+		slot.Refund()
 		return nil, outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, defaultRetryAfter, errDraining)
 	}
 	a.countAdmitted()
@@ -243,17 +243,17 @@
 }
 
 // ticket describes the request to the admission gate.
-func (a *arrival) ticket() admission.Ticket {
-	return admission.Ticket{
-		Priority:    a.reported.Priority,
-		Returning:   a.reported.Returning,
-		Nested:      a.reported.Nested,
-		OverShare:   a.reported.OverShare,
-		Tenant:      a.tenant(),
-		Bounded:     a.contended(),
-		Work:        a.reported.ExpectedServiceTime,
-		MaximumWait: a.reported.MaximumWait,
-		Peer:        a.peer(),
+func (a *arrival) ticket() admission.RequestInfo {
+	return admission.RequestInfo{
+		Priority:          a.reported.Priority,
+		Returning:         a.reported.Returning,
+		Nested:            a.reported.Nested,
+		OverShare:         a.reported.OverShare,
+		Tenant:            a.tenant(),
+		PreventStarvation: a.contended(),
+		Work:              a.reported.ExpectedServiceTime,
+		MaximumWait:       a.reported.MaximumWait,
+		Peer:              a.peer(),
 	}
 }
 
@@ -266,7 +266,7 @@
 // retryAfter returns the expected time in which the queue drains.
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
-	wait := load.Service * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
+	wait := load.ServiceTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	return max(wait, defaultRetryAfter/2)
 }
 
@@ -289,7 +289,7 @@
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
-		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.Service,
+		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.ServiceTime,
 		Factor: a.handler.pace.Factor(clock.Now()), ServiceTime: worked, FailureRate: a.handler.failures.Rate(),
 	}
 	header := a.writer.Header()
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -175,7 +175,7 @@
 	}
 	a.reportSurvived()
 	reported := a.readLoad(response)
-	a.handler.warmup.Answered(clock.Now())
+	a.handler.warmup.RecordResponse(clock.Now())
 	failed := response.StatusCode >= http.StatusInternalServerError
 	a.handler.failures.Observe(failed)
 	a.reportToJudge(failed)
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -78,7 +78,7 @@
 // applyNotice applies the announcements in an answer to a request sent at the given time.
 func (h *Handler) applyNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read {
-		h.applyLimit(ratelimit.Advertised{Named: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{HasLimit: notice.Limited, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
@@ -86,7 +86,7 @@
 // in force.
 func (h *Handler) applyHealthNotice(header http.Header, of *roster.Endpoint, sent time.Time) {
 	if notice, read := h.read(header, of); read && notice.Limited {
-		h.applyLimit(ratelimit.Advertised{Named: true, PerSecond: notice.PerSecond}, of, sent)
+		h.applyLimit(ratelimit.Advertised{HasLimit: true, PerSecond: notice.PerSecond}, of, sent)
 	}
 }
 
@@ -139,7 +139,7 @@
 		return
 	}
 	// If several nodes report limits, the strictest applies.
-	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{Named: true, PerSecond: reported.PerSecond}, time.Time{}, clock.Now()); changed {
+	if _, changed := a.handler.gate.UpdateLimit(ratelimit.Advertised{HasLimit: true, PerSecond: reported.PerSecond}, time.Time{}, clock.Now()); changed {
 		a.handler.options.Logger.Info("limit of the back end told by a node", zap.String("endpoint", a.endpoint.ID),
 			zap.String("peer", a.request.RemoteAddr), zap.Float64("perSecond", reported.PerSecond))
 	}
@@ -147,13 +147,13 @@
 
 // logLimit logs a change; the caller holds the lock of notices.
 func (h *Handler) logLimit(of *roster.Endpoint, before admission.Limit, advertised ratelimit.Advertised, now time.Time) {
-	if before.Named == advertised.Named && now.Sub(h.notices.lastLogged) < noticeLogInterval {
+	if before.HasLimit == advertised.HasLimit && now.Sub(h.notices.lastLogged) < noticeLogInterval {
 		return
 	}
 	h.notices.lastLogged = now
 	h.options.Logger.Info("limit of the back end", zap.String("endpoint", of.ID), zap.String("service", of.Service),
-		zap.Bool("limited", advertised.Named), zap.Float64("perSecond", advertised.PerSecond),
-		zap.Bool("limitedBefore", before.Named), zap.Float64("perSecondBefore", before.PerSecond),
+		zap.Bool("limited", advertised.HasLimit), zap.Float64("perSecond", advertised.PerSecond),
+		zap.Bool("limitedBefore", before.HasLimit), zap.Float64("perSecondBefore", before.PerSecond),
 		zap.Duration("for", before.Age), zap.Int("recent", before.Recent))
 }
 
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -81,7 +81,7 @@
 			f := newNoticeFixture(t, false)
 			f.setLimit("3", tc.answer)
 			f.receive(t.Context())
-			g.Expect(f.handler.Limit().Named).To(Equal(tc.applied))
+			g.Expect(f.handler.Limit().HasLimit).To(Equal(tc.applied))
 		})
 	}
 }
--- a/internal/sidecar/ingress/warmup.go
+++ b/internal/sidecar/ingress/warmup.go
@@ -33,21 +33,21 @@
 }
 
 // SetWarmupRemaining records the remaining warm-up time that the back end reports.
-func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.Told(left, clock.Now()) }
+func (h *Handler) SetWarmupRemaining(left time.Duration) { h.warmup.ExtendWarmup(left, clock.Now()) }
 
 // MarkPossiblyCold records that the back end may have restarted cold without a report.
-func (h *Handler) MarkPossiblyCold() { h.warmup.Suspect(clock.Now()) }
+func (h *Handler) MarkPossiblyCold() { h.warmup.SuspectCold(clock.Now()) }
 
 // checkWarmup refuses a request that exceeds the capacity of a cold back end. It was not run.
 func (a *arrival) checkWarmup() *outcome.Failure {
 	verdict := a.handler.warmup.Admit(clock.Now())
-	if verdict.Ask {
+	if verdict.Probe {
 		go func() { _ = contain.Run("health", a.handler.options.Logger, a.handler.askHealth) }()
 	}
 	if !verdict.Refused {
 		return nil
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.Wait, defaultRetryAfter/2), errCold)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepWarmup, max(verdict.RetryAfter, defaultRetryAfter/2), errCold)
 }
 
 // newHealthClient returns the client for the back end's health check. It opens a new connection
@@ -81,7 +81,7 @@
 	}
 	h.applyHealthNotice(response.Header, endpoint, asked)
 	if reported || response.StatusCode == http.StatusOK {
-		h.warmup.Answer(left, asked, clock.Now())
+		h.warmup.SetProbeResult(left, asked, clock.Now())
 		h.options.Logger.Info("back end asked whether it is cold", zap.String("endpoint", endpoint.ID), zap.Duration("left", left))
 	}
 }
--- a/internal/sidecar/stall/stall.go
+++ b/internal/sidecar/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall tells for how long the node itself did not run: its process was stopped, or got no
-// processor. What is timed meanwhile says nothing of others.
+// Package stall measures for how long the node itself did not run, because its process was stopped or was
+// not scheduled. Durations measured across a stall say nothing about other processes.
 package stall
 
 import "time"
@@ -7,24 +7,24 @@
 const (
 	// Interval is the time between two ticks, and the shortest stall that counts.
 	Interval = 20 * time.Millisecond
-	// kept is how many stalls are remembered.
-	kept = 32
+	// maxStalls is the number of stalls remembered.
+	maxStalls = 32
 )
 
-// Record remembers stalls by ticks that came late. It is pure: it is told the time. The zero value has
-// seen no tick. Its owner holds a lock.
-type Record struct {
-	// last is the last tick.
+// Tracker detects stalls from ticks that arrive late. It takes the time as an argument. The zero value
+// has seen no tick. The caller holds a lock.
+type Tracker struct {
+	// last is the time of the last tick.
 	last   time.Time
-	stalls [kept]stretch
+	stalls [maxStalls]interval
 	next   int
 }
 
-// stretch is the time between two moments.
-type stretch struct{ from, to time.Time }
+// interval is the time between two moments.
+type interval struct{ from, to time.Time }
 
-// within returns how much of it lies between two moments.
-func (s stretch) within(from, to time.Time) time.Duration {
+// overlap returns the length of the part that lies between two moments.
+func (s interval) overlap(from, to time.Time) time.Duration {
 	if s.from.After(from) {
 		from = s.from
 	}
@@ -34,33 +34,34 @@
 	return max(to.Sub(from), 0)
 }
 
-// Reset forgets the last tick: none were due since.
-func (r *Record) Reset() { r.last = time.Time{} }
+// Reset discards the last tick, so that the time until the next one does not count as a stall.
+func (r *Tracker) Reset() { r.last = time.Time{} }
 
-// Tick takes in a tick.
-func (r *Record) Tick(now time.Time) {
+// Tick records a tick.
+func (r *Tracker) Tick(now time.Time) {
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
 		r.stalls[r.next] = late
-		r.next = (r.next + 1) % kept
+		r.next = (r.next + 1) % maxStalls
 	}
 	r.last = now
 }
 
-// late is the time by which the next tick is late now.
-func (r *Record) late(now time.Time) stretch {
+// late returns the interval by which the next tick is overdue.
+func (r *Tracker) late(now time.Time) interval {
 	if r.last.IsZero() {
-		return stretch{from: now, to: now}
+		return interval{from: now, to: now}
 	}
-	return stretch{from: r.last.Add(Interval), to: now}
+	return interval{from: r.last.Add(Interval), to: now}
 }
 
-// Within returns for how long the node did not run between two moments, the later of which is now.
-func (r *Record) Within(from, now time.Time) (total time.Duration) {
-	for _, one := range r.stalls {
-		total += one.within(from, now)
+// Stalled returns for how long the node did not run between two moments, of which the later one must be
+// the current time.
+func (r *Tracker) Stalled(from, now time.Time) (total time.Duration) {
+	for _, past := range r.stalls {
+		total += past.overlap(from, now)
 	}
 	if late := r.late(now); late.to.Sub(late.from) >= Interval {
-		total += late.within(from, now)
+		total += late.overlap(from, now)
 	}
 	return total
 }
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -7,30 +7,31 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// watchTime is for how long a watch goes on after it was last asked to.
-const watchTime = 2 * time.Second
-
-// Watch ticks while somebody asks for stalls. It is safe for concurrent use; the zero value is ready.
-type Watch struct {
-	mu     sync.Mutex // guards all below
-	record Record
-	// until is when the watch ends, zero while it does not tick.
+// monitorTime is how long the monitor keeps ticking after the last call of Extend.
+const monitorTime = 2 * time.Second
+
+// Monitor ticks for a limited time after each call of Extend and detects stalls. It is safe for
+// concurrent use; the zero value is ready.
+type Monitor struct {
+	mu      sync.Mutex // guards all below
+	tracker Tracker
+	// until is when the monitor stops, zero while it does not tick.
 	until time.Time
 }
 
-// Keep has the watch tick for a while.
-func (w *Watch) Keep() {
+// Extend keeps the monitor ticking for monitorTime from now on.
+func (w *Monitor) Extend() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ticks := !w.until.IsZero()
-	w.until = clock.Now().Add(watchTime)
+	w.until = clock.Now().Add(monitorTime)
 	if !ticks {
-		w.record.Reset()
+		w.tracker.Reset()
 		go w.run()
 	}
 }
 
-func (w *Watch) run() {
+func (w *Monitor) run() {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for w.tick() {
@@ -38,23 +39,23 @@
 	}
 }
 
-// tick reports whether the watch goes on.
-func (w *Watch) tick() bool {
+// tick records a tick and reports whether the monitor continues.
+func (w *Monitor) tick() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	w.record.Tick(now)
+	w.tracker.Tick(now)
 	if now.Before(w.until) {
 		return true
 	}
 	w.until = time.Time{}
-	w.record.Reset()
+	w.tracker.Reset()
 	return false
 }
 
-// Within returns for how long the node did not run since a moment.
-func (w *Watch) Within(from time.Time) time.Duration {
+// Stalled returns for how long the node did not run since the given time.
+func (w *Monitor) Stalled(from time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.record.Within(from, clock.Now())
+	return w.tracker.Stalled(from, clock.Now())
 }
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -1,7 +1,7 @@
-// Package warmup bounds what a back end gets while it is cold: one that has just started, or
-// turned cold for another reason, falls over at well above the rate that it bears then. The
-// node beside the back end is its only way in and keeps the bound alone. The package is pure:
-// it is told the time.
+// Package warmup limits the request rate of a back end while it is cold. A back end that has just
+// started, or has become cold for another reason, fails at rates well above what it can serve in that
+// state. All of its requests pass through the node beside it, so that this node enforces the limit alone.
+// The package does no I/O and takes the time as an argument.
 package warmup
 
 import (
@@ -11,156 +11,158 @@
 )
 
 const (
-	// window is the time over which requests to a cold back end are counted.
+	// window is the period over which requests to a cold back end are counted.
 	window = time.Second
-	// quietGap is how long without any answer a back end may have ended and started again
-	// unheard: what is down for less is seen by connections that are refused.
-	quietGap = 500 * time.Millisecond
-	// askInterval is the least time between two questions of whether the back end is cold.
-	askInterval = 100 * time.Millisecond
-	// askShare is the part of what a cold back end bears that passes before it is asked: one
-	// with little to do needs no question.
-	askShare = 0.5
-	// mostUnknown is how many requests a back end that is, or may be, cold gets in a window while the
-	// configuration has not told what it bears: the least that it can tell.
-	mostUnknown = 1
+	// maxSilence is how long a back end may go without a response before it may have restarted unnoticed.
+	// Shorter outages are detected by refused connections.
+	maxSilence = 500 * time.Millisecond
+	// probeInterval is the minimum time between two probes of whether the back end is cold.
+	probeInterval = 100 * time.Millisecond
+	// probeThreshold is the part of a cold back end's limit that must be used before it is probed: a back
+	// end with little load needs no probe.
+	probeThreshold = 0.5
+	// unconfiguredLimit is the number of requests per window that a back end that is, or may be, cold
+	// gets while its limit is not configured yet. It is the lowest limit that can be configured.
+	unconfiguredLimit = 1
 )
 
-// Limit bounds the requests to one back end. The zero value knows of no configuration and takes the
-// back end for one that is cold. It is safe for concurrent use.
+// Limit limits the requests to one back end. The zero value has no configuration and assumes that the
+// back end is cold. It is safe for concurrent use.
 type Limit struct {
 	mu sync.Mutex // guards all below
-	// configured: the configuration has told of the back end's service.
+	// configured: the configuration of the back end's service has been applied.
 	configured bool
-	// most is how many requests a cold back end bears in a window, zero for any number.
-	most int
-	// lasts is how long a back end stays cold after its start.
-	lasts time.Duration
-	// passed holds the moments of the last requests that passed, at most as many as a cold back
-	// end bears, next where the next one goes: the oldest.
-	passed []time.Time
-	next   int
-	// coldUntil is when a warm-up that was told of is over, suspectedUntil when one would be that
-	// may have begun unheard.
+	// maxPerWindow is how many requests a cold back end can serve per window, zero for any number.
+	maxPerWindow int
+	// warmupTime is how long a back end stays cold after its start.
+	warmupTime time.Duration
+	// admitted is a ring buffer of the times of the last admitted requests, as many as maxPerWindow; next
+	// is the index of the oldest, which is overwritten next.
+	admitted []time.Time
+	next     int
+	// coldUntil is when a reported warm-up ends, suspectedUntil when one would end that may have begun
+	// unnoticed.
 	coldUntil, suspectedUntil time.Time
-	// suspected is when that was last suspected.
-	suspected time.Time
-	// answered is when the back end last answered, asked when it was last asked.
-	answered, asked time.Time
+	// suspectedAt is when a restart was last suspected.
+	suspectedAt time.Time
+	// lastResponse is when the back end last responded, lastProbe when it was last probed.
+	lastResponse, lastProbe time.Time
 }
 
-// Verdict says what becomes of one request.
-type Verdict struct {
-	// Refused: the back end may be cold and has got what it bears. Wait is the time until it
-	// bears another one.
-	Refused bool
-	Wait    time.Duration
-	// Ask: the back end is to be asked whether it is cold. The answer goes to Answer.
-	Ask bool
+// Decision is the decision on one request.
+type Decision struct {
+	// Refused: the back end may be cold and its limit is exhausted. RetryAfter is the time until the next
+	// request would be admitted.
+	Refused    bool
+	RetryAfter time.Duration
+	// Probe: the caller is to probe whether the back end is cold and to pass the result to
+	// SetProbeResult.
+	Probe bool
 }
 
-// Configure sets how many requests a second a cold back end bears, zero for any number, and how
+// Configure sets how many requests per second a cold back end can serve, zero for any number, and how
 // long it stays cold.
-func (l *Limit) Configure(perSecond float64, lasts time.Duration) {
+func (l *Limit) Configure(perSecond float64, warmupTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := 0
+	maxPerWindow := 0
 	if perSecond > 0 {
-		most = max(int(perSecond*window.Seconds()), 1)
+		maxPerWindow = max(int(perSecond*window.Seconds()), 1)
 	}
-	l.lasts = lasts
-	if l.configured && most == l.most {
+	l.warmupTime = warmupTime
+	if l.configured && maxPerWindow == l.maxPerWindow {
 		return
 	}
 	l.configured = true
-	l.resize(most)
-	l.answered = time.Time{}
+	l.resize(maxPerWindow)
+	l.lastResponse = time.Time{}
 }
 
-// resize sets how many requests pass in a window. The last that have passed go on counting; the lock is
-// held.
-func (l *Limit) resize(most int) {
-	kept := slices.Clone(l.passed)
-	slices.SortFunc(kept, time.Time.Compare)
-	kept = kept[max(0, len(kept)-most):]
-	l.most, l.passed = most, make([]time.Time, most)
-	copy(l.passed, kept)
+// resize sets the number of requests per window. The most recent admitted requests continue to count; the
+// lock is held.
+func (l *Limit) resize(maxPerWindow int) {
+	recent := slices.Clone(l.admitted)
+	slices.SortFunc(recent, time.Time.Compare)
+	recent = recent[max(0, len(recent)-maxPerWindow):]
+	l.maxPerWindow, l.admitted = maxPerWindow, make([]time.Time, maxPerWindow)
+	copy(l.admitted, recent)
 	l.next = 0
-	if most > 0 {
-		l.next = len(kept) % most
+	if maxPerWindow > 0 {
+		l.next = len(recent) % maxPerWindow
 	}
 }
 
-// Told takes in the back end's word that it is cold for that much longer.
-func (l *Limit) Told(left time.Duration, now time.Time) {
+// ExtendWarmup records a report of the back end that it stays cold for that long. A warm-up is never
+// shortened.
+func (l *Limit) ExtendWarmup(remaining time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until := now.Add(left); left > 0 && until.After(l.coldUntil) {
+	if until := now.Add(remaining); remaining > 0 && until.After(l.coldUntil) {
 		l.coldUntil = until
 	}
 }
 
-// Suspect takes in that the back end may have turned cold, or started again.
-func (l *Limit) Suspect(now time.Time) {
+// SuspectCold records that the back end may have become cold or restarted.
+func (l *Limit) SuspectCold(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.suspect(now)
 }
 
-func (l *Limit) suspect(now time.Time) { l.suspected, l.suspectedUntil = now, now.Add(l.lasts) }
+func (l *Limit) suspect(now time.Time) { l.suspectedAt, l.suspectedUntil = now, now.Add(l.warmupTime) }
 
-// Answer takes in what the back end itself answered to a question of a moment: for how much
-// longer it is cold, zero when it is not.
-func (l *Limit) Answer(left time.Duration, asked, now time.Time) {
+// SetProbeResult records the result of a probe that was sent at the given time: how much longer the back
+// end stays cold, zero if it is warm.
+func (l *Limit) SetProbeResult(remaining time.Duration, probedAt, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.coldUntil, l.answered = now.Add(left), now
-	if !l.suspected.After(asked) {
+	l.coldUntil, l.lastResponse = now.Add(remaining), now
+	if !l.suspectedAt.After(probedAt) {
 		l.suspectedUntil = time.Time{}
 	}
 }
 
-// Answered takes in that the back end has answered a request.
-func (l *Limit) Answered(now time.Time) {
+// RecordResponse records that the back end has responded to a request.
+func (l *Limit) RecordResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.most > 0 {
-		l.answered = now
+	if l.maxPerWindow > 0 {
+		l.lastResponse = now
 	}
 }
 
-// Admit decides on one request, and counts it when it passes.
-func (l *Limit) Admit(now time.Time) (verdict Verdict) {
+// Admit decides on one request and counts it if it is admitted.
+func (l *Limit) Admit(now time.Time) (decision Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.configured && l.most == 0 {
-		l.resize(mostUnknown)
+	if !l.configured && l.maxPerWindow == 0 {
+		l.resize(unconfiguredLimit)
 	}
-	if l.most == 0 {
-		return Verdict{}
+	if l.maxPerWindow == 0 {
+		return Decision{}
 	}
-	if now.Sub(l.answered) > quietGap && !now.Before(l.suspectedUntil) {
+	if now.Sub(l.lastResponse) > maxSilence && !now.Before(l.suspectedUntil) {
 		l.suspect(now)
 	}
-	cold, doubtful := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
-	if doubtful && l.recent(now) >= int(askShare*float64(l.most)) && now.Sub(l.asked) >= askInterval {
-		l.asked, verdict.Ask = now, true
+	cold, maybeCold := now.Before(l.coldUntil) || !l.configured, now.Before(l.suspectedUntil)
+	if maybeCold && l.recent(now) >= int(probeThreshold*float64(l.maxPerWindow)) && now.Sub(l.lastProbe) >= probeInterval {
+		l.lastProbe, decision.Probe = now, true
 	}
-	oldest := l.passed[l.next]
-	if wait := window - now.Sub(oldest); (cold || doubtful) && wait > 0 && !oldest.IsZero() {
-		verdict.Refused, verdict.Wait = true, wait
-		return verdict
+	oldest := l.admitted[l.next]
+	if wait := window - now.Sub(oldest); (cold || maybeCold) && wait > 0 && !oldest.IsZero() {
+		decision.Refused, decision.RetryAfter = true, wait
+		return decision
 	}
-	l.passed[l.next] = now
-	l.next = (l.next + 1) % l.most
-	return verdict
+	l.admitted[l.next] = now
+	l.next = (l.next + 1) % l.maxPerWindow
+	return decision
 }
 
-// recent returns how many requests passed within the last window, at most as many as a cold
-// back end bears; the lock is held.
+// recent returns how many requests were admitted within the last window, at most maxPerWindow; the lock
+// is held.
 func (l *Limit) recent(now time.Time) int {
 	count := 0
-	for _, at := range l.passed {
+	for _, at := range l.admitted {
 		if !at.IsZero() && now.Sub(at) < window {
 			count++
 		}
