--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -138,7 +138,7 @@
 }
 
 // print returns the fingerprint of the request.
-func (c *call) print() fingerprint.Print {
+func (c *call) print() fingerprint.Fingerprint {
 	return fingerprint.Of(c.request, c.handler.options.Caller(), c.body)
 }
 
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -107,7 +107,7 @@
 	// Idle reports whether no request is quarantined or suspected.
 	Idle() bool
 	// Holds reports whether the request is quarantined.
-	Holds(fingerprint.Print) bool
+	Holds(fingerprint.Fingerprint) bool
 }
 
 // Observer receives the events of calls.
--- a/internal/sidecar/egress/quarantine_test.go
+++ b/internal/sidecar/egress/quarantine_test.go
@@ -81,9 +81,9 @@
 func (emptyBody) Held() ([]byte, int64) { return nil, 0 }
 
 // quarantinedPrint quarantines one request.
-type quarantinedPrint struct{ fingerprint.Print }
+type quarantinedPrint struct{ fingerprint.Fingerprint }
 
-func (quarantinedPrint) Idle() bool                           { return false }
-func (h quarantinedPrint) Holds(print fingerprint.Print) bool { return print == h.Print }
+func (quarantinedPrint) Idle() bool                                 { return false }
+func (h quarantinedPrint) Holds(print fingerprint.Fingerprint) bool { return print == h.Fingerprint }
 
 var _ Quarantine = quarantinedPrint{}
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -102,7 +102,7 @@
 func chooseSubset(records []*roster.Record, self string, origin location) *subset {
 	var near, far []ranked
 	for _, record := range records {
-		if record.Departed() {
+		if record.BackendAbsent() {
 			continue
 		}
 		if candidate := rank(record, self, origin); candidate.distance == 0 {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -14,19 +14,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// played are the orders of one node with what they tell.
-type played struct {
+// recordedOrders are the orders of one node with the calls of its callbacks.
+type recordedOrders struct {
 	*evacuation.Orders
 	spreads int
 	changes []string
 }
 
-func play() *played {
-	made := &played{}
+func newRecordedOrders() *recordedOrders {
+	made := &recordedOrders{}
 	made.Orders = evacuation.New(evacuation.Options{
-		Known:  func(string) bool { return true },
-		Spread: func() { made.spreads++ },
-		Changed: func(zone string, emptied bool) {
+		ZoneExists: func(string) bool { return true },
+		Broadcast:  func() { made.spreads++ },
+		OnChange: func(zone string, emptied bool) {
 			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
 		},
 		Logger: zap.NewNop(),
@@ -34,67 +34,70 @@
 	return made
 }
 
-// TestTheNewestWordHolds whatever the order in which words come, and from whom.
-func TestTheNewestWordHolds(t *testing.T) {
-	words := []evacuation.Order{
+// TestNewestOrderWins checks that the newest order for a zone applies regardless of the sequence of
+// arrival and of the source.
+func TestNewestOrderWins(t *testing.T) {
+	orders := []evacuation.Order{
 		{Zone: "a", Revision: 3, Emptied: true}, {Zone: "a", Revision: 5}, {Zone: "a", Revision: 9, Emptied: true},
 		{Zone: "b", Revision: 4, Emptied: true}, {Zone: "b", Revision: 8},
 	}
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 100 {
 		g := NewWithT(t)
-		made := play()
-		for _, index := range random.Perm(len(words)) {
+		made := newRecordedOrders()
+		for _, index := range random.Perm(len(orders)) {
 			if random.IntN(2) == 0 {
-				made.Ordered(words[index])
+				made.Ordered(orders[index])
 			} else {
-				made.Hear([]evacuation.Order{words[index]})
+				made.Hear([]evacuation.Order{orders[index]})
 			}
 		}
 		g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-		g.Expect(made.Hear(words)).To(BeFalse(), "nothing of it is news")
-		g.Expect(made.Tell()).To(Equal([]evacuation.Order{words[2], words[4]}))
+		g.Expect(made.Hear(orders)).To(BeFalse(), "no order is new")
+		g.Expect(made.Tell()).To(Equal([]evacuation.Order{orders[2], orders[4]}))
 	}
 }
 
-// TestAnOrderTakenBackUnwatched: a read of all orders that lacks one takes it back, but not one
-// that was given after the read.
-func TestAnOrderTakenBackUnwatched(t *testing.T) {
+// TestReconcileRevokesMissingOrder checks that an order missing from a listing is revoked, unless
+// it was given after the listing was read.
+func TestReconcileRevokesMissingOrder(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	made.Ordered(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
-	made.Listed([]string{"b"}, 10, time.Now())
+	made.Reconcile([]string{"b"}, 10, time.Now())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"b", "late"}))
 	g.Expect(made.changes).To(Equal([]string{"a true", "b true", "late true", "a false"}))
 	g.Expect(made.spreads).To(Equal(4))
-	made.Listed([]string{"b"}, 10, time.Now())
-	g.Expect(made.spreads).To(Equal(4), "no news")
+	made.Reconcile([]string{"b"}, 10, time.Now())
+	g.Expect(made.spreads).To(Equal(4), "nothing new")
 }
 
-// TestAnOrderThatTheStoreHasLost is kept until operators have had the time to write it again.
-func TestAnOrderThatTheStoreHasLost(t *testing.T) {
+// TestReconcileAfterStoreRestore checks that an order lost by a restored store is kept until
+// operators have had time to write it again.
+func TestReconcileAfterStoreRestore(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
-	made := play()
+	made := newRecordedOrders()
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
 	made.Ordered(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
-	g.Expect(made.Listed(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
+	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a", "b"}))
 	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
-	g.Expect(made.Listed([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
-	g.Expect(made.Listed([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewritePatience))).To(BeFalse())
+	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
+	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewriteGracePeriod))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-	// Within the new era what is not there was taken back.
-	g.Expect(made.Listed(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
+	// An order of the new era that is missing was revoked.
+	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 499), start.Add(time.Minute))).To(BeFalse())
 	g.Expect(made.Zones()).To(BeNil())
 }
 
-// TestWordsThatCannotBe change nothing, and however many zones are named the memory is bounded.
-func TestWordsThatCannotBe(t *testing.T) {
+// TestInvalidOrdersAreRejected checks that invalid orders change nothing and that the number of
+// zones is bounded.
+func TestInvalidOrdersAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	g.Expect(made.Hear([]evacuation.Order{
 		{Revision: 1, Emptied: true}, {Zone: "a", Emptied: true}, {Zone: strings.Repeat("z", 201), Revision: 1, Emptied: true},
 	})).To(BeFalse())
@@ -104,14 +107,14 @@
 	}
 	g.Expect(len(made.Tell())).To(Equal(256))
 	made.Hear([]evacuation.Order{{Zone: "0", Revision: 5000}})
-	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "words on zones that are kept still count")
+	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "orders for known zones still apply")
 }
 
-// TestFlapping: an order that is given and taken back in quick succession leaves no trace but
-// the last word.
-func TestFlapping(t *testing.T) {
+// TestRepeatedChangesKeepOnlyLast checks that of an order that is given and revoked in quick
+// succession only the last state remains.
+func TestRepeatedChangesKeepOnlyLast(t *testing.T) {
 	g := NewWithT(t)
-	made := play()
+	made := newRecordedOrders()
 	for revision := range uint64(100) {
 		made.Ordered(evacuation.Order{Zone: "a", Revision: revision + 1, Emptied: revision%2 == 0})
 	}
--- a/internal/sidecar/fingerprint/fingerprint.go
+++ b/internal/sidecar/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells requests for the same thing from others. A caller that comes
-// back brings another request id, at any node; what it asks for stays the same.
+// Package fingerprint identifies requests by their content. A caller that retries sends another
+// request id, possibly to another node, but the content stays the same.
 package fingerprint
 
 import (
@@ -12,32 +12,32 @@
 	"strconv"
 )
 
-// digestBytes is the length of a digest. A request that is to bear the digest of another
-// one takes about 2^96 tries.
+// digestBytes is the length of a digest. Crafting a request with the digest of another one takes
+// about 2^96 attempts.
 const digestBytes = 12
 
-// Digest identifies what a request asks for. It is equal at all nodes and in all lives of
-// them.
+// Digest is a truncated hash of a request's content. It is equal at all nodes and stable across
+// restarts.
 type Digest [digestBytes]byte
 
-// Print is what is known of one request.
-type Print struct {
-	// Content is that of method, host, path with query, and body.
+// Fingerprint identifies one request, with and without its caller.
+type Fingerprint struct {
+	// Content covers the method, host, path with query, and body.
 	Content Digest `json:"content"`
-	// Call is that of the content and the service of the caller.
+	// Call covers the content and the service of the caller.
 	Call Digest `json:"call"`
 }
 
-// Body is a request's body as far as it was read before the request was sent on.
+// Body is a request's body, of which a part may have been buffered before the request is forwarded.
 type Body interface {
-	// Held returns the bytes from the beginning that are held, and the length of the
-	// whole body; below zero when that is not known.
+	// Held returns the buffered beginning of the body and the length of the whole body, negative if
+	// unknown.
 	Held() (beginning []byte, length int64)
 }
 
-// Of returns the print of a request of a service. Of a body that streams through only its
-// length counts, since it is not held.
-func Of(r *http.Request, caller string, body Body) Print {
+// Of returns the fingerprint of a request from a caller's service. Of a body that is streamed only
+// the length counts, since its bytes are not buffered.
+func Of(r *http.Request, caller string, body Body) Fingerprint {
 	beginning, length := body.Held()
 	hash := sha256.New()
 	for _, part := range [...]string{r.Method, r.Host, r.URL.RequestURI(), strconv.FormatInt(length, 10)} {
@@ -45,37 +45,37 @@
 		_, _ = hash.Write([]byte{0})
 	}
 	_, _ = hash.Write(beginning)
-	made := Print{Content: truncated(hash.Sum(nil))}
+	result := Fingerprint{Content: truncate(hash.Sum(nil))}
 	call := sha256.New()
-	_, _ = call.Write(made.Content[:])
+	_, _ = call.Write(result.Content[:])
 	_, _ = io.WriteString(call, caller)
-	made.Call = truncated(call.Sum(nil))
-	return made
+	result.Call = truncate(call.Sum(nil))
+	return result
 }
 
-func truncated(sum []byte) (digest Digest) {
+func truncate(sum []byte) (digest Digest) {
 	copy(digest[:], sum)
 	return digest
 }
 
-// String returns the digest as 16 letters, digits, dashes and underscores.
+// String returns the digest as 16 characters of unpadded URL-safe base64.
 func (d Digest) String() string { return base64.RawURLEncoding.EncodeToString(d[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// ErrDigest says that a text is no digest.
-var ErrDigest = errors.New("fingerprint: no digest")
+// ErrInvalidDigest is returned for a text that is not a valid digest.
+var ErrInvalidDigest = errors.New("fingerprint: invalid digest")
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	read, err := base64.RawURLEncoding.DecodeString(string(text))
 	if err != nil || len(read) != digestBytes {
-		return ErrDigest
+		return ErrInvalidDigest
 	}
 	copy(d[:], read)
 	return nil
 }
 
-// Compare orders digests.
+// Compare orders digests by their bytes.
 func (d Digest) Compare(other Digest) int { return bytes.Compare(d[:], other[:]) }
--- a/internal/sidecar/fingerprint/fingerprint_test.go
+++ b/internal/sidecar/fingerprint/fingerprint_test.go
@@ -19,25 +19,25 @@
 func (s streamed) Held() ([]byte, int64) { return nil, int64(s) }
 
 func TestOf(t *testing.T) {
-	of := func(method, target, caller string, body fingerprint.Body) fingerprint.Print {
+	of := func(method, target, caller string, body fingerprint.Body) fingerprint.Fingerprint {
 		return fingerprint.Of(httptest.NewRequest(method, target, nil), caller, body)
 	}
 	first := of("GET", "http://h/a/?b=1", "one", held("x"))
 	cases := []struct {
 		name    string
-		second  fingerprint.Print
-		content bool // the same content
-		call    bool // the same content of the same caller
+		second  fingerprint.Fingerprint
+		content bool // same content
+		call    bool // the same content and caller
 	}{
-		{"the same", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
+		{"identical requests", of("GET", "http://h/a/?b=1", "one", held("x")), true, true},
 		{"another caller", of("GET", "http://h/a/?b=1", "two", held("x")), true, false},
 		{"another method", of("PUT", "http://h/a/?b=1", "one", held("x")), false, false},
 		{"another host", of("GET", "http://i/a/?b=1", "one", held("x")), false, false},
 		{"another path", of("GET", "http://h/a/c?b=1", "one", held("x")), false, false},
 		{"another query", of("GET", "http://h/a/?b=2", "one", held("x")), false, false},
 		{"another body", of("GET", "http://h/a/?b=1", "one", held("y")), false, false},
-		{"the path's end moved into the body", of("GET", "http://h/a/?b=", "one", held("1x")), false, false},
-		{"a body that streams through", of("GET", "http://h/a/?b=1", "one", streamed(1)), false, false},
+		{"end of the path moved into the body", of("GET", "http://h/a/?b=", "one", held("1x")), false, false},
+		{"streamed body", of("GET", "http://h/a/?b=1", "one", streamed(1)), false, false},
 	}
 	for _, compared := range cases {
 		t.Run(compared.name, func(t *testing.T) {
@@ -57,6 +57,6 @@
 	g.Expect(json.Unmarshal(encoded, &read)).To(Succeed())
 	g.Expect(read).To(Equal(digest))
 	for _, wrong := range []string{`""`, `"short"`, `"AAAAAAAAAAAAAAAAA"`, `"================"`} {
-		g.Expect(json.Unmarshal([]byte(wrong), &read)).To(MatchError(fingerprint.ErrDigest), wrong)
+		g.Expect(json.Unmarshal([]byte(wrong), &read)).To(MatchError(fingerprint.ErrInvalidDigest), wrong)
 	}
 }
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -58,7 +58,7 @@
 	body *forward.Body
 	sent time.Time
 	// cachedPrint is the fingerprint of the request, nil until it is first needed.
-	cachedPrint atomic.Pointer[fingerprint.Print]
+	cachedPrint atomic.Pointer[fingerprint.Fingerprint]
 	// duplicateCrash: the back end's process ended, and another request has already reported the
 	// crash.
 	duplicateCrash bool
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -42,8 +42,8 @@
 
 // Running is one active request.
 type Running struct {
-	RequestID string
-	Print     fingerprint.Print
+	RequestID   string
+	Fingerprint fingerprint.Fingerprint
 	// For is how long the request had been active.
 	For time.Duration
 	// Trial: the request was already suspected of crashing back ends.
@@ -53,8 +53,8 @@
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (r Running) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
 	encoder.AddString("request", r.RequestID)
-	encoder.AddString("content", r.Print.Content.String())
-	encoder.AddString("call", r.Print.Call.String())
+	encoder.AddString("content", r.Fingerprint.Content.String())
+	encoder.AddString("call", r.Fingerprint.Call.String())
 	encoder.AddDuration("for", r.For)
 	if r.Trial {
 		encoder.AddBool("trial", true)
@@ -251,9 +251,9 @@
 func (c *BackendCrash) crash() roster.Crash {
 	crash := roster.Crash{Endpoint: c.Endpoint.Incarnation().String(), Service: c.Endpoint.Service}
 	for _, running := range c.Running {
-		crash.Running = append(crash.Running, running.Print)
+		crash.Running = append(crash.Running, running.Fingerprint)
 		if running.Trial {
-			crash.Trial = &running.Print
+			crash.Trial = &running.Fingerprint
 		}
 	}
 	return crash
@@ -262,16 +262,16 @@
 // running describes the request for a crash report.
 func (a *arrival) running(now time.Time) Running {
 	return Running{
-		RequestID: a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
-		Print:     a.print(),
-		For:       now.Sub(a.sent),
-		Trial:     a.onTrial,
+		RequestID:   a.request.Header.Get(a.handler.options.Vocabulary.RequestID),
+		Fingerprint: a.print(),
+		For:         now.Sub(a.sent),
+		Trial:       a.onTrial,
 	}
 }
 
 // print returns the fingerprint of the request; the body must be set. The request that
 // detects a crash calls it for all other active requests.
-func (a *arrival) print() fingerprint.Print {
+func (a *arrival) print() fingerprint.Fingerprint {
 	if known := a.cachedPrint.Load(); known != nil {
 		return *known
 	}
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -99,13 +99,13 @@
 	// Idle reports whether there are neither quarantined nor suspected requests.
 	Idle() bool
 	// Holds reports whether the request is quarantined and must not reach any back end.
-	Holds(fingerprint.Print) bool
+	Holds(fingerprint.Fingerprint) bool
 	// Suspects reports whether the request may have crashed a back end.
-	Suspects(fingerprint.Print) bool
+	Suspects(fingerprint.Fingerprint) bool
 	// Ended records a crash of the back end.
 	Ended(roster.Crash)
 	// Survived records that the back end answered a request.
-	Survived(fingerprint.Print)
+	Survived(fingerprint.Fingerprint)
 }
 
 // Judge compares the version of the back end with others.
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -203,7 +203,7 @@
 	var lentAt time.Time
 	for ctx.Err() == nil {
 		due := clock.Since(lentAt) >= lending.Renewal(c.members())
-		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).Same)) {
+		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).SameNode)) {
 			lentTo, lentAt = c.granters(), clock.Now()
 			_ = contain.Run(c.options.Name, c.options.Logger, c.lend)
 		}
@@ -306,7 +306,7 @@
 }
 
 // members is how many nodes own a share.
-func (c *Carrier) members() int { return max(c.options.View().Present(), 1) }
+func (c *Carrier) members() int { return max(c.options.View().LiveCount(), 1) }
 
 // granters returns the nodes that give out tokens. They change with the view, and when a node is
 // lost.
--- a/internal/sidecar/membership/snapshot.go
+++ b/internal/sidecar/membership/snapshot.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	// SnapshotKey holds the records of all nodes as one of them knew them. It lies before the nodes'
-	// keys, which are newer words than it has: one read brings both.
+	// SnapshotKey holds the records of all nodes as one of them knew them. It sorts before the
+	// nodes' keys, which are newer than the snapshot, so that one read returns both in that order.
 	SnapshotKey = "kestrel/members"
-	// readPrefix begins the snapshot's key and the nodes' keys.
+	// readPrefix is the common prefix of the snapshot's key and the nodes' keys.
 	readPrefix = "kestrel/"
 )
 
 const (
-	// compactFrom is how many nodes' keys make a snapshot worth its calls. 984 keys are 0.4 MB and
-	// two calls for each node that starts: 0.39 GB where all start at once, 3 s of the store's link.
-	// A snapshot of as many has 0.03 MB.
-	compactFrom = 64
-	// compactInterval is the time between two looks at whether there are so many, compactRest that
-	// after one which found few, compactTurn how much later each further node looks, should the ones
-	// before not.
-	compactInterval = 6 * time.Second
-	compactRest     = 30 * time.Second
-	compactTurn     = 4 * time.Second
-	// snapshotBytes bounds a snapshot once it is read.
-	snapshotBytes = 64 << 20
+	// compactionThreshold is the number of nodes' keys from which on a snapshot is worth its calls.
+	// 984 keys take 0.4 MB and two calls for each node that starts: 0.39 GB if all start at once, 3
+	// s of the store's link. A snapshot of as many records takes 0.03 MB.
+	compactionThreshold = 64
+	// compactionInterval is the time between two checks for enough keys, idleCompactionInterval the
+	// time after a check that found too few, and compactionRankDelay how much later each further
+	// node by rank checks, in case those before it do not.
+	compactionInterval     = 6 * time.Second
+	idleCompactionInterval = 30 * time.Second
+	compactionRankDelay    = 4 * time.Second
+	// maxSnapshotBytes bounds the size of a decompressed snapshot.
+	maxSnapshotBytes = 64 << 20
 )
 
-// encodeSnapshot returns the records as they are stored.
+// encodeSnapshot returns the records as compressed JSON.
 func encodeSnapshot(records []*roster.Record) ([]byte, error) {
 	written := &bytes.Buffer{}
 	compressor := gzip.NewWriter(written)
@@ -55,15 +55,15 @@
 	return written.Bytes(), nil
 }
 
-// decodeSnapshot reads what encodeSnapshot wrote. Another writer may have put something else there:
-// records that no node writes so are left out.
+// decodeSnapshot decodes the result of encodeSnapshot. Invalid records are skipped, as others may
+// write to the store as well.
 func decodeSnapshot(raw []byte) (records []*roster.Record, err error) {
 	decompressor, err := gzip.NewReader(bytes.NewReader(raw))
 	if err != nil {
 		return nil, trace.Wrap(err, "decompress the snapshot of nodes")
 	}
 	var read []*roster.Record
-	if err := json.NewDecoder(io.LimitReader(decompressor, snapshotBytes)).Decode(&read); err != nil {
+	if err := json.NewDecoder(io.LimitReader(decompressor, maxSnapshotBytes)).Decode(&read); err != nil {
 		return nil, trace.Wrap(err, "decode the snapshot of nodes")
 	}
 	for _, record := range read {
@@ -74,28 +74,28 @@
 	return records, nil
 }
 
-// compactor moves what the nodes' keys say into the snapshot. It is used by one goroutine.
+// compactor moves the records in the nodes' keys into the snapshot. It is used by one goroutine.
 type compactor struct {
 	options *Options
-	// found are the nodes' keys, snapshot the revision of the snapshot's, as they were last read.
+	// found are the nodes' keys and snapshot is the revision of the snapshot, as last read.
 	found    []store.KeyValue
 	snapshot uint64
 }
 
-// compact keeps the snapshot when it is the node's turn, until the context ends.
+// compact maintains the snapshot whenever it is the node's turn, until the context is done.
 func (m *Membership) compact(ctx context.Context) {
-	interval := compactInterval
+	interval := compactionInterval
 	for last := clock.Now(); ctx.Err() == nil; {
-		pause.Wait(ctx, compactInterval/2)
-		rank, ranked := m.options.CompactRank()
-		few := m.options.Members.View().Count() < compactFrom
-		if few || !ranked || clock.Since(last) < interval+time.Duration(rank)*compactTurn {
+		pause.Wait(ctx, compactionInterval/2)
+		rank, ranked := m.options.CompactionRank()
+		few := m.options.Members.View().Count() < compactionThreshold
+		if few || !ranked || clock.Since(last) < interval+time.Duration(rank)*compactionRankDelay {
 			continue
 		}
-		last, interval = clock.Now(), compactRest
+		last, interval = clock.Now(), idleCompactionInterval
 		err := contain.Run("snapshot of nodes", m.options.Logger, func() {
 			if m.compactOnce(ctx) {
-				interval = compactInterval
+				interval = compactionInterval
 			}
 		})
 		if err != nil {
@@ -104,8 +104,8 @@
 	}
 }
 
-// compactOnce looks for nodes' keys and moves them into the snapshot when there are many. It reports
-// whether there were, or nobody knows.
+// compactOnce reads the nodes' keys and moves them into the snapshot if there are many. It reports
+// whether there are, or the read failed.
 func (m *Membership) compactOnce(ctx context.Context) (many bool) {
 	one := &compactor{options: &m.options}
 	err := m.readAll(ctx, m.options.Store.Range, func(item store.KeyValue) {
@@ -115,22 +115,22 @@
 		}
 		one.found = append(one.found, item)
 	})
-	if many = err != nil || len(one.found) >= compactFrom; err == nil && many {
+	if many = err != nil || len(one.found) >= compactionThreshold; err == nil && many {
 		err = one.write(ctx)
 	}
 	switch {
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
-		// A node has changed its key meanwhile, or another one compacts.
+		// A node has changed its key meanwhile, or another node compacts.
 		m.options.Logger.Info("snapshot of nodes left to another look", zap.Error(err))
 	default:
-		m.notRead(err)
+		m.logReadFailure(err)
 	}
 	return many
 }
 
-// write writes the snapshot and takes the keys away that it holds, some at a time. A key that was
-// written again meanwhile stays, and ends the work.
+// write writes the snapshot and deletes the keys that it covers, in several calls if there are
+// many. A key that was changed meanwhile stays and ends the operation.
 func (c *compactor) write(ctx context.Context) error {
 	records := c.options.Members.View().Records()
 	present := make([]*roster.Record, 0, len(records))
@@ -151,8 +151,8 @@
 	for ; len(swaps) > 0; calls++ {
 		part := swaps[:min(len(swaps), store.MostSwaps)]
 		swaps = swaps[len(part):]
-		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := c.options.Store.Apply(bounded, part)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		_, err := c.options.Store.Apply(callCtx, part)
 		cancel()
 		if err != nil {
 			return trace.Wrap(err, "write the snapshot of nodes after %d calls", calls)
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine finds requests that end the back ends that run them, and holds them
-// back at every node. What a node sees travels in its record; each node comes to the same
-// verdict from the same records, without a leader. The verdicts of a node are kept in the
-// store with its record, so that they outlive an end of all nodes.
+// Package quarantine identifies requests that crash the back ends that run them and blocks them at
+// every node. What a node observes is part of its record, and each node reaches the same
+// conclusions from the same records, without a leader. Quarantined requests are stored with a
+// node's record, so that they survive a failure of all nodes.
 package quarantine
 
 import (
@@ -21,58 +21,57 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Options configure a quarantine.
+// Options configure a Quarantine.
 type Options struct {
 	Members *roster.Roster
-	// Spread tells the peers of the own record.
-	Spread func()
-	// Tell is Spread, but returns when the peers have heard, or a short time later; nil to have
-	// Spread run beside.
-	Tell func()
-	// After runs something after a delay, in no goroutine that holds a lock; nil for the
-	// runtime's timers.
+	// Broadcast sends the node's own record to the peers.
+	Broadcast func()
+	// BroadcastAndWait is like Broadcast but returns when the peers have received the record, or
+	// after a short timeout. If nil, Broadcast is run asynchronously instead.
+	BroadcastAndWait func()
+	// After runs a function after a delay, in a goroutine that holds no lock. If nil, runtime
+	// timers are used.
 	After    func(delay time.Duration, run func())
 	Logger   *zap.Logger
 	Registry prometheus.Registerer
 }
 
 const (
-	// clearanceDelay is how long a clearance waits for more of them: the requests that were
-	// beside a harmful one come to their good ends within some milliseconds of each other.
+	// clearanceDelay is how long a clearance waits to be broadcast together with others: requests
+	// that were running beside a harmful one complete within some milliseconds of each other.
 	clearanceDelay = 10 * time.Millisecond
-	// mostKnown bounds the verdicts of all nodes that a node keeps, in number.
-	mostKnown = 4096
+	// maxEntries bounds the quarantined requests of all nodes that a node keeps.
+	maxEntries = 4096
 )
 
 // Quarantine is one node's view of harmful requests. It is safe for concurrent use.
 type Quarantine struct {
-	options Options
-	state   atomic.Pointer[state]
-	recent  recent
-	// spreading: news is about to be told.
-	spreading atomic.Bool
-
-	mu sync.Mutex // guards all below; taken under the roster's lock
-	// evidence is that of all nodes that have some.
+	options     Options
+	state       atomic.Pointer[state]
+	completions completions
+	// broadcastPending means that a broadcast is scheduled.
+	broadcastPending atomic.Bool
+
+	mu sync.Mutex // guards the fields below; acquired while holding the roster's lock
+	// evidence is the evidence of all nodes that have some.
 	evidence map[string]*roster.Evidence
-	// gone are those of them whose back end has ended for good: their records are
-	// forgotten after a while.
+	// gone are those of them whose back end has ended. Their records are forgotten after a while.
 	gone map[string]bool
-	// learnt is when the node heard of the ends that are told, by back end.
-	learnt map[string]time.Time
-	// known are the verdicts so far. A verdict stays when its evidence goes.
-	known map[fingerprint.Digest]roster.Held
+	// firstSeen is when the node learned of each published crash, by back end.
+	firstSeen map[string]time.Time
+	// known are the quarantined requests. They stay when their evidence is removed.
+	known map[fingerprint.Digest]roster.Quarantined
 }
 
-// state is what requests are compared with. It is immutable.
+// state is what requests are checked against. It is immutable.
 type state struct {
-	held map[fingerprint.Digest]roster.Held
-	// suspects are the requests at work at ends that no verdict explains.
+	held map[fingerprint.Digest]roster.Quarantined
+	// suspects are the requests that were running at unexplained crashes.
 	suspects map[fingerprint.Digest]bool
 }
 
-// New returns a quarantine that holds nothing back. The roster's observer is to call
-// Follow.
+// New returns a quarantine without entries. The caller must register Follow as an observer of the
+// roster.
 func New(options Options) *Quarantine {
 	if options.After == nil {
 		options.After = func(delay time.Duration, run func()) {
@@ -81,10 +80,10 @@
 	}
 	created := &Quarantine{
 		options: options, evidence: map[string]*roster.Evidence{}, gone: map[string]bool{},
-		learnt: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Held{},
+		firstSeen: map[string]time.Time{}, known: map[fingerprint.Digest]roster.Quarantined{},
 	}
-	if options.Tell == nil {
-		created.options.Tell = func() { created.options.After(0, options.Spread) }
+	if options.BroadcastAndWait == nil {
+		created.options.BroadcastAndWait = func() { created.options.After(0, options.Broadcast) }
 	}
 	created.state.Store(&state{})
 	created.register(options.Registry)
@@ -102,105 +101,104 @@
 	)
 }
 
-// Idle reports whether nothing is held back or suspected: requests need not be identified
-// then.
+// Idle reports whether there are no quarantined requests and no suspects. Requests then need no
+// fingerprint.
 func (q *Quarantine) Idle() bool {
 	now := q.state.Load()
 	return len(now.held)+len(now.suspects) == 0
 }
 
-// Holds reports whether a request is held back.
-func (q *Quarantine) Holds(print fingerprint.Print) bool {
+// Holds reports whether a request is quarantined.
+func (q *Quarantine) Holds(print fingerprint.Fingerprint) bool {
 	held := q.state.Load().held
 	_, content := held[print.Content]
 	_, call := held[print.Call]
 	return content || call
 }
 
-// Suspects reports whether a request was at work when a back end ended, and it is open
-// which one ended it.
-func (q *Quarantine) Suspects(print fingerprint.Print) bool {
+// Suspects reports whether a request was running at a crash whose cause is not yet known.
+func (q *Quarantine) Suspects(print fingerprint.Fingerprint) bool {
 	suspects := q.state.Load().suspects
 	return suspects[print.Content] || suspects[print.Call]
 }
 
-// Held returns all verdicts, by digest.
-func (q *Quarantine) Held() []roster.Held {
-	var all []roster.Held
+// Quarantined returns all quarantined requests, ordered by digest.
+func (q *Quarantine) Quarantined() []roster.Quarantined {
+	var all []roster.Quarantined
 	for _, held := range q.state.Load().held {
 		all = append(all, held)
 	}
-	slices.SortFunc(all, func(a, b roster.Held) int { return a.Digest.Compare(b.Digest) })
+	slices.SortFunc(all, func(a, b roster.Quarantined) int { return a.Digest.Compare(b.Digest) })
 	return all
 }
 
-// ErrNotHeld says that a request is not held back.
-var ErrNotHeld = errors.New("quarantine: no request with this digest is held back")
+// ErrNotQuarantined is returned for a digest that is not quarantined.
+var ErrNotQuarantined = errors.New("quarantine: no request with this digest is quarantined")
 
-// Lift ends a verdict at all nodes. Back ends get the request again; when two more end under
-// it, it is held back again.
+// Lift releases a request from quarantine at all nodes. It is quarantined again if two more back
+// ends crash while running it.
 func (q *Quarantine) Lift(digest fingerprint.Digest) error {
 	held, known := q.state.Load().held[digest]
 	if !known {
-		return ErrNotHeld
+		return ErrNotQuarantined
 	}
 	if q.update(func(own *roster.Evidence) bool {
 		own.Lifted = append(own.Lifted, roster.Lift{Digest: digest, Count: held.Lifts + 1})
 		return true
 	}) {
-		q.options.After(0, q.options.Spread)
+		q.options.After(0, q.options.Broadcast)
 	}
 	return nil
 }
 
-// Ended takes in the unplanned end of the back end beside this node. What came to a good
-// end here of late is not suspected. It returns when the peers have heard, or a short time
-// later: a caller that is answered sooner comes back to a node that does not suspect its
-// request yet, and may end further back ends.
+// Ended records a crash of the node's own back end. Requests that completed here recently are not
+// suspected. It returns when the peers have been informed, or after a short timeout: a caller that
+// receives its response sooner might retry at a node that does not suspect the request yet and
+// crash further back ends.
 func (q *Quarantine) Ended(crash roster.Crash) {
-	crash.Running = q.recent.withoutServed(crash.Running, clock.Now())
+	crash.Running = q.completions.withoutCompleted(crash.Running, clock.Now())
 	if len(crash.Running) == 0 {
 		return
 	}
 	if q.update(func(own *roster.Evidence) bool {
-		if slices.ContainsFunc(own.Crashes, func(told roster.Crash) bool { return told.Endpoint == crash.Endpoint }) {
+		if slices.ContainsFunc(own.Crashes, func(existing roster.Crash) bool { return existing.Endpoint == crash.Endpoint }) {
 			return false
 		}
 		own.Crashes = append(own.Crashes, crash)
 		return true
 	}) {
-		q.options.Tell()
+		q.options.BroadcastAndWait()
 	}
 }
 
-// Survived takes in that the back end beside this node has answered a request. One that is
-// suspected did not make the ends that are known now.
-func (q *Quarantine) Survived(print fingerprint.Print) {
-	q.recent.add(print, clock.Now())
+// Survived records that the node's own back end has completed a request. A suspect is thereby
+// cleared of the crashes known so far.
+func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
+	q.completions.add(print, clock.Now())
 	if !q.Suspects(print) {
 		return
 	}
-	endpoints := q.endsUnder(print)
+	endpoints := q.crashesDuring(print)
 	if len(endpoints) == 0 {
 		return
 	}
 	if q.update(func(own *roster.Evidence) bool {
 		own.Cleared = append(slices.DeleteFunc(own.Cleared, func(held roster.Clearance) bool {
 			return held.Call == print.Call
-		}), roster.Clearance{Print: print, Endpoints: endpoints})
+		}), roster.Clearance{Fingerprint: print, Endpoints: endpoints})
 		return true
 	}) {
-		q.spreadSoon()
+		q.broadcastSoon()
 	}
 }
 
-// endsUnder returns the back ends under whose end the request was at work.
-func (q *Quarantine) endsUnder(print fingerprint.Print) (endpoints []string) {
+// crashesDuring returns the back ends that crashed while running the request.
+func (q *Quarantine) crashesDuring(print fingerprint.Fingerprint) (endpoints []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			if runs(crash, print) {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			if wasRunning(crash, print) {
 				endpoints = append(endpoints, crash.Endpoint)
 			}
 		}
@@ -209,13 +207,13 @@
 	return endpoints
 }
 
-func runs(crash roster.Crash, print fingerprint.Print) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+func wasRunning(crash roster.Crash, print fingerprint.Fingerprint) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		return running.Content == print.Content
 	})
 }
 
-// update changes the own evidence and reports whether it did.
+// update changes the node's own evidence and reports whether it changed.
 func (q *Quarantine) update(change func(own *roster.Evidence) bool) (changed bool) {
 	_, changed = q.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		own := record.Evidence.Clone()
@@ -228,31 +226,31 @@
 	return changed
 }
 
-// spreadSoon tells the others after clearanceDelay, once for all that changes meanwhile.
-func (q *Quarantine) spreadSoon() {
-	if !q.spreading.CompareAndSwap(false, true) {
+// broadcastSoon broadcasts the record after clearanceDelay, once for all changes until then.
+func (q *Quarantine) broadcastSoon() {
+	if !q.broadcastPending.CompareAndSwap(false, true) {
 		return
 	}
 	q.options.After(clearanceDelay, func() {
-		q.spreading.Store(false)
-		q.options.Spread()
+		q.broadcastPending.Store(false)
+		q.options.Broadcast()
 	})
 }
 
-// Follow takes in changed records. The roster's lock is held.
+// Follow processes changed records. It is called with the roster's lock held.
 func (q *Quarantine) Follow(changed []*roster.Record) {
-	if !q.take(changed) {
+	if !q.updateEvidence(changed) {
 		return
 	}
-	for _, held := range q.judge() {
+	for _, held := range q.evaluate() {
 		q.options.Logger.Warn("request held back", zap.Stringer("digest", held.Digest), zap.String("service", held.Service),
 			zap.Strings("ended", held.Endpoints))
 	}
-	q.options.After(0, q.settle)
+	q.options.After(0, q.reconcileOwnEvidence)
 }
 
-// take reports whether the records bring other evidence.
-func (q *Quarantine) take(changed []*roster.Record) (news bool) {
+// updateEvidence stores the evidence in the records and reports whether it changed.
+func (q *Quarantine) updateEvidence(changed []*roster.Record) (news bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, record := range changed {
@@ -270,57 +268,57 @@
 		}
 	}
 	if news {
-		q.date(clock.Now())
+		q.recordFirstSeen(clock.Now())
 	}
 	return news
 }
 
-// date notes when ends that are told were first heard of, and forgets the others; the lock
-// is held.
-func (q *Quarantine) date(now time.Time) {
-	dated := map[string]time.Time{}
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			dated[crash.Endpoint] = now
-			if before, known := q.learnt[crash.Endpoint]; known {
-				dated[crash.Endpoint] = before
+// recordFirstSeen records when published crashes were first seen and forgets all others. The lock
+// must be held.
+func (q *Quarantine) recordFirstSeen(now time.Time) {
+	next := map[string]time.Time{}
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			next[crash.Endpoint] = now
+			if before, known := q.firstSeen[crash.Endpoint]; known {
+				next[crash.Endpoint] = before
 			}
 		}
 	}
-	q.learnt = dated
+	q.firstSeen = next
 }
 
-// judge comes to the verdicts that the evidence allows, publishes the state, and returns
-// the new ones.
-func (q *Quarantine) judge() (fresh []roster.Held) {
+// evaluate derives new quarantined requests from the evidence, publishes the state, and returns the
+// new entries.
+func (q *Quarantine) evaluate() (fresh []roster.Quarantined) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	changed := q.lift()
-	for _, told := range q.evidence {
-		for _, held := range told.Held {
-			fresh = q.learn(held, fresh)
+	removed := q.removeLifted()
+	for _, nodeEvidence := range q.evidence {
+		for _, held := range nodeEvidence.Quarantined {
+			fresh = q.addEntry(held, fresh)
 		}
 	}
 	for _, digestOf := range digestKinds {
 		open, services := q.open(digestOf)
-		for _, found := range blame(open) {
-			fresh = q.learn(roster.Held{
-				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.lifts(found.digest),
+		for _, found := range findCulprits(open) {
+			fresh = q.addEntry(roster.Quarantined{
+				Digest: found.digest, Service: services[found.endpoints[0]], Endpoints: found.endpoints, Lifts: q.liftCount(found.digest),
 			}, fresh)
 		}
 	}
-	if len(q.known) > mostKnown {
-		q.options.Logger.Error("more requests held back than are kept in mind", zap.Int("held", len(q.known)), zap.Int("most", mostKnown))
+	if len(q.known) > maxEntries {
+		q.options.Logger.Error("limit of quarantined requests exceeded", zap.Int("held", len(q.known)), zap.Int("most", maxEntries))
 	}
-	q.publish(changed || len(fresh) > 0)
+	q.publish(removed || len(fresh) > 0)
 	return fresh
 }
 
-// lift forgets verdicts that were lifted, and reports whether there are some. The lock is
-// held.
-func (q *Quarantine) lift() (changed bool) {
+// removeLifted removes entries that were released from quarantine and reports whether there were
+// any. The lock must be held.
+func (q *Quarantine) removeLifted() (changed bool) {
 	for digest, held := range q.known {
-		if q.lifted(held) {
+		if q.isLifted(held) {
 			delete(q.known, digest)
 			changed = true
 			q.options.Logger.Warn("request not held back any more", zap.Stringer("digest", digest), zap.String("service", held.Service))
@@ -329,44 +327,47 @@
 	return changed
 }
 
-// lifted reports whether a verdict was lifted; the lock is held.
-func (q *Quarantine) lifted(held roster.Held) bool { return held.Lifts < q.lifts(held.Digest) }
+// isLifted reports whether an entry was released from quarantine. The lock must be held.
+func (q *Quarantine) isLifted(held roster.Quarantined) bool {
+	return held.Lifts < q.liftCount(held.Digest)
+}
 
-// lifts returns how often verdicts on a request were lifted, as some node tells; the lock is
-// held.
-func (q *Quarantine) lifts(digest fingerprint.Digest) (count int) {
-	for _, told := range q.evidence {
-		count = max(count, told.LiftsOf(digest))
+// liftCount returns how often a request was released from quarantine, according to any node. The
+// lock must be held.
+func (q *Quarantine) liftCount(digest fingerprint.Digest) (count int) {
+	for _, nodeEvidence := range q.evidence {
+		count = max(count, nodeEvidence.LiftCount(digest))
 	}
 	return count
 }
 
-// digestKinds are the digests of a request that are judged, in this order: where all callers
-// of a content end back ends it is the content that does.
-var digestKinds = [...]func(fingerprint.Print) fingerprint.Digest{content, call}
+// digestKinds are the digests by which crashes are evaluated, in this order: if the content crashes
+// back ends for all callers, the content is quarantined rather than the calls.
+var digestKinds = [...]func(fingerprint.Fingerprint) fingerprint.Digest{content, call}
 
-func content(print fingerprint.Print) fingerprint.Digest { return print.Content }
-func call(print fingerprint.Print) fingerprint.Digest    { return print.Call }
+func content(print fingerprint.Fingerprint) fingerprint.Digest { return print.Content }
+func call(print fingerprint.Fingerprint) fingerprint.Digest    { return print.Call }
 
-// learn adds a verdict, unless it is known or there are too many.
-func (q *Quarantine) learn(held roster.Held, fresh []roster.Held) []roster.Held {
-	if _, known := q.known[held.Digest]; known || len(q.known) > mostKnown || q.lifted(held) {
+// addEntry adds a quarantined request unless it is known, was released, or there are too many.
+func (q *Quarantine) addEntry(held roster.Quarantined, fresh []roster.Quarantined) []roster.Quarantined {
+	if _, known := q.known[held.Digest]; known || len(q.known) > maxEntries || q.isLifted(held) {
 		return fresh
 	}
 	q.known[held.Digest] = held
 	return append(fresh, held)
 }
 
-// publish replaces the state; the lock is held.
+// publish replaces the state. The lock must be held.
 func (q *Quarantine) publish(verdicts bool) {
 	next := &state{held: q.state.Load().held, suspects: map[fingerprint.Digest]bool{}}
 	if verdicts {
-		next.held = make(map[fingerprint.Digest]roster.Held, len(q.known))
+		next.held = make(map[fingerprint.Digest]roster.Quarantined, len(q.known))
 		for digest, held := range q.known {
 			next.held[digest] = held
 		}
 	}
-	// A verdict on one kind of digest explains ends for both: what is open is known only now.
+	// An entry by one kind of digest explains crashes for both kinds, so the remaining open crashes
+	// are known only now.
 	for _, digestOf := range digestKinds {
 		open, _ := q.open(digestOf)
 		for _, crash := range open {
@@ -378,56 +379,56 @@
 	q.state.Store(next)
 }
 
-// open returns the ends that no verdict explains, with the requests that are not cleared,
-// and the services of the back ends. The lock is held.
-func (q *Quarantine) open(digestOf func(fingerprint.Print) fingerprint.Digest) (open []suspicion, services map[string]string) {
+// open returns the crashes that no quarantined request explains, with the requests that are not
+// cleared, and the services of the back ends. The lock must be held.
+func (q *Quarantine) open(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) (open []openCrash, services map[string]string) {
 	cleared := q.cleared(digestOf)
 	services = map[string]string{}
 	seen := map[string]bool{}
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
 			services[crash.Endpoint] = crash.Service
 			if seen[crash.Endpoint] || q.explained(crash) {
 				continue
 			}
 			seen[crash.Endpoint] = true
-			left := suspicion{endpoint: crash.Endpoint, at: q.learnt[crash.Endpoint]}
+			left := openCrash{endpoint: crash.Endpoint, at: q.firstSeen[crash.Endpoint]}
 			if crash.Trial != nil {
 				left.trial = digestOf(*crash.Trial)
 			}
 			for _, running := range crash.Running {
-				if digest := digestOf(running); !cleared[clearing{digest, crash.Endpoint}] {
+				if digest := digestOf(running); !cleared[clearanceKey{digest, crash.Endpoint}] {
 					left.digests = append(left.digests, digest)
 				}
 			}
 			open = append(open, left)
 		}
 	}
-	slices.SortFunc(open, func(a, b suspicion) int { return cmp.Compare(a.endpoint, b.endpoint) })
+	slices.SortFunc(open, func(a, b openCrash) int { return cmp.Compare(a.endpoint, b.endpoint) })
 	return open, services
 }
 
-// clearing is one request that did not make the end of one back end.
-type clearing struct {
+// clearanceKey identifies a request that did not cause the crash of a back end.
+type clearanceKey struct {
 	digest   fingerprint.Digest
 	endpoint string
 }
 
-func (q *Quarantine) cleared(digestOf func(fingerprint.Print) fingerprint.Digest) map[clearing]bool {
-	cleared := map[clearing]bool{}
-	for _, told := range q.evidence {
-		for _, clearance := range told.Cleared {
+func (q *Quarantine) cleared(digestOf func(fingerprint.Fingerprint) fingerprint.Digest) map[clearanceKey]bool {
+	cleared := map[clearanceKey]bool{}
+	for _, nodeEvidence := range q.evidence {
+		for _, clearance := range nodeEvidence.Cleared {
 			for _, endpoint := range clearance.Endpoints {
-				cleared[clearing{digestOf(clearance.Print), endpoint}] = true
+				cleared[clearanceKey{digestOf(clearance.Fingerprint), endpoint}] = true
 			}
 		}
 	}
 	return cleared
 }
 
-// explained reports whether a request that is held back was at work at the end.
+// explained reports whether a quarantined request was running at the crash.
 func (q *Quarantine) explained(crash roster.Crash) bool {
-	return slices.ContainsFunc(crash.Running, func(running fingerprint.Print) bool {
+	return slices.ContainsFunc(crash.Running, func(running fingerprint.Fingerprint) bool {
 		_, byContent := q.known[running.Content]
 		_, byCall := q.known[running.Call]
 		return byContent || byCall
--- a/internal/sidecar/quarantine/settle.go
+++ b/internal/sidecar/quarantine/settle.go
@@ -7,34 +7,35 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// settle brings the own evidence to what is still needed: the verdicts on requests that
-// ended back ends here or at nodes that have gone, the ends that are open, and what is
-// cleared of those.
-func (q *Quarantine) settle() {
-	heir := q.isHeir()
+// reconcileOwnEvidence reduces the node's own evidence to what is still needed: quarantined
+// requests that crashed the node's own back end or were inherited from nodes that have gone,
+// unexplained crashes, and clearances for those.
+func (q *Quarantine) reconcileOwnEvidence() {
+	successor := q.isSuccessor()
 	if q.update(func(own *roster.Evidence) bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		before := len(own.Held)
-		own.Held = slices.DeleteFunc(own.Held, q.lifted)
-		changed := len(own.Held) != before
-		changed = q.keepVerdicts(own) || changed
-		if heir {
+		before := len(own.Quarantined)
+		own.Quarantined = slices.DeleteFunc(own.Quarantined, q.isLifted)
+		changed := len(own.Quarantined) != before
+		changed = q.keepLocalEntries(own) || changed
+		if successor {
 			changed = q.inherit(own) || changed
 		}
 		return q.prune(own) || changed
 	}) {
-		q.spreadSoon()
+		q.broadcastSoon()
 	}
 }
 
-// keepVerdicts adds the verdicts on requests that were at work at ends seen here.
-func (q *Quarantine) keepVerdicts(own *roster.Evidence) (added bool) {
+// keepLocalEntries adds the quarantined requests that were running at crashes of the node's own
+// back end.
+func (q *Quarantine) keepLocalEntries(own *roster.Evidence) (added bool) {
 	for _, crash := range own.Crashes {
 		for _, running := range crash.Running {
 			for _, digest := range [...]fingerprint.Digest{running.Content, running.Call} {
 				if held, known := q.known[digest]; known {
-					added = keep(own, held) || added
+					added = addIfMissing(own, held) || added
 				}
 			}
 		}
@@ -42,31 +43,31 @@
 	return added
 }
 
-func keep(own *roster.Evidence, held roster.Held) bool {
-	if slices.ContainsFunc(own.Held, func(kept roster.Held) bool { return kept.Digest == held.Digest }) {
+func addIfMissing(own *roster.Evidence, held roster.Quarantined) bool {
+	if slices.ContainsFunc(own.Quarantined, func(kept roster.Quarantined) bool { return kept.Digest == held.Digest }) {
 		return false
 	}
-	own.Held = append(own.Held, held)
+	own.Quarantined = append(own.Quarantined, held)
 	return true
 }
 
-// isHeir reports whether the node takes over what nodes knew that have gone: the first by
-// name that is there. Should two nodes think so, both do.
-func (q *Quarantine) isHeir() bool {
+// isSuccessor reports whether the node takes over the entries of nodes that have gone, as the first
+// live one by name. If two nodes believe so for a while, both take them over.
+func (q *Quarantine) isSuccessor() bool {
 	self := q.options.Members.Own().Node
 	for _, record := range q.options.Members.View().Records() {
-		if !record.Departed() && !record.Leaving {
+		if !record.BackendAbsent() && !record.Leaving {
 			return record.Node == self
 		}
 	}
 	return false
 }
 
-// inherit adds the verdicts of nodes that have gone.
+// inherit adds the quarantined requests of nodes that have gone.
 func (q *Quarantine) inherit(own *roster.Evidence) (added bool) {
 	for node := range q.gone {
-		for _, held := range q.evidence[node].Clone().Held {
-			if !own.Full() && !q.lifted(held) && keep(own, held) {
+		for _, held := range q.evidence[node].Clone().Quarantined {
+			if !own.Full() && !q.isLifted(held) && addIfMissing(own, held) {
 				added = true
 			}
 		}
@@ -74,15 +75,15 @@
 	return added
 }
 
-// prune drops ends that are explained, requests that are cleared of an end, and clearances
-// that no end needs any more.
+// prune removes explained crashes, requests that are cleared of a crash, and clearances that no
+// crash needs any more.
 func (q *Quarantine) prune(own *roster.Evidence) (pruned bool) {
 	before := size(own)
 	byContent, byCall := q.cleared(content), q.cleared(call)
 	own.Crashes = slices.DeleteFunc(own.Crashes, q.explained)
 	for i, crash := range own.Crashes {
-		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Print) bool {
-			return byContent[clearing{running.Content, crash.Endpoint}] && byCall[clearing{running.Call, crash.Endpoint}]
+		own.Crashes[i].Running = slices.DeleteFunc(slices.Clone(crash.Running), func(running fingerprint.Fingerprint) bool {
+			return byContent[clearanceKey{running.Content, crash.Endpoint}] && byCall[clearanceKey{running.Call, crash.Endpoint}]
 		})
 	}
 	own.Crashes = slices.DeleteFunc(own.Crashes, func(crash roster.Crash) bool { return len(crash.Running) == 0 })
@@ -90,11 +91,11 @@
 	return size(own) != before
 }
 
-// needed reports whether a node still tells of an end with the request.
+// needed reports whether a node still publishes a crash at which the request was running.
 func (q *Quarantine) needed(clearance roster.Clearance) bool {
-	for _, told := range q.evidence {
-		for _, crash := range told.Crashes {
-			if slices.Contains(clearance.Endpoints, crash.Endpoint) && runs(crash, clearance.Print) {
+	for _, nodeEvidence := range q.evidence {
+		for _, crash := range nodeEvidence.Crashes {
+			if slices.Contains(clearance.Endpoints, crash.Endpoint) && wasRunning(crash, clearance.Fingerprint) {
 				return true
 			}
 		}
@@ -102,9 +103,9 @@
 	return false
 }
 
-// size is how many entries the evidence has.
+// size returns the number of entries in the evidence.
 func size(own *roster.Evidence) int {
-	total := len(own.Cleared) + len(own.Held) + len(own.Lifted) + len(own.Crashes)
+	total := len(own.Cleared) + len(own.Quarantined) + len(own.Lifted) + len(own.Crashes)
 	for _, crash := range own.Crashes {
 		total += len(crash.Running)
 	}
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -350,7 +350,7 @@
 		case record.AcceptsWork():
 			tally.Present++
 		}
-		if judgement := record.Judgement(); judgement != nil {
+		if judgement := record.Assessment(); judgement != nil {
 			tally.Add(judgement.Answers, judgement.Faulty, judgement.Lean)
 		}
 	}
@@ -361,7 +361,7 @@
 // all nodes agree, and how many back ends of other versions there are.
 func (c *Controller) candidates(held *carried) (nodes []string, others int) {
 	for _, record := range c.options.Members.View().Service(held.Service) {
-		judgement := record.Judgement()
+		judgement := record.Assessment()
 		switch {
 		case !record.AcceptsWork():
 		case record.Endpoint.Version != held.Version:
@@ -415,7 +415,7 @@
 
 // pace is how often requests of a move's service come to this node; the lock is held.
 func (c *Controller) pace(held *carried, now time.Time) rollout.Pace {
-	pace := rollout.Pace{Members: c.options.Members.View().Present()}
+	pace := rollout.Pace{Members: c.options.Members.View().LiveCount()}
 	if elapsed := now.Sub(held.began); elapsed >= paceKnown {
 		pace.PerSecond = float64(c.split(held.Service).Asked()-held.asked) / elapsed.Seconds()
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -128,7 +128,7 @@
 	// stalls are the times at which the node did not run, known while its answers are judged.
 	stalls stall.Monitor
 	// claims is used under the roster's lock.
-	claims roster.Claims
+	claims roster.IncarnationTracker
 }
 
 // StoreDialer returns the dialer for connections to the store.
@@ -145,23 +145,23 @@
 		members: roster.New(roster.Record{
 			Node: settings.Node, Epoch: 1, Counter: 1, Zone: settings.Zone,
 			Address: settings.Listen.Inbound, PeerAddress: settings.Listen.Peer, Link: settings.LinkMbps,
-			Life: uint64(rand.Uint32()),
+			RunID: uint64(rand.Uint32()),
 		}),
 		started:    clock.Now(),
 		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
 		contention: contention.NewSwitch(settings.OverloadControl),
 		work:       &nested.ActiveRequests{},
-		claims:     roster.Claims{Interval: settings.HeartbeatInterval},
+		claims:     roster.IncarnationTracker{Interval: settings.HeartbeatInterval},
 	}
 	observed := newMetrics(options.Registry)
 	options.Store = newCountedStore(options.Store, options.Registry)
 	created.options.Store = options.Store
 	created.settings.Store(settings)
 	created.quarantine = quarantine.New(quarantine.Options{
-		Members: created.members,
-		Spread:  func() { created.spread(context.Background()) },
-		Tell:    created.tell,
-		Logger:  options.Logger, Registry: options.Registry,
+		Members:          created.members,
+		Broadcast:        func() { created.spread(context.Background()) },
+		BroadcastAndWait: created.tell,
+		Logger:           options.Logger, Registry: options.Registry,
 	})
 	created.addRollouts()
 	created.addEvacuations()
@@ -191,8 +191,8 @@
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		Joined: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
-		CompactRank: created.compactRank,
+		OnDiscovery: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
+		CompactionRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
 	created.keeper.Observe(created.apply)
