--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -116,14 +116,14 @@
 // Load is a snapshot of the state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
-	ServiceTime             time.Duration
+	MeanHoldTime             time.Duration
 }
 
 // Load returns the current state.
 func (g *Gate) Load() Load {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, ServiceTime: g.service}
+	return Load{Running: g.running, Waiting: g.waiting.length, Slots: g.slots, MeanHoldTime: g.service}
 }
 
 // Slot is a slot held by a request.
--- a/internal/sidecar/admission/admission_test.go
+++ b/internal/sidecar/admission/admission_test.go
@@ -131,13 +131,13 @@
 			time.Sleep(200 * time.Millisecond)
 			slot.Release(true)
 		}
-		g.Expect(gate.Load().ServiceTime).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
+		g.Expect(gate.Load().MeanHoldTime).To(BeNumerically("~", 200*time.Millisecond, 5*time.Millisecond))
 		slot, err := gate.Acquire(t.Context(), info(0, time.Second))
 		g.Expect(err).NotTo(HaveOccurred())
-		before := gate.Load().ServiceTime
+		before := gate.Load().MeanHoldTime
 		time.Sleep(time.Hour)
 		slot.Release(false)
-		g.Expect(gate.Load().ServiceTime).To(Equal(before))
+		g.Expect(gate.Load().MeanHoldTime).To(Equal(before))
 	})
 }
 
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -266,7 +266,7 @@
 // retryAfter returns the expected time in which the queue drains.
 func (a *arrival) retryAfter() time.Duration {
 	load := a.handler.gate.Load()
-	wait := load.ServiceTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
+	wait := load.MeanHoldTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	return max(wait, defaultRetryAfter/2)
 }
 
@@ -289,7 +289,7 @@
 	load := a.handler.gate.Load()
 	reply := hop.Reply{
 		Version: a.handler.options.Version(),
-		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.ServiceTime,
+		Running: load.Running, Waiting: load.Waiting, Slots: load.Slots, HoldTime: load.MeanHoldTime,
 		Factor: a.handler.pace.Factor(clock.Now()), ServiceTime: worked, FailureRate: a.handler.failures.Rate(),
 	}
 	header := a.writer.Header()
