--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -116,7 +116,7 @@
 // Load is a snapshot of the state of a gate.
 type Load struct {
 	Running, Waiting, Slots int
-	MeanHoldTime             time.Duration
+	MeanHoldTime            time.Duration
 }
 
 // Load returns the current state.
