--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -60,7 +60,7 @@
 		Roster: created.members, Configuration: created.keeper,
 		Dial:          (&net.Dialer{}).DialContext,
 		Refresh:       func(context.Context) error { return nil },
-		IsReader:      created.reads.Load,
+		Reads:      created.reads.Load,
 		Suspect: func(*roster.Record) {},
 		Logger:        zap.NewNop(),
 	})
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
-	// IsReader reports whether the node reads the store itself.
-	IsReader func() bool
+	// Reads reports whether the node reads the store itself.
+	Reads func() bool
 	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
 	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -116,7 +116,7 @@
 	made.exchanger = New(Options{
 		Roster: members, Configuration: made.keeper, Dial: in.dial,
 		Refresh:       func(ctx context.Context) error { return made.refresh(ctx) },
-		IsReader:      func() bool { return false },
+		Reads:      func() bool { return false },
 		Suspect: func(*roster.Record) {},
 		Logger:        zap.NewNop(),
 	})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -183,7 +183,7 @@
 		Quota:         created.quota,
 		Repeats:       created.repeats,
 		Contention:    created.contention,
-		IsReader:      created.reads,
+		Reads:      created.reads,
 		Observer:      observed,
 		Suspect: created.egress.Suspect,
 		Logger:        options.Logger,
