--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -59,7 +59,7 @@
 	Observer Observer
 	// Suspect is called with nodes that do not respond.
 	Suspect func(*roster.Record)
-	Logger        *zap.Logger
+	Logger  *zap.Logger
 }
 
 // EraTracker tracks how often the store was restored from an older copy.
@@ -285,11 +285,11 @@
 // newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
 	return &Message{
-		From:        e.options.Roster.Own(),
-		Digest:      e.options.Roster.View().Digest(),
-		Version:     e.options.Configuration.Version(),
-		ProofAge:    e.proof.proofAge(),
-		Told: e.state(),
+		From:     e.options.Roster.Own(),
+		Digest:   e.options.Roster.View().Digest(),
+		Version:  e.options.Configuration.Version(),
+		ProofAge: e.proof.proofAge(),
+		Told:     e.state(),
 	}
 }
 
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -47,8 +47,8 @@
 		s.all[peer.Node] = held
 	}
 	held.peer, held.version, held.reportedAt = peer, max(held.version, version), now
-	if due := now.Add(delay); held.failures == 0 && due.Before(held.notBefore) {
-		held.notBefore = due
+	if notBefore := now.Add(delay); held.failures == 0 && notBefore.Before(held.notBefore) {
+		held.notBefore = notBefore
 	}
 }
 
