--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -115,7 +115,7 @@
 		if contain.Run("catching up", c.logger, c.run) != nil {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.stop() // the next word begins anew
+			c.stop() // the next report starts a new catch-up
 		}
 	}()
 }
@@ -204,8 +204,8 @@
 // finish ends a catch-up of a node that is up to date; the lock is held.
 func (c *catchUp) finish(now time.Time, held uint64) {
 	c.stop()
-	for _, under := range c.fetches {
-		under.cancel()
+	for _, attempt := range c.fetches {
+		attempt.cancel()
 	}
 	behind := now.Sub(c.behindSince)
 	c.exchanger.observer.CaughtUp(behind)
@@ -238,7 +238,7 @@
 // storeRead processes the result of a read of the store that was started when the given version was
 // the newest reported one. The store has every version: one that had been reported by then and that
 // it does not have was reported wrongly, and is no longer sought.
-func (c *catchUp) storeRead(wanted uint64, began time.Time, err error) {
+func (c *catchUp) storeRead(requested uint64, began time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now, held := clock.Now(), c.exchanger.options.Configuration.Version()
@@ -250,7 +250,7 @@
 		c.logger.Warn("configuration behind a peer's", zap.Uint64("version", c.newest), zap.Uint64("inForce", held),
 			zap.Duration("behind", now.Sub(c.behindSince)), zap.Duration("elapsed", now.Sub(began)), zap.Error(err))
 	}
-	if err == nil && c.newest <= wanted {
+	if err == nil && c.newest <= requested {
 		c.newest = held
 	}
 	c.signal()
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -36,13 +36,13 @@
 	known.next(7, at(30)).fetching = true
 	g.Expect(known.next(7, at(30)).peer.Node).To(Equal("early"))
 	known.next(7, at(30)).recordFailure(at(30))
-	g.Expect(known.next(7, at(30))).To(BeNil(), "one is asked, one has failed, one is not due, one has nothing newer")
+	g.Expect(known.next(7, at(30))).To(BeNil(), "one is being asked, one has failed, one is not due, one has nothing newer")
 	g.Expect(known.wait(7, at(30), time.Minute)).To(Equal(90 * time.Millisecond))
 	reportVersion("far", 9, at(40), time.Hour)
-	g.Expect(known.next(7, at(130)).peer.Node).To(Equal("far"), "what was said again does not delay it")
+	g.Expect(known.next(7, at(130)).peer.Node).To(Equal("far"), "a repeated report does not delay it")
 	known.next(7, at(130)).recordFailure(at(130))
 	g.Expect(known.untried(7)).To(BeFalse())
-	g.Expect(known.next(7, at(231)).peer.Node).To(Equal("early"), "as often in vain, due before")
+	g.Expect(known.next(7, at(231)).peer.Node).To(Equal("early"), "equally many failures, due earlier")
 	for range 20 {
 		known.all["early"].recordFailure(at(0))
 	}
@@ -57,7 +57,7 @@
 		in := &network{nodes: map[string]func(net.Conn){}}
 		defer synctest.Wait()
 		defer in.close()
-		defer time.Sleep(2 * storeTimeout) // what is under way ends
+		defer time.Sleep(2 * storeTimeout) // running fetches and reads end
 		late, peer := newVirtualMember(in, "late", "near"), newVirtualMember(in, "peer", "near")
 		late.offer(t, 7)
 		peer.offer(t, 7)
@@ -79,7 +79,7 @@
 		time.Sleep(20 * time.Millisecond)
 		late.exchanger.Behind(peer.record, 9)
 		time.Sleep(300 * time.Millisecond)
-		peer.offer(t, 9) // the peer had it announced before it was in force
+		peer.offer(t, 9) // the peer reported it before it was in force there
 		time.Sleep(time.Second)
 		g.Expect(late.keeper.Version()).To(BeEquivalentTo(9))
 	})
@@ -161,7 +161,7 @@
 		time.Sleep(10 * time.Millisecond)
 		late.exchanger.Behind(peer.record, 8)
 		time.Sleep(2 * time.Second)
-		g.Expect(logged.FilterMessage("newer configuration announced").Len()).To(Equal(1), "once a version")
+		g.Expect(logged.FilterMessage("newer configuration announced").Len()).To(Equal(1), "once per version")
 		caught := logged.FilterMessage("configuration caught up").All()
 		g.Expect(caught).To(HaveLen(1))
 		g.Expect(caught[0].ContextMap()).To(HaveKeyWithValue("first", "quiet"))
@@ -219,10 +219,10 @@
 		peer.keeper.Proven(8, time.Now())
 		late.exchanger.proof.recordProof(8, new(int64), time.Now())
 		age, _ = late.keeper.ProofAge()
-		g.Expect(age).To(Equal(time.Second), "it does not hold that version")
+		g.Expect(age).To(Equal(time.Second), "the node does not hold that version")
 		late.keeper.Proven(7, time.Now().Add(-time.Hour))
 		age, _ = late.keeper.ProofAge()
-		g.Expect(age).To(Equal(time.Second), "older proof takes nothing away")
+		g.Expect(age).To(Equal(time.Second), "an older proof has no effect")
 	})
 }
 
@@ -239,10 +239,10 @@
 			late.keeper.Proven(7, time.Now())
 			return nil
 		}
-		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "there is nobody else, and the store does not answer")
+		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "no other node, and the store does not answer")
 		time.Sleep(maxRoundPause)
 		answers.Store(true)
-		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "there is nobody else, and the store answers")
+		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "no other node, and the store answers")
 		answers.Store(false)
 		time.Sleep(time.Minute)
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
@@ -257,7 +257,7 @@
 		began := time.Now()
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse())
 		g.Expect(time.Since(began)).To(Equal(confirmTimeout))
-		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "the only reader still owes the answer before")
+		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "the request to the only reader is still pending")
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -108,7 +108,7 @@
 	records := manyRecords(1000)
 	first.members.Merge(records)
 	second.members.Merge(records)
-	// A large roster takes changes together.
+	// A large roster batches changes.
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(func() bool { return first.members.View().Digest() == second.members.View().Digest() }).
 		WithTimeout(waitTimeout).Should(BeTrue())
@@ -145,7 +145,7 @@
 	g.Expect(first.exchanger.ExchangeWith(t.Context(), second.record)).To(Succeed())
 	g.Eventually(first.keeper.Version).WithTimeout(waitTimeout).Should(BeEquivalentTo(7))
 	g.Expect(first.keeper.Offer([]byte("6"), configuration.SourceRead)).To(MatchError(configuration.ErrNotNewer))
-	g.Expect(first.keeper.Version()).To(BeEquivalentTo(7), "versions only rise")
+	g.Expect(first.keeper.Version()).To(BeEquivalentTo(7), "versions only increase")
 }
 
 func TestInvalidComparisons(t *testing.T) {
@@ -184,7 +184,7 @@
 	}
 	g.Expect(asked.Load()).To(BeZero())
 	g.Expect(second.keeper.ChangeSince(8).Base).To(BeEquivalentTo(8))
-	g.Expect(second.keeper.ChangeSince(3).Base).To(BeZero(), "not remembered: whole")
+	g.Expect(second.keeper.ChangeSince(3).Base).To(BeZero(), "no longer kept: whole document")
 	g.Expect(newMember(t, "third").keeper.ChangeSince(3)).To(BeNil())
 }
 
@@ -239,12 +239,12 @@
 	receiver.members.Observe(func(changed []*roster.Record) {
 		for _, record := range changed {
 			if record.Node == "harmful" {
-				panic("a fault of the node")
+				panic("observer failure")
 			}
 		}
 	})
 	sender.members.Merge([]*roster.Record{{Node: "harmful", Epoch: 1, Counter: 1}})
-	g.Expect(receiver.exchanger.ExchangeWith(t.Context(), sender.record)).To(MatchError(ContainSubstring("panic: a fault of the node")))
+	g.Expect(receiver.exchanger.ExchangeWith(t.Context(), sender.record)).To(MatchError(ContainSubstring("panic: observer failure")))
 	sender.members.Merge([]*roster.Record{{Node: "harmless", Epoch: 1, Counter: 1}})
 	g.Expect(receiver.exchanger.ExchangeWith(t.Context(), sender.record)).To(Succeed())
 	g.Expect(receiver.members.View().Record("harmless")).NotTo(BeNil())
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -124,7 +124,7 @@
 	lost    lostPeers
 	// hadContact reports whether this node was in contact with another one.
 	hadContact atomic.Bool
-	// updater fetches newer configurations, proof keeps the proof that there is none up to date.
+	// updater fetches newer configurations; proof keeps the proof of being up to date fresh.
 	updater  *catchUp
 	proof    *proofChecker
 	observer Observer
@@ -187,8 +187,8 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if teller := readers.AssignedReader(view, own, e.Usable); teller != nil {
-			return teller
+		if reader := readers.AssignedReader(view, own, e.Usable); reader != nil {
+			return reader
 		}
 	}
 	var near, far []*roster.Record
@@ -342,7 +342,7 @@
 // handleMessage merges a peer's message and fetches its configuration when that is newer.
 func (e *Exchanger) handleMessage(received *Message) {
 	e.hadContact.Store(true)
-	e.lost.remove(received.From.Node) // it is there, whoever began
+	e.lost.remove(received.From.Node) // it is reachable, whichever side started
 	e.mergeState(&received.Told)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
 	e.Behind(received.From, received.Version)
--- a/internal/sidecar/exchange/lending.go
+++ b/internal/sidecar/exchange/lending.go
@@ -36,7 +36,7 @@
 	defer resp.Body.Close()
 	answer := &lending.Answer{}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(answer); err != nil {
-		return nil, trace.Wrap(err, "ask %s for tokens", peer.Node)
+		return nil, trace.Wrap(err, "request tokens from %s", peer.Node)
 	}
 	return answer, nil
 }
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		c.stale.Store(reader.Node, clock.Now())
 		c.exchanger.observer.VersionRequestFinished(versionFailed, -1)
-		return trace.Wrap(err, "ask %s for its version", reader.Node)
+		return trace.Wrap(err, "request version of %s", reader.Node)
 	}
 	c.exchanger.hadContact.Store(true)
 	c.recordReply(reader, answer)
@@ -222,14 +222,14 @@
 		c.stale.Store(reader.Node, clock.Now())
 	}
 	c.exchanger.observer.VersionRequestFinished(result, age)
-	c.exchanger.options.Logger.Debug("version told", zap.String("peer", reader.Node), zap.Uint64("version", answer.Version),
+	c.exchanger.options.Logger.Debug("peer version received", zap.String("peer", reader.Node), zap.Uint64("version", answer.Version),
 		zap.Uint64("inForce", inForce), zap.Duration("peerProofAge", age), c.exchanger.updater.proofAge())
 }
 
 // recordProof records the proof in a peer's reply to a request that was sent at the given moment. The
 // round trip counts towards the age of the proof, since the reply may have spent all of it on the way.
-func (c *proofChecker) recordProof(version uint64, told *int64, asked time.Time) {
-	if age, valid := proofAge(told); valid {
+func (c *proofChecker) recordProof(version uint64, peerAge *int64, asked time.Time) {
+	if age, valid := proofAge(peerAge); valid {
 		c.exchanger.options.Configuration.Proven(version, asked.Add(-age))
 	}
 }
--- a/internal/sidecar/exchange/limits.go
+++ b/internal/sidecar/exchange/limits.go
@@ -7,7 +7,7 @@
 const DefaultBound = 2 * time.Second
 
 // Shares of the bound. From readStoreShare on the rest of the bound remains to obtain a version and put
-// it in force; refuseShare leaves time between the sending of a request and its response.
+// it in force; refuseShare leaves time for a request that was sent before the bound to be answered.
 const (
 	refreshShare   = 0.3
 	readStoreShare = 0.65
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -45,8 +45,8 @@
 	Rollouts []rollout.Told `json:"rollouts,omitempty"`
 	// Evacuations are the newest orders for zones that are, or were, to be evacuated.
 	Evacuations []evacuation.Order `json:"evacuations,omitempty"`
-	// SharedMachines reports whether some back end shares its machine with others, and reports how long
-	// work takes.
+	// SharedMachines reports whether some back end shares its machine with others and announces the
+	// duration of its work.
 	SharedMachines bool `json:"sharedMachines,omitempty"`
 }
 
@@ -63,11 +63,11 @@
 
 // proofAge returns the age of a peer's proof, received in whole microseconds; false when there is
 // none, or when it is out of range.
-func proofAge(told *int64) (age time.Duration, valid bool) {
-	if told == nil || *told < 0 || *told > maxProofAge.Microseconds() {
+func proofAge(microseconds *int64) (age time.Duration, valid bool) {
+	if microseconds == nil || *microseconds < 0 || *microseconds > maxProofAge.Microseconds() {
 		return 0, false
 	}
-	return time.Duration(*told) * time.Microsecond, true
+	return time.Duration(*microseconds) * time.Microsecond, true
 }
 
 // Notice notifies a peer of one node's record. The response has no body.
@@ -121,6 +121,6 @@
 	pathVersion       = "/level"
 	pathQuota         = "/quota"
 	pathRepeats       = "/repeats"
-	// queryAfter names the version that a node has when it asks for a later one.
+	// queryAfter names the version that a node has when it requests a change.
 	queryAfter = "after"
 )
--- a/internal/sidecar/exchange/observer.go
+++ b/internal/sidecar/exchange/observer.go
@@ -8,7 +8,7 @@
 	fetchedFromStore = "store"
 )
 
-// What a node that was asked for its version has said, for the metrics.
+// Results of a request for a peer's version, as metric labels.
 const (
 	versionSame   = "same"
 	versionNewer  = "newer"
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -33,7 +33,7 @@
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "the proof is old")
 		peer.keeper.Proven(7, time.Now())
 		time.Sleep(smallestBound / 4)
-		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "the reader hears again")
+		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "the reader has fresh proof again")
 	})
 }
 
@@ -267,8 +267,8 @@
 					}
 				}
 				synctest.Wait()
-				g.Expect(calls.Load()).To(BeNumerically("<=", 5*span.Seconds()), "a second")
-				g.Expect(calls.Load()).To(BeNumerically(">=", span.Seconds()), "a second")
+				g.Expect(calls.Load()).To(BeNumerically("<=", 5*span.Seconds()), "calls per second")
+				g.Expect(calls.Load()).To(BeNumerically(">=", span.Seconds()), "calls per second")
 			})
 		})
 	}
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -170,12 +170,12 @@
 	}
 	const pause = 50 * time.Millisecond
 	time.Sleep(pause)
-	heard := time.Now()
-	for late.keeper.Version() < 8 && time.Since(heard) < time.Minute {
+	reportedAt := time.Now()
+	for late.keeper.Version() < 8 && time.Since(reportedAt) < time.Minute {
 		late.exchanger.Behind(healthy.record, 8)
 		time.Sleep(pause)
 	}
-	g.Expect(time.Since(heard)).To(BeNumerically("<=", most))
+	g.Expect(time.Since(reportedAt)).To(BeNumerically("<=", most))
 }
 
 // countingTransport counts the requests that a transport sends.
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -124,7 +124,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	g.Expect(time.Since(began)).To(BeNumerically("<=", alone+100*time.Millisecond))
-	g.Expect(over.carried).To(BeNumerically("<", len(change.Bytes)*3/2), "one copy, and some words")
+	g.Expect(over.carried).To(BeNumerically("<", len(change.Bytes)*3/2), "one copy and some overhead")
 }
 
 // TestLargeChangeIsCompressed checks that a large change is compressed and a small one is not.
@@ -146,7 +146,7 @@
 	g.Expect(small.Compressed).To(BeFalse())
 	again, err := keeper.EncodedChangeSince(7)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again).To(BeIdenticalTo(large), "made once")
+	g.Expect(again).To(BeIdenticalTo(large), "encoded once")
 }
 
 // TestPeerStallingMidResponse checks that a peer that stalls in the middle of a response does not delay the
@@ -208,10 +208,10 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		known := func(of *virtualMember) int { return of.exchanger.options.Roster.View().Count() }
 		g.Expect(asks.exchanger.ExchangeWith(t.Context(), knows.record)).To(Succeed())
-		time.Sleep(time.Second) // a large roster takes changes together
+		time.Sleep(time.Second) // a large roster batches changes
 		g.Expect(known(asks)).To(Equal(986))
 		g.Expect(passed.Load()).To(BeNumerically("<", len(plain)/10))
-		// The other way round the asking node's own records are long.
+		// In the other direction the asking node sends its own long list of records.
 		passed.Store(0)
 		g.Expect(asks.exchanger.ExchangeWith(t.Context(), late.record)).To(Succeed())
 		time.Sleep(time.Second)
--- a/internal/sidecar/exchange/spread_test.go
+++ b/internal/sidecar/exchange/spread_test.go
@@ -39,7 +39,7 @@
 // TestCrossZoneNotices checks that all nodes of small zones are notified directly, and that a notice is sent to
 // a few nodes of each larger zone and forwarded there.
 func TestCrossZoneNotices(t *testing.T) {
-	cases := []struct{ perZone, heard int }{
+	cases := []struct{ perZone, received int }{
 		{smallZoneSize, 3*smallZoneSize - 1},
 		{smallZoneSize + 3, smallZoneSize + 2 + 2*relaysPerZone},
 	}
@@ -51,7 +51,7 @@
 				record.Leaving = true
 				return record, true
 			})
-			g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(size.heard))
+			g.Expect(all[0].exchanger.Broadcast(t.Context())).To(Equal(size.received))
 			for _, other := range all {
 				g.Eventually(func() bool { return other.members.View().Record("east-0").Leaving }).
 					WithTimeout(waitTimeout).Should(BeTrue(), other.record.Node)
@@ -103,13 +103,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	all[0].exchanger.BroadcastUntilFirst(ctx)
-	heard := 0
+	received := 0
 	for _, other := range all[2:] {
 		if other.members.View().Record("east-0").Leaving {
-			heard++
+			received++
 		}
 	}
-	g.Expect(heard).To(BeNumerically(">", 0))
+	g.Expect(received).To(BeNumerically(">", 0))
 }
 
 // TestBroadcastUntilFirstWithoutPeers checks that the call returns when no peer responds.
@@ -122,15 +122,15 @@
 // TestRelayHedgesHangingPeers checks that two of four candidates in another zone that hang do not delay the
 // notice to the other two.
 func TestRelayHedgesHangingPeers(t *testing.T) {
-	runWithPeer(t, func(t *testing.T, g *WithT, teller, first *virtualMember, in *network) {
+	runWithPeer(t, func(t *testing.T, g *WithT, sender, first *virtualMember, in *network) {
 		second := newVirtualMember(in, "second", "near")
 		in.set("hanging:1", silent)
 		hanging := &roster.Record{Node: "hanging", PeerAddress: "hanging:1"}
-		heard := &deliveries{}
+		received := &deliveries{}
 		began := time.Now()
-		notice := teller.exchanger.notice(teller.record)
-		teller.exchanger.relay(t.Context(), heard, []*roster.Record{hanging, hanging, first.record, second.record}, notice)
-		g.Expect(heard.count.Load()).To(BeEquivalentTo(relaysPerZone))
+		notice := sender.exchanger.notice(sender.record)
+		sender.exchanger.relay(t.Context(), received, []*roster.Record{hanging, hanging, first.record, second.record}, notice)
+		g.Expect(received.count.Load()).To(BeEquivalentTo(relaysPerZone))
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*hedgeDelay))
 	})
 }
@@ -145,27 +145,27 @@
 		const plays = 200
 		heardShare, sent := 0.0, 0
 		for range plays {
-			heard := make([]bool, size)
+			received := make([]bool, size)
 			next := random.Perm(size)[:min(size, maxZonePeers)]
 			for len(next) > 0 {
-				told := next
+				batch := next
 				next = nil
-				for _, node := range told {
+				for _, node := range batch {
 					sent++
-					if !heard[node] {
-						heard[node] = true
+					if !received[node] {
+						received[node] = true
 						next = append(next, random.Perm(size)[:min(size, fanout(leaves))]...)
 					}
 				}
 			}
-			for _, has := range heard {
+			for _, has := range received {
 				if has {
 					heardShare += 1 / float64(size*plays)
 				}
 			}
 		}
 		g.Expect(heardShare).To(BeNumerically(">", 0.97), "%d nodes", size)
-		g.Expect(float64(sent)/plays/float64(size)).To(BeNumerically("<", 5.2), "messages a node")
+		g.Expect(float64(sent)/plays/float64(size)).To(BeNumerically("<", 5.2), "messages per node")
 	}
 	g := NewWithT(t)
 	ready := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{State: roster.Ready}}
