--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -227,7 +227,7 @@
 }
 
 // recordProof records the proof in a peer's reply to a request that was sent at the given moment. The
-// round trip counts towards the age of the proof, since the reply may have spent all of it on the way.
+// age counts from then, so that the time in transit counts against the proof.
 func (c *proofChecker) recordProof(version uint64, peerAge *int64, asked time.Time) {
 	if age, valid := proofAge(peerAge); valid {
 		c.exchanger.options.Configuration.Proven(version, asked.Add(-age))
--- a/internal/sidecar/exchange/question.go
+++ b/internal/sidecar/exchange/question.go
@@ -17,15 +17,15 @@
 	cancel context.CancelFunc
 	// lastData is when the response last brought data, the start of the fetch before that.
 	lastData atomicTime
-	// responding reports whether the response has begun; abandoned, whether the fetch was given up
-	// because another peer was faster. Both are guarded by the lock of the catch-up.
+	// responding reports whether the response has begun; abandoned, whether the fetch was given up in
+	// favor of another peer. Both are guarded by the lock of the catch-up.
 	responding, abandoned bool
 }
 
-// untilSilent returns the time until the fetch counts as silent if it brings no data by then, so that
-// another peer is asked.
-func (q *fetchAttempt) untilSilent(now time.Time) time.Duration {
-	return hedgeDelay - now.Sub(*q.lastData.value.Load())
+// untilSilent returns the time after which the fetch counts as silent, and another peer is asked, if no
+// data arrives until then.
+func (a *fetchAttempt) untilSilent(now time.Time) time.Duration {
+	return hedgeDelay - now.Sub(*a.lastData.value.Load())
 }
 
 // startFetch starts a fetch from a peer; the lock is held.
@@ -68,7 +68,7 @@
 	}
 }
 
-// abandon gives up a fetch that did not fail; the lock is held.
+// abandon gives up a fetch without counting a failure of its peer; the lock is held.
 func (c *catchUp) abandon(attempt *fetchAttempt, now time.Time) {
 	attempt.abandoned = true
 	attempt.cancel()
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -140,7 +140,7 @@
 // three later versions meanwhile.
 func TestSilentPeerDoesNotDelayCatchUp(t *testing.T) {
 	const most = 500 * time.Millisecond
-	ways := map[string]func(net.Conn){"takes and does not answer": silent, "takes nothing": unreachable}
+	ways := map[string]func(net.Conn){"reads but does not respond": silent, "does not read": unreachable}
 	for name, accept := range ways {
 		for _, zone := range []string{"near", "far"} {
 			for _, quiet := range []int{1, 2, 6} {
