--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -140,7 +140,7 @@
 // three later versions meanwhile.
 func TestSilentPeerDoesNotDelayCatchUp(t *testing.T) {
 	const most = 500 * time.Millisecond
-	ways := map[string]func(net.Conn){"takes and does not answer": silent, "takes nothing": unreachable}
+	ways := map[string]func(net.Conn){"reads but does not respond": silent, "does not read": unreachable}
 	for name, accept := range ways {
 		for _, zone := range []string{"near", "far"} {
 			for _, quiet := range []int{1, 2, 6} {
@@ -170,12 +170,12 @@
 	}
 	const pause = 50 * time.Millisecond
 	time.Sleep(pause)
-	heard := time.Now()
-	for late.keeper.Version() < 8 && time.Since(heard) < time.Minute {
+	reportedAt := time.Now()
+	for late.keeper.Version() < 8 && time.Since(reportedAt) < time.Minute {
 		late.exchanger.Behind(healthy.record, 8)
 		time.Sleep(pause)
 	}
-	g.Expect(time.Since(heard)).To(BeNumerically("<=", most))
+	g.Expect(time.Since(reportedAt)).To(BeNumerically("<=", most))
 }
 
 // countingTransport counts the requests that a transport sends.
