--- a/internal/sidecar/exchange/server.go
+++ b/internal/sidecar/exchange/server.go
@@ -48,7 +48,7 @@
 	request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
 	received := &Message{}
 	if err := request.ReadEntity(received); err != nil || received.From == nil {
-		_ = response.WriteErrorString(http.StatusBadRequest, "from: not an exchange message")
+		_ = response.WriteErrorString(http.StatusBadRequest, "from: no exchange message")
 		return
 	}
 	compressFrom := math.MaxInt
@@ -113,7 +113,7 @@
 func (e *Exchanger) serveConfiguration(request *restful.Request, response *restful.Response) {
 	after, err := strconv.ParseUint(request.QueryParameter(queryAfter), 10, 64)
 	if err != nil {
-		_ = response.WriteErrorString(http.StatusBadRequest, queryAfter+": not a version number")
+		_ = response.WriteErrorString(http.StatusBadRequest, queryAfter+": is no version")
 		return
 	}
 	if acceptsGzip(request.Request) {
@@ -129,7 +129,7 @@
 }
 
 func writeNoConfiguration(response *restful.Response) {
-	_ = response.WriteErrorString(http.StatusNotFound, "configuration: none in force")
+	_ = response.WriteErrorString(http.StatusNotFound, "configuration: none is in force")
 }
 
 // acceptsGzip reports whether the peer accepts compressed responses. Nodes of the
