--- a/internal/sidecar/exchange/lending_test.go
+++ b/internal/sidecar/exchange/lending_test.go
@@ -14,7 +14,7 @@
 func TestAPeerThatLendsNothing(t *testing.T) {
 	g := NewWithT(t)
 	asking, before := newMember(t, "asking"), newMember(t, "before")
-	answer, err := asking.exchanger.AskRepeats(context.Background(), before.record, &lending.Ask{From: "asking"})
+	answer, err := asking.exchanger.AskRepeats(context.Background(), before.record, &lending.Request{From: "asking"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.Closed).To(BeTrue())
 }
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -54,7 +54,7 @@
 	// Ahead is for how long the tokens that are asked for at once are to last.
 	Ahead time.Duration
 	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error)
+	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Answer, error)
 	// Lost is told of a node that did not answer.
 	Lost   func(node string)
 	Logger *zap.Logger
@@ -117,7 +117,7 @@
 	}
 	now := clock.Now()
 	wanted := []lending.Want{{Account: account, Tokens: c.holder.Wanted(account, c.options.Ahead, now)}}
-	asked := &lending.Ask{From: c.options.Node, Wants: wanted}
+	asked := &lending.Request{From: c.options.Node, Wants: wanted}
 	if c.holder.Lend(account, granter.Node, terms, now) {
 		asked.Lends = []string{account}
 	}
@@ -137,7 +137,7 @@
 
 // send asks a granter, which may be the node itself. One that is not there, or closed, does not
 // count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+func (c *Carrier) send(granter *roster.Record, asked *lending.Request) (*lending.Answer, error) {
 	if granter.Node == c.options.Node {
 		return c.Serve(asked), nil
 	}
@@ -161,7 +161,7 @@
 }
 
 // Serve answers another node, or the own one.
-func (c *Carrier) Serve(asked *lending.Ask) *lending.Answer {
+func (c *Carrier) Serve(asked *lending.Request) *lending.Answer {
 	if c.closed.Load() {
 		return &lending.Answer{Closed: true}
 	}
@@ -221,14 +221,14 @@
 	c.holder.Retain(exists, clock.Now())
 	c.granter.Retain(exists)
 	accounts, granters := c.options.Accounts(), c.granters()
-	c.sendAll(c.releases(accounts, granters), func(granter string, asked *lending.Ask) {
+	c.sendAll(c.releases(accounts, granters), func(granter string, asked *lending.Request) {
 		c.holder.Released(granter, asked.Releases, clock.Now())
 	})
-	c.sendAll(c.lends(accounts, granters), func(string, *lending.Ask) {})
+	c.sendAll(c.lends(accounts, granters), func(string, *lending.Request) {})
 }
 
 // releases returns what the node asks back, by whom it asks.
-func (c *Carrier) releases(accounts []string, granters []*roster.Record) map[string]*lending.Ask {
+func (c *Carrier) releases(accounts []string, granters []*roster.Record) map[string]*lending.Request {
 	now, asked := clock.Now(), asks{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
@@ -244,7 +244,7 @@
 }
 
 // lends returns what the node lends and passes on, by whom it goes to.
-func (c *Carrier) lends(accounts []string, granters []*roster.Record) map[string]*lending.Ask {
+func (c *Carrier) lends(accounts []string, granters []*roster.Record) map[string]*lending.Request {
 	now, asked := clock.Now(), asks{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
@@ -273,18 +273,18 @@
 }
 
 // asks are messages by the node that they go to.
-type asks map[string]*lending.Ask
+type asks map[string]*lending.Request
 
 // to returns the message to a node.
-func (a asks) to(node, from string) *lending.Ask {
+func (a asks) to(node, from string) *lending.Request {
 	if a[node] == nil {
-		a[node] = &lending.Ask{From: from}
+		a[node] = &lending.Request{From: from}
 	}
 	return a[node]
 }
 
 // sendAll sends one message to each of the nodes and tells of those that were answered.
-func (c *Carrier) sendAll(messages map[string]*lending.Ask, answered func(node string, asked *lending.Ask)) {
+func (c *Carrier) sendAll(messages map[string]*lending.Request, answered func(node string, asked *lending.Request)) {
 	var group errgroup.Group
 	group.SetLimit(sendsAtOnce)
 	for node, asked := range messages {
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -146,7 +146,7 @@
 
 func TestBringsThatNoNodeSends(t *testing.T) {
 	g := NewWithT(t)
-	asked := &lending.Ask{From: "n", Passes: []lending.Passed{{Account: "s", Tokens: 3.5}}}
+	asked := &lending.Request{From: "n", Passes: []lending.Passed{{Account: "s", Tokens: 3.5}}}
 	g.Expect(asked.Validate()).To(Succeed())
 	for _, tokens := range []float64{1e9, -1} {
 		asked.Passes[0].Tokens = tokens
