--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -54,7 +54,7 @@
 	// Ahead is for how long the tokens that are asked for at once are to last.
 	Ahead time.Duration
 	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Answer, error)
+	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
 	// Lost is told of a node that did not answer.
 	Lost   func(node string)
 	Logger *zap.Logger
@@ -137,7 +137,7 @@
 
 // send asks a granter, which may be the node itself. One that is not there, or closed, does not
 // count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, asked *lending.Request) (*lending.Answer, error) {
+func (c *Carrier) send(granter *roster.Record, asked *lending.Request) (*lending.Response, error) {
 	if granter.Node == c.options.Node {
 		return c.Serve(asked), nil
 	}
@@ -161,9 +161,9 @@
 }
 
 // Serve answers another node, or the own one.
-func (c *Carrier) Serve(asked *lending.Request) *lending.Answer {
+func (c *Carrier) Serve(asked *lending.Request) *lending.Response {
 	if c.closed.Load() {
-		return &lending.Answer{Closed: true}
+		return &lending.Response{Closed: true}
 	}
 	now := clock.Now()
 	for _, account := range asked.Releases {
@@ -181,7 +181,7 @@
 			c.granter.TakePassed(brought.Account, brought.Tokens, terms, now)
 		}
 	}
-	answer := &lending.Answer{}
+	answer := &lending.Response{}
 	for _, want := range asked.Wants {
 		terms, exists := c.Terms(want.Account)
 		if !exists || !c.options.Known() {
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -100,7 +100,7 @@
 		},
 		Tenants: func() []string { return f.tenants },
 		Bounds:  func() quota.Bounds { return bounds },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Answer, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return f.send(ctx, node, to, asked)
 		},
 		Lost: func(name string) {
@@ -157,7 +157,7 @@
 	time.Sleep(delay)
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Answer, error) {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 	if err := asked.Validate(); err != nil {
 		f.t.Error(err)
 	}
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -85,7 +85,7 @@
 		},
 		Limits:   func() repeats.Limits { return limits },
 		Services: func() []string { return []string{"s"} }, Exists: func(string) bool { return true },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Answer, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return f.send(ctx, node, to, asked)
 		},
 		Lost: func(name string) {
@@ -128,7 +128,7 @@
 	return arrives
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Answer, error) {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 	if err := asked.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -50,7 +50,7 @@
 	View   func() *roster.View
 	Usable readers.Reachable
 	Known  func() bool
-	Send   func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Answer, error)
+	Send   func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
 	Lost   func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
