--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -176,7 +176,7 @@
 			c.granter.Lend(asked.From, account, terms, now)
 		}
 	}
-	for _, brought := range asked.Passes {
+	for _, brought := range asked.Deposits {
 		if terms, exists := c.Terms(brought.Account); exists {
 			c.granter.TakePassed(brought.Account, brought.Tokens, terms, now)
 		}
@@ -258,7 +258,7 @@
 		}
 		if passed := c.passed(account, terms, now); passed != 0 {
 			to := asked.to(granter.Node, c.options.Node)
-			to.Passes = append(to.Passes, lending.Passed{Account: account, Tokens: passed})
+			to.Deposits = append(to.Deposits, lending.Passed{Account: account, Tokens: passed})
 		}
 	}
 	return asked
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -13,8 +13,8 @@
 	Releases []string `json:"releases,omitempty"`
 	// Wants is how many tokens the node wants of each account.
 	Wants []Want `json:"wants,omitempty"`
-	// Passes are the tokens that the node has earned itself and passes on.
-	Passes []Passed `json:"brings,omitempty"`
+	// Deposits are the tokens that the node has earned itself and passes on.
+	Deposits []Passed `json:"brings,omitempty"`
 }
 
 // Want asks for tokens of one account.
@@ -66,7 +66,7 @@
 		return trace.BadParameter("releases: has more than %d names", mostNames)
 	case len(a.Wants) > mostNames:
 		return trace.BadParameter("wants: has more than %d entries", mostNames)
-	case len(a.Passes) > mostNames:
+	case len(a.Deposits) > mostNames:
 		return trace.BadParameter("brings: has more than %d entries", mostNames)
 	}
 	for _, want := range a.Wants {
@@ -74,7 +74,7 @@
 			return trace.BadParameter("wants.tokens: %d is not from 1 to %d", want.Tokens, mostWanted)
 		}
 	}
-	for _, brought := range a.Passes {
+	for _, brought := range a.Deposits {
 		if !(brought.Tokens >= 0 && brought.Tokens <= mostPassed) {
 			return trace.BadParameter("brings.tokens: %v is not from 0 to %d", brought.Tokens, mostPassed)
 		}
