--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -258,7 +258,7 @@
 		}
 		if passed := c.passed(account, terms, now); passed != 0 {
 			to := asked.to(granter.Node, c.options.Node)
-			to.Deposits = append(to.Deposits, lending.Passed{Account: account, Tokens: passed})
+			to.Deposits = append(to.Deposits, lending.Deposit{Account: account, Tokens: passed})
 		}
 	}
 	return asked
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -146,12 +146,12 @@
 
 func TestBringsThatNoNodeSends(t *testing.T) {
 	g := NewWithT(t)
-	asked := &lending.Request{From: "n", Deposits: []lending.Passed{{Account: "s", Tokens: 3.5}}}
+	asked := &lending.Request{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
 	g.Expect(asked.Validate()).To(Succeed())
 	for _, tokens := range []float64{1e9, -1} {
 		asked.Deposits[0].Tokens = tokens
 		g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings.tokens")))
 	}
-	asked.Deposits = make([]lending.Passed, 10_001)
+	asked.Deposits = make([]lending.Deposit, 10_001)
 	g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings")))
 }
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -14,7 +14,7 @@
 	// Wants is how many tokens the node wants of each account.
 	Wants []Want `json:"wants,omitempty"`
 	// Deposits are the tokens that the node has earned itself and passes on.
-	Deposits []Passed `json:"brings,omitempty"`
+	Deposits []Deposit `json:"brings,omitempty"`
 }
 
 // Want asks for tokens of one account.
@@ -24,8 +24,8 @@
 	Tokens  int    `json:"tokens"`
 }
 
-// Passed passes tokens of one account on.
-type Passed struct {
+// Deposit passes tokens of one account on.
+type Deposit struct {
 	Account string  `json:"account"`
 	Tokens  float64 `json:"tokens"`
 }
