--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -178,7 +178,7 @@
 	}
 	for _, brought := range asked.Deposits {
 		if terms, exists := c.Terms(brought.Account); exists {
-			c.granter.TakePassed(brought.Account, brought.Tokens, terms, now)
+			c.granter.Deposit(brought.Account, brought.Tokens, terms, now)
 		}
 	}
 	answer := &lending.Response{}
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -114,13 +114,13 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	granter := lending.NewGranter()
-	granter.TakePassed("s", 1000, terms, now)
+	granter.Deposit("s", 1000, terms, now)
 	all := lending.Want{Account: "s", Tokens: 10_000}
 	given := granter.Grant(all, terms, now).Tokens
 	g.Expect(given).To(Equal(100))
-	granter.TakePassed("s", 50, terms, now.Add(100*time.Millisecond))
+	granter.Deposit("s", 50, terms, now.Add(100*time.Millisecond))
 	g.Expect(granter.Grant(all, terms, now.Add(100*time.Millisecond)).Tokens).To(BeNumerically("<=", 5))
-	granter.TakePassed("s", 50, terms, now.Add(time.Second))
+	granter.Deposit("s", 50, terms, now.Add(time.Second))
 	g.Expect(granter.Grant(all, terms, now.Add(time.Second)).Tokens).To(BeNumerically(">=", 45))
 	g.Expect(granter.Grant(all, terms, now.Add(time.Minute)).Tokens).To(BeZero(), "nothing lasts")
 }
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TakePassed takes in tokens that a node has earned and passes on.
-func (g *Granter) TakePassed(account string, tokens float64, terms Terms, now time.Time) {
+// Deposit takes in tokens that a node has earned and passes on.
+func (g *Granter) Deposit(account string, tokens float64, terms Terms, now time.Time) {
 	if terms.Window <= 0 {
 		return
 	}
