--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -173,7 +173,7 @@
 	}
 	for _, account := range asked.Lends {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.Lend(asked.From, account, terms, now)
+			c.granter.AddLease(asked.From, account, terms, now)
 		}
 	}
 	for _, brought := range asked.Deposits {
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -28,8 +28,8 @@
 // NewGranter returns a granter to which nothing is lent.
 func NewGranter() *Granter { return &Granter{buckets: map[string]*bucket{}} }
 
-// Lend takes in that a node lends its share of an account for a lease.
-func (g *Granter) Lend(from, account string, terms Terms, now time.Time) {
+// AddLease takes in that a node lends its share of an account for a lease.
+func (g *Granter) AddLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	held := g.of(account, now)
