--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -168,7 +168,7 @@
 	now := clock.Now()
 	for _, account := range asked.Releases {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.Release(asked.From, account, terms, now)
+			c.granter.EndLease(asked.From, account, terms, now)
 		}
 	}
 	for _, account := range asked.Lends {
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Release takes in that a node does not lend its share of an account any more.
-func (g *Granter) Release(from, account string, terms Terms, now time.Time) {
+// EndLease takes in that a node does not lend its share of an account any more.
+func (g *Granter) EndLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if held := g.buckets[account]; held != nil {
