--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -30,10 +30,10 @@
 	h.bound(account, held, terms, now)
 }
 
-// Owe takes in what was spent beyond what the node has. It stays with the node until it is made up
+// AddDebt takes in what was spent beyond what the node has. It stays with the node until it is made up
 // for: by what the node earns, by tokens of the granter, for which it is a demand, or by its own
 // share.
-func (h *Holder) Owe(account string, tokens float64, now time.Time) {
+func (h *Holder) AddDebt(account string, tokens float64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -48,7 +48,7 @@
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	g.Expect(holder.Lend("s", "granter", terms, now)).To(BeTrue())
-	holder.Owe("s", 3, now)
+	holder.AddDebt("s", 3, now)
 	holder.Earn("s", 1, terms, now)
 	for range 5 {
 		g.Expect(holder.Pass("s", terms, now)).To(BeZero())
@@ -59,7 +59,7 @@
 	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
 	g.Expect(holder.Settle("s", terms, now)).To(BeTrue())
 	g.Expect(holder.Held("s", terms, now)).To(Equal(1.0), "two paid for it")
-	holder.Owe("s", 1, now)
+	holder.AddDebt("s", 1, now)
 	holder.Earn("s", 1, terms, now)
 	g.Expect(holder.Settle("s", terms, now)).To(BeTrue(), "so does what is earned")
 }
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -135,7 +135,7 @@
 	r.carryOver(name, held, limits, terms, now)
 	r.Holder().Earn(name, limits.earned(), terms, now)
 	if repeated > 0 {
-		r.Holder().Owe(name, repeated, now)
+		r.Holder().AddDebt(name, repeated, now)
 		r.refill(name, held, now)
 	}
 }
@@ -229,7 +229,7 @@
 // after lending begins.
 func (r *Repeats) carryOver(name string, held *service, limits Limits, terms lending.Terms, now time.Time) {
 	if lacking := held.budget.drain(limits, terms.Members, now); lacking > 0 {
-		r.Holder().Owe(name, lacking, now)
+		r.Holder().AddDebt(name, lacking, now)
 	}
 }
 
