--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -42,9 +42,9 @@
 	held.earnings.tokens -= tokens
 }
 
-// Settle makes up for what the node owes out of the tokens of granters that it holds and, where
+// RepayDebt makes up for what the node owes out of the tokens of granters that it holds and, where
 // its share is lent to nobody, out of that. It reports whether the node owes nothing any more.
-func (h *Holder) Settle(account string, terms Terms, now time.Time) bool {
+func (h *Holder) RepayDebt(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -53,15 +53,15 @@
 	for range 5 {
 		g.Expect(holder.Pass("s", terms, now)).To(BeZero())
 		g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
-		g.Expect(holder.Settle("s", terms, now)).To(BeFalse())
+		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
 	g.Expect(holder.Wanted("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
 	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
-	g.Expect(holder.Settle("s", terms, now)).To(BeTrue())
+	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
 	g.Expect(holder.Held("s", terms, now)).To(Equal(1.0), "two paid for it")
 	holder.AddDebt("s", 1, now)
 	holder.Earn("s", 1, terms, now)
-	g.Expect(holder.Settle("s", terms, now)).To(BeTrue(), "so does what is earned")
+	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue(), "so does what is earned")
 }
 
 // TestTokensThatExpire unspent become the node's own as far as it may save up, once.
