--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -269,7 +269,7 @@
 	if terms.Window <= 0 {
 		return 0
 	}
-	return c.holder.Pass(account, terms, now)
+	return c.holder.WithdrawSurplus(account, terms, now)
 }
 
 // asks are messages by the node that they go to.
--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -69,10 +69,10 @@
 	return true
 }
 
-// Pass returns the tokens that the node passes on with a message that it sends now. It keeps
+// WithdrawSurplus returns the tokens that the node passes on with a message that it sends now. It keeps
 // what it is likely to spend, and all while it owes some. The node has them no more, whether the
 // message arrives or not.
-func (h *Holder) Pass(account string, terms Terms, now time.Time) float64 {
+func (h *Holder) WithdrawSurplus(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -20,10 +20,10 @@
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 100, terms, now)
-	passed := holder.Pass("s", terms, now)
+	passed := holder.WithdrawSurplus("s", terms, now)
 	g.Expect(passed).To(BeNumerically(">", 10))
 	g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
-	g.Expect(holder.Pass("s", terms, now)).To(BeZero())
+	g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 }
 
 // TestANodeKeepsWhatItNeeds and no more than may be saved up.
@@ -35,7 +35,7 @@
 	for range 8 {
 		holder.Came("s", now)
 	}
-	holder.Pass("s", terms, now)
+	holder.WithdrawSurplus("s", terms, now)
 	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("~", 8, 0.01))
 	holder.Earn("s", 100, terms, now)
 	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.EarnedKept)*200))
@@ -51,7 +51,7 @@
 	holder.AddDebt("s", 3, now)
 	holder.Earn("s", 1, terms, now)
 	for range 5 {
-		g.Expect(holder.Pass("s", terms, now)).To(BeZero())
+		g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 		g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
 		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
