--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -95,8 +95,8 @@
 	return passed
 }
 
-// Held returns how many tokens the node may spend now.
-func (h *Holder) Held(account string, terms Terms, now time.Time) float64 {
+// Available returns how many tokens the node may spend now.
+func (h *Holder) Available(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -36,9 +36,9 @@
 		holder.Came("s", now)
 	}
 	holder.WithdrawSurplus("s", terms, now)
-	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("~", 8, 0.01))
+	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("~", 8, 0.01))
 	holder.Earn("s", 100, terms, now)
-	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.EarnedKept)*200))
+	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.EarnedKept)*200))
 }
 
 // TestWhatIsOwedStays with the node until it is made up for, whatever messages are lost: nothing is
@@ -58,7 +58,7 @@
 	g.Expect(holder.Wanted("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
 	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
 	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
-	g.Expect(holder.Held("s", terms, now)).To(Equal(1.0), "two paid for it")
+	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two paid for it")
 	holder.AddDebt("s", 1, now)
 	holder.Earn("s", 1, terms, now)
 	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue(), "so does what is earned")
@@ -73,12 +73,12 @@
 	for holder.TakeEarned("s", terms, now) {
 	}
 	holder.Granted("s", lending.Grant{Tokens: 20}, now, now)
-	g.Expect(holder.Held("s", terms, now)).To(Equal(20.0))
+	g.Expect(holder.Available("s", terms, now)).To(Equal(20.0))
 	later := now.Add(lending.TokenLife)
-	g.Expect(holder.Held("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.EarnedKept), 0.01))
+	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.EarnedKept), 0.01))
 	for holder.TakeEarned("s", terms, later) {
 	}
-	g.Expect(holder.Held("s", terms, later)).To(BeNumerically("<", 1))
+	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("<", 1))
 }
 
 // TestATokenThatIsNotDue pays for nothing, also when it comes back.
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -158,7 +158,7 @@
 	}
 	r.Holder().Came(name, now)
 	defer r.refill(name, held, now)
-	if kept := held.calledFor.add(request, now); !spends(r.Holder().Held(name, terms, now), kept) {
+	if kept := held.calledFor.add(request, now); !spends(r.Holder().Available(name, terms, now), kept) {
 		return r.counted("spent", false)
 	}
 	return r.spend(name, terms, now)
@@ -206,7 +206,7 @@
 // LeftOf returns how many repeats the node holds at one service.
 func (r *Repeats) LeftOf(name string) float64 {
 	if terms, lent := r.Terms(name); lent {
-		return r.Holder().Held(name, terms, clock.Now())
+		return r.Holder().Available(name, terms, clock.Now())
 	}
 	return r.of(name).budget.left()
 }
