--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -33,7 +33,7 @@
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 100, terms, now)
 	for range 8 {
-		holder.Came("s", now)
+		holder.RecordDemand("s", now)
 	}
 	holder.WithdrawSurplus("s", terms, now)
 	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("~", 8, 0.01))
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -95,8 +95,8 @@
 	return h.of(account).takeDue(now)
 }
 
-// Came notes that a request came, which says how many tokens will be wanted.
-func (h *Holder) Came(account string, now time.Time) {
+// RecordDemand notes that a request came, which says how many tokens will be wanted.
+func (h *Holder) RecordDemand(account string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -88,7 +88,7 @@
 // room.
 func (q *Quota) Take(ctx context.Context, tenant string) (lending.Token, error) {
 	began := clock.Now()
-	q.Holder().Came(tenant, began)
+	q.Holder().RecordDemand(tenant, began)
 	for failed, answered := 0, false; ; {
 		switch verdict, token := q.Holder().Take(tenant, clock.Now()); {
 		case verdict == lending.Taken:
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -156,7 +156,7 @@
 	if worth < leastWorth {
 		return r.counted("futile", false)
 	}
-	r.Holder().Came(name, now)
+	r.Holder().RecordDemand(name, now)
 	defer r.refill(name, held, now)
 	if kept := held.calledFor.add(request, now); !spends(r.Holder().Available(name, terms, now), kept) {
 		return r.counted("spent", false)
