--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -116,7 +116,7 @@
 		return ErrNoGranter
 	}
 	now := clock.Now()
-	wanted := []lending.Want{{Account: account, Tokens: c.holder.Wanted(account, c.options.Ahead, now)}}
+	wanted := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Ahead, now)}}
 	asked := &lending.Request{From: c.options.Node, Wants: wanted}
 	if c.holder.Lend(account, granter.Node, terms, now) {
 		asked.Lends = []string{account}
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -55,7 +55,7 @@
 		g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
 		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
-	g.Expect(holder.Wanted("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
+	g.Expect(holder.TokensToRequest("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
 	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
 	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
 	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two paid for it")
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -104,9 +104,9 @@
 	held.demand++
 }
 
-// Wanted returns how many tokens to ask for: one, and what is likely to be called for in the time
+// TokensToRequest returns how many tokens to ask for: one, and what is likely to be called for in the time
 // given.
-func (h *Holder) Wanted(account string, ahead time.Duration, now time.Time) int {
+func (h *Holder) TokensToRequest(account string, ahead time.Duration, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
