--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -114,9 +114,9 @@
 	return 1 + min(int(held.demand*ahead.Seconds()), mostWanted-1)
 }
 
-// Low reports whether what the node holds of a granter is less than what is likely to be called
+// NeedsRefill reports whether what the node holds of a granter is less than what is likely to be called
 // for in the time given, and the granter may be asked.
-func (h *Holder) Low(account string, within time.Duration, now time.Time) bool {
+func (h *Holder) NeedsRefill(account string, within time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -249,7 +249,7 @@
 
 // refill asks the granter for a lot when what is held is low.
 func (r *Repeats) refill(name string, held *service, now time.Time) {
-	if !held.mayAsk(now) || !r.Holder().Low(name, askedLow, now) || !held.asking.CompareAndSwap(false, true) {
+	if !held.mayAsk(now) || !r.Holder().NeedsRefill(name, askedLow, now) || !held.asking.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
