--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -95,7 +95,7 @@
 func liveToken() lending.Token {
 	now := time.Now().Add(time.Hour) // the test does not depend on how long it takes
 	holder := lending.NewHolder("n")
-	holder.Granted("acme", lending.Grant{Tokens: 1}, now, now)
+	holder.AddGrant("acme", lending.Grant{Tokens: 1}, now, now)
 	_, token := holder.Take("acme", now)
 	return token
 }
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -131,7 +131,7 @@
 	if answer.Grants[0].Unknown {
 		return trace.NotFound("%s knows of no such account", granter.Node)
 	}
-	c.holder.Granted(account, answer.Grants[0], now, clock.Now())
+	c.holder.AddGrant(account, answer.Grants[0], now, clock.Now())
 	return nil
 }
 
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -56,7 +56,7 @@
 		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
 	g.Expect(holder.TokensToRequest("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
-	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
+	holder.AddGrant("s", lending.Grant{Tokens: 3}, now, now)
 	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
 	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two paid for it")
 	holder.AddDebt("s", 1, now)
@@ -72,7 +72,7 @@
 	holder.Earn("s", 40, terms, now)
 	for holder.TakeEarned("s", terms, now) {
 	}
-	holder.Granted("s", lending.Grant{Tokens: 20}, now, now)
+	holder.AddGrant("s", lending.Grant{Tokens: 20}, now, now)
 	g.Expect(holder.Available("s", terms, now)).To(Equal(20.0))
 	later := now.Add(lending.TokenLife)
 	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.EarnedKept), 0.01))
@@ -86,7 +86,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
-	holder.Granted("s", lending.Grant{Tokens: 1, WaitMS: 50}, now, now)
+	holder.AddGrant("s", lending.Grant{Tokens: 1, WaitMS: 50}, now, now)
 	g.Expect(holder.TakeDue("s", now)).To(BeFalse())
 	_, token := holder.Take("s", now)
 	g.Expect(token.Wait).To(Equal(50 * time.Millisecond))
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -127,9 +127,9 @@
 	return float64(held.count(now)) < max(held.demand*within.Seconds(), 1)
 }
 
-// Granted takes in a granter's answer to a question that was asked then. The granter counts with
+// AddGrant takes in a granter's answer to a question that was asked then. The granter counts with
 // its tokens for their life, which begins no earlier.
-func (h *Holder) Granted(account string, grant Grant, asked, now time.Time) {
+func (h *Holder) AddGrant(account string, grant Grant, asked, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
