--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -235,7 +235,7 @@
 		if granter == nil {
 			continue
 		}
-		if held := c.holder.LentElsewhere(account, granter.Node, now); held != "" {
+		if held := c.holder.PreviousGranter(account, granter.Node, now); held != "" {
 			to := asked.to(held, c.options.Node)
 			to.Releases = append(to.Releases, account)
 		}
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -164,9 +164,9 @@
 	return true
 }
 
-// LentElsewhere returns the node that may still count with the node's share of an account, empty
+// PreviousGranter returns the node that may still count with the node's share of an account, empty
 // for none or the given one.
-func (h *Holder) LentElsewhere(account, than string, now time.Time) string {
+func (h *Holder) PreviousGranter(account, than string, now time.Time) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
