--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -222,7 +222,7 @@
 	c.granter.Retain(exists)
 	accounts, granters := c.options.Accounts(), c.granters()
 	c.sendAll(c.releases(accounts, granters), func(granter string, asked *lending.Request) {
-		c.holder.Released(granter, asked.Releases, clock.Now())
+		c.holder.ConfirmRelease(granter, asked.Releases, clock.Now())
 	})
 	c.sendAll(c.lends(accounts, granters), func(string, *lending.Request) {})
 }
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -176,8 +176,8 @@
 	return held.lentTo
 }
 
-// Released takes in that a node has heard that some shares are not lent to it any more.
-func (h *Holder) Released(by string, accounts []string, now time.Time) {
+// ConfirmRelease takes in that a node has heard that some shares are not lent to it any more.
+func (h *Holder) ConfirmRelease(by string, accounts []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, account := range accounts {
