--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -146,14 +146,14 @@
 	answer, err := c.options.Send(ctx, granter, asked)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		c.holder.Freed(granter.Node, clock.Now())
+		c.holder.EndLeases(granter.Node, clock.Now())
 		fallthrough
 	case err != nil:
 		c.options.Lost(granter.Node)
 		c.found.Store(nil)
 		return nil, err
 	case answer.Closed:
-		c.holder.Freed(granter.Node, clock.Now())
+		c.holder.EndLeases(granter.Node, clock.Now())
 		c.found.Store(nil)
 		return nil, trace.ConnectionProblem(nil, "%s grants nothing any more", granter.Node)
 	}
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// Freed takes in that a node certainly does not count with any share any more: its process has
+// EndLeases takes in that a node certainly does not count with any share any more: its process has
 // ended, or it grants nothing any more.
-func (h *Holder) Freed(by string, now time.Time) {
+func (h *Holder) EndLeases(by string, now time.Time) {
 	h.FreedIf(func(granter string) bool { return granter == by }, now)
 }
 
