--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -317,7 +317,7 @@
 	}
 	next := &found{granters: lending.Granters(view, c.options.Usable), view: view, at: now}
 	c.found.Store(next)
-	c.holder.FreedIf(func(granter string) bool {
+	c.holder.EndLeasesIf(func(granter string) bool {
 		// A node is closed before it says that it leaves.
 		record := view.Record(granter)
 		return record != nil && record.Leaving
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -190,11 +190,11 @@
 // EndLeases takes in that a node certainly does not count with any share any more: its process has
 // ended, or it grants nothing any more.
 func (h *Holder) EndLeases(by string, now time.Time) {
-	h.FreedIf(func(granter string) bool { return granter == by }, now)
+	h.EndLeasesIf(func(granter string) bool { return granter == by }, now)
 }
 
-// FreedIf is Freed for all nodes of which the function says so.
-func (h *Holder) FreedIf(freed func(granter string) bool, now time.Time) {
+// EndLeasesIf is Freed for all nodes of which the function says so.
+func (h *Holder) EndLeasesIf(freed func(granter string) bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, held := range h.accounts {
