--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// TakeOwn spends what the node's own share has brought while it is lent to nobody.
-func (h *Holder) TakeOwn(account string, terms Terms, now time.Time) (Token, bool) {
+// TakeOwnShare spends what the node's own share has brought while it is lent to nobody.
+func (h *Holder) TakeOwnShare(account string, terms Terms, now time.Time) (Token, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.takeOwn(account, h.of(account), terms, now) {
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -144,7 +144,7 @@
 	if !q.options.Known() {
 		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
 	}
-	token, found := q.Holder().TakeOwn(tenant, terms, clock.Now())
+	token, found := q.Holder().TakeOwnShare(tenant, terms, clock.Now())
 	if found {
 		return q.counted("own", token, nil)
 	}
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -528,9 +528,9 @@
 		alone := 0
 		for i := range members {
 			holder := lending.NewHolder(fmt.Sprint("n", i))
-			holder.TakeOwn("t", bounds.Terms(limit, members), now)
+			holder.TakeOwnShare("t", bounds.Terms(limit, members), now)
 			for {
-				if _, found := holder.TakeOwn("t", bounds.Terms(limit, members), now.Add(time.Hour)); !found {
+				if _, found := holder.TakeOwnShare("t", bounds.Terms(limit, members), now.Add(time.Hour)); !found {
 					break
 				}
 				alone++
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -178,7 +178,7 @@
 	if !r.Known() {
 		return r.counted("spent", false)
 	}
-	if _, found := r.Holder().TakeOwn(name, terms, now); found {
+	if _, found := r.Holder().TakeOwnShare(name, terms, now); found {
 		return r.counted("own", true)
 	}
 	return r.counted("spent", false)
