--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -60,13 +60,13 @@
 // Valid reports whether the token may still be spent.
 func (t Token) Valid(now time.Time) bool { return now.Before(t.until) }
 
-// Verdict is the outcome of Take: a token was taken, the request is refused, or a granter has to
+// TakeResult is the outcome of Take: a token was taken, the request is refused, or a granter has to
 // be asked.
-type Verdict int
+type TakeResult int
 
 // Verdicts.
 const (
-	Taken Verdict = iota
+	Taken TakeResult = iota
 	Denied
 	AskGranter
 )
@@ -75,7 +75,7 @@
 func NewHolder(node string) *Holder { return &Holder{node: node, accounts: map[string]*holding{}} }
 
 // Take spends a token that is held.
-func (h *Holder) Take(account string, now time.Time) (Verdict, Token) {
+func (h *Holder) Take(account string, now time.Time) (TakeResult, Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.of(account)
