--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -68,7 +68,7 @@
 const (
 	Taken TakeResult = iota
 	Denied
-	AskGranter
+	GrantNeeded
 )
 
 // NewHolder returns the holder of a node.
@@ -85,7 +85,7 @@
 	if now.Before(held.deniedUntil) {
 		return Denied, Token{Wait: held.roomAt.Sub(now)}
 	}
-	return AskGranter, Token{}
+	return GrantNeeded, Token{}
 }
 
 // TakeDue spends a token that is held and may be spent now.
