--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -111,7 +111,7 @@
 	own := &held.earnings
 	earned := own.earned.Within(terms.Window, now)
 	unpassed := max(earned-own.passed.Within(terms.Window, now), 0)
-	most := terms.EarnedKept*earned + terms.EarnedDepth*unpassed
+	most := terms.LocalEarnedDepth*earned + terms.EarnedDepth*unpassed
 	if most < 1 {
 		most = h.whole(account, most)
 	}
@@ -120,6 +120,6 @@
 	}
 	if above := own.tokens - most; above > 0 {
 		own.tokens = most
-		own.surplus = min(own.surplus+above, terms.EarnedKept*earned)
+		own.surplus = min(own.surplus+above, terms.LocalEarnedDepth*earned)
 	}
 }
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -11,7 +11,7 @@
 )
 
 var terms = lending.Terms{
-	Rate: 1, Depth: 1, EarnedDepth: 0.1, EarnedKept: 0.05, Window: 10 * time.Second, Members: 1,
+	Rate: 1, Depth: 1, EarnedDepth: 0.1, LocalEarnedDepth: 0.05, Window: 10 * time.Second, Members: 1,
 }
 
 // TestWhatIsPassedOnIsGone before the message leaves, whatever becomes of it.
@@ -38,7 +38,7 @@
 	holder.WithdrawSurplus("s", terms, now)
 	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("~", 8, 0.01))
 	holder.Earn("s", 100, terms, now)
-	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.EarnedKept)*200))
+	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.LocalEarnedDepth)*200))
 }
 
 // TestWhatIsOwedStays with the node until it is made up for, whatever messages are lost: nothing is
@@ -75,7 +75,7 @@
 	holder.AddGrant("s", lending.Grant{Tokens: 20}, now, now)
 	g.Expect(holder.Available("s", terms, now)).To(Equal(20.0))
 	later := now.Add(lending.TokenLife)
-	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.EarnedKept), 0.01))
+	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.LocalEarnedDepth), 0.01))
 	for holder.TakeEarned("s", terms, later) {
 	}
 	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("<", 1))
@@ -141,7 +141,7 @@
 			saved++
 		}
 	}
-	g.Expect(saved).To(BeNumerically("~", 1000*2*(terms.EarnedDepth+terms.EarnedKept), 50))
+	g.Expect(saved).To(BeNumerically("~", 1000*2*(terms.EarnedDepth+terms.LocalEarnedDepth), 50))
 }
 
 func TestBringsThatNoNodeSends(t *testing.T) {
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -23,9 +23,9 @@
 	// Initial how many of these come with shares that are lent anew.
 	Rate, Depth, Initial float64
 	// EarnedDepth is the part of the tokens earned within Window that can be saved up at the
-	// granter, those given out and not spent yet included. EarnedKept is that part at the node
+	// granter, those given out and not spent yet included. LocalEarnedDepth is that part at the node
 	// which earns them. Nothing is earned in an account whose Window is zero.
-	EarnedDepth, EarnedKept float64
+	EarnedDepth, LocalEarnedDepth float64
 	Window                  time.Duration
 	// Members is how many nodes own a share.
 	Members int
--- a/internal/sidecar/repeats/terms.go
+++ b/internal/sidecar/repeats/terms.go
@@ -38,7 +38,7 @@
 	return lending.Terms{
 		Rate:  l.Slack * flowShare / l.Window.Seconds(),
 		Depth: l.Slack * lentShare, Window: l.Window, Members: members,
-		EarnedDepth: lentShare / flowShare, EarnedKept: keptShare / flowShare,
+		EarnedDepth: lentShare / flowShare, LocalEarnedDepth: keptShare / flowShare,
 	}
 }
 
