--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -74,7 +74,7 @@
 	}
 	holder.AddGrant("s", lending.Grant{Tokens: 20}, now, now)
 	g.Expect(holder.Available("s", terms, now)).To(Equal(20.0))
-	later := now.Add(lending.TokenLife)
+	later := now.Add(lending.TokenLifetime)
 	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.LocalEarnedDepth), 0.01))
 	for holder.TakeEarned("s", terms, later) {
 	}
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -116,7 +116,7 @@
 // give takes out tokens.
 func (b *bucket) give(tokens int, now time.Time) int {
 	b.tokens -= float64(tokens)
-	b.given.Add(float64(tokens), TokenLife+MostDelay, now)
+	b.given.Add(float64(tokens), TokenLifetime+MostDelay, now)
 	return tokens
 }
 
@@ -141,7 +141,7 @@
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
 	depth := terms.Depth * b.share(terms)
 	if terms.Window > 0 {
-		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLife+MostDelay, now)
+		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLifetime+MostDelay, now)
 	}
 	return depth
 }
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -121,7 +121,7 @@
 	defer h.mu.Unlock()
 	held := h.of(account)
 	held.fade(now)
-	if now.Before(held.deniedUntil) || held.demand*TokenLife.Seconds() < likelySpent {
+	if now.Before(held.deniedUntil) || held.demand*TokenLifetime.Seconds() < likelySpent {
 		return false
 	}
 	return float64(held.count(now)) < max(held.demand*within.Seconds(), 1)
@@ -139,7 +139,7 @@
 		return
 	}
 	from := now.Add(min(wait, MostDelay))
-	held.lots = append(held.lots, lot{count: grant.Tokens, from: from, until: asked.Add(max(from.Sub(now), 0) + TokenLife)})
+	held.lots = append(held.lots, lot{count: grant.Tokens, from: from, until: asked.Add(max(from.Sub(now), 0) + TokenLifetime)})
 }
 
 // Return gives back a token whose request did not run. It does not last longer for that.
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// TokenLife is how long after it is given out a token may be spent.
-	TokenLife = 500 * time.Millisecond
+	// TokenLifetime is how long after it is given out a token may be spent.
+	TokenLifetime = 500 * time.Millisecond
 	// MostDelay is how long before a token is due it is given out: to wait so long is better for
 	// a caller than to be refused.
 	MostDelay = 100 * time.Millisecond
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -64,7 +64,7 @@
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, Known: options.Known,
-		Terms: created.terms, Accounts: options.Tenants, Ahead: lending.TokenLife,
+		Terms: created.terms, Accounts: options.Tenants, Ahead: lending.TokenLifetime,
 		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
