--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -86,7 +86,7 @@
 	}
 	wait := time.Duration((1 - held.tokens) / inflow * float64(time.Second))
 	granted := Grant{WaitMS: min(wait, leaseMost).Milliseconds() + 1}
-	if wait < MostDelay {
+	if wait < MaxTokenDelay {
 		granted.Tokens = held.give(1, now)
 	}
 	return granted
@@ -116,7 +116,7 @@
 // give takes out tokens.
 func (b *bucket) give(tokens int, now time.Time) int {
 	b.tokens -= float64(tokens)
-	b.given.Add(float64(tokens), TokenLifetime+MostDelay, now)
+	b.given.Add(float64(tokens), TokenLifetime+MaxTokenDelay, now)
 	return tokens
 }
 
@@ -141,7 +141,7 @@
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
 	depth := terms.Depth * b.share(terms)
 	if terms.Window > 0 {
-		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLifetime+MostDelay, now)
+		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLifetime+MaxTokenDelay, now)
 	}
 	return depth
 }
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -138,7 +138,7 @@
 		held.roomAt, held.deniedUntil = now.Add(wait), now.Add(min(wait, deniedMost))
 		return
 	}
-	from := now.Add(min(wait, MostDelay))
+	from := now.Add(min(wait, MaxTokenDelay))
 	held.lots = append(held.lots, lot{count: grant.Tokens, from: from, until: asked.Add(max(from.Sub(now), 0) + TokenLifetime)})
 }
 
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -34,9 +34,9 @@
 const (
 	// TokenLifetime is how long after it is given out a token may be spent.
 	TokenLifetime = 500 * time.Millisecond
-	// MostDelay is how long before a token is due it is given out: to wait so long is better for
+	// MaxTokenDelay is how long before a token is due it is given out: to wait so long is better for
 	// a caller than to be refused.
-	MostDelay = 100 * time.Millisecond
+	MaxTokenDelay = 100 * time.Millisecond
 	// AskTimeout bounds one question to a granter. It is far above a round trip between zones, so
 	// that only a lost or hanging peer reaches it.
 	AskTimeout = 300 * time.Millisecond
--- a/internal/sidecar/quota/bounds.go
+++ b/internal/sidecar/quota/bounds.go
@@ -53,7 +53,7 @@
 // up to their life before it began or are due shortly after it ends.
 func (b Bounds) tokens(limit Limit) (rate, depth float64) {
 	usable := ((limit.Rate*b.Window.Seconds()+limit.Burst)*(1+b.Overage) + b.Slack) * usableShare
-	inflow := (b.Window + lending.TokenLifetime + lending.MostDelay).Seconds()
+	inflow := (b.Window + lending.TokenLifetime + lending.MaxTokenDelay).Seconds()
 	least := max(1, limit.Rate*leastDepthTime.Seconds())
 	if depth = usable - limit.Rate*inflow; depth >= least {
 		return limit.Rate, max(depth*savedShare, least)
