--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -141,7 +141,7 @@
 	if granter.Node == c.options.Node {
 		return c.Serve(asked), nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lending.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), lending.RequestTimeout)
 	defer cancel()
 	answer, err := c.options.Send(ctx, granter, asked)
 	switch {
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -37,9 +37,9 @@
 	// MaxTokenDelay is how long before a token is due it is given out: to wait so long is better for
 	// a caller than to be refused.
 	MaxTokenDelay = 100 * time.Millisecond
-	// AskTimeout bounds one question to a granter. It is far above a round trip between zones, so
+	// RequestTimeout bounds one question to a granter. It is far above a round trip between zones, so
 	// that only a lost or hanging peer reaches it.
-	AskTimeout = 300 * time.Millisecond
+	RequestTimeout = 300 * time.Millisecond
 )
 
 const (
