--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -202,7 +202,7 @@
 	var lentTo []*roster.Record
 	var lentAt time.Time
 	for ctx.Err() == nil {
-		due := clock.Since(lentAt) >= lending.Renewal(c.members())
+		due := clock.Since(lentAt) >= lending.RenewalInterval(c.members())
 		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).SameNode)) {
 			lentTo, lentAt = c.granters(), clock.Now()
 			_ = contain.Run(c.options.Name, c.options.Logger, c.lend)
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -74,7 +74,7 @@
 	defer g.mu.Unlock()
 	held := g.buckets[want.Account]
 	if held == nil {
-		return Grant{WaitMS: Renewal(terms.Members).Milliseconds()}
+		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
 	held.advance(terms, now)
 	if held.tokens >= 1 {
@@ -82,7 +82,7 @@
 	}
 	inflow := terms.Rate * held.share(terms)
 	if inflow <= 0 {
-		return Grant{WaitMS: Renewal(terms.Members).Milliseconds()}
+		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
 	wait := time.Duration((1 - held.tokens) / inflow * float64(time.Second))
 	granted := Grant{WaitMS: min(wait, leaseMost).Milliseconds() + 1}
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -60,8 +60,8 @@
 	return min(max(time.Duration(members)*leasePerMember, leaseLeast), leaseMost)
 }
 
-// Renewal returns the time between two messages that renew a lease.
-func Renewal(members int) time.Duration { return lease(members) / renewals }
+// RenewalInterval returns the time between two messages that renew a lease.
+func RenewalInterval(members int) time.Duration { return lease(members) / renewals }
 
 // members is how many nodes own a share, at least one.
 func (t Terms) members() int { return max(t.Members, 1) }
