--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -315,7 +315,7 @@
 	if held := c.found.Load(); held != nil && held.view == view && now.Sub(held.at) < grantersAge {
 		return held.granters
 	}
-	next := &found{granters: lending.Granters(view, c.options.Usable), view: view, at: now}
+	next := &found{granters: lending.SelectGranters(view, c.options.Usable), view: view, at: now}
 	c.found.Store(next)
 	c.holder.EndLeasesIf(func(granter string) bool {
 		// A node is closed before it says that it leaves.
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -17,9 +17,9 @@
 	mostGranters      = 16
 )
 
-// Granters returns the nodes that give out tokens, by their names: those with the fastest links.
+// SelectGranters returns the nodes that give out tokens, by their names: those with the fastest links.
 // The package is right whatever each node takes for granters; where they agree no share is idle.
-func Granters(view *roster.View, usable readers.Reachable) []*roster.Record {
+func SelectGranters(view *roster.View, usable readers.Reachable) []*roster.Record {
 	var able []*roster.Record
 	for _, record := range view.Records() {
 		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && usable(record) {
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -498,7 +498,7 @@
 		for tenant := range limits {
 			f.demand[tenant] = 20 / 1.6
 		}
-		granters := lending.Granters(f.members.View(), func(*roster.Record) bool { return true })
+		granters := lending.SelectGranters(f.members.View(), func(*roster.Record) bool { return true })
 		go func() {
 			time.Sleep(2 * time.Second)
 			stops := f.named(granters[0].Node)
