--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -17,7 +17,7 @@
 	// tokens may be spent here; below zero the node owes. surplus goes to the granter only.
 	tokens, surplus float64
 	// earned counts what was earned lately, passed what of it was passed on.
-	earned, passed Sum
+	earned, passed SlidingSum
 }
 
 // Earn takes in tokens that the node's own requests have earned.
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -22,7 +22,7 @@
 	last   time.Time
 	// earned counts the tokens that nodes passed on, given those that were given out and may not
 	// be spent yet.
-	earned, given Sum
+	earned, given SlidingSum
 }
 
 // NewGranter returns a granter to which nothing is lent.
--- a/internal/sidecar/lending/sum.go
+++ b/internal/sidecar/lending/sum.go
@@ -5,8 +5,8 @@
 // sumParts is in how many parts a Sum counts the time that it covers.
 const sumParts = 16
 
-// Sum adds up what came lately. Its zero value is empty.
-type Sum struct {
+// SlidingSum adds up what came lately. Its zero value is empty.
+type SlidingSum struct {
 	parts [sumParts]float64
 	// began is when the first amount came, last the part of the time since then that was added
 	// to last.
@@ -15,7 +15,7 @@
 }
 
 // Add adds to the sum, which covers the time given.
-func (s *Sum) Add(amount float64, covers time.Duration, now time.Time) {
+func (s *SlidingSum) Add(amount float64, covers time.Duration, now time.Time) {
 	if s.began.IsZero() {
 		s.began = now
 	}
@@ -25,7 +25,7 @@
 
 // Within returns what came within the time given, at most: up to a sixteenth of the time is left
 // out at its beginning.
-func (s *Sum) Within(covers time.Duration, now time.Time) (total float64) {
+func (s *SlidingSum) Within(covers time.Duration, now time.Time) (total float64) {
 	s.advance(covers, now)
 	for _, part := range s.parts {
 		total += part
@@ -35,7 +35,7 @@
 
 // advance empties the parts that the time given does not cover any more, all of them when that
 // time has become longer.
-func (s *Sum) advance(covers time.Duration, now time.Time) {
+func (s *SlidingSum) advance(covers time.Duration, now time.Time) {
 	part := max(int64(now.Sub(s.began)/max(covers/sumParts, 1)), 0)
 	if s.last-part >= sumParts {
 		s.parts, s.last = [sumParts]float64{}, part
--- a/internal/sidecar/lending/sum_test.go
+++ b/internal/sidecar/lending/sum_test.go
@@ -15,7 +15,7 @@
 	const covers = 10 * time.Second
 	began := time.Unix(1000, 0)
 	for after := time.Duration(0); after < 3*covers; after += 37 * time.Millisecond {
-		sum := lending.Sum{}
+		sum := lending.SlidingSum{}
 		sum.Add(1, covers, began)
 		sum.Add(2, covers, began.Add(400*time.Millisecond))
 		switch left := sum.Within(covers, began.Add(400*time.Millisecond+after)); {
@@ -31,7 +31,7 @@
 func TestSumOverALongerTime(t *testing.T) {
 	g := NewWithT(t)
 	began := time.Unix(1000, 0)
-	sum := lending.Sum{}
+	sum := lending.SlidingSum{}
 	sum.Add(1, time.Second, began)
 	sum.Add(1, time.Second, began.Add(time.Minute))
 	g.Expect(sum.Within(10*time.Second, began.Add(time.Minute))).To(BeNumerically("<=", 1))
