--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -109,8 +109,8 @@
 // room, tokens of a granter that have expired unspent become the node's own. The lock is held.
 func (h *Holder) bound(account string, held *holding, terms Terms, now time.Time) {
 	own := &held.earnings
-	earned := own.earned.Within(terms.Window, now)
-	unpassed := max(earned-own.passed.Within(terms.Window, now), 0)
+	earned := own.earned.Total(terms.Window, now)
+	unpassed := max(earned-own.passed.Total(terms.Window, now), 0)
 	most := terms.LocalEarnedDepth*earned + terms.EarnedDepth*unpassed
 	if most < 1 {
 		most = h.whole(account, most)
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -141,7 +141,7 @@
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
 	depth := terms.Depth * b.share(terms)
 	if terms.Window > 0 {
-		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLifetime+MaxTokenDelay, now)
+		depth += terms.EarnedDepth*b.earned.Total(terms.Window, now) - b.given.Total(TokenLifetime+MaxTokenDelay, now)
 	}
 	return depth
 }
--- a/internal/sidecar/lending/sum.go
+++ b/internal/sidecar/lending/sum.go
@@ -23,9 +23,9 @@
 	s.parts[s.last%sumParts] += amount
 }
 
-// Within returns what came within the time given, at most: up to a sixteenth of the time is left
+// Total returns what came within the time given, at most: up to a sixteenth of the time is left
 // out at its beginning.
-func (s *SlidingSum) Within(covers time.Duration, now time.Time) (total float64) {
+func (s *SlidingSum) Total(covers time.Duration, now time.Time) (total float64) {
 	s.advance(covers, now)
 	for _, part := range s.parts {
 		total += part
--- a/internal/sidecar/lending/sum_test.go
+++ b/internal/sidecar/lending/sum_test.go
@@ -18,7 +18,7 @@
 		sum := lending.SlidingSum{}
 		sum.Add(1, covers, began)
 		sum.Add(2, covers, began.Add(400*time.Millisecond))
-		switch left := sum.Within(covers, began.Add(400*time.Millisecond+after)); {
+		switch left := sum.Total(covers, began.Add(400*time.Millisecond+after)); {
 		case after < covers-400*time.Millisecond-covers/16:
 			g.Expect(left).To(Equal(3.0), "%v", after)
 		case after >= covers:
@@ -34,5 +34,5 @@
 	sum := lending.SlidingSum{}
 	sum.Add(1, time.Second, began)
 	sum.Add(1, time.Second, began.Add(time.Minute))
-	g.Expect(sum.Within(10*time.Second, began.Add(time.Minute))).To(BeNumerically("<=", 1))
+	g.Expect(sum.Total(10*time.Second, began.Add(time.Minute))).To(BeNumerically("<=", 1))
 }
