--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -44,9 +44,9 @@
 	// View returns the other nodes, Usable whether one is believed to be there.
 	View   func() *roster.View
 	Usable readers.Reachable
-	// Known reports whether the view holds about all nodes. One that has just started and takes
+	// MembershipKnown reports whether the view holds about all nodes. One that has just started and takes
 	// itself for alone would take all shares for its own.
-	Known func() bool
+	MembershipKnown func() bool
 	// Terms returns those of an account among so many nodes; false when there is no such account.
 	Terms func(account string, members int) (lending.Terms, bool)
 	// Accounts returns those that there are.
@@ -91,7 +91,7 @@
 }
 
 // Known reports whether the node knows about all others.
-func (c *Carrier) Known() bool { return c.options.Known() }
+func (c *Carrier) Known() bool { return c.options.MembershipKnown() }
 
 // Ask has the granter give tokens of an account to the node. Requests that come meanwhile wait for
 // the same answer.
@@ -184,7 +184,7 @@
 	answer := &lending.Response{}
 	for _, want := range asked.Wants {
 		terms, exists := c.Terms(want.Account)
-		if !exists || !c.options.Known() {
+		if !exists || !c.options.MembershipKnown() {
 			answer.Grants = append(answer.Grants, lending.Grant{Unknown: true})
 			continue
 		}
@@ -214,7 +214,7 @@
 // lend renews the leases of all shares and passes on what was earned. Shares that are lent to a
 // node which is no granter of theirs any more are asked back first.
 func (c *Carrier) lend() {
-	if !c.options.Known() {
+	if !c.options.MembershipKnown() {
 		return
 	}
 	exists := func(account string) bool { _, exists := c.Terms(account); return exists }
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -63,7 +63,7 @@
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, Known: options.Known,
+		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.Known,
 		Terms: created.terms, Accounts: options.Tenants, Ahead: lending.TokenLifetime,
 		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
 	})
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -91,7 +91,7 @@
 func New(options Options) *Repeats {
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, Known: options.Known,
+		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.Known,
 		Terms: created.terms, Accounts: created.accounts, Ahead: ahead,
 		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
 	})
