--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -39,7 +39,7 @@
 	Node   string
 	View   func() *roster.View
 	Usable readers.Reachable
-	Known  func() bool
+	MembershipKnown  func() bool
 	// Limit returns a tenant's limit in force; false when it has none.
 	Limit func(tenant string) (Limit, bool)
 	// Tenants returns those that have a limit.
@@ -63,7 +63,7 @@
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.Known,
+		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: options.Tenants, Ahead: lending.TokenLifetime,
 		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
 	})
@@ -141,7 +141,7 @@
 	if !limited {
 		return lending.Token{}, nil
 	}
-	if !q.options.Known() {
+	if !q.options.MembershipKnown() {
 		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
 	}
 	token, found := q.Holder().TakeOwnShare(tenant, terms, clock.Now())
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -91,7 +91,7 @@
 			defer node.mu.Unlock()
 			return time.Since(node.lost[record.Node]) > time.Second
 		},
-		Known: func() bool { return true },
+		MembershipKnown: func() bool { return true },
 		Limit: func(tenant string) (quota.Limit, bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -25,7 +25,7 @@
 		Node:   s.options.Settings.Node,
 		View:   s.members.View,
 		Usable: func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
-		Known:  s.knowsOthers,
+		MembershipKnown:  s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
