--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -49,7 +49,7 @@
 		Node:     s.options.Settings.Node,
 		View:     s.members.View,
 		Usable:   func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
-		Known:    s.knowsOthers,
+		MembershipKnown:    s.knowsOthers,
 		Limits:   func() repeats.Limits { return s.settings.Load().Retries },
 		Services: func() []string { return s.keeper.Table().ServiceNames() },
 		Exists: func(service string) bool {
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -77,7 +77,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	node.end = end
 	node.held = repeats.New(repeats.Options{
-		Node: node.name, View: f.members.View, Known: func() bool { return true }, On: f.on.Load,
+		Node: node.name, View: f.members.View, MembershipKnown: func() bool { return true }, On: f.on.Load,
 		Usable: func(record *roster.Record) bool {
 			node.mu.Lock()
 			defer node.mu.Unlock()
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -49,7 +49,7 @@
 	Node   string
 	View   func() *roster.View
 	Usable readers.Reachable
-	Known  func() bool
+	MembershipKnown  func() bool
 	Send   func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
 	Lost   func(node string)
 	// Limits bind at each service.
@@ -91,7 +91,7 @@
 func New(options Options) *Repeats {
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.Known,
+		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: created.accounts, Ahead: ahead,
 		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
 	})
