--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -55,8 +55,8 @@
 	Ahead time.Duration
 	// Send asks another node.
 	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
-	// Lost is told of a node that did not answer.
-	Lost   func(node string)
+	// PeerUnreachable is told of a node that did not answer.
+	PeerUnreachable   func(node string)
 	Logger *zap.Logger
 }
 
@@ -149,7 +149,7 @@
 		c.holder.EndLeases(granter.Node, clock.Now())
 		fallthrough
 	case err != nil:
-		c.options.Lost(granter.Node)
+		c.options.PeerUnreachable(granter.Node)
 		c.found.Store(nil)
 		return nil, err
 	case answer.Closed:
