--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -60,7 +60,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.MarkLost(node) },
+		PeerUnreachable:     func(node string) { s.exchanger.MarkLost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -88,7 +88,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return f.send(ctx, node, to, asked)
 		},
-		Lost: func(name string) {
+		PeerUnreachable: func(name string) {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			node.lost[name] = time.Now()
