--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -51,8 +51,8 @@
 	Terms func(account string, members int) (lending.Terms, bool)
 	// Accounts returns those that there are.
 	Accounts func() []string
-	// Ahead is for how long the tokens that are asked for at once are to last.
-	Ahead time.Duration
+	// Prefetch is for how long the tokens that are asked for at once are to last.
+	Prefetch time.Duration
 	// Send asks another node.
 	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
 	// PeerUnreachable is told of a node that did not answer.
@@ -116,7 +116,7 @@
 		return ErrNoGranter
 	}
 	now := clock.Now()
-	wanted := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Ahead, now)}}
+	wanted := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Prefetch, now)}}
 	asked := &lending.Request{From: c.options.Node, Wants: wanted}
 	if c.holder.Lend(account, granter.Node, terms, now) {
 		asked.Lends = []string{account}
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -92,7 +92,7 @@
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
-		Terms: created.terms, Accounts: created.accounts, Ahead: ahead,
+		Terms: created.terms, Accounts: created.accounts, Prefetch: ahead,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
