--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -93,9 +93,9 @@
 // Known reports whether the node knows about all others.
 func (c *Carrier) Known() bool { return c.options.MembershipKnown() }
 
-// Ask has the granter give tokens of an account to the node. Requests that come meanwhile wait for
+// RequestTokens has the granter give tokens of an account to the node. Requests that come meanwhile wait for
 // the same answer.
-func (c *Carrier) Ask(ctx context.Context, account string) error {
+func (c *Carrier) RequestTokens(ctx context.Context, account string) error {
 	answered := c.asking.DoChan(account, func() (any, error) {
 		var err error
 		fault := contain.Run(c.options.Name, c.options.Logger, func() { err = c.askGranter(account) })
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -104,7 +104,7 @@
 			// Others had all that was given out: the limit is as good as reached.
 			return q.counted("spent", lending.Token{Wait: leastWait}, ErrSpent)
 		}
-		err := q.Ask(ctx, tenant)
+		err := q.RequestTokens(ctx, tenant)
 		answered = err == nil
 		if answered {
 			continue
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -255,7 +255,7 @@
 	go func() {
 		defer held.asking.Store(false)
 		var err error
-		fault := contain.Run("repeats", r.options.Logger, func() { err = r.Ask(context.Background(), name) })
+		fault := contain.Run("repeats", r.options.Logger, func() { err = r.RequestTokens(context.Background(), name) })
 		if err == nil {
 			err = fault
 		}
