--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -43,7 +43,7 @@
 	}
 	token, err := c.handler.options.Quota.Take(c.context, c.tenant.Name)
 	switch {
-	case errors.Is(err, quota.ErrSpent):
+	case errors.Is(err, quota.ErrLimitReached):
 		return outcome.Refusal(http.StatusTooManyRequests, outcome.StepQuota, token.Wait, err)
 	case err != nil:
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuota, token.Wait, err)
@@ -79,7 +79,7 @@
 		}
 		return nil
 	case !c.handler.options.Quota.Again(c.tenant.Name):
-		return quota.ErrSpent
+		return quota.ErrLimitReached
 	}
 	c.boughtAgain++
 	return nil
--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -46,7 +46,7 @@
 		{"rejected, then served", []said{rejected, served}, nil, true, 200, 1, 0},
 		{"rejected twice", []said{rejected, rejected}, nil, true, 503, 1, 1},
 		{"spoiled, then served", []said{spoiled, served}, nil, true, 200, 2, 0},
-		{"spoiled, with the limit reached", []said{spoiled, served}, quota.ErrSpent, true, 502, 2, 0},
+		{"spoiled, with the limit reached", []said{spoiled, served}, quota.ErrLimitReached, true, 502, 2, 0},
 		{"spoiled, then rejected", []said{spoiled, rejected}, nil, true, 502, 2, 1},
 		{"rejected twice, elsewhere", []said{rejected, rejected}, nil, false, 503, 1, 0},
 		{"spoiled, then served, elsewhere", []said{spoiled, served}, nil, false, 200, 1, 0},
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -17,8 +17,8 @@
 
 // Causes of refusals.
 var (
-	// ErrSpent: the tenant's limit is reached.
-	ErrSpent = errors.New("the tenant's rate limit is reached")
+	// ErrLimitReached: the tenant's limit is reached.
+	ErrLimitReached = errors.New("the tenant's rate limit is reached")
 	// ErrUnknown: nobody can tell whether the limit is reached.
 	ErrUnknown = errors.New("nobody grants requests of the tenant")
 )
@@ -95,14 +95,14 @@
 			return q.counted("granted", token, nil)
 		case verdict == lending.Denied:
 			token.Wait = max(token.Wait, leastWait)
-			return q.counted("spent", token, ErrSpent)
+			return q.counted("spent", token, ErrLimitReached)
 		}
 		switch {
 		case failed == askTries || ctx.Err() != nil:
 			return q.takeOwn(tenant)
 		case answered && clock.Since(began) >= askAll:
 			// Others had all that was given out: the limit is as good as reached.
-			return q.counted("spent", lending.Token{Wait: leastWait}, ErrSpent)
+			return q.counted("spent", lending.Token{Wait: leastWait}, ErrLimitReached)
 		}
 		err := q.RequestTokens(ctx, tenant)
 		answered = err == nil
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -230,7 +230,7 @@
 	switch {
 	case err == nil:
 		f.spent[tenant] = append(f.spent[tenant], time.Now())
-	case errors.Is(err, quota.ErrSpent):
+	case errors.Is(err, quota.ErrLimitReached):
 		f.refused[tenant]++
 	default:
 		f.unknown[tenant]++
