--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -54,7 +54,7 @@
 		{"within the limit", limited, "/closed/", scriptedQuota{}, true, 200, "", 1, 0},
 		{"due soon", limited, "/closed/", scriptedQuota{wait: time.Millisecond}, true, 200, "", 1, 0},
 		{"above the limit", limited, "/closed/", scriptedQuota{err: quota.ErrLimitReached, wait: 1500 * time.Millisecond}, true, 429, "1.50", 1, 0},
-		{"nobody grants", limited, "/closed/", scriptedQuota{err: quota.ErrUnknown, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
+		{"nobody grants", limited, "/closed/", scriptedQuota{err: quota.ErrNoGrant, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
 		{"an open route, with a key", limited, "/open/", scriptedQuota{}, true, 200, "", 1, 0},
 		{"no limit", unlimited, "/closed/", scriptedQuota{err: quota.ErrLimitReached}, true, 200, "", 0, 0},
 		{"nobody runs it", limited, "/closed/", scriptedQuota{}, false, 503, "0.15", 1, 1},
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -19,8 +19,8 @@
 var (
 	// ErrLimitReached: the tenant's limit is reached.
 	ErrLimitReached = errors.New("the tenant's rate limit is reached")
-	// ErrUnknown: nobody can tell whether the limit is reached.
-	ErrUnknown = errors.New("nobody grants requests of the tenant")
+	// ErrNoGrant: nobody can tell whether the limit is reached.
+	ErrNoGrant = errors.New("nobody grants requests of the tenant")
 )
 
 const (
@@ -142,11 +142,11 @@
 		return lending.Token{}, nil
 	}
 	if !q.options.MembershipKnown() {
-		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
+		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrNoGrant)
 	}
 	token, found := q.Holder().TakeOwnShare(tenant, terms, clock.Now())
 	if found {
 		return q.counted("own", token, nil)
 	}
-	return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
+	return q.counted("unknown", lending.Token{Wait: leastWait}, ErrNoGrant)
 }
