--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -17,8 +17,8 @@
 	// Take spends one request of a tenant that has a limit. The error is quota.ErrSpent when the
 	// limit is reached, otherwise nobody can tell.
 	Take(ctx context.Context, tenant string) (lending.Token, error)
-	// Again spends one more run of a request and reports whether it may.
-	Again(tenant string) bool
+	// TakeRetry spends one more run of a request and reports whether it may.
+	TakeRetry(tenant string) bool
 	// Return gives back the token of a request that did not run.
 	Return(lending.Token)
 }
@@ -29,8 +29,8 @@
 // Take implements Quota.
 func (unlimited) Take(context.Context, string) (lending.Token, error) { return lending.Token{}, nil }
 
-// Again implements Quota.
-func (unlimited) Again(string) bool { return true }
+// TakeRetry implements Quota.
+func (unlimited) TakeRetry(string) bool { return true }
 
 // Return implements Quota.
 func (unlimited) Return(lending.Token) {}
@@ -78,7 +78,7 @@
 			return refused.Cause
 		}
 		return nil
-	case !c.handler.options.Quota.Again(c.tenant.Name):
+	case !c.handler.options.Quota.TakeRetry(c.tenant.Name):
 		return quota.ErrLimitReached
 	}
 	c.boughtAgain++
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Again spends one more run of a request, from what the node holds alone, and reports whether it
+// TakeRetry spends one more run of a request, from what the node holds alone, and reports whether it
 // may.
-func (q *Quota) Again(tenant string) bool {
+func (q *Quota) TakeRetry(tenant string) bool {
 	verdict, token := q.Holder().Take(tenant, clock.Now())
 	if verdict == lending.Taken && token.Wait > 0 {
 		q.Holder().Return(token)
