--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -208,7 +208,7 @@
 	c.drawShare()
 	c.results, c.over = make(chan *attempt), make(chan struct{})
 	defer close(c.over)
-	c.handler.options.RetryBudget.First(c.service, c.repeated)
+	c.handler.options.RetryBudget.RecordRequest(c.service, c.repeated)
 	for {
 		result := c.visit()
 		if result.response != nil {
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -91,8 +91,8 @@
 type RetryBudget interface {
 	// On reports whether the bound is lent between nodes.
 	On() bool
-	// First notes a request. repeated is how likely it is that a repeated run makes it.
-	First(service string, repeated float64)
+	// RecordRequest notes a request. repeated is how likely it is that a repeated run makes it.
+	RecordRequest(service string, repeated float64)
 	// Take spends one repeat and reports whether there was one.
 	Take(service string, request repeats.Request) bool
 	// Reached takes in whether a back end accepted a request that reached it.
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -94,6 +94,6 @@
 	}
 	c.service = c.route.NextService()
 	c.drawShare()
-	c.handler.options.RetryBudget.First(c.service, c.repeated)
+	c.handler.options.RetryBudget.RecordRequest(c.service, c.repeated)
 	return true, nil
 }
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -188,7 +188,7 @@
 	if nested {
 		chance = 1
 	}
-	held.First("s", chance)
+	held.RecordRequest("s", chance)
 	f.note(&f.requests, begun)
 	if nested {
 		f.note(&f.repeated, begun)
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -122,9 +122,9 @@
 // On reports whether shares are lent.
 func (r *Repeats) On() bool { return r.options.On() }
 
-// First notes a request for a service, which earns a part of a repeat. repeated is how likely it
+// RecordRequest notes a request for a service, which earns a part of a repeat. repeated is how likely it
 // is that a repeated run makes it, so that it is a repeat itself.
-func (r *Repeats) First(name string, repeated float64) {
+func (r *Repeats) RecordRequest(name string, repeated float64) {
 	now, limits := clock.Now(), r.options.Limits()
 	held := r.of(name)
 	terms, lent := r.Terms(name)
