--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -95,8 +95,8 @@
 	RecordRequest(service string, repeated float64)
 	// Take spends one repeat and reports whether there was one.
 	Take(service string, request repeats.Request) bool
-	// Reached takes in whether a back end accepted a request that reached it.
-	Reached(service string, accepted bool)
+	// RecordResult takes in whether a back end accepted a request that reached it.
+	RecordResult(service string, accepted bool)
 	// LeftOf returns how many repeats the node holds.
 	LeftOf(service string) float64
 }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -90,7 +90,7 @@
 // took notes the result of a send.
 func (c *call) took(ended *attempt) result {
 	if ended.response != nil {
-		c.handler.options.RetryBudget.Reached(c.service, true)
+		c.handler.options.RetryBudget.RecordResult(c.service, true)
 		c.handler.options.Observer.Carried(ended.elapsed, ended.worked)
 	}
 	c.note(ended)
@@ -200,7 +200,7 @@
 		return len(c.visits) < c.refusals() && c.considered(clock.Now(), c.selected()).worthwhile()
 	}
 	c.runs++
-	c.handler.options.RetryBudget.Reached(c.service, last.failure.Step != outcome.StepShed)
+	c.handler.options.RetryBudget.RecordResult(c.service, last.failure.Step != outcome.StepShed)
 	if last.failure.Outcome != outcome.NotRun {
 		c.mayHaveRun = true
 		if !c.route.Repeatable {
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -193,7 +193,7 @@
 	if nested {
 		f.note(&f.repeated, begun)
 	}
-	held.Reached("s", true) // how many are accepted is of no account here
+	held.RecordResult("s", true) // how many are accepted is of no account here
 	if again && held.Take("s", repeats.Request{Nested: true}) {
 		node.alive()
 		f.note(&f.repeated, time.Now())
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -184,8 +184,8 @@
 	return r.counted("spent", false)
 }
 
-// Reached takes in whether a back end of the service accepted a request that reached it.
-func (r *Repeats) Reached(name string, accepted bool) {
+// RecordResult takes in whether a back end of the service accepted a request that reached it.
+func (r *Repeats) RecordResult(name string, accepted bool) {
 	if r.options.On() {
 		r.of(name).acceptance.add(accepted, clock.Now())
 	}
