--- a/internal/sidecar/egress/calllog.go
+++ b/internal/sidecar/egress/calllog.go
@@ -73,7 +73,7 @@
 		fields = append(fields, zap.Duration("proofAge", age))
 	}
 	if c.service != "" {
-		fields = append(fields, zap.Float64("budgetLeft", c.handler.options.RetryBudget.LeftOf(c.service)))
+		fields = append(fields, zap.Float64("budgetLeft", c.handler.options.RetryBudget.Remaining(c.service)))
 	}
 	return fields
 }
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -97,8 +97,8 @@
 	Take(service string, request repeats.Request) bool
 	// RecordResult takes in whether a back end accepted a request that reached it.
 	RecordResult(service string, accepted bool)
-	// LeftOf returns how many repeats the node holds.
-	LeftOf(service string) float64
+	// Remaining returns how many repeats the node holds.
+	Remaining(service string) float64
 }
 
 // Quarantine knows which requests end the back ends that run them.
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -196,15 +196,15 @@
 	left := map[string]float64{}
 	r.services.Range(func(name, _ any) bool {
 		if r.options.Exists(name.(string)) {
-			left[name.(string)] = r.LeftOf(name.(string))
+			left[name.(string)] = r.Remaining(name.(string))
 		}
 		return true
 	})
 	return left
 }
 
-// LeftOf returns how many repeats the node holds at one service.
-func (r *Repeats) LeftOf(name string) float64 {
+// Remaining returns how many repeats the node holds at one service.
+func (r *Repeats) Remaining(name string) float64 {
 	if terms, lent := r.Terms(name); lent {
 		return r.Holder().Available(name, terms, clock.Now())
 	}
