--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -264,7 +264,7 @@
 
 func (s *Sidecar) leastBudget() float64 {
 	least, found := 0.0, false
-	for _, left := range s.repeats.Left() {
+	for _, left := range s.repeats.RemainingByService() {
 		if !found || left < least {
 			least, found = left, true
 		}
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// Left returns how many repeats the node holds by service, of those that there are.
-func (r *Repeats) Left() map[string]float64 {
+// RemainingByService returns how many repeats the node holds by service, of those that there are.
+func (r *Repeats) RemainingByService() map[string]float64 {
 	left := map[string]float64{}
 	r.services.Range(func(name, _ any) bool {
 		if r.options.Exists(name.(string)) {
