--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -90,8 +90,8 @@
 	return c.options.Terms(account, c.members())
 }
 
-// Known reports whether the node knows about all others.
-func (c *Carrier) Known() bool { return c.options.MembershipKnown() }
+// MembershipKnown reports whether the node knows about all others.
+func (c *Carrier) MembershipKnown() bool { return c.options.MembershipKnown() }
 
 // RequestTokens has the granter give tokens of an account to the node. Requests that come meanwhile wait for
 // the same answer.
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -166,7 +166,7 @@
 
 // spend takes the token of a repeat from where there is one.
 func (r *Repeats) spend(name string, terms lending.Terms, now time.Time) bool {
-	if r.Known() && !r.Holder().RepayDebt(name, terms, now) {
+	if r.MembershipKnown() && !r.Holder().RepayDebt(name, terms, now) {
 		return r.counted("spent", false)
 	}
 	if r.Holder().TakeDue(name, now) {
@@ -175,7 +175,7 @@
 	if r.Holder().TakeEarned(name, terms, now) {
 		return r.counted("earned", true)
 	}
-	if !r.Known() {
+	if !r.MembershipKnown() {
 		return r.counted("spent", false)
 	}
 	if _, found := r.Holder().TakeOwnShare(name, terms, now); found {
