--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -14,7 +14,7 @@
 
 // Quota keeps tenants within their limits.
 type Quota interface {
-	// Take spends one request of a tenant that has a limit. The error is quota.ErrSpent when the
+	// Take spends one request of a tenant that has a limit. The error is quota.ErrLimitReached when the
 	// limit is reached, otherwise nobody can tell.
 	Take(ctx context.Context, tenant string) (lending.Token, error)
 	// TakeRetry spends one more run of a request and reports whether it may.
--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -32,8 +32,8 @@
 	token.Wait = s.wait
 	return token, s.err
 }
-func (s *scriptedQuota) TakeRetry(string) bool    { return true }
-func (s *scriptedQuota) Return(lending.Token) { s.returned = append(s.returned, "token") }
+func (s *scriptedQuota) TakeRetry(string) bool { return true }
+func (s *scriptedQuota) Return(lending.Token)  { s.returned = append(s.returned, "token") }
 
 // TestWhoIsAboveTheLimit is refused at once and told truthfully when to come back; what nobody
 // grants is refused as what cannot be served now; a token whose request did not run is given back.
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -56,8 +56,8 @@
 	// Send asks another node.
 	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
 	// PeerUnreachable is told of a node that did not answer.
-	PeerUnreachable   func(node string)
-	Logger *zap.Logger
+	PeerUnreachable func(node string)
+	Logger          *zap.Logger
 }
 
 // Carrier is safe for concurrent use.
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -26,7 +26,7 @@
 	// granter, those given out and not spent yet included. LocalEarnedDepth is that part at the node
 	// which earns them. Nothing is earned in an account whose Window is zero.
 	EarnedDepth, LocalEarnedDepth float64
-	Window                  time.Duration
+	Window                        time.Duration
 	// Members is how many nodes own a share.
 	Members int
 }
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -36,19 +36,19 @@
 // Options configure a quota.
 type Options struct {
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
-	Node   string
-	View   func() *roster.View
-	Usable readers.Reachable
-	MembershipKnown  func() bool
+	Node            string
+	View            func() *roster.View
+	Usable          readers.Reachable
+	MembershipKnown func() bool
 	// Limit returns a tenant's limit in force; false when it has none.
 	Limit func(tenant string) (Limit, bool)
 	// Tenants returns those that have a limit.
-	Tenants  func() []string
-	Bounds   func() Bounds
-	Send     func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
-	PeerUnreachable     func(node string)
-	Logger   *zap.Logger
-	Registry prometheus.Registerer
+	Tenants         func() []string
+	Bounds          func() Bounds
+	Send            func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
+	PeerUnreachable func(node string)
+	Logger          *zap.Logger
+	Registry        prometheus.Registerer
 }
 
 // Quota keeps the limits on one node, for its own callers and as a granter of others. It is safe
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -22,10 +22,10 @@
 
 func (s *Sidecar) addQuota() {
 	s.quota = quota.New(quota.Options{
-		Node:   s.options.Settings.Node,
-		View:   s.members.View,
-		Usable: func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
-		MembershipKnown:  s.knowsOthers,
+		Node:            s.options.Settings.Node,
+		View:            s.members.View,
+		Usable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		MembershipKnown: s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
@@ -38,20 +38,20 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		PeerUnreachable:     func(node string) { s.exchanger.MarkLost(node) },
-		Logger:   s.logger,
-		Registry: s.options.Registry,
+		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
+		Logger:          s.logger,
+		Registry:        s.options.Registry,
 	})
 }
 
 func (s *Sidecar) addRepeats() {
 	s.repeats = repeats.New(repeats.Options{
-		Node:     s.options.Settings.Node,
-		View:     s.members.View,
-		Usable:   func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
-		MembershipKnown:    s.knowsOthers,
-		Limits:   func() repeats.Limits { return s.settings.Load().Retries },
-		Services: func() []string { return s.keeper.Table().ServiceNames() },
+		Node:            s.options.Settings.Node,
+		View:            s.members.View,
+		Usable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		MembershipKnown: s.knowsOthers,
+		Limits:          func() repeats.Limits { return s.settings.Load().Retries },
+		Services:        func() []string { return s.keeper.Table().ServiceNames() },
 		Exists: func(service string) bool {
 			table := s.keeper.Table()
 			return table != nil && table.Service(service) != nil
@@ -60,8 +60,8 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		PeerUnreachable:     func(node string) { s.exchanger.MarkLost(node) },
-		Logger:   s.logger,
-		Registry: s.options.Registry,
+		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
+		Logger:          s.logger,
+		Registry:        s.options.Registry,
 	})
 }
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -46,12 +46,12 @@
 // Options configure repeats.
 type Options struct {
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
-	Node   string
-	View   func() *roster.View
-	Usable readers.Reachable
-	MembershipKnown  func() bool
-	Send   func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
-	PeerUnreachable   func(node string)
+	Node            string
+	View            func() *roster.View
+	Usable          readers.Reachable
+	MembershipKnown func() bool
+	Send            func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
+	PeerUnreachable func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
 	// Services returns those of the configuration in force, Exists whether one is among them.
