--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -28,11 +28,11 @@
 
 const (
 	// grantersAge is for how long the granters that were found are used.
-	grantersAge = 200 * time.Millisecond
+	granterCacheTTL = 200 * time.Millisecond
 	// grantersLook is the time between two looks at whether the granters have changed.
-	grantersLook = 100 * time.Millisecond
+	granterPollInterval = 100 * time.Millisecond
 	// sendsAtOnce is how many granters a node sends its shares to side by side.
-	sendsAtOnce = 4
+	maxConcurrentSends = 4
 )
 
 // Options configure a carrier.
@@ -48,13 +48,13 @@
 	// itself for alone would take all shares for its own.
 	MembershipKnown func() bool
 	// Terms returns those of an account among so many nodes; false when there is no such account.
-	Terms func(account string, members int) (lending.Terms, bool)
+	Terms func(account string, memberCount int) (lending.Terms, bool)
 	// Accounts returns those that there are.
 	Accounts func() []string
 	// Prefetch is for how long the tokens that are asked for at once are to last.
 	Prefetch time.Duration
 	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
+	Send func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error)
 	// PeerUnreachable is told of a node that did not answer.
 	PeerUnreachable func(node string)
 	Logger          *zap.Logger
@@ -62,16 +62,16 @@
 
 // Carrier is safe for concurrent use.
 type Carrier struct {
-	options Options
-	holder  *lending.Holder
-	granter *lending.Granter
-	asking  singleflight.Group
-	closed  atomic.Bool
-	found   atomic.Pointer[found]
+	options        Options
+	holder         *lending.Holder
+	granter        *lending.Granter
+	inFlight       singleflight.Group
+	closed         atomic.Bool
+	cachedGranters atomic.Pointer[cachedGranters]
 }
 
 // found are the granters as they were at a moment.
-type found struct {
+type cachedGranters struct {
 	granters []*roster.Record
 	view     *roster.View
 	at       time.Time
@@ -87,7 +87,7 @@
 
 // Terms returns those of an account now; false when there is no such account.
 func (c *Carrier) Terms(account string) (lending.Terms, bool) {
-	return c.options.Terms(account, c.members())
+	return c.options.Terms(account, c.memberCount())
 }
 
 // MembershipKnown reports whether the node knows about all others.
@@ -96,32 +96,32 @@
 // RequestTokens has the granter give tokens of an account to the node. Requests that come meanwhile wait for
 // the same answer.
 func (c *Carrier) RequestTokens(ctx context.Context, account string) error {
-	answered := c.asking.DoChan(account, func() (any, error) {
+	done := c.inFlight.DoChan(account, func() (any, error) {
 		var err error
-		fault := contain.Run(c.options.Name, c.options.Logger, func() { err = c.askGranter(account) })
+		fault := contain.Run(c.options.Name, c.options.Logger, func() { err = c.requestGrant(account) })
 		return nil, errors.Join(err, fault)
 	})
 	select {
-	case result := <-answered:
+	case result := <-done:
 		return result.Err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (c *Carrier) askGranter(account string) error {
+func (c *Carrier) requestGrant(account string) error {
 	granter := lending.GranterOf(account, c.granters())
 	terms, exists := c.Terms(account)
 	if granter == nil || !exists {
 		return ErrNoGranter
 	}
 	now := clock.Now()
-	wanted := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Prefetch, now)}}
-	asked := &lending.Request{From: c.options.Node, Wants: wanted}
+	wants := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Prefetch, now)}}
+	request := &lending.Request{From: c.options.Node, Wants: wants}
 	if c.holder.Lend(account, granter.Node, terms, now) {
-		asked.Lends = []string{account}
+		request.Lends = []string{account}
 	}
-	answer, err := c.send(granter, asked)
+	answer, err := c.send(granter, request)
 	if err != nil {
 		return err
 	}
@@ -137,52 +137,52 @@
 
 // send asks a granter, which may be the node itself. One that is not there, or closed, does not
 // count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, asked *lending.Request) (*lending.Response, error) {
+func (c *Carrier) send(granter *roster.Record, request *lending.Request) (*lending.Response, error) {
 	if granter.Node == c.options.Node {
-		return c.Serve(asked), nil
+		return c.Serve(request), nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lending.RequestTimeout)
 	defer cancel()
-	answer, err := c.options.Send(ctx, granter, asked)
+	answer, err := c.options.Send(ctx, granter, request)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		c.holder.EndLeases(granter.Node, clock.Now())
 		fallthrough
 	case err != nil:
 		c.options.PeerUnreachable(granter.Node)
-		c.found.Store(nil)
+		c.cachedGranters.Store(nil)
 		return nil, err
 	case answer.Closed:
 		c.holder.EndLeases(granter.Node, clock.Now())
-		c.found.Store(nil)
+		c.cachedGranters.Store(nil)
 		return nil, trace.ConnectionProblem(nil, "%s grants nothing any more", granter.Node)
 	}
 	return answer, nil
 }
 
 // Serve answers another node, or the own one.
-func (c *Carrier) Serve(asked *lending.Request) *lending.Response {
+func (c *Carrier) Serve(request *lending.Request) *lending.Response {
 	if c.closed.Load() {
 		return &lending.Response{Closed: true}
 	}
 	now := clock.Now()
-	for _, account := range asked.Releases {
+	for _, account := range request.Releases {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.EndLease(asked.From, account, terms, now)
+			c.granter.EndLease(request.From, account, terms, now)
 		}
 	}
-	for _, account := range asked.Lends {
+	for _, account := range request.Lends {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.AddLease(asked.From, account, terms, now)
+			c.granter.AddLease(request.From, account, terms, now)
 		}
 	}
-	for _, brought := range asked.Deposits {
-		if terms, exists := c.Terms(brought.Account); exists {
-			c.granter.Deposit(brought.Account, brought.Tokens, terms, now)
+	for _, deposit := range request.Deposits {
+		if terms, exists := c.Terms(deposit.Account); exists {
+			c.granter.Deposit(deposit.Account, deposit.Tokens, terms, now)
 		}
 	}
 	answer := &lending.Response{}
-	for _, want := range asked.Wants {
+	for _, want := range request.Wants {
 		terms, exists := c.Terms(want.Account)
 		if !exists || !c.options.MembershipKnown() {
 			answer.Grants = append(answer.Grants, lending.Grant{Unknown: true})
@@ -202,18 +202,18 @@
 	var lentTo []*roster.Record
 	var lentAt time.Time
 	for ctx.Err() == nil {
-		due := clock.Since(lentAt) >= lending.RenewalInterval(c.members())
+		due := clock.Since(lentAt) >= lending.RenewalInterval(c.memberCount())
 		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).SameNode)) {
 			lentTo, lentAt = c.granters(), clock.Now()
-			_ = contain.Run(c.options.Name, c.options.Logger, c.lend)
+			_ = contain.Run(c.options.Name, c.options.Logger, c.renewLeases)
 		}
-		pause.Wait(ctx, grantersLook)
+		pause.Wait(ctx, granterPollInterval)
 	}
 }
 
 // lend renews the leases of all shares and passes on what was earned. Shares that are lent to a
 // node which is no granter of theirs any more are asked back first.
-func (c *Carrier) lend() {
+func (c *Carrier) renewLeases() {
 	if !c.options.MembershipKnown() {
 		return
 	}
@@ -221,31 +221,31 @@
 	c.holder.Retain(exists, clock.Now())
 	c.granter.Retain(exists)
 	accounts, granters := c.options.Accounts(), c.granters()
-	c.sendAll(c.releases(accounts, granters), func(granter string, asked *lending.Request) {
-		c.holder.ConfirmRelease(granter, asked.Releases, clock.Now())
+	c.sendAll(c.releaseRequests(accounts, granters), func(granter string, request *lending.Request) {
+		c.holder.ConfirmRelease(granter, request.Releases, clock.Now())
 	})
-	c.sendAll(c.lends(accounts, granters), func(string, *lending.Request) {})
+	c.sendAll(c.leaseRequests(accounts, granters), func(string, *lending.Request) {})
 }
 
 // releases returns what the node asks back, by whom it asks.
-func (c *Carrier) releases(accounts []string, granters []*roster.Record) map[string]*lending.Request {
-	now, asked := clock.Now(), asks{}
+func (c *Carrier) releaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.Request {
+	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
 		if granter == nil {
 			continue
 		}
-		if held := c.holder.PreviousGranter(account, granter.Node, now); held != "" {
-			to := asked.to(held, c.options.Node)
+		if previous := c.holder.PreviousGranter(account, granter.Node, now); previous != "" {
+			to := requests.to(previous, c.options.Node)
 			to.Releases = append(to.Releases, account)
 		}
 	}
-	return asked
+	return requests
 }
 
 // lends returns what the node lends and passes on, by whom it goes to.
-func (c *Carrier) lends(accounts []string, granters []*roster.Record) map[string]*lending.Request {
-	now, asked := clock.Now(), asks{}
+func (c *Carrier) leaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.Request {
+	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
 		terms, exists := c.Terms(account)
@@ -253,19 +253,19 @@
 			continue
 		}
 		if c.holder.Lend(account, granter.Node, terms, now) {
-			to := asked.to(granter.Node, c.options.Node)
+			to := requests.to(granter.Node, c.options.Node)
 			to.Lends = append(to.Lends, account)
 		}
-		if passed := c.passed(account, terms, now); passed != 0 {
-			to := asked.to(granter.Node, c.options.Node)
-			to.Deposits = append(to.Deposits, lending.Deposit{Account: account, Tokens: passed})
+		if surplus := c.surplus(account, terms, now); surplus != 0 {
+			to := requests.to(granter.Node, c.options.Node)
+			to.Deposits = append(to.Deposits, lending.Deposit{Account: account, Tokens: surplus})
 		}
 	}
-	return asked
+	return requests
 }
 
 // passed returns the tokens that the node passes on now.
-func (c *Carrier) passed(account string, terms lending.Terms, now time.Time) float64 {
+func (c *Carrier) surplus(account string, terms lending.Terms, now time.Time) float64 {
 	if terms.Window <= 0 {
 		return 0
 	}
@@ -273,10 +273,10 @@
 }
 
 // asks are messages by the node that they go to.
-type asks map[string]*lending.Request
+type requestsByNode map[string]*lending.Request
 
 // to returns the message to a node.
-func (a asks) to(node, from string) *lending.Request {
+func (a requestsByNode) to(node, from string) *lending.Request {
 	if a[node] == nil {
 		a[node] = &lending.Request{From: from}
 	}
@@ -284,21 +284,21 @@
 }
 
 // sendAll sends one message to each of the nodes and tells of those that were answered.
-func (c *Carrier) sendAll(messages map[string]*lending.Request, answered func(node string, asked *lending.Request)) {
+func (c *Carrier) sendAll(requests map[string]*lending.Request, onSuccess func(node string, request *lending.Request)) {
 	var group errgroup.Group
-	group.SetLimit(sendsAtOnce)
-	for node, asked := range messages {
+	group.SetLimit(maxConcurrentSends)
+	for node, request := range requests {
 		granter := c.options.View().Record(node)
 		if granter == nil {
 			continue
 		}
 		group.Go(func() error {
-			if _, err := c.send(granter, asked); err != nil {
+			if _, err := c.send(granter, request); err != nil {
 				c.options.Logger.Info("shares of "+c.options.Name+" not lent or asked back", zap.String("peer", node),
-					zap.Int("lent", len(asked.Lends)), zap.Int("askedBack", len(asked.Releases)), zap.Error(err))
+					zap.Int("lent", len(request.Lends)), zap.Int("askedBack", len(request.Releases)), zap.Error(err))
 				return nil
 			}
-			answered(node, asked)
+			onSuccess(node, request)
 			return nil
 		})
 	}
@@ -306,17 +306,17 @@
 }
 
 // members is how many nodes own a share.
-func (c *Carrier) members() int { return max(c.options.View().LiveCount(), 1) }
+func (c *Carrier) memberCount() int { return max(c.options.View().LiveCount(), 1) }
 
 // granters returns the nodes that give out tokens. They change with the view, and when a node is
 // lost.
 func (c *Carrier) granters() []*roster.Record {
 	view, now := c.options.View(), clock.Now()
-	if held := c.found.Load(); held != nil && held.view == view && now.Sub(held.at) < grantersAge {
-		return held.granters
+	if cached := c.cachedGranters.Load(); cached != nil && cached.view == view && now.Sub(cached.at) < granterCacheTTL {
+		return cached.granters
 	}
-	next := &found{granters: lending.SelectGranters(view, c.options.Usable), view: view, at: now}
-	c.found.Store(next)
+	next := &cachedGranters{granters: lending.SelectGranters(view, c.options.Usable), view: view, at: now}
+	c.cachedGranters.Store(next)
 	c.holder.EndLeasesIf(func(granter string) bool {
 		// A node is closed before it says that it leaves.
 		record := view.Record(granter)
--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -6,28 +6,28 @@
 )
 
 // passedUnit is the least part of a token that is passed on.
-const passedUnit = 0.001
+const depositUnit = 0.001
 
 // keptTime is for how long a node that spends tokens keeps what it is likely to spend: as long as
 // its tokens may be saved up where it calls for few.
-const keptTime = time.Second
+const reserveTime = time.Second
 
 // earnings are what a node's own requests have earned.
 type earnings struct {
 	// tokens may be spent here; below zero the node owes. surplus goes to the granter only.
 	tokens, surplus float64
 	// earned counts what was earned lately, passed what of it was passed on.
-	earned, passed SlidingSum
+	earned, deposited SlidingSum
 }
 
 // Earn takes in tokens that the node's own requests have earned.
 func (h *Holder) Earn(account string, tokens float64, terms Terms, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
+	held := h.holdingFor(account)
 	held.earnings.earned.Add(tokens, terms.Window, now)
 	held.earnings.tokens += tokens
-	h.bound(account, held, terms, now)
+	h.capEarned(account, held, terms, now)
 }
 
 // AddDebt takes in what was spent beyond what the node has. It stays with the node until it is made up
@@ -36,8 +36,8 @@
 func (h *Holder) AddDebt(account string, tokens float64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	held.fade(now)
+	held := h.holdingFor(account)
+	held.decayDemand(now)
 	held.demand += tokens
 	held.earnings.tokens -= tokens
 }
@@ -47,10 +47,10 @@
 func (h *Holder) RepayDebt(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	own := &held.earnings
-	for own.tokens < 0 && (held.takeDue(now) || h.takeOwn(account, held, terms, now)) {
+	for own.tokens < 0 && (held.takeDue(now) || h.takeOwnShare(account, held, terms, now)) {
 		own.tokens++
 	}
 	return own.tokens >= 0
@@ -60,8 +60,8 @@
 func (h *Holder) TakeEarned(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	if held.earnings.tokens < 1 {
 		return false
 	}
@@ -75,51 +75,51 @@
 func (h *Holder) WithdrawSurplus(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
-	held.fade(now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
+	held.decayDemand(now)
 	own := &held.earnings
 	if own.tokens < 0 {
-		paid := min(own.surplus, -own.tokens)
-		own.tokens += paid
-		own.surplus -= paid
+		repaid := min(own.surplus, -own.tokens)
+		own.tokens += repaid
+		own.surplus -= repaid
 	}
 	if own.tokens < 0 {
 		return 0
 	}
-	kept := min(own.tokens, held.demand*keptTime.Seconds())
-	passed := math.Floor((own.tokens-kept+own.surplus)/passedUnit) * passedUnit
-	passed = min(passed, mostPassed)
-	own.tokens, own.surplus = kept, 0
-	own.passed.Add(passed, terms.Window, now)
-	return passed
+	reserve := min(own.tokens, held.demand*reserveTime.Seconds())
+	deposited := math.Floor((own.tokens-reserve+own.surplus)/depositUnit) * depositUnit
+	deposited = min(deposited, maxDeposit)
+	own.tokens, own.surplus = reserve, 0
+	own.deposited.Add(deposited, terms.Window, now)
+	return deposited
 }
 
 // Available returns how many tokens the node may spend now.
 func (h *Holder) Available(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	return max(held.earnings.tokens, 0) + float64(held.count(now))
 }
 
 // bound keeps what is saved up of what was earned within the node's part: that of what it keeps,
 // and the granter's of what it has not passed on. What is above goes to the granter. Where there is
 // room, tokens of a granter that have expired unspent become the node's own. The lock is held.
-func (h *Holder) bound(account string, held *holding, terms Terms, now time.Time) {
+func (h *Holder) capEarned(account string, held *holding, terms Terms, now time.Time) {
 	own := &held.earnings
 	earned := own.earned.Total(terms.Window, now)
-	unpassed := max(earned-own.passed.Total(terms.Window, now), 0)
-	most := terms.LocalEarnedDepth*earned + terms.EarnedDepth*unpassed
-	if most < 1 {
-		most = h.whole(account, most)
+	undeposited := max(earned-own.deposited.Total(terms.Window, now), 0)
+	capacity := terms.LocalEarnedDepth*earned + terms.EarnedDepth*undeposited
+	if capacity < 1 {
+		capacity = h.roundShare(account, capacity)
 	}
 	if unspent := held.expired(now); unspent > 0 {
-		own.tokens += min(unspent, max(most-own.tokens, 0))
+		own.tokens += min(unspent, max(capacity-own.tokens, 0))
 	}
-	if above := own.tokens - most; above > 0 {
-		own.tokens = most
-		own.surplus = min(own.surplus+above, terms.LocalEarnedDepth*earned)
+	if excess := own.tokens - capacity; excess > 0 {
+		own.tokens = capacity
+		own.surplus = min(own.surplus+excess, terms.LocalEarnedDepth*earned)
 	}
 }
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -15,19 +15,19 @@
 }
 
 // TestWhatIsPassedOnIsGone before the message leaves, whatever becomes of it.
-func TestWhatIsPassedOnIsGone(t *testing.T) {
+func TestWithdrawSurplusRemovesTokens(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 100, terms, now)
-	passed := holder.WithdrawSurplus("s", terms, now)
-	g.Expect(passed).To(BeNumerically(">", 10))
+	surplus := holder.WithdrawSurplus("s", terms, now)
+	g.Expect(surplus).To(BeNumerically(">", 10))
 	g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
 	g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 }
 
 // TestANodeKeepsWhatItNeeds and no more than may be saved up.
-func TestANodeKeepsWhatItNeeds(t *testing.T) {
+func TestWithdrawSurplusKeepsExpectedDemand(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -43,7 +43,7 @@
 
 // TestWhatIsOwedStays with the node until it is made up for, whatever messages are lost: nothing is
 // spent or passed on before.
-func TestWhatIsOwedStays(t *testing.T) {
+func TestDebtBlocksSpendingUntilRepaid(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -65,7 +65,7 @@
 }
 
 // TestTokensThatExpire unspent become the node's own as far as it may save up, once.
-func TestTokensThatExpire(t *testing.T) {
+func TestExpiredTokensBecomeEarned(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -82,7 +82,7 @@
 }
 
 // TestATokenThatIsNotDue pays for nothing, also when it comes back.
-func TestATokenThatIsNotDue(t *testing.T) {
+func TestTakeDueSkipsTokensNotYetDue(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -96,7 +96,7 @@
 }
 
 // TestAShareThatIsLentIsNotForgotten with its account, before the lease is over.
-func TestAShareThatIsLentIsNotForgotten(t *testing.T) {
+func TestRetainKeepsLentShares(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -110,14 +110,14 @@
 
 // TestWhatAGranterSavesUp: part of what was brought within the window, those given out and not
 // spent yet included.
-func TestWhatAGranterSavesUp(t *testing.T) {
+func TestGranterDepthFollowsDeposits(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	granter := lending.NewGranter()
 	granter.Deposit("s", 1000, terms, now)
 	all := lending.Want{Account: "s", Tokens: 10_000}
-	given := granter.Grant(all, terms, now).Tokens
-	g.Expect(given).To(Equal(100))
+	granted := granter.Grant(all, terms, now).Tokens
+	g.Expect(granted).To(Equal(100))
 	granter.Deposit("s", 50, terms, now.Add(100*time.Millisecond))
 	g.Expect(granter.Grant(all, terms, now.Add(100*time.Millisecond)).Tokens).To(BeNumerically("<=", 5))
 	granter.Deposit("s", 50, terms, now.Add(time.Second))
@@ -127,7 +127,7 @@
 
 // TestASmallShare: many nodes that have earned less than a token each save up about as many whole
 // tokens together as their parts add up to.
-func TestASmallShare(t *testing.T) {
+func TestSmallEarningsRoundInAggregate(t *testing.T) {
 	g := NewWithT(t)
 	saved := 0
 	for i := range 1000 {
@@ -144,14 +144,14 @@
 	g.Expect(saved).To(BeNumerically("~", 1000*2*(terms.EarnedDepth+terms.LocalEarnedDepth), 50))
 }
 
-func TestBringsThatNoNodeSends(t *testing.T) {
+func TestValidateRejectsInvalidDeposits(t *testing.T) {
 	g := NewWithT(t)
-	asked := &lending.Request{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
-	g.Expect(asked.Validate()).To(Succeed())
+	request := &lending.Request{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
+	g.Expect(request.Validate()).To(Succeed())
 	for _, tokens := range []float64{1e9, -1} {
-		asked.Deposits[0].Tokens = tokens
-		g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings.tokens")))
+		request.Deposits[0].Tokens = tokens
+		g.Expect(request.Validate()).To(MatchError(ContainSubstring("brings.tokens")))
 	}
-	asked.Deposits = make([]lending.Deposit, 10_001)
-	g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings")))
+	request.Deposits = make([]lending.Deposit, 10_001)
+	g.Expect(request.Validate()).To(MatchError(ContainSubstring("brings")))
 }
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -15,14 +15,14 @@
 // bucket holds the tokens of one account.
 type bucket struct {
 	// lenders holds until when each node lends its share; firstEnd is not after any of these.
-	lenders  map[string]time.Time
-	firstEnd time.Time
+	lenders        map[string]time.Time
+	earliestExpiry time.Time
 	// tokens is below zero when some were given out before they are due.
-	tokens float64
-	last   time.Time
+	tokens  float64
+	updated time.Time
 	// earned counts the tokens that nodes passed on, given those that were given out and may not
 	// be spent yet.
-	earned, given SlidingSum
+	earned, granted SlidingSum
 }
 
 // NewGranter returns a granter to which nothing is lent.
@@ -32,15 +32,15 @@
 func (g *Granter) AddLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.of(account, now)
-	held.advance(terms, now)
-	until := now.Add(lease(terms.Members))
-	if _, renewed := held.lenders[from]; !renewed {
-		held.tokens += terms.Initial / float64(terms.members())
+	entry := g.bucketFor(account, now)
+	entry.advance(terms, now)
+	expiry := now.Add(leaseDuration(terms.Members))
+	if _, renewed := entry.lenders[from]; !renewed {
+		entry.tokens += terms.Initial / float64(terms.members())
 	}
-	held.lenders[from] = until
-	if len(held.lenders) == 1 || until.Before(held.firstEnd) {
-		held.firstEnd = until
+	entry.lenders[from] = expiry
+	if len(entry.lenders) == 1 || expiry.Before(entry.earliestExpiry) {
+		entry.earliestExpiry = expiry
 	}
 }
 
@@ -48,9 +48,9 @@
 func (g *Granter) EndLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if held := g.buckets[account]; held != nil {
-		held.advance(terms, now)
-		delete(held.lenders, from)
+	if entry := g.buckets[account]; entry != nil {
+		entry.advance(terms, now)
+		delete(entry.lenders, from)
 	}
 }
 
@@ -61,10 +61,10 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.of(account, now)
-	held.advance(terms, now)
-	held.earned.Add(tokens, terms.Window, now)
-	held.tokens = min(held.tokens+tokens, held.depth(terms, now))
+	entry := g.bucketFor(account, now)
+	entry.advance(terms, now)
+	entry.earned.Add(tokens, terms.Window, now)
+	entry.tokens = min(entry.tokens+tokens, entry.depth(terms, now))
 }
 
 // Grant gives out tokens of an account, as many as there are of those that are wanted, or one
@@ -72,96 +72,96 @@
 func (g *Granter) Grant(want Want, terms Terms, now time.Time) Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.buckets[want.Account]
-	if held == nil {
+	entry := g.buckets[want.Account]
+	if entry == nil {
 		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
-	held.advance(terms, now)
-	if held.tokens >= 1 {
-		return Grant{Tokens: held.give(min(want.Tokens, int(held.tokens)), now)}
+	entry.advance(terms, now)
+	if entry.tokens >= 1 {
+		return Grant{Tokens: entry.withdraw(min(want.Tokens, int(entry.tokens)), now)}
 	}
-	inflow := terms.Rate * held.share(terms)
+	inflow := terms.Rate * entry.lentFraction(terms)
 	if inflow <= 0 {
 		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
-	wait := time.Duration((1 - held.tokens) / inflow * float64(time.Second))
-	granted := Grant{WaitMS: min(wait, leaseMost).Milliseconds() + 1}
+	wait := time.Duration((1 - entry.tokens) / inflow * float64(time.Second))
+	result := Grant{WaitMS: min(wait, maxLease).Milliseconds() + 1}
 	if wait < MaxTokenDelay {
-		granted.Tokens = held.give(1, now)
+		result.Tokens = entry.withdraw(1, now)
 	}
-	return granted
+	return result
 }
 
 // Retain forgets the accounts for which the function does not say so.
-func (g *Granter) Retain(kept func(account string) bool) {
+func (g *Granter) Retain(keep func(account string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for account := range g.buckets {
-		if !kept(account) {
+		if !keep(account) {
 			delete(g.buckets, account)
 		}
 	}
 }
 
 // of returns the bucket of an account; the lock is held.
-func (g *Granter) of(account string, now time.Time) *bucket {
-	held := g.buckets[account]
-	if held == nil {
-		held = &bucket{lenders: map[string]time.Time{}, last: now}
-		g.buckets[account] = held
+func (g *Granter) bucketFor(account string, now time.Time) *bucket {
+	entry := g.buckets[account]
+	if entry == nil {
+		entry = &bucket{lenders: map[string]time.Time{}, updated: now}
+		g.buckets[account] = entry
 	}
-	return held
+	return entry
 }
 
 // give takes out tokens.
-func (b *bucket) give(tokens int, now time.Time) int {
+func (b *bucket) withdraw(tokens int, now time.Time) int {
 	b.tokens -= float64(tokens)
-	b.given.Add(float64(tokens), TokenLifetime+MaxTokenDelay, now)
+	b.granted.Add(float64(tokens), TokenLifetime+MaxTokenDelay, now)
 	return tokens
 }
 
 // share is the part of the nodes that lend their share now.
-func (b *bucket) share(terms Terms) float64 {
+func (b *bucket) lentFraction(terms Terms) float64 {
 	return float64(len(b.lenders)) / float64(max(terms.members(), len(b.lenders)))
 }
 
 // advance lets flow in what the shares lent since the last time bring, and takes out the
 // lenders whose lease has ended. What can be saved up goes by the shares and by what was earned.
 func (b *bucket) advance(terms Terms, now time.Time) {
-	if !now.After(b.last) {
+	if !now.After(b.updated) {
 		return
 	}
 	members := float64(max(terms.members(), len(b.lenders)))
-	b.tokens += terms.Rate * b.lent(now).Seconds() / members
+	b.tokens += terms.Rate * b.lentTime(now).Seconds() / members
 	b.tokens = min(b.tokens, b.depth(terms, now))
-	b.last = now
+	b.updated = now
 }
 
 // depth is how many tokens can be saved up now.
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
-	depth := terms.Depth * b.share(terms)
+	depth := terms.Depth * b.lentFraction(terms)
 	if terms.Window > 0 {
-		depth += terms.EarnedDepth*b.earned.Total(terms.Window, now) - b.given.Total(TokenLifetime+MaxTokenDelay, now)
+		depth += terms.EarnedDepth*b.earned.Total(terms.Window, now) - b.granted.Total(TokenLifetime+MaxTokenDelay, now)
 	}
 	return depth
 }
 
 // lent returns for how long shares were lent since the last time, added up over the lenders, and
 // takes out those whose lease has ended.
-func (b *bucket) lent(now time.Time) (total time.Duration) {
-	if now.Before(b.firstEnd) {
-		return time.Duration(len(b.lenders)) * now.Sub(b.last)
+func (b *bucket) lentTime(now time.Time) (total time.Duration) {
+	if now.Before(b.earliestExpiry) {
+		return time.Duration(len(b.lenders)) * now.Sub(b.updated)
 	}
-	b.firstEnd = time.Time{}
-	for node, until := range b.lenders {
-		if until.After(b.last) {
-			total += min(until.Sub(b.last), now.Sub(b.last))
+	b.earliestExpiry = time.Time{}
+	for node, expiry := range b.lenders {
+		if expiry.After(b.updated) {
+			total += min(expiry.Sub(b.updated), now.Sub(b.updated))
 		}
 		switch {
-		case !until.After(now):
+		case !expiry.After(now):
 			delete(b.lenders, node)
-		case b.firstEnd.IsZero() || until.Before(b.firstEnd):
-			b.firstEnd = until
+		case b.earliestExpiry.IsZero() || expiry.Before(b.earliestExpiry):
+			b.earliestExpiry = expiry
 		}
 	}
 	return total
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -14,23 +14,23 @@
 	// membersPerGranter is how many nodes there are for each granter, mostGranters the most
 	// granters. Each node keeps its shares lent to all of them.
 	membersPerGranter = 16
-	mostGranters      = 16
+	maxGranters       = 16
 )
 
 // SelectGranters returns the nodes that give out tokens, by their names: those with the fastest links.
 // The package is right whatever each node takes for granters; where they agree no share is idle.
 func SelectGranters(view *roster.View, usable readers.Reachable) []*roster.Record {
-	var able []*roster.Record
+	var eligible []*roster.Record
 	for _, record := range view.Records() {
 		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && usable(record) {
-			able = append(able, record)
+			eligible = append(eligible, record)
 		}
 	}
-	count := min((len(able)+membersPerGranter-1)/membersPerGranter, mostGranters)
-	slices.SortFunc(able, func(a, b *roster.Record) int {
+	count := min((len(eligible)+membersPerGranter-1)/membersPerGranter, maxGranters)
+	slices.SortFunc(eligible, func(a, b *roster.Record) int {
 		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(xxhash.Sum64String(a.Node), xxhash.Sum64String(b.Node)))
 	})
-	chosen := able[:count]
+	chosen := eligible[:count]
 	slices.SortFunc(chosen, func(a, b *roster.Record) int { return cmp.Compare(a.Node, b.Node) })
 	return chosen
 }
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -19,32 +19,32 @@
 
 // holding is what the node has of one account.
 type holding struct {
-	lots []lot
+	batches []tokenBatch
 	// deniedUntil is until when the granter is not asked again, roomAt when it said that there
 	// would be a token.
-	deniedUntil, roomAt time.Time
+	deniedUntil, nextTokenAt time.Time
 	// lentTo is the node that counts with the share at most until lentUntil.
 	lentTo    string
 	lentUntil time.Time
 	// own is what the share has brought while it was lent to nobody.
-	own      float64
-	ownAt    time.Time
-	earnings earnings
+	ownTokens  float64
+	ownUpdated time.Time
+	earnings   earnings
 	// demand is how many tokens were called for, a count that fades over a second.
-	demand   float64
-	demandAt time.Time
+	demand        float64
+	demandUpdated time.Time
 }
 
 // deniedMost is for how long one answer refuses the requests of an account: a flood asks ten times a
 // second and node, no more, and room that comes early is found.
-const deniedMost = 100 * time.Millisecond
+const maxDenial = 100 * time.Millisecond
 
 // likelySpent is how many tokens have to be likely to be spent in their life for some to be asked
 // for ahead.
-const likelySpent = 0.5
+const minExpectedUse = 0.5
 
 // lot is some tokens that may be spent between two moments.
-type lot struct {
+type tokenBatch struct {
 	count       int
 	from, until time.Time
 }
@@ -78,12 +78,12 @@
 func (h *Holder) Take(account string, now time.Time) (TakeResult, Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
+	held := h.holdingFor(account)
 	if token, found := held.take(account, now); found {
 		return Taken, token
 	}
 	if now.Before(held.deniedUntil) {
-		return Denied, Token{Wait: held.roomAt.Sub(now)}
+		return Denied, Token{Wait: held.nextTokenAt.Sub(now)}
 	}
 	return GrantNeeded, Token{}
 }
@@ -92,62 +92,62 @@
 func (h *Holder) TakeDue(account string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(account).takeDue(now)
+	return h.holdingFor(account).takeDue(now)
 }
 
 // RecordDemand notes that a request came, which says how many tokens will be wanted.
 func (h *Holder) RecordDemand(account string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	held.fade(now)
+	held := h.holdingFor(account)
+	held.decayDemand(now)
 	held.demand++
 }
 
 // TokensToRequest returns how many tokens to ask for: one, and what is likely to be called for in the time
 // given.
-func (h *Holder) TokensToRequest(account string, ahead time.Duration, now time.Time) int {
+func (h *Holder) TokensToRequest(account string, horizon time.Duration, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	held.fade(now)
-	return 1 + min(int(held.demand*ahead.Seconds()), mostWanted-1)
+	held := h.holdingFor(account)
+	held.decayDemand(now)
+	return 1 + min(int(held.demand*horizon.Seconds()), maxTokensWanted-1)
 }
 
 // NeedsRefill reports whether what the node holds of a granter is less than what is likely to be called
 // for in the time given, and the granter may be asked.
-func (h *Holder) NeedsRefill(account string, within time.Duration, now time.Time) bool {
+func (h *Holder) NeedsRefill(account string, horizon time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	held.fade(now)
-	if now.Before(held.deniedUntil) || held.demand*TokenLifetime.Seconds() < likelySpent {
+	held := h.holdingFor(account)
+	held.decayDemand(now)
+	if now.Before(held.deniedUntil) || held.demand*TokenLifetime.Seconds() < minExpectedUse {
 		return false
 	}
-	return float64(held.count(now)) < max(held.demand*within.Seconds(), 1)
+	return float64(held.count(now)) < max(held.demand*horizon.Seconds(), 1)
 }
 
 // AddGrant takes in a granter's answer to a question that was asked then. The granter counts with
 // its tokens for their life, which begins no earlier.
-func (h *Holder) AddGrant(account string, grant Grant, asked, now time.Time) {
+func (h *Holder) AddGrant(account string, grant Grant, requestedAt, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
+	held := h.holdingFor(account)
 	wait := time.Duration(grant.WaitMS) * time.Millisecond
 	if grant.Tokens == 0 {
-		held.roomAt, held.deniedUntil = now.Add(wait), now.Add(min(wait, deniedMost))
+		held.nextTokenAt, held.deniedUntil = now.Add(wait), now.Add(min(wait, maxDenial))
 		return
 	}
 	from := now.Add(min(wait, MaxTokenDelay))
-	held.lots = append(held.lots, lot{count: grant.Tokens, from: from, until: asked.Add(max(from.Sub(now), 0) + TokenLifetime)})
+	held.batches = append(held.batches, tokenBatch{count: grant.Tokens, from: from, until: requestedAt.Add(max(from.Sub(now), 0) + TokenLifetime)})
 }
 
 // Return gives back a token whose request did not run. It does not last longer for that.
 func (h *Holder) Return(token Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(token.account)
-	held.lots = append(held.lots, lot{count: 1, from: token.from, until: token.until})
+	held := h.holdingFor(token.account)
+	held.batches = append(held.batches, tokenBatch{count: 1, from: token.from, until: token.until})
 }
 
 // Lend notes that the node lends its share of an account with a message that it sends now, and
@@ -155,33 +155,33 @@
 func (h *Holder) Lend(account, to string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
+	held := h.holdingFor(account)
 	if held.lentTo != to && now.Before(held.lentUntil) {
 		return false
 	}
-	held.lentTo, held.lentUntil = to, now.Add(lease(terms.Members)+leaseMargin)
-	held.own = 0
+	held.lentTo, held.lentUntil = to, now.Add(leaseDuration(terms.Members)+leaseMargin)
+	held.ownTokens = 0
 	return true
 }
 
 // PreviousGranter returns the node that may still count with the node's share of an account, empty
 // for none or the given one.
-func (h *Holder) PreviousGranter(account, than string, now time.Time) string {
+func (h *Holder) PreviousGranter(account, granter string, now time.Time) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	if held.lentTo == than || !now.Before(held.lentUntil) {
+	held := h.holdingFor(account)
+	if held.lentTo == granter || !now.Before(held.lentUntil) {
 		return ""
 	}
 	return held.lentTo
 }
 
 // ConfirmRelease takes in that a node has heard that some shares are not lent to it any more.
-func (h *Holder) ConfirmRelease(by string, accounts []string, now time.Time) {
+func (h *Holder) ConfirmRelease(granter string, accounts []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, account := range accounts {
-		if held := h.of(account); held.lentTo == by && now.Before(held.lentUntil) {
+		if held := h.holdingFor(account); held.lentTo == granter && now.Before(held.lentUntil) {
 			held.lentUntil = now
 		}
 	}
@@ -189,16 +189,16 @@
 
 // EndLeases takes in that a node certainly does not count with any share any more: its process has
 // ended, or it grants nothing any more.
-func (h *Holder) EndLeases(by string, now time.Time) {
-	h.EndLeasesIf(func(granter string) bool { return granter == by }, now)
+func (h *Holder) EndLeases(node string, now time.Time) {
+	h.EndLeasesIf(func(granter string) bool { return granter == node }, now)
 }
 
 // EndLeasesIf is Freed for all nodes of which the function says so.
-func (h *Holder) EndLeasesIf(freed func(granter string) bool, now time.Time) {
+func (h *Holder) EndLeasesIf(ended func(granter string) bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, held := range h.accounts {
-		if now.Before(held.lentUntil) && freed(held.lentTo) {
+		if now.Before(held.lentUntil) && ended(held.lentTo) {
 			held.lentUntil = now
 		}
 	}
@@ -208,59 +208,59 @@
 func (h *Holder) TakeOwnShare(account string, terms Terms, now time.Time) (Token, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.takeOwn(account, h.of(account), terms, now) {
+	if !h.takeOwnShare(account, h.holdingFor(account), terms, now) {
 		return Token{}, false
 	}
 	return Token{account: account, until: now}, true
 }
 
 // takeOwn is TakeOwn with the lock held.
-func (h *Holder) takeOwn(account string, held *holding, terms Terms, now time.Time) bool {
+func (h *Holder) takeOwnShare(account string, held *holding, terms Terms, now time.Time) bool {
 	if now.Before(held.lentUntil) {
 		return false
 	}
-	since := held.ownAt
+	since := held.ownUpdated
 	if held.lentUntil.After(since) {
-		since, held.own = held.lentUntil, 0
+		since, held.ownTokens = held.lentUntil, 0
 	}
 	if since.IsZero() {
 		since = now
 	}
 	members := float64(terms.members())
-	held.own = min(held.own+terms.Rate*now.Sub(since).Seconds()/members, h.whole(account, terms.Depth/members))
-	held.ownAt = now
-	if held.own < 1 {
+	held.ownTokens = min(held.ownTokens+terms.Rate*now.Sub(since).Seconds()/members, h.roundShare(account, terms.Depth/members))
+	held.ownUpdated = now
+	if held.ownTokens < 1 {
 		return false
 	}
-	held.own--
+	held.ownTokens--
 	return true
 }
 
 // whole rounds a node's part of what can be saved up to whole tokens, up or down by a hash, so
 // that the parts of all nodes still add up to about the whole.
-func (h *Holder) whole(account string, part float64) float64 {
-	down := math.Floor(part)
-	drawn := float64(xxhash.Sum64String(account+"\x00"+h.node)) / math.MaxUint64
-	if drawn < part-down {
-		return down + 1
+func (h *Holder) roundShare(account string, part float64) float64 {
+	floor := math.Floor(part)
+	fraction := float64(xxhash.Sum64String(account+"\x00"+h.node)) / math.MaxUint64
+	if fraction < part-floor {
+		return floor + 1
 	}
-	return down
+	return floor
 }
 
 // Retain forgets the accounts for which the function does not say so, once no node counts with
 // their shares.
-func (h *Holder) Retain(kept func(account string) bool, now time.Time) {
+func (h *Holder) Retain(keep func(account string) bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for account, held := range h.accounts {
-		if !kept(account) && !now.Before(held.lentUntil) {
+		if !keep(account) && !now.Before(held.lentUntil) {
 			delete(h.accounts, account)
 		}
 	}
 }
 
 // of returns what is held of an account; the lock is held.
-func (h *Holder) of(account string) *holding {
+func (h *Holder) holdingFor(account string) *holding {
 	held := h.accounts[account]
 	if held == nil {
 		held = &holding{}
@@ -271,32 +271,32 @@
 
 // take spends the token that may be spent first, and drops those whose time is over.
 func (h *holding) take(account string, now time.Time) (token Token, found bool) {
-	kept := h.lots[:0]
-	for _, one := range h.lots {
-		if one.count > 0 && now.Before(one.until) {
-			kept = append(kept, one)
+	valid := h.batches[:0]
+	for _, batch := range h.batches {
+		if batch.count > 0 && now.Before(batch.until) {
+			valid = append(valid, batch)
 		}
 	}
-	h.lots = kept
+	h.batches = valid
 	best := -1
-	for i, one := range h.lots {
-		if best < 0 || one.from.Before(h.lots[best].from) {
+	for i, batch := range h.batches {
+		if best < 0 || batch.from.Before(h.batches[best].from) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Token{}, false
 	}
-	h.lots[best].count--
-	chosen := h.lots[best]
+	h.batches[best].count--
+	chosen := h.batches[best]
 	return Token{account: account, from: chosen.from, until: chosen.until, Wait: max(chosen.from.Sub(now), 0)}, true
 }
 
 // takeDue spends a token that may be spent now.
 func (h *holding) takeDue(now time.Time) bool {
-	for i := range h.lots {
-		if one := &h.lots[i]; one.count > 0 && !now.Before(one.from) && now.Before(one.until) {
-			one.count--
+	for i := range h.batches {
+		if batch := &h.batches[i]; batch.count > 0 && !now.Before(batch.from) && now.Before(batch.until) {
+			batch.count--
 			return true
 		}
 	}
@@ -305,34 +305,34 @@
 
 // expired drops lots whose time is over and returns how many tokens of them were not spent.
 func (h *holding) expired(now time.Time) (unspent float64) {
-	kept := h.lots[:0]
-	for _, one := range h.lots {
+	valid := h.batches[:0]
+	for _, batch := range h.batches {
 		switch {
-		case one.count == 0:
-		case now.Before(one.until):
-			kept = append(kept, one)
+		case batch.count == 0:
+		case now.Before(batch.until):
+			valid = append(valid, batch)
 		default:
-			unspent += float64(one.count)
+			unspent += float64(batch.count)
 		}
 	}
-	h.lots = kept
+	h.batches = valid
 	return unspent
 }
 
 // count returns how many tokens of granters may be spent now or soon.
 func (h *holding) count(now time.Time) (total int) {
-	for _, one := range h.lots {
-		if now.Before(one.until) {
-			total += one.count
+	for _, batch := range h.batches {
+		if now.Before(batch.until) {
+			total += batch.count
 		}
 	}
 	return total
 }
 
 // fade lets the count of requests fade.
-func (h *holding) fade(now time.Time) {
-	if passed := now.Sub(h.demandAt); passed > 0 {
-		h.demand *= math.Exp(-passed.Seconds())
+func (h *holding) decayDemand(now time.Time) {
+	if elapsed := now.Sub(h.demandUpdated); elapsed > 0 {
+		h.demand *= math.Exp(-elapsed.Seconds())
 	}
-	h.demandAt = now
+	h.demandUpdated = now
 }
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -45,23 +45,23 @@
 const (
 	// leaseLeast and leaseMost bound a lease, leasePerMember is its length for each node: it is
 	// renewed some times, and a granter hears that from all of them.
-	leaseLeast     = time.Second
-	leaseMost      = 5 * time.Second
+	minLease       = time.Second
+	maxLease       = 5 * time.Second
 	leasePerMember = 10 * time.Millisecond
 	// renewals is how often a lease is renewed before it would end.
-	renewals = 3
+	renewalsPerLease = 3
 	// leaseMargin is how much longer than its granter counts with it a share is taken for lent:
 	// a message may take that long.
 	leaseMargin = 250 * time.Millisecond
 )
 
 // lease returns how long a share is lent at a time.
-func lease(members int) time.Duration {
-	return min(max(time.Duration(members)*leasePerMember, leaseLeast), leaseMost)
+func leaseDuration(members int) time.Duration {
+	return min(max(time.Duration(members)*leasePerMember, minLease), maxLease)
 }
 
 // RenewalInterval returns the time between two messages that renew a lease.
-func RenewalInterval(members int) time.Duration { return lease(members) / renewals }
+func RenewalInterval(members int) time.Duration { return leaseDuration(members) / renewalsPerLease }
 
 // members is how many nodes own a share, at least one.
 func (t Terms) members() int { return max(t.Members, 1) }
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -49,10 +49,10 @@
 
 const (
 	// mostNames bounds the accounts of one message.
-	mostNames = 10_000
+	maxAccounts = 10_000
 	// mostWanted bounds the tokens that are wanted at once, mostPassed those that are passed on.
-	mostWanted = 10_000
-	mostPassed = 100_000
+	maxTokensWanted = 10_000
+	maxDeposit      = 100_000
 )
 
 // Validate names the field of a message that no node sends so, and why.
@@ -60,23 +60,23 @@
 	switch {
 	case a.From == "":
 		return trace.BadParameter("from: is empty")
-	case len(a.Lends) > mostNames:
-		return trace.BadParameter("lends: has more than %d names", mostNames)
-	case len(a.Releases) > mostNames:
-		return trace.BadParameter("releases: has more than %d names", mostNames)
-	case len(a.Wants) > mostNames:
-		return trace.BadParameter("wants: has more than %d entries", mostNames)
-	case len(a.Deposits) > mostNames:
-		return trace.BadParameter("brings: has more than %d entries", mostNames)
+	case len(a.Lends) > maxAccounts:
+		return trace.BadParameter("lends: has more than %d names", maxAccounts)
+	case len(a.Releases) > maxAccounts:
+		return trace.BadParameter("releases: has more than %d names", maxAccounts)
+	case len(a.Wants) > maxAccounts:
+		return trace.BadParameter("wants: has more than %d entries", maxAccounts)
+	case len(a.Deposits) > maxAccounts:
+		return trace.BadParameter("brings: has more than %d entries", maxAccounts)
 	}
 	for _, want := range a.Wants {
-		if want.Tokens < 1 || want.Tokens > mostWanted {
-			return trace.BadParameter("wants.tokens: %d is not from 1 to %d", want.Tokens, mostWanted)
+		if want.Tokens < 1 || want.Tokens > maxTokensWanted {
+			return trace.BadParameter("wants.tokens: %d is not from 1 to %d", want.Tokens, maxTokensWanted)
 		}
 	}
-	for _, brought := range a.Deposits {
-		if !(brought.Tokens >= 0 && brought.Tokens <= mostPassed) {
-			return trace.BadParameter("brings.tokens: %v is not from 0 to %d", brought.Tokens, mostPassed)
+	for _, deposit := range a.Deposits {
+		if !(deposit.Tokens >= 0 && deposit.Tokens <= maxDeposit) {
+			return trace.BadParameter("brings.tokens: %v is not from 0 to %d", deposit.Tokens, maxDeposit)
 		}
 	}
 	return nil
--- a/internal/sidecar/lending/sum_test.go
+++ b/internal/sidecar/lending/sum_test.go
@@ -10,29 +10,29 @@
 )
 
 // TestSumCoversNoMoreThanItsTime at any distance, and at least 15 of its 16 parts.
-func TestSumCoversNoMoreThanItsTime(t *testing.T) {
+func TestSlidingSumDropsOldAmounts(t *testing.T) {
 	g := NewWithT(t)
-	const covers = 10 * time.Second
-	began := time.Unix(1000, 0)
-	for after := time.Duration(0); after < 3*covers; after += 37 * time.Millisecond {
+	const window = 10 * time.Second
+	start := time.Unix(1000, 0)
+	for after := time.Duration(0); after < 3*window; after += 37 * time.Millisecond {
 		sum := lending.SlidingSum{}
-		sum.Add(1, covers, began)
-		sum.Add(2, covers, began.Add(400*time.Millisecond))
-		switch left := sum.Total(covers, began.Add(400*time.Millisecond+after)); {
-		case after < covers-400*time.Millisecond-covers/16:
-			g.Expect(left).To(Equal(3.0), "%v", after)
-		case after >= covers:
-			g.Expect(left).To(BeZero(), "%v", after)
+		sum.Add(1, window, start)
+		sum.Add(2, window, start.Add(400*time.Millisecond))
+		switch total := sum.Total(window, start.Add(400*time.Millisecond+after)); {
+		case after < window-400*time.Millisecond-window/16:
+			g.Expect(total).To(Equal(3.0), "%v", after)
+		case after >= window:
+			g.Expect(total).To(BeZero(), "%v", after)
 		}
 	}
 }
 
 // TestSumOverALongerTime begins anew rather than count what is too old.
-func TestSumOverALongerTime(t *testing.T) {
+func TestSlidingSumResetsForLongerWindow(t *testing.T) {
 	g := NewWithT(t)
-	began := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	sum := lending.SlidingSum{}
-	sum.Add(1, time.Second, began)
-	sum.Add(1, time.Second, began.Add(time.Minute))
-	g.Expect(sum.Total(10*time.Second, began.Add(time.Minute))).To(BeNumerically("<=", 1))
+	sum.Add(1, time.Second, start)
+	sum.Add(1, time.Second, start.Add(time.Minute))
+	g.Expect(sum.Total(10*time.Second, start.Add(time.Minute))).To(BeNumerically("<=", 1))
 }
--- a/internal/sidecar/quota/bounds.go
+++ b/internal/sidecar/quota/bounds.go
@@ -30,33 +30,33 @@
 	// usableShare is the part of what the bounds allow that is given out. The rest covers what
 	// the arithmetic leaves out: messages that arrive after their lease, nodes that count each
 	// other differently while some come and go.
-	usableShare = 0.97
+	usableFraction = 0.97
 	// savedShare is the part of the depth that can be saved up. The rest comes with shares that
 	// are lent anew, initialShare of the depth with all of them: a granter that takes over would
 	// otherwise begin with nothing and refuse requests well within the limit. A share can be lent anew four times in a window, since a lease has
 	// to end before.
-	savedShare   = 0.6
-	initialShare = 0.1
+	savedFraction   = 0.6
+	initialFraction = 0.1
 	// leastDepthTime says how much can at least be saved up, as the tokens of that time, and
 	// one token.
-	leastDepthTime = 50 * time.Millisecond
+	minDepthTime = 50 * time.Millisecond
 )
 
 // Terms returns how a limit is lent among so many nodes.
 func (b Bounds) Terms(limit Limit, members int) lending.Terms {
-	rate, depth := b.tokens(limit)
-	return lending.Terms{Rate: rate, Depth: depth, Initial: depth * initialShare, Members: members}
+	rate, depth := b.bucketParameters(limit)
+	return lending.Terms{Rate: rate, Depth: depth, Initial: depth * initialFraction, Members: members}
 }
 
 // tokens returns the rate in tokens a second at which a limit is given out, and how many can be
 // saved up. A window may hold what was saved up, what flows in, and tokens that were given out
 // up to their life before it began or are due shortly after it ends.
-func (b Bounds) tokens(limit Limit) (rate, depth float64) {
-	usable := ((limit.Rate*b.Window.Seconds()+limit.Burst)*(1+b.Overage) + b.Slack) * usableShare
-	inflow := (b.Window + lending.TokenLifetime + lending.MaxTokenDelay).Seconds()
-	least := max(1, limit.Rate*leastDepthTime.Seconds())
-	if depth = usable - limit.Rate*inflow; depth >= least {
-		return limit.Rate, max(depth*savedShare, least)
+func (b Bounds) bucketParameters(limit Limit) (rate, depth float64) {
+	usable := ((limit.Rate*b.Window.Seconds()+limit.Burst)*(1+b.Overage) + b.Slack) * usableFraction
+	inflowTime := (b.Window + lending.TokenLifetime + lending.MaxTokenDelay).Seconds()
+	minDepth := max(1, limit.Rate*minDepthTime.Seconds())
+	if depth = usable - limit.Rate*inflowTime; depth >= minDepth {
+		return limit.Rate, max(depth*savedFraction, minDepth)
 	}
-	return max(usable-least, 0) / inflow, min(least, usable)
+	return max(usable-minDepth, 0) / inflowTime, min(minDepth, usable)
 }
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -25,12 +25,12 @@
 
 const (
 	// askTries is how often one request asks in vain at most.
-	askTries = 4
+	maxFailedRequests = 4
 	// askAll is for how long one request asks on while the granter answers: others that wait for the same
 	// answers may have spent what they brought.
-	askAll = 300 * time.Millisecond
+	maxRequestTime = 300 * time.Millisecond
 	// leastWait is the shortest wait that a refused caller is told.
-	leastWait = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 )
 
 // Options configure a quota.
@@ -45,7 +45,7 @@
 	// Tenants returns those that have a limit.
 	Tenants         func() []string
 	Bounds          func() Bounds
-	Send            func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
+	Send            func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error)
 	PeerUnreachable func(node string)
 	Logger          *zap.Logger
 	Registry        prometheus.Registerer
@@ -87,22 +87,22 @@
 // token says. The error is ErrSpent or ErrUnknown; the token's wait then says when there may be
 // room.
 func (q *Quota) Take(ctx context.Context, tenant string) (lending.Token, error) {
-	began := clock.Now()
-	q.Holder().RecordDemand(tenant, began)
+	start := clock.Now()
+	q.Holder().RecordDemand(tenant, start)
 	for failed, answered := 0, false; ; {
 		switch verdict, token := q.Holder().Take(tenant, clock.Now()); {
 		case verdict == lending.Taken:
-			return q.counted("granted", token, nil)
+			return q.count("granted", token, nil)
 		case verdict == lending.Denied:
-			token.Wait = max(token.Wait, leastWait)
-			return q.counted("spent", token, ErrLimitReached)
+			token.Wait = max(token.Wait, minRetryAfter)
+			return q.count("spent", token, ErrLimitReached)
 		}
 		switch {
-		case failed == askTries || ctx.Err() != nil:
-			return q.takeOwn(tenant)
-		case answered && clock.Since(began) >= askAll:
+		case failed == maxFailedRequests || ctx.Err() != nil:
+			return q.takeOwnShare(tenant)
+		case answered && clock.Since(start) >= maxRequestTime:
 			// Others had all that was given out: the limit is as good as reached.
-			return q.counted("spent", lending.Token{Wait: leastWait}, ErrLimitReached)
+			return q.count("spent", lending.Token{Wait: minRetryAfter}, ErrLimitReached)
 		}
 		err := q.RequestTokens(ctx, tenant)
 		answered = err == nil
@@ -130,23 +130,23 @@
 // Return gives back the token of a request that did not run.
 func (q *Quota) Return(token lending.Token) { q.Holder().Return(token) }
 
-func (q *Quota) counted(result string, token lending.Token, err error) (lending.Token, error) {
+func (q *Quota) count(result string, token lending.Token, err error) (lending.Token, error) {
 	q.results.WithLabelValues(result).Inc()
 	return token, err
 }
 
 // takeOwn spends what the node's own share brings while nobody grants.
-func (q *Quota) takeOwn(tenant string) (lending.Token, error) {
+func (q *Quota) takeOwnShare(tenant string) (lending.Token, error) {
 	terms, limited := q.Terms(tenant)
 	if !limited {
 		return lending.Token{}, nil
 	}
 	if !q.options.MembershipKnown() {
-		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrNoGrant)
+		return q.count("unknown", lending.Token{Wait: minRetryAfter}, ErrNoGrant)
 	}
 	token, found := q.Holder().TakeOwnShare(tenant, terms, clock.Now())
 	if found {
-		return q.counted("own", token, nil)
+		return q.count("own", token, nil)
 	}
-	return q.counted("unknown", lending.Token{Wait: leastWait}, ErrNoGrant)
+	return q.count("unknown", lending.Token{Wait: minRetryAfter}, ErrNoGrant)
 }
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -41,7 +41,7 @@
 	group map[string]int
 	loss  float64
 	// spent are when requests of each tenant ran, unknown and refused how many did not.
-	spent            map[string][]time.Time
+	ran              map[string][]time.Time
 	unknown, refused map[string]int
 	// demand is how many requests a second come of each tenant.
 	demand map[string]float64
@@ -49,19 +49,19 @@
 
 // member is one node. A restart replaces its quota.
 type member struct {
-	name   string
-	mu     sync.Mutex // guards all below
-	quota  *quota.Quota
-	end    context.CancelFunc
-	dead   bool
-	frozen time.Time
-	lost   map[string]time.Time
+	name           string
+	mu             sync.Mutex // guards all below
+	quota          *quota.Quota
+	end            context.CancelFunc
+	dead           bool
+	suspendedUntil time.Time
+	lost           map[string]time.Time
 }
 
 func newFleet(t *testing.T, seed uint64, size int, limits map[string]quota.Limit) *fleet {
 	f := &fleet{
 		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), limits: limits, group: map[string]int{},
-		spent: map[string][]time.Time{}, unknown: map[string]int{}, refused: map[string]int{}, demand: map[string]float64{},
+		ran: map[string][]time.Time{}, unknown: map[string]int{}, refused: map[string]int{}, demand: map[string]float64{},
 		members: roster.New(roster.Record{Node: "n0", Epoch: 1, Zone: "z", Address: "a:1", PeerAddress: "n0", Endpoint: &roster.Endpoint{ID: "i", Slots: 1}}),
 	}
 	for tenant := range limits {
@@ -84,7 +84,7 @@
 // start begins a life of the node, which knows nothing of an earlier one.
 func (f *fleet) start(node *member) {
 	ctx, end := context.WithCancel(context.Background())
-	made := quota.New(quota.Options{
+	created := quota.New(quota.Options{
 		Node: node.name, View: f.members.View,
 		Usable: func(record *roster.Record) bool {
 			node.mu.Lock()
@@ -100,8 +100,8 @@
 		},
 		Tenants: func() []string { return f.tenants },
 		Bounds:  func() quota.Bounds { return bounds },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
-			return f.send(ctx, node, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error) {
+			return f.send(ctx, node, to, request)
 		},
 		PeerUnreachable: func(name string) {
 			node.mu.Lock()
@@ -116,9 +116,9 @@
 		end() // another trouble has started it already
 		return
 	}
-	node.quota, node.end, node.dead = made, end, false
+	node.quota, node.end, node.dead = created, end, false
 	node.mu.Unlock()
-	go made.Run(ctx)
+	go created.Run(ctx)
 }
 
 // kill ends the node's process; lives are separate.
@@ -130,16 +130,16 @@
 }
 
 // thaw waits until the node is not suspended.
-func (m *member) thaw() {
+func (m *member) waitUntilResumed() {
 	m.mu.Lock()
-	until := m.frozen
+	until := m.suspendedUntil
 	m.mu.Unlock()
 	if wait := time.Until(until); wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-func (f *fleet) named(name string) *member {
+func (f *fleet) nodeNamed(name string) *member {
 	return f.nodes[slices.IndexFunc(f.nodes, func(node *member) bool { return node.name == name })]
 }
 
@@ -157,37 +157,37 @@
 	time.Sleep(delay)
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
-	if err := asked.Validate(); err != nil {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.Request) (*lending.Response, error) {
+	if err := request.Validate(); err != nil {
 		f.t.Error(err)
 	}
 	f.delay()
-	other := f.named(to.Node)
+	other := f.nodeNamed(to.Node)
 	if !f.reaches(from.name, to.Node) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	other.thaw()
+	other.waitUntilResumed()
 	other.mu.Lock()
 	serving, dead := other.quota, other.dead
 	other.mu.Unlock()
 	if dead {
 		return nil, fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
 	}
-	answer := serving.Serve(asked)
+	answer := serving.Serve(request)
 	f.delay()
 	if !f.reaches(to.Node, from.name) || ctx.Err() != nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	from.thaw()
+	from.waitUntilResumed()
 	return answer, nil
 }
 
 // play has requests come until the time is over. They are the same in every run: each tenant's are drawn
 // by themselves.
-func (f *fleet) play(lasts time.Duration) {
-	end := time.Now().Add(lasts)
+func (f *fleet) generateLoad(duration time.Duration) {
+	end := time.Now().Add(duration)
 	var running sync.WaitGroup
 	for i, tenant := range f.tenants {
 		random := rand.New(rand.NewPCG(f.seed, uint64(i)))
@@ -213,7 +213,7 @@
 
 // request plays one request: it runs a little after it got a token.
 func (f *fleet) request(node *member, tenant string) {
-	node.thaw()
+	node.waitUntilResumed()
 	node.mu.Lock()
 	serving, dead := node.quota, node.dead
 	node.mu.Unlock()
@@ -224,12 +224,12 @@
 	if err == nil {
 		time.Sleep(token.Wait)
 	}
-	node.thaw()
+	node.waitUntilResumed()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case err == nil:
-		f.spent[tenant] = append(f.spent[tenant], time.Now())
+		f.ran[tenant] = append(f.ran[tenant], time.Now())
 	case errors.Is(err, quota.ErrLimitReached):
 		f.refused[tenant]++
 	default:
@@ -246,11 +246,11 @@
 }
 
 // most returns the most requests that ran within one window.
-func most(spent []time.Time) (count int) {
-	slices.SortFunc(spent, time.Time.Compare)
+func maxInWindow(ran []time.Time) (count int) {
+	slices.SortFunc(ran, time.Time.Compare)
 	first := 0
-	for last := range spent {
-		for spent[last].Sub(spent[first]) >= bounds.Window {
+	for last := range ran {
+		for ran[last].Sub(ran[first]) >= bounds.Window {
 			first++
 		}
 		count = max(count, last-first+1)
@@ -265,7 +265,7 @@
 
 // TestDemandBelowTheLimit: where all is well at most one in a thousand is refused, at any size and
 // however little a tenant sends from each node.
-func TestDemandBelowTheLimit(t *testing.T) {
+func TestDemandBelowLimit(t *testing.T) {
 	for _, size := range []int{1, 13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -276,10 +276,10 @@
 				for tenant, limit := range limits {
 					f.demand[tenant] = limit.Rate / 1.6
 				}
-				f.play(10 * time.Second)
+				f.generateLoad(10 * time.Second)
 				f.stop()
 				for tenant := range limits {
-					g.Expect(f.unknown[tenant]+f.refused[tenant]).To(BeNumerically("<=", 1+len(f.spent[tenant])/1000), tenant)
+					g.Expect(f.unknown[tenant]+f.refused[tenant]).To(BeNumerically("<=", 1+len(f.ran[tenant])/1000), tenant)
 				}
 			})
 		})
@@ -288,7 +288,7 @@
 
 // TestDemandAboveTheLimit: no window holds more than the limit allows, and 0.95 of the rate is
 // used, whatever the limit's burst.
-func TestDemandAboveTheLimit(t *testing.T) {
+func TestDemandAboveLimit(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -299,11 +299,11 @@
 				for tenant, limit := range limits {
 					f.demand[tenant] = limit.Rate * 5
 				}
-				f.play(15 * time.Second)
+				f.generateLoad(15 * time.Second)
 				f.stop()
 				for tenant, limit := range limits {
-					g.Expect(most(f.spent[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
-					used := float64(len(f.spent[tenant])) / (limit.Rate * 15)
+					g.Expect(maxInWindow(f.ran[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
+					used := float64(len(f.ran[tenant])) / (limit.Rate * 15)
 					g.Expect(used).To(BeNumerically(">=", 0.95), tenant)
 				}
 			})
@@ -312,10 +312,10 @@
 }
 
 // trouble is one thing that goes wrong for a time.
-type trouble func(f *fleet, random *rand.Rand)
+type fault func(f *fleet, random *rand.Rand)
 
 // troubles are drawn by TestNeverAboveTheLimit.
-var troubles = map[string]trouble{
+var faults = map[string]fault{
 	"part cut off": func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for _, node := range f.nodes {
@@ -348,15 +348,15 @@
 		f.mu.Unlock()
 	},
 	"some end and start anew": func(f *fleet, random *rand.Rand) {
-		var ended []*member
+		var killed []*member
 		for _, node := range f.nodes {
 			if random.IntN(3) == 0 {
 				f.kill(node)
-				ended = append(ended, node)
+				killed = append(killed, node)
 			}
 		}
 		time.Sleep(time.Duration(50+random.IntN(2000)) * time.Millisecond)
-		for _, node := range ended {
+		for _, node := range killed {
 			f.start(node)
 		}
 	},
@@ -374,7 +374,7 @@
 		for _, node := range f.nodes {
 			if random.IntN(4) == 0 {
 				node.mu.Lock()
-				node.frozen = until
+				node.suspendedUntil = until
 				node.mu.Unlock()
 			}
 		}
@@ -383,17 +383,17 @@
 }
 
 // neverSeeds is how many plays there are.
-const neverSeeds = 6
+const faultSeeds = 6
 
 // TestNeverAboveTheLimit whatever goes wrong, several things at a time: no window holds more
 // than the limit allows, the machines that are cut off, suspended or just started included.
-func TestNeverAboveTheLimit(t *testing.T) {
-	names := make([]string, 0, len(troubles))
-	for name := range troubles {
+func TestLimitHoldsUnderFaults(t *testing.T) {
+	names := make([]string, 0, len(faults))
+	for name := range faults {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for seed := range uint64(neverSeeds) {
+	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -409,15 +409,15 @@
 					running.Go(func() {
 						for end := time.Now().Add(15 * time.Second); time.Now().Before(end); {
 							time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
-							troubles[names[random.IntN(len(names))]](f, random)
+							faults[names[random.IntN(len(names))]](f, random)
 						}
 					})
 				}
-				running.Go(func() { f.play(20 * time.Second) })
+				running.Go(func() { f.generateLoad(20 * time.Second) })
 				running.Wait()
 				f.stop()
 				for tenant, limit := range limits {
-					g.Expect(most(f.spent[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
+					g.Expect(maxInWindow(f.ran[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
 				}
 			})
 		})
@@ -425,7 +425,7 @@
 }
 
 // TestAfterACut the whole rate is used again within 2 s of its end.
-func TestAfterACut(t *testing.T) {
+func TestRateRecoversAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limits := map[string]quota.Limit{"t": {Rate: 100, Burst: 100}}
@@ -444,10 +444,10 @@
 			f.mu.Unlock()
 		}()
 		began := time.Now()
-		f.play(12 * time.Second)
+		f.generateLoad(12 * time.Second)
 		f.stop()
 		after := 0
-		for _, at := range f.spent["t"] {
+		for _, at := range f.ran["t"] {
 			if since := at.Sub(began); since >= 7*time.Second && since < 12*time.Second {
 				after++
 			}
@@ -457,7 +457,7 @@
 }
 
 // TestALowerLimit binds one window after it came.
-func TestALowerLimit(t *testing.T) {
+func TestLoweredLimitAppliesAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(t, 6, 30, map[string]quota.Limit{"t": {Rate: 200, Burst: 200}})
@@ -472,21 +472,21 @@
 			f.mu.Unlock()
 			lowered = time.Now()
 		}()
-		f.play(15 * time.Second)
+		f.generateLoad(15 * time.Second)
 		f.stop()
 		var after []time.Time
-		for _, at := range f.spent["t"] {
+		for _, at := range f.ran["t"] {
 			if at.Sub(lowered) >= bounds.Window {
 				after = append(after, at)
 			}
 		}
-		g.Expect(most(after)).To(BeNumerically("<=", allowed(lower)))
+		g.Expect(maxInWindow(after)).To(BeNumerically("<=", allowed(lower)))
 		g.Expect(float64(len(after))).To(BeNumerically(">", 0.8*lower.Rate*(15-3-bounds.Window.Seconds())))
 	})
 }
 
 // TestAGranterThatStops hands its tenants over without a time in which all are refused.
-func TestAGranterThatStops(t *testing.T) {
+func TestGranterShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limits := map[string]quota.Limit{}
@@ -501,26 +501,26 @@
 		granters := lending.SelectGranters(f.members.View(), func(*roster.Record) bool { return true })
 		go func() {
 			time.Sleep(2 * time.Second)
-			stops := f.named(granters[0].Node)
-			stops.quota.Close()
-			leaving := *f.members.View().Record(stops.name)
+			stopping := f.nodeNamed(granters[0].Node)
+			stopping.quota.Close()
+			leaving := *f.members.View().Record(stopping.name)
 			leaving.Leaving, leaving.Counter = true, 2
 			f.members.Merge([]*roster.Record{&leaving})
 		}()
-		f.play(6 * time.Second)
+		f.generateLoad(6 * time.Second)
 		f.stop()
-		refused, ran := 0, 0
+		refused, served := 0, 0
 		for tenant := range limits {
 			refused += f.refused[tenant] + f.unknown[tenant]
-			ran += len(f.spent[tenant])
+			served += len(f.ran[tenant])
 		}
-		g.Expect(float64(refused) / float64(ran)).To(BeNumerically("<", 0.03))
+		g.Expect(float64(refused) / float64(served)).To(BeNumerically("<", 0.03))
 	})
 }
 
 // TestSharesOfAll: the shares that a fleet counts with add up to the whole, and so do the whole
 // tokens that its nodes can save up alone.
-func TestSharesOfAll(t *testing.T) {
+func TestSharesAddUpToLimit(t *testing.T) {
 	for _, members := range []int{1, 13, 88, 1000} {
 		g := NewWithT(t)
 		limit := quota.Limit{Rate: 30, Burst: 30}
@@ -543,25 +543,25 @@
 
 // TestManyAtOnceAtOneNode: of requests that come to one node at the same moment each has a token or is
 // told that the limit is reached; for none nobody is there to grant.
-func TestManyAtOnceAtOneNode(t *testing.T) {
+func TestConcurrentRequestsAtOneNode(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newFleet(t, uint64(size), size, map[string]quota.Limit{"large": {Rate: 300, Burst: 30}})
 			time.Sleep(4 * time.Second)
 			f.demand["large"] = 200
-			var crowds sync.WaitGroup
+			var requests sync.WaitGroup
 			for range 20 {
 				for range 60 {
-					crowds.Go(func() { f.request(f.nodes[1], "large") })
+					requests.Go(func() { f.request(f.nodes[1], "large") })
 				}
-				f.play(250 * time.Millisecond)
+				f.generateLoad(250 * time.Millisecond)
 			}
-			crowds.Wait()
+			requests.Wait()
 			f.stop()
 			g.Expect(f.unknown["large"]).To(BeZero())
-			g.Expect(len(f.spent["large"])).To(BeNumerically(">", 1000))
-			g.Expect(most(f.spent["large"])).To(BeNumerically("<=", allowed(f.limits["large"])))
+			g.Expect(len(f.ran["large"])).To(BeNumerically(">", 1000))
+			g.Expect(maxInWindow(f.ran["large"])).To(BeNumerically("<=", allowed(f.limits["large"])))
 		})
 	}
 }
@@ -577,10 +577,10 @@
 		f.loss = 0.05
 		f.mu.Unlock()
 		f.demand["small"] = 8
-		f.play(60 * time.Second)
+		f.generateLoad(60 * time.Second)
 		f.stop()
-		g.Expect(f.unknown["small"]).To(BeNumerically("<=", len(f.spent["small"])/50))
-		g.Expect(most(f.spent["small"])).To(BeNumerically("<=", allowed(f.limits["small"])))
-		t.Logf("spent %d, unknown %d, refused %d", len(f.spent["small"]), f.unknown["small"], f.refused["small"])
+		g.Expect(f.unknown["small"]).To(BeNumerically("<=", len(f.ran["small"])/50))
+		g.Expect(maxInWindow(f.ran["small"])).To(BeNumerically("<=", allowed(f.limits["small"])))
+		t.Logf("spent %d, unknown %d, refused %d", len(f.ran["small"]), f.unknown["small"], f.refused["small"])
 	})
 }
--- a/internal/sidecar/repeats/budget_test.go
+++ b/internal/sidecar/repeats/budget_test.go
@@ -29,7 +29,7 @@
 				now = now.Add(100 * time.Millisecond)
 				for node := range budgets {
 					for range load.requests {
-						budgets[node].first(limits, load.nodes, now)
+						budgets[node].recordRequest(limits, load.nodes, now)
 					}
 					for budgets[node].take(limits, load.nodes, now) {
 						taken[step]++
@@ -37,18 +37,18 @@
 				}
 			}
 			const window = 100
-			inWindow, most := 0, 0
+			inWindow, maxInWindow := 0, 0
 			for step := range steps {
 				inWindow += taken[step]
 				if step >= window {
 					inWindow -= taken[step-window]
 				}
-				most = max(most, inWindow)
+				maxInWindow = max(maxInWindow, inWindow)
 			}
 			allowed := limits.Ratio*float64(load.nodes*load.requests*window) + limits.Slack
-			g.Expect(float64(most)).To(BeNumerically("<=", allowed))
+			g.Expect(float64(maxInWindow)).To(BeNumerically("<=", allowed))
 			if load.requests > 0 {
-				g.Expect(most).To(BeNumerically(">", 0))
+				g.Expect(maxInWindow).To(BeNumerically(">", 0))
 			}
 		})
 	}
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -40,12 +40,12 @@
 
 // member is one node. A restart replaces its repeats.
 type member struct {
-	name   string
-	mu     sync.Mutex // guards all below
-	held   *repeats.Repeats
-	end    context.CancelFunc
-	frozen time.Time
-	lost   map[string]time.Time
+	name           string
+	mu             sync.Mutex // guards all below
+	held           *repeats.Repeats
+	end            context.CancelFunc
+	suspendedUntil time.Time
+	lost           map[string]time.Time
 }
 
 func newFleet(seed uint64, size int) *fleet {
@@ -85,8 +85,8 @@
 		},
 		Limits:   func() repeats.Limits { return limits },
 		Services: func() []string { return []string{"s"} }, Exists: func(string) bool { return true },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
-			return f.send(ctx, node, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error) {
+			return f.send(ctx, node, to, request)
 		},
 		PeerUnreachable: func(name string) {
 			node.mu.Lock()
@@ -108,9 +108,9 @@
 }
 
 // alive returns the node's repeats once it is not suspended, nil when it has ended.
-func (m *member) alive() *repeats.Repeats {
+func (m *member) waitUntilResumed() *repeats.Repeats {
 	m.mu.Lock()
-	wait := time.Until(m.frozen)
+	wait := time.Until(m.suspendedUntil)
 	m.mu.Unlock()
 	time.Sleep(max(wait, 0))
 	m.mu.Lock()
@@ -128,8 +128,8 @@
 	return arrives
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Request) (*lending.Response, error) {
-	if err := asked.Validate(); err != nil {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.Request) (*lending.Response, error) {
+	if err := request.Validate(); err != nil {
 		return nil, err
 	}
 	other := f.nodes[slices.IndexFunc(f.nodes, func(node *member) bool { return node.name == to.Node })]
@@ -137,49 +137,49 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	serving := other.alive()
+	serving := other.waitUntilResumed()
 	if serving == nil {
 		return nil, fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
 	}
-	answer := serving.Serve(asked)
+	answer := serving.Serve(request)
 	if !f.reaches(to.Node, from.name) || ctx.Err() != nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	from.alive()
+	from.waitUntilResumed()
 	return answer, nil
 }
 
 // load says which requests come: how many a second, and what part of those at each node is to be
 // sent again.
 type load struct {
-	rate  func(since time.Duration) float64
-	again func(node int) float64
+	rate           func(since time.Duration) float64
+	repeatFraction func(node int) float64
 	// nested is the part of the requests that repeated runs make.
 	nested float64
 }
 
 // play has requests come until the time is over.
-func (f *fleet) play(lasts time.Duration, load load) {
+func (f *fleet) generateLoad(duration time.Duration, load load) {
 	began := time.Now()
 	var running sync.WaitGroup
-	for time.Since(began) < lasts {
+	for time.Since(began) < duration {
 		f.mu.Lock()
 		gap := time.Duration(f.random.ExpFloat64() / load.rate(time.Since(began)) * float64(time.Second))
 		number := f.random.IntN(len(f.nodes))
-		again := f.random.Float64() < load.again(number)
+		repeatFraction := f.random.Float64() < load.repeatFraction(number)
 		nested := f.random.Float64() < load.nested
 		f.mu.Unlock()
 		time.Sleep(min(gap, 100*time.Millisecond))
 		if gap <= 100*time.Millisecond {
-			running.Go(func() { f.request(f.nodes[number], again, nested) })
+			running.Go(func() { f.request(f.nodes[number], repeatFraction, nested) })
 		}
 	}
 	running.Wait()
 }
 
-func (f *fleet) request(node *member, again, nested bool) {
-	held := node.alive()
+func (f *fleet) request(node *member, repeatFraction, nested bool) {
+	held := node.waitUntilResumed()
 	if held == nil {
 		return
 	}
@@ -194,8 +194,8 @@
 		f.note(&f.repeated, begun)
 	}
 	held.RecordResult("s", true) // how many are accepted is of no account here
-	if again && held.Take("s", repeats.Request{Nested: true}) {
-		node.alive()
+	if repeatFraction && held.Take("s", repeats.Request{Nested: true}) {
+		node.waitUntilResumed()
 		f.note(&f.repeated, time.Now())
 	}
 }
@@ -245,7 +245,7 @@
 // TestTheAllowanceWhereItIsNeeded: at least 0.8 of it is used, and no window holds more, when all
 // that is to be sent again is at a few nodes of many, or at all of them. Where a node has fewer than
 // two requests a second to send again, a token often expires before there is one: 0.5.
-func TestTheAllowanceWhereItIsNeeded(t *testing.T) {
+func TestAllowanceIsUsedWhereNeeded(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
 		rate, least    float64
@@ -255,9 +255,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(uint64(held.nodes), held.nodes)
-				f.play(30*time.Second, load{
+				f.generateLoad(30*time.Second, load{
 					rate: func(time.Duration) float64 { return held.rate },
-					again: func(node int) float64 {
+					repeatFraction: func(node int) float64 {
 						if node >= held.needing {
 							return 0
 						}
@@ -288,10 +288,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(3, held.nodes)
-				f.play(40*time.Second, load{
-					rate:   func(time.Duration) float64 { return 1000 },
-					again:  func(node int) float64 { return map[bool]float64{true: 0.5}[node < held.needing] },
-					nested: held.nested,
+				f.generateLoad(40*time.Second, load{
+					rate:           func(time.Duration) float64 { return 1000 },
+					repeatFraction: func(node int) float64 { return map[bool]float64{true: 0.5}[node < held.needing] },
+					nested:         held.nested,
 				})
 				f.stop()
 				t.Logf("%.0f below the bound", -f.excess())
@@ -302,20 +302,20 @@
 }
 
 // TestASwitchAfterABurst: what nodes spent of their even shares right before shares are lent counts.
-func TestASwitchAfterABurst(t *testing.T) {
+func TestLendingEnabledAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(4, 13)
 		f.on.Store(false)
 		time.AfterFunc(24*time.Second, func() { f.on.Store(true) })
-		f.play(40*time.Second, load{
+		f.generateLoad(40*time.Second, load{
 			rate: func(since time.Duration) float64 {
 				if since < 23*time.Second {
 					return 20
 				}
 				return 1000
 			},
-			again: func(int) float64 { return 1 },
+			repeatFraction: func(int) float64 { return 1 },
 		})
 		f.stop()
 		t.Logf("%.0f below the bound", -f.excess())
@@ -324,10 +324,10 @@
 }
 
 // trouble is one thing that goes wrong for a time.
-type trouble func(f *fleet, random *rand.Rand)
+type fault func(f *fleet, random *rand.Rand)
 
 // cut has nodes in so many groups for a time.
-func cut(groups int) trouble {
+func partition(groups int) fault {
 	return func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for _, node := range f.nodes {
@@ -342,24 +342,24 @@
 }
 
 // ended has one node of so many end and start anew.
-func ended(oneOf int) trouble {
+func restart(oneOf int) fault {
 	return func(f *fleet, random *rand.Rand) {
-		var gone []*member
+		var killed []*member
 		for _, node := range f.nodes {
 			if random.IntN(oneOf) == 0 {
 				f.kill(node)
-				gone = append(gone, node)
+				killed = append(killed, node)
 			}
 		}
 		time.Sleep(time.Duration(50+random.IntN(2000)) * time.Millisecond)
-		for _, node := range gone {
+		for _, node := range killed {
 			f.start(node)
 		}
 	}
 }
 
-var troubles = []trouble{
-	cut(2), cut(3), cut(1000), ended(3), ended(1),
+var faults = []fault{
+	partition(2), partition(3), partition(1000), restart(3), restart(1),
 	func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		f.loss = 0.3
@@ -374,7 +374,7 @@
 		for _, node := range f.nodes {
 			if random.IntN(4) == 0 {
 				node.mu.Lock()
-				node.frozen = until
+				node.suspendedUntil = until
 				node.mu.Unlock()
 			}
 		}
@@ -390,16 +390,16 @@
 // TestNeverMoreThanAllowed whatever goes wrong, two things at a time, while the requests come
 // unevenly: no window holds more than is allowed. The second half of the seeds has calls of
 // repeated runs in place of the switch, without which nobody pays for those.
-func TestNeverMoreThanAllowed(t *testing.T) {
+func TestAllowanceHoldsUnderFaults(t *testing.T) {
 	const seeds = uint64(12)
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(seed, []int{13, 30, 88}[seed%3])
-				played, nested := troubles, 0.0
+				played, nested := faults, 0.0
 				if seed >= seeds/2 {
-					played, nested = troubles[:len(troubles)-1], 0.12
+					played, nested = faults[:len(faults)-1], 0.12
 				}
 				var running sync.WaitGroup
 				for side := range uint64(2) {
@@ -411,15 +411,15 @@
 						}
 					})
 				}
-				f.play(50*time.Second, load{
+				f.generateLoad(50*time.Second, load{
 					rate: func(since time.Duration) float64 {
 						if since%(7*time.Second) < 2*time.Second {
 							return 1500
 						}
 						return 200
 					},
-					again:  func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
-					nested: nested,
+					repeatFraction: func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
+					nested:         nested,
 				})
 				running.Wait()
 				f.stop()
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -36,11 +36,11 @@
 const (
 	// ahead is for how long a lot is to last: longer, and more of it expires unspent; shorter,
 	// and there are more questions.
-	ahead = 200 * time.Millisecond
+	prefetchTime = 200 * time.Millisecond
 	// askedLow is for how long what is held is to last when a lot is asked for.
-	askedLow = 50 * time.Millisecond
+	lowWaterMark = 50 * time.Millisecond
 	// askPause is how long no granter is asked after one did not answer.
-	askPause = 100 * time.Millisecond
+	requestPause = 100 * time.Millisecond
 )
 
 // Options configure repeats.
@@ -50,7 +50,7 @@
 	View            func() *roster.View
 	Usable          readers.Reachable
 	MembershipKnown func() bool
-	Send            func(ctx context.Context, to *roster.Record, asked *lending.Request) (*lending.Response, error)
+	Send            func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error)
 	PeerUnreachable func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
@@ -67,24 +67,24 @@
 type Repeats struct {
 	*carrier.Carrier
 	options Options
-	// services holds *service by name.
+	// services holds *serviceState by name.
 	services sync.Map
 	results  *prometheus.CounterVec
 }
 
 // service is what the node knows of one service.
-type service struct {
+type serviceState struct {
 	budget     budget
 	acceptance acceptance
 	// asking: a granter is being asked.
-	asking atomic.Bool
+	requesting atomic.Bool
 
 	// calledFor are the repeats that were called for of late.
-	calledFor calls
+	nestedDemand demandCounter
 
 	mu sync.Mutex // guards all below
 	// askAfter is until when no granter is asked.
-	askAfter time.Time
+	requestAfter time.Time
 }
 
 // New returns repeats whose shares are lent once Run is called.
@@ -92,7 +92,7 @@
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
-		Terms: created.terms, Accounts: created.accounts, Prefetch: ahead,
+		Terms: created.terms, Accounts: created.accounts, Prefetch: prefetchTime,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -124,42 +124,42 @@
 
 // RecordRequest notes a request for a service, which earns a part of a repeat. repeated is how likely it
 // is that a repeated run makes it, so that it is a repeat itself.
-func (r *Repeats) RecordRequest(name string, repeated float64) {
+func (r *Repeats) RecordRequest(name string, repeatProbability float64) {
 	now, limits := clock.Now(), r.options.Limits()
-	held := r.of(name)
+	state := r.serviceFor(name)
 	terms, lent := r.Terms(name)
 	if !lent {
-		held.budget.first(limits, r.options.View().LiveCount(), now)
+		state.budget.recordRequest(limits, r.options.View().LiveCount(), now)
 		return
 	}
-	r.carryOver(name, held, limits, terms, now)
-	r.Holder().Earn(name, limits.earned(), terms, now)
-	if repeated > 0 {
-		r.Holder().AddDebt(name, repeated, now)
-		r.refill(name, held, now)
+	r.transferDebt(name, state, limits, terms, now)
+	r.Holder().Earn(name, limits.earnedPerRequest(), terms, now)
+	if repeatProbability > 0 {
+		r.Holder().AddDebt(name, repeatProbability, now)
+		r.refill(name, state, now)
 	}
 }
 
 // Take spends one repeat at a service and reports whether there was one. It never waits.
 func (r *Repeats) Take(name string, request Request) bool {
 	now, limits := clock.Now(), r.options.Limits()
-	held := r.of(name)
+	state := r.serviceFor(name)
 	terms, lent := r.Terms(name)
 	if !lent {
-		if !held.budget.take(limits, r.options.View().LiveCount(), now) {
-			return r.counted("spent", false)
+		if !state.budget.take(limits, r.options.View().LiveCount(), now) {
+			return r.count("spent", false)
 		}
-		return r.counted("even", true)
+		return r.count("even", true)
 	}
-	r.carryOver(name, held, limits, terms, now)
-	worth := request.worth(held.acceptance.share(now))
-	if worth < leastWorth {
-		return r.counted("futile", false)
+	r.transferDebt(name, state, limits, terms, now)
+	expectedValue := request.expectedValue(state.acceptance.acceptedFraction(now))
+	if expectedValue < minExpectedValue {
+		return r.count("futile", false)
 	}
 	r.Holder().RecordDemand(name, now)
-	defer r.refill(name, held, now)
-	if kept := held.calledFor.add(request, now); !spends(r.Holder().Available(name, terms, now), kept) {
-		return r.counted("spent", false)
+	defer r.refill(name, state, now)
+	if reserve := state.nestedDemand.add(request, now); !mayTake(r.Holder().Available(name, terms, now), reserve) {
+		return r.count("spent", false)
 	}
 	return r.spend(name, terms, now)
 }
@@ -167,40 +167,40 @@
 // spend takes the token of a repeat from where there is one.
 func (r *Repeats) spend(name string, terms lending.Terms, now time.Time) bool {
 	if r.MembershipKnown() && !r.Holder().RepayDebt(name, terms, now) {
-		return r.counted("spent", false)
+		return r.count("spent", false)
 	}
 	if r.Holder().TakeDue(name, now) {
-		return r.counted("granted", true)
+		return r.count("granted", true)
 	}
 	if r.Holder().TakeEarned(name, terms, now) {
-		return r.counted("earned", true)
+		return r.count("earned", true)
 	}
 	if !r.MembershipKnown() {
-		return r.counted("spent", false)
+		return r.count("spent", false)
 	}
 	if _, found := r.Holder().TakeOwnShare(name, terms, now); found {
-		return r.counted("own", true)
+		return r.count("own", true)
 	}
-	return r.counted("spent", false)
+	return r.count("spent", false)
 }
 
 // RecordResult takes in whether a back end of the service accepted a request that reached it.
 func (r *Repeats) RecordResult(name string, accepted bool) {
 	if r.options.On() {
-		r.of(name).acceptance.add(accepted, clock.Now())
+		r.serviceFor(name).acceptance.add(accepted, clock.Now())
 	}
 }
 
 // RemainingByService returns how many repeats the node holds by service, of those that there are.
 func (r *Repeats) RemainingByService() map[string]float64 {
-	left := map[string]float64{}
+	remaining := map[string]float64{}
 	r.services.Range(func(name, _ any) bool {
 		if r.options.Exists(name.(string)) {
-			left[name.(string)] = r.Remaining(name.(string))
+			remaining[name.(string)] = r.Remaining(name.(string))
 		}
 		return true
 	})
-	return left
+	return remaining
 }
 
 // Remaining returns how many repeats the node holds at one service.
@@ -208,59 +208,59 @@
 	if terms, lent := r.Terms(name); lent {
 		return r.Holder().Available(name, terms, clock.Now())
 	}
-	return r.of(name).budget.left()
+	return r.serviceFor(name).budget.remaining()
 }
 
-func (r *Repeats) counted(result string, taken bool) bool {
+func (r *Repeats) count(result string, taken bool) bool {
 	r.results.WithLabelValues(result).Inc()
 	return taken
 }
 
 // of returns what is known of a service.
-func (r *Repeats) of(name string) *service {
-	if held, found := r.services.Load(name); found {
-		return held.(*service)
+func (r *Repeats) serviceFor(name string) *serviceState {
+	if state, found := r.services.Load(name); found {
+		return state.(*serviceState)
 	}
-	held, _ := r.services.LoadOrStore(name, &service{})
-	return held.(*service)
+	state, _ := r.services.LoadOrStore(name, &serviceState{})
+	return state.(*serviceState)
 }
 
 // carryOver turns what the node has overspent of its even share into a debt of the account, once
 // after lending begins.
-func (r *Repeats) carryOver(name string, held *service, limits Limits, terms lending.Terms, now time.Time) {
-	if lacking := held.budget.drain(limits, terms.Members, now); lacking > 0 {
-		r.Holder().AddDebt(name, lacking, now)
+func (r *Repeats) transferDebt(name string, state *serviceState, limits Limits, terms lending.Terms, now time.Time) {
+	if deficit := state.budget.drain(limits, terms.Members, now); deficit > 0 {
+		r.Holder().AddDebt(name, deficit, now)
 	}
 }
 
 // pause has no granter asked for some time.
-func (s *service) pause(now time.Time) {
+func (s *serviceState) pauseRequests(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.askAfter = now.Add(askPause)
+	s.requestAfter = now.Add(requestPause)
 }
 
 // mayAsk reports whether a granter may be asked again.
-func (s *service) mayAsk(now time.Time) bool {
+func (s *serviceState) mayRequest(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !now.Before(s.askAfter)
+	return !now.Before(s.requestAfter)
 }
 
 // refill asks the granter for a lot when what is held is low.
-func (r *Repeats) refill(name string, held *service, now time.Time) {
-	if !held.mayAsk(now) || !r.Holder().NeedsRefill(name, askedLow, now) || !held.asking.CompareAndSwap(false, true) {
+func (r *Repeats) refill(name string, state *serviceState, now time.Time) {
+	if !state.mayRequest(now) || !r.Holder().NeedsRefill(name, lowWaterMark, now) || !state.requesting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer held.asking.Store(false)
+		defer state.requesting.Store(false)
 		var err error
 		fault := contain.Run("repeats", r.options.Logger, func() { err = r.RequestTokens(context.Background(), name) })
 		if err == nil {
 			err = fault
 		}
 		if err != nil {
-			held.pause(clock.Now())
+			state.pauseRequests(clock.Now())
 			r.options.Logger.Info("no repeats granted", zap.String("service", name), zap.Error(err))
 		}
 	}()
--- a/internal/sidecar/repeats/terms.go
+++ b/internal/sidecar/repeats/terms.go
@@ -22,12 +22,12 @@
 // messages on their way, and calls of repeated runs until they are paid for.
 const (
 	// flowShare flows in.
-	flowShare = 0.82
+	inflowFraction = 0.82
 	// keptShare can be saved up at the nodes that earn it, and once more as surplus that waits
 	// to be passed on; lentShare at the granter. A token that was given out counts with the
 	// granter's for as long as it may be spent.
-	keptShare = 0.04
-	lentShare = 0.07
+	localFraction   = 0.04
+	granterFraction = 0.07
 )
 
 // Terms returns how the allowance of a service is lent among so many nodes.
@@ -36,11 +36,11 @@
 		return lending.Terms{Members: members}
 	}
 	return lending.Terms{
-		Rate:  l.Slack * flowShare / l.Window.Seconds(),
-		Depth: l.Slack * lentShare, Window: l.Window, Members: members,
-		EarnedDepth: lentShare / flowShare, LocalEarnedDepth: keptShare / flowShare,
+		Rate:  l.Slack * inflowFraction / l.Window.Seconds(),
+		Depth: l.Slack * granterFraction, Window: l.Window, Members: members,
+		EarnedDepth: granterFraction / inflowFraction, LocalEarnedDepth: localFraction / inflowFraction,
 	}
 }
 
 // earned is what one request earns.
-func (l Limits) earned() float64 { return l.Ratio * flowShare }
+func (l Limits) earnedPerRequest() float64 { return l.Ratio * inflowFraction }
