--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -93,7 +93,7 @@
 
 // Granter is a node as the granter of others.
 type Granter interface {
-	Serve(*lending.Request) *lending.Response
+	Serve(*lending.GrantRequest) *lending.Response
 }
 
 const (
--- a/internal/sidecar/exchange/lending.go
+++ b/internal/sidecar/exchange/lending.go
@@ -15,16 +15,16 @@
 )
 
 // AskQuota sends a node's question about tenants' limits to a peer.
-func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.Request) (*lending.Response, error) {
+func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.GrantRequest) (*lending.Response, error) {
 	return e.askGranter(ctx, peer, pathQuota, asked)
 }
 
 // AskRepeats sends a node's question about repeats to a peer.
-func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.Request) (*lending.Response, error) {
+func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.GrantRequest) (*lending.Response, error) {
 	return e.askGranter(ctx, peer, pathRepeats, asked)
 }
 
-func (e *Exchanger) askGranter(ctx context.Context, peer *roster.Record, path string, asked *lending.Request) (*lending.Response, error) {
+func (e *Exchanger) askGranter(ctx context.Context, peer *roster.Record, path string, asked *lending.GrantRequest) (*lending.Response, error) {
 	resp, err := e.send(ctx, peer, path, asked)
 	if status := statusError(0); errors.As(err, &status) && status == http.StatusNotFound {
 		// A node of the version before lends nothing, and is there all the same.
@@ -45,7 +45,7 @@
 func serveGranter(lender Granter) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, messageBytes)
-		asked := &lending.Request{}
+		asked := &lending.GrantRequest{}
 		err := request.ReadEntity(asked)
 		if err == nil {
 			err = asked.Validate()
--- a/internal/sidecar/exchange/lending_test.go
+++ b/internal/sidecar/exchange/lending_test.go
@@ -14,7 +14,7 @@
 func TestAPeerThatLendsNothing(t *testing.T) {
 	g := NewWithT(t)
 	asking, before := newMember(t, "asking"), newMember(t, "before")
-	answer, err := asking.exchanger.AskRepeats(context.Background(), before.record, &lending.Request{From: "asking"})
+	answer, err := asking.exchanger.AskRepeats(context.Background(), before.record, &lending.GrantRequest{From: "asking"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.Closed).To(BeTrue())
 }
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -54,7 +54,7 @@
 	// Prefetch is for how long the tokens that are asked for at once are to last.
 	Prefetch time.Duration
 	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, request *lending.Request) (*lending.Response, error)
+	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error)
 	// PeerUnreachable is told of a node that did not answer.
 	PeerUnreachable func(node string)
 	Logger          *zap.Logger
@@ -117,7 +117,7 @@
 	}
 	now := clock.Now()
 	wants := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Prefetch, now)}}
-	request := &lending.Request{From: c.options.Node, Wants: wants}
+	request := &lending.GrantRequest{From: c.options.Node, Wants: wants}
 	if c.holder.Lend(account, granter.Node, terms, now) {
 		request.Lends = []string{account}
 	}
@@ -137,7 +137,7 @@
 
 // send asks a granter, which may be the node itself. One that is not there, or closed, does not
 // count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, request *lending.Request) (*lending.Response, error) {
+func (c *Carrier) send(granter *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
 	if granter.Node == c.options.Node {
 		return c.Serve(request), nil
 	}
@@ -161,7 +161,7 @@
 }
 
 // Serve answers another node, or the own one.
-func (c *Carrier) Serve(request *lending.Request) *lending.Response {
+func (c *Carrier) Serve(request *lending.GrantRequest) *lending.Response {
 	if c.closed.Load() {
 		return &lending.Response{Closed: true}
 	}
@@ -221,14 +221,14 @@
 	c.holder.Retain(exists, clock.Now())
 	c.granter.Retain(exists)
 	accounts, granters := c.options.Accounts(), c.granters()
-	c.sendAll(c.releaseRequests(accounts, granters), func(granter string, request *lending.Request) {
+	c.sendAll(c.releaseRequests(accounts, granters), func(granter string, request *lending.GrantRequest) {
 		c.holder.ConfirmRelease(granter, request.Releases, clock.Now())
 	})
-	c.sendAll(c.leaseRequests(accounts, granters), func(string, *lending.Request) {})
+	c.sendAll(c.leaseRequests(accounts, granters), func(string, *lending.GrantRequest) {})
 }
 
 // releases returns what the node asks back, by whom it asks.
-func (c *Carrier) releaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.Request {
+func (c *Carrier) releaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
 	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
@@ -244,7 +244,7 @@
 }
 
 // lends returns what the node lends and passes on, by whom it goes to.
-func (c *Carrier) leaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.Request {
+func (c *Carrier) leaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
 	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
@@ -273,18 +273,18 @@
 }
 
 // asks are messages by the node that they go to.
-type requestsByNode map[string]*lending.Request
+type requestsByNode map[string]*lending.GrantRequest
 
 // to returns the message to a node.
-func (a requestsByNode) to(node, from string) *lending.Request {
+func (a requestsByNode) to(node, from string) *lending.GrantRequest {
 	if a[node] == nil {
-		a[node] = &lending.Request{From: from}
+		a[node] = &lending.GrantRequest{From: from}
 	}
 	return a[node]
 }
 
 // sendAll sends one message to each of the nodes and tells of those that were answered.
-func (c *Carrier) sendAll(requests map[string]*lending.Request, onSuccess func(node string, request *lending.Request)) {
+func (c *Carrier) sendAll(requests map[string]*lending.GrantRequest, onSuccess func(node string, request *lending.GrantRequest)) {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentSends)
 	for node, request := range requests {
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -146,7 +146,7 @@
 
 func TestValidateRejectsInvalidDeposits(t *testing.T) {
 	g := NewWithT(t)
-	request := &lending.Request{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
+	request := &lending.GrantRequest{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
 	g.Expect(request.Validate()).To(Succeed())
 	for _, tokens := range []float64{1e9, -1} {
 		request.Deposits[0].Tokens = tokens
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -2,8 +2,8 @@
 
 import "github.com/gravitational/trace"
 
-// Request is what a node sends to a granter.
-type Request struct {
+// GrantRequest is what a node sends to a granter.
+type GrantRequest struct {
 	// From is the node.
 	From string `json:"from"`
 	// Lends are the accounts whose share the node lends from now on for a lease.
@@ -56,7 +56,7 @@
 )
 
 // Validate names the field of a message that no node sends so, and why.
-func (a *Request) Validate() error {
+func (a *GrantRequest) Validate() error {
 	switch {
 	case a.From == "":
 		return trace.BadParameter("from: is empty")
