--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -93,7 +93,7 @@
 
 // Granter is a node as the granter of others.
 type Granter interface {
-	Serve(*lending.GrantRequest) *lending.Response
+	Serve(*lending.GrantRequest) *lending.GrantResponse
 }
 
 const (
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -54,7 +54,7 @@
 	// Prefetch is for how long the tokens that are asked for at once are to last.
 	Prefetch time.Duration
 	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error)
+	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	// PeerUnreachable is told of a node that did not answer.
 	PeerUnreachable func(node string)
 	Logger          *zap.Logger
@@ -137,7 +137,7 @@
 
 // send asks a granter, which may be the node itself. One that is not there, or closed, does not
 // count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
+func (c *Carrier) send(granter *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 	if granter.Node == c.options.Node {
 		return c.Serve(request), nil
 	}
@@ -161,9 +161,9 @@
 }
 
 // Serve answers another node, or the own one.
-func (c *Carrier) Serve(request *lending.GrantRequest) *lending.Response {
+func (c *Carrier) Serve(request *lending.GrantRequest) *lending.GrantResponse {
 	if c.closed.Load() {
-		return &lending.Response{Closed: true}
+		return &lending.GrantResponse{Closed: true}
 	}
 	now := clock.Now()
 	for _, account := range request.Releases {
@@ -181,7 +181,7 @@
 			c.granter.Deposit(deposit.Account, deposit.Tokens, terms, now)
 		}
 	}
-	answer := &lending.Response{}
+	answer := &lending.GrantResponse{}
 	for _, want := range request.Wants {
 		terms, exists := c.Terms(want.Account)
 		if !exists || !c.options.MembershipKnown() {
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -30,8 +30,8 @@
 	Tokens  float64 `json:"tokens"`
 }
 
-// Response has one grant for each want, in order.
-type Response struct {
+// GrantResponse has one grant for each want, in order.
+type GrantResponse struct {
 	// Closed: the node grants nothing any more, and what was lent to it is its owner's again.
 	Closed bool    `json:"closed,omitempty"`
 	Grants []Grant `json:"grants,omitempty"`
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -45,7 +45,7 @@
 	// Tenants returns those that have a limit.
 	Tenants         func() []string
 	Bounds          func() Bounds
-	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error)
+	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	PeerUnreachable func(node string)
 	Logger          *zap.Logger
 	Registry        prometheus.Registerer
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -100,7 +100,7 @@
 		},
 		Tenants: func() []string { return f.tenants },
 		Bounds:  func() quota.Bounds { return bounds },
-		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
+		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return f.send(ctx, node, to, request)
 		},
 		PeerUnreachable: func(name string) {
@@ -157,7 +157,7 @@
 	time.Sleep(delay)
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 	if err := request.Validate(); err != nil {
 		f.t.Error(err)
 	}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -35,7 +35,7 @@
 		},
 		Tenants: func() []string { return s.keeper.Table().LimitedTenantNames() },
 		Bounds:  func() quota.Bounds { return s.settings.Load().Quota },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.Response, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
 		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
@@ -57,7 +57,7 @@
 			return table != nil && table.Service(service) != nil
 		},
 		On: func() bool { return s.options.Settings.LendRepeats && s.contention.On() },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.Response, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
 		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -85,7 +85,7 @@
 		},
 		Limits:   func() repeats.Limits { return limits },
 		Services: func() []string { return []string{"s"} }, Exists: func(string) bool { return true },
-		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
+		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return f.send(ctx, node, to, request)
 		},
 		PeerUnreachable: func(name string) {
@@ -128,7 +128,7 @@
 	return arrives
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error) {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 	if err := request.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -50,7 +50,7 @@
 	View            func() *roster.View
 	Usable          readers.Reachable
 	MembershipKnown func() bool
-	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.Response, error)
+	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	PeerUnreachable func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
