--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -43,7 +43,7 @@
 	Node string
 	// View returns the other nodes, Usable whether one is believed to be there.
 	View   func() *roster.View
-	Usable readers.Reachable
+	Reachable readers.Reachable
 	// MembershipKnown reports whether the view holds about all nodes. One that has just started and takes
 	// itself for alone would take all shares for its own.
 	MembershipKnown func() bool
@@ -315,7 +315,7 @@
 	if cached := c.cachedGranters.Load(); cached != nil && cached.view == view && now.Sub(cached.at) < granterCacheTTL {
 		return cached.granters
 	}
-	next := &cachedGranters{granters: lending.SelectGranters(view, c.options.Usable), view: view, at: now}
+	next := &cachedGranters{granters: lending.SelectGranters(view, c.options.Reachable), view: view, at: now}
 	c.cachedGranters.Store(next)
 	c.holder.EndLeasesIf(func(granter string) bool {
 		// A node is closed before it says that it leaves.
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -63,7 +63,7 @@
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
+		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Usable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: options.Tenants, Prefetch: lending.TokenLifetime,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -91,7 +91,7 @@
 func New(options Options) *Repeats {
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "repeats", Node: options.Node, View: options.View, Usable: options.Usable, MembershipKnown: options.MembershipKnown,
+		Name: "repeats", Node: options.Node, View: options.View, Reachable: options.Usable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: created.accounts, Prefetch: prefetchTime,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
