--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -38,7 +38,7 @@
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Usable          readers.Reachable
+	Reachable          readers.Reachable
 	MembershipKnown func() bool
 	// Limit returns a tenant's limit in force; false when it has none.
 	Limit func(tenant string) (Limit, bool)
@@ -63,7 +63,7 @@
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Usable, MembershipKnown: options.MembershipKnown,
+		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: options.Tenants, Prefetch: lending.TokenLifetime,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -86,7 +86,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	created := quota.New(quota.Options{
 		Node: node.name, View: f.members.View,
-		Usable: func(record *roster.Record) bool {
+		Reachable: func(record *roster.Record) bool {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			return time.Since(node.lost[record.Node]) > time.Second
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -24,7 +24,7 @@
 	s.quota = quota.New(quota.Options{
 		Node:            s.options.Settings.Node,
 		View:            s.members.View,
-		Usable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		Reachable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
 		MembershipKnown: s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
