--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -48,7 +48,7 @@
 	s.repeats = repeats.New(repeats.Options{
 		Node:            s.options.Settings.Node,
 		View:            s.members.View,
-		Usable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
+		Reachable:          func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
 		MembershipKnown: s.knowsOthers,
 		Limits:          func() repeats.Limits { return s.settings.Load().Retries },
 		Services:        func() []string { return s.keeper.Table().ServiceNames() },
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -78,7 +78,7 @@
 	node.end = end
 	node.held = repeats.New(repeats.Options{
 		Node: node.name, View: f.members.View, MembershipKnown: func() bool { return true }, On: f.on.Load,
-		Usable: func(record *roster.Record) bool {
+		Reachable: func(record *roster.Record) bool {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			return time.Since(node.lost[record.Node]) > time.Second
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -48,7 +48,7 @@
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Usable          readers.Reachable
+	Reachable          readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	PeerUnreachable func(node string)
@@ -91,7 +91,7 @@
 func New(options Options) *Repeats {
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "repeats", Node: options.Node, View: options.View, Reachable: options.Usable, MembershipKnown: options.MembershipKnown,
+		Name: "repeats", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: created.accounts, Prefetch: prefetchTime,
 		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
 	})
