--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -42,7 +42,7 @@
 	// Node is the node's own name.
 	Node string
 	// View returns the other nodes, Usable whether one is believed to be there.
-	View   func() *roster.View
+	View      func() *roster.View
 	Reachable readers.Reachable
 	// MembershipKnown reports whether the view holds about all nodes. One that has just started and takes
 	// itself for alone would take all shares for its own.
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -38,7 +38,7 @@
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Reachable          readers.Reachable
+	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	// Limit returns a tenant's limit in force; false when it has none.
 	Limit func(tenant string) (Limit, bool)
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -48,7 +48,7 @@
 	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Reachable          readers.Reachable
+	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	PeerUnreachable func(node string)
