--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -55,8 +55,8 @@
 	Prefetch time.Duration
 	// Send asks another node.
 	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
-	// PeerUnreachable is told of a node that did not answer.
-	PeerUnreachable func(node string)
+	// MarkLost is told of a node that did not answer.
+	MarkLost func(node string)
 	Logger          *zap.Logger
 }
 
@@ -149,7 +149,7 @@
 		c.holder.EndLeases(granter.Node, clock.Now())
 		fallthrough
 	case err != nil:
-		c.options.PeerUnreachable(granter.Node)
+		c.options.MarkLost(granter.Node)
 		c.cachedGranters.Store(nil)
 		return nil, err
 	case answer.Closed:
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -65,7 +65,7 @@
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: options.Tenants, Prefetch: lending.TokenLifetime,
-		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
+		Send: options.Send, MarkLost: options.PeerUnreachable, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_quota_requests_total", Help: "Requests of tenants with a limit, by what became of them: granted, own, spent, unknown.",
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -93,7 +93,7 @@
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "repeats", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: created.accounts, Prefetch: prefetchTime,
-		Send: options.Send, PeerUnreachable: options.PeerUnreachable, Logger: options.Logger,
+		Send: options.Send, MarkLost: options.PeerUnreachable, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_repeats_total", Help: "Requests to be sent again, by what became of them: granted, earned, own, even, spent, futile.",
