--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -46,7 +46,7 @@
 	Tenants         func() []string
 	Bounds          func() Bounds
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
-	PeerUnreachable func(node string)
+	MarkLost func(node string)
 	Logger          *zap.Logger
 	Registry        prometheus.Registerer
 }
@@ -65,7 +65,7 @@
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: options.Tenants, Prefetch: lending.TokenLifetime,
-		Send: options.Send, MarkLost: options.PeerUnreachable, Logger: options.Logger,
+		Send: options.Send, MarkLost: options.MarkLost, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_quota_requests_total", Help: "Requests of tenants with a limit, by what became of them: granted, own, spent, unknown.",
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -38,7 +38,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
+		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
 		Logger:          s.logger,
 		Registry:        s.options.Registry,
 	})
