--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -60,7 +60,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		PeerUnreachable: func(node string) { s.exchanger.MarkLost(node) },
+		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
 		Logger:          s.logger,
 		Registry:        s.options.Registry,
 	})
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -88,7 +88,7 @@
 		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return f.send(ctx, node, to, request)
 		},
-		PeerUnreachable: func(name string) {
+		MarkLost: func(name string) {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			node.lost[name] = time.Now()
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -51,7 +51,7 @@
 	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
-	PeerUnreachable func(node string)
+	MarkLost func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
 	// Services returns those of the configuration in force, Exists whether one is among them.
@@ -93,7 +93,7 @@
 	created.Carrier = carrier.New(carrier.Options{
 		Name: "repeats", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
 		Terms: created.terms, Accounts: created.accounts, Prefetch: prefetchTime,
-		Send: options.Send, MarkLost: options.PeerUnreachable, Logger: options.Logger,
+		Send: options.Send, MarkLost: options.MarkLost, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_repeats_total", Help: "Requests to be sent again, by what became of them: granted, earned, own, even, spent, futile.",
