--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -57,7 +57,7 @@
 	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	// MarkLost is told of a node that did not answer.
 	MarkLost func(node string)
-	Logger          *zap.Logger
+	Logger   *zap.Logger
 }
 
 // Carrier is safe for concurrent use.
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -43,12 +43,12 @@
 	// Limit returns a tenant's limit in force; false when it has none.
 	Limit func(tenant string) (Limit, bool)
 	// Tenants returns those that have a limit.
-	Tenants         func() []string
-	Bounds          func() Bounds
-	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
+	Tenants  func() []string
+	Bounds   func() Bounds
+	Send     func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	MarkLost func(node string)
-	Logger          *zap.Logger
-	Registry        prometheus.Registerer
+	Logger   *zap.Logger
+	Registry prometheus.Registerer
 }
 
 // Quota keeps the limits on one node, for its own callers and as a granter of others. It is safe
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -39,8 +39,8 @@
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
 		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
-		Logger:          s.logger,
-		Registry:        s.options.Registry,
+		Logger:   s.logger,
+		Registry: s.options.Registry,
 	})
 }
 
@@ -61,7 +61,7 @@
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
 		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
-		Logger:          s.logger,
-		Registry:        s.options.Registry,
+		Logger:   s.logger,
+		Registry: s.options.Registry,
 	})
 }
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -51,7 +51,7 @@
 	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
-	MarkLost func(node string)
+	MarkLost        func(node string)
 	// Limits bind at each service.
 	Limits func() Limits
 	// Services returns those of the configuration in force, Exists whether one is among them.
