--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -121,17 +121,17 @@
 	if c.holder.Lend(account, granter.Node, terms, now) {
 		request.Lends = []string{account}
 	}
-	answer, err := c.send(granter, request)
+	response, err := c.send(granter, request)
 	if err != nil {
 		return err
 	}
-	if len(answer.Grants) != 1 {
-		return trace.BadParameter("grants: has %d entries, not 1", len(answer.Grants))
+	if len(response.Grants) != 1 {
+		return trace.BadParameter("grants: has %d entries, not 1", len(response.Grants))
 	}
-	if answer.Grants[0].Unknown {
+	if response.Grants[0].Unknown {
 		return trace.NotFound("%s knows of no such account", granter.Node)
 	}
-	c.holder.AddGrant(account, answer.Grants[0], now, clock.Now())
+	c.holder.AddGrant(account, response.Grants[0], now, clock.Now())
 	return nil
 }
 
@@ -143,7 +143,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), lending.RequestTimeout)
 	defer cancel()
-	answer, err := c.options.Send(ctx, granter, request)
+	response, err := c.options.Send(ctx, granter, request)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		c.holder.EndLeases(granter.Node, clock.Now())
@@ -152,12 +152,12 @@
 		c.options.MarkLost(granter.Node)
 		c.cachedGranters.Store(nil)
 		return nil, err
-	case answer.Closed:
+	case response.Closed:
 		c.holder.EndLeases(granter.Node, clock.Now())
 		c.cachedGranters.Store(nil)
 		return nil, trace.ConnectionProblem(nil, "%s grants nothing any more", granter.Node)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Serve answers another node, or the own one.
@@ -181,16 +181,16 @@
 			c.granter.Deposit(deposit.Account, deposit.Tokens, terms, now)
 		}
 	}
-	answer := &lending.GrantResponse{}
+	response := &lending.GrantResponse{}
 	for _, want := range request.Wants {
 		terms, exists := c.Terms(want.Account)
 		if !exists || !c.options.MembershipKnown() {
-			answer.Grants = append(answer.Grants, lending.Grant{Unknown: true})
+			response.Grants = append(response.Grants, lending.Grant{Unknown: true})
 			continue
 		}
-		answer.Grants = append(answer.Grants, c.granter.Grant(want, terms, now))
+		response.Grants = append(response.Grants, c.granter.Grant(want, terms, now))
 	}
-	return answer
+	return response
 }
 
 // Close has the node grant nothing any more.
@@ -276,11 +276,11 @@
 type requestsByNode map[string]*lending.GrantRequest
 
 // to returns the message to a node.
-func (a requestsByNode) to(node, from string) *lending.GrantRequest {
-	if a[node] == nil {
-		a[node] = &lending.GrantRequest{From: from}
+func (r requestsByNode) to(node, from string) *lending.GrantRequest {
+	if r[node] == nil {
+		r[node] = &lending.GrantRequest{From: from}
 	}
-	return a[node]
+	return r[node]
 }
 
 // sendAll sends one message to each of the nodes and tells of those that were answered.
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -90,10 +90,10 @@
 	start := clock.Now()
 	q.Holder().RecordDemand(tenant, start)
 	for failed, answered := 0, false; ; {
-		switch verdict, token := q.Holder().Take(tenant, clock.Now()); {
-		case verdict == lending.Taken:
+		switch result, token := q.Holder().Take(tenant, clock.Now()); {
+		case result == lending.Taken:
 			return q.count("granted", token, nil)
-		case verdict == lending.Denied:
+		case result == lending.Denied:
 			token.Wait = max(token.Wait, minRetryAfter)
 			return q.count("spent", token, ErrLimitReached)
 		}
@@ -119,12 +119,12 @@
 // TakeRetry spends one more run of a request, from what the node holds alone, and reports whether it
 // may.
 func (q *Quota) TakeRetry(tenant string) bool {
-	verdict, token := q.Holder().Take(tenant, clock.Now())
-	if verdict == lending.Taken && token.Wait > 0 {
+	result, token := q.Holder().Take(tenant, clock.Now())
+	if result == lending.Taken && token.Wait > 0 {
 		q.Holder().Return(token)
 		return false
 	}
-	return verdict == lending.Taken
+	return result == lending.Taken
 }
 
 // Return gives back the token of a request that did not run.
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -404,8 +404,8 @@
 					f.demand[tenant] = limit.Rate * 4
 				}
 				var running sync.WaitGroup
-				for side := range uint64(2) {
-					random := rand.New(rand.NewPCG(seed, side))
+				for worker := range uint64(2) {
+					random := rand.New(rand.NewPCG(seed, worker))
 					running.Go(func() {
 						for end := time.Now().Add(15 * time.Second); time.Now().Before(end); {
 							time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
@@ -447,8 +447,8 @@
 		f.generateLoad(12 * time.Second)
 		f.stop()
 		after := 0
-		for _, at := range f.ran["t"] {
-			if since := at.Sub(began); since >= 7*time.Second && since < 12*time.Second {
+		for _, ranAt := range f.ran["t"] {
+			if since := ranAt.Sub(began); since >= 7*time.Second && since < 12*time.Second {
 				after++
 			}
 		}
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -42,7 +42,7 @@
 type member struct {
 	name           string
 	mu             sync.Mutex // guards all below
-	held           *repeats.Repeats
+	instance       *repeats.Repeats
 	end            context.CancelFunc
 	suspendedUntil time.Time
 	lost           map[string]time.Time
@@ -71,12 +71,12 @@
 func (f *fleet) start(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.held != nil {
+	if node.instance != nil {
 		return
 	}
 	ctx, end := context.WithCancel(context.Background())
 	node.end = end
-	node.held = repeats.New(repeats.Options{
+	node.instance = repeats.New(repeats.Options{
 		Node: node.name, View: f.members.View, MembershipKnown: func() bool { return true }, On: f.on.Load,
 		Reachable: func(record *roster.Record) bool {
 			node.mu.Lock()
@@ -95,15 +95,15 @@
 		},
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
-	go node.held.Run(ctx)
+	go node.instance.Run(ctx)
 }
 
 func (f *fleet) kill(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.held != nil {
+	if node.instance != nil {
 		node.end()
-		node.held = nil
+		node.instance = nil
 	}
 }
 
@@ -115,7 +115,7 @@
 	time.Sleep(max(wait, 0))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held
+	return m.instance
 }
 
 // reaches takes the time of a message and draws whether it arrives.
@@ -153,8 +153,8 @@
 // load says which requests come: how many a second, and what part of those at each node is to be
 // sent again.
 type load struct {
-	rate           func(since time.Duration) float64
-	repeatFraction func(node int) float64
+	rate   func(since time.Duration) float64
+	repeat func(node int) float64
 	// nested is the part of the requests that repeated runs make.
 	nested float64
 }
@@ -167,34 +167,34 @@
 		f.mu.Lock()
 		gap := time.Duration(f.random.ExpFloat64() / load.rate(time.Since(began)) * float64(time.Second))
 		number := f.random.IntN(len(f.nodes))
-		repeatFraction := f.random.Float64() < load.repeatFraction(number)
+		repeat := f.random.Float64() < load.repeat(number)
 		nested := f.random.Float64() < load.nested
 		f.mu.Unlock()
 		time.Sleep(min(gap, 100*time.Millisecond))
 		if gap <= 100*time.Millisecond {
-			running.Go(func() { f.request(f.nodes[number], repeatFraction, nested) })
+			running.Go(func() { f.request(f.nodes[number], repeat, nested) })
 		}
 	}
 	running.Wait()
 }
 
-func (f *fleet) request(node *member, repeatFraction, nested bool) {
-	held := node.waitUntilResumed()
-	if held == nil {
+func (f *fleet) request(node *member, repeat, nested bool) {
+	instance := node.waitUntilResumed()
+	if instance == nil {
 		return
 	}
-	begun := time.Now()
-	chance := 0.0
+	start := time.Now()
+	probability := 0.0
 	if nested {
-		chance = 1
+		probability = 1
 	}
-	held.RecordRequest("s", chance)
-	f.note(&f.requests, begun)
+	instance.RecordRequest("s", probability)
+	f.note(&f.requests, start)
 	if nested {
-		f.note(&f.repeated, begun)
+		f.note(&f.repeated, start)
 	}
-	held.RecordResult("s", true) // how many are accepted is of no account here
-	if repeatFraction && held.Take("s", repeats.Request{Nested: true}) {
+	instance.RecordResult("s", true) // how many are accepted is of no account here
+	if repeat && instance.Take("s", repeats.Request{Nested: true}) {
 		node.waitUntilResumed()
 		f.note(&f.repeated, time.Now())
 	}
@@ -248,20 +248,20 @@
 func TestAllowanceIsUsedWhereNeeded(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
-		rate, least    float64
+		rate, minUsed  float64
 	}{{13, 1, 1000, 0.8}, {13, 13, 1000, 0.8}, {88, 9, 2000, 0.8}, {88, 88, 2000, 0.8}, {88, 88, 300, 0.5}}
-	for _, held := range cases {
-		t.Run(fmt.Sprintf("%d of %d nodes, %v requests a second", held.needing, held.nodes, held.rate), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%d of %d nodes, %v requests a second", test.needing, test.nodes, test.rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := newFleet(uint64(held.nodes), held.nodes)
+				f := newFleet(uint64(test.nodes), test.nodes)
 				f.generateLoad(30*time.Second, load{
-					rate: func(time.Duration) float64 { return held.rate },
-					repeatFraction: func(node int) float64 {
-						if node >= held.needing {
+					rate: func(time.Duration) float64 { return test.rate },
+					repeat: func(node int) float64 {
+						if node >= test.needing {
 							return 0
 						}
-						return min(0.5*float64(held.nodes)/float64(held.needing), 1)
+						return min(0.5*float64(test.nodes)/float64(test.needing), 1)
 					},
 				})
 				end := time.Now()
@@ -269,9 +269,9 @@
 				g.Expect(f.excess()).To(BeNumerically("<=", 0))
 				from := end.Add(-2 * limits.Window)
 				allowed := limits.Ratio*float64(within(f.requests, from, end)) + 2*limits.Slack
-				wanted := min(allowed, 0.5*float64(within(f.requests, from, end)), float64(held.needing)/float64(held.nodes)*float64(within(f.requests, from, end)))
+				wanted := min(allowed, 0.5*float64(within(f.requests, from, end)), float64(test.needing)/float64(test.nodes)*float64(within(f.requests, from, end)))
 				t.Logf("%d of %.0f, %.0f below the bound", within(f.repeated, from, end), wanted, -f.excess())
-				g.Expect(float64(within(f.repeated, from, end)) / wanted).To(BeNumerically(">=", held.least))
+				g.Expect(float64(within(f.repeated, from, end)) / wanted).To(BeNumerically(">=", test.minUsed))
 			})
 		})
 	}
@@ -283,15 +283,15 @@
 		nodes, needing int
 		nested         float64
 	}{{13, 13, 0.1}, {88, 88, 0.142}, {88, 88, 0.16}, {13, 2, 0.16}}
-	for _, held := range cases {
-		t.Run(fmt.Sprintf("%v, %d of %d nodes", held.nested, held.needing, held.nodes), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%v, %d of %d nodes", test.nested, test.needing, test.nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := newFleet(3, held.nodes)
+				f := newFleet(3, test.nodes)
 				f.generateLoad(40*time.Second, load{
-					rate:           func(time.Duration) float64 { return 1000 },
-					repeatFraction: func(node int) float64 { return map[bool]float64{true: 0.5}[node < held.needing] },
-					nested:         held.nested,
+					rate:   func(time.Duration) float64 { return 1000 },
+					repeat: func(node int) float64 { return map[bool]float64{true: 0.5}[node < test.needing] },
+					nested: test.nested,
 				})
 				f.stop()
 				t.Logf("%.0f below the bound", -f.excess())
@@ -315,7 +315,7 @@
 				}
 				return 1000
 			},
-			repeatFraction: func(int) float64 { return 1 },
+			repeat: func(int) float64 { return 1 },
 		})
 		f.stop()
 		t.Logf("%.0f below the bound", -f.excess())
@@ -397,17 +397,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(seed, []int{13, 30, 88}[seed%3])
-				played, nested := faults, 0.0
+				injected, nested := faults, 0.0
 				if seed >= seeds/2 {
-					played, nested = faults[:len(faults)-1], 0.12
+					injected, nested = faults[:len(faults)-1], 0.12
 				}
 				var running sync.WaitGroup
-				for side := range uint64(2) {
-					random := rand.New(rand.NewPCG(seed, side))
+				for worker := range uint64(2) {
+					random := rand.New(rand.NewPCG(seed, worker))
 					running.Go(func() {
 						for end := time.Now().Add(40 * time.Second); time.Now().Before(end); {
 							time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
-							played[random.IntN(len(played))](f, random)
+							injected[random.IntN(len(injected))](f, random)
 						}
 					})
 				}
@@ -418,8 +418,8 @@
 						}
 						return 200
 					},
-					repeatFraction: func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
-					nested:         nested,
+					repeat: func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
+					nested: nested,
 				})
 				running.Wait()
 				f.stop()
--- a/internal/sidecar/repeats/worth_test.go
+++ b/internal/sidecar/repeats/worth_test.go
@@ -21,33 +21,33 @@
 func TestReserveForNestedCalls(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	seen := &demandCounter{}
+	counter := &demandCounter{}
 	nested, client := Request{Nested: true}, Request{}
-	g.Expect(mayTake(1, seen.add(client, now))).To(BeTrue(), "nothing else is called for")
+	g.Expect(mayTake(1, counter.add(client, now))).To(BeTrue(), "nothing else is called for")
 	for range 10 {
-		g.Expect(seen.add(nested, now)).To(BeZero(), "nothing is kept from it")
+		g.Expect(counter.add(nested, now)).To(BeZero(), "nothing is kept from it")
 	}
-	reserve := seen.add(client, now)
+	reserve := counter.add(client, now)
 	g.Expect(reserve).To(BeNumerically("~", 10*reserveTime.Seconds(), 0.001))
 	g.Expect(mayTake(reserve+0.9, reserve)).To(BeFalse())
 	g.Expect(mayTake(reserve+1, reserve)).To(BeTrue())
-	g.Expect(mayTake(1, seen.add(client, now.Add(10*time.Second)))).To(BeTrue(), "of late there was none")
+	g.Expect(mayTake(1, counter.add(client, now.Add(10*time.Second)))).To(BeTrue(), "of late there was none")
 }
 
 func TestAcceptanceDecays(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	seen := &acceptance{}
-	g.Expect(seen.acceptedFraction(now)).To(Equal(1.0), "nothing is known")
+	estimate := &acceptance{}
+	g.Expect(estimate.acceptedFraction(now)).To(Equal(1.0), "nothing is known")
 	for range 20 {
-		seen.add(false, now)
+		estimate.add(false, now)
 	}
-	g.Expect(seen.acceptedFraction(now)).To(BeZero())
+	g.Expect(estimate.acceptedFraction(now)).To(BeZero())
 	for range 20 {
-		seen.add(true, now)
+		estimate.add(true, now)
 	}
-	g.Expect(seen.acceptedFraction(now)).To(BeNumerically("~", 0.5, 0.01))
-	g.Expect(seen.acceptedFraction(now.Add(10*time.Second))).To(Equal(1.0), "too old")
+	g.Expect(estimate.acceptedFraction(now)).To(BeNumerically("~", 0.5, 0.01))
+	g.Expect(estimate.acceptedFraction(now.Add(10*time.Second))).To(Equal(1.0), "too old")
 }
 
 // TestWhatWasSpentBeforeIsOwed: what a node spent of its even share counts when shares are lent, once.
