--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// passedUnit is the least part of a token that is passed on.
+// depositUnit is the smallest part of a token that is deposited with the granter.
 const depositUnit = 0.001
 
-// keptTime is for how long a node that spends tokens keeps what it is likely to spend: as long as
-// its tokens may be saved up where it calls for few.
+// reserveTime is the time for which a node keeps its expected demand in reserve when it deposits
+// earned tokens. A node with little demand can save up tokens for as long.
 const reserveTime = time.Second
 
-// earnings are what a node's own requests have earned.
+// earnings holds the tokens that a node's own requests have earned.
 type earnings struct {
-	// tokens may be spent here; below zero the node owes. surplus goes to the granter only.
+	// tokens can be spent on this node; a negative value is a debt. surplus can only be deposited
+	// with the granter, or repay a debt.
 	tokens, surplus float64
-	// earned counts what was earned lately, passed what of it was passed on.
+	// earned and deposited sum the tokens earned and deposited within the window.
 	earned, deposited SlidingSum
 }
 
-// Earn takes in tokens that the node's own requests have earned.
+// Earn adds tokens that the node's own requests have earned.
 func (h *Holder) Earn(account string, tokens float64, terms Terms, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -30,9 +31,9 @@
 	h.capEarned(account, held, terms, now)
 }
 
-// AddDebt takes in what was spent beyond what the node has. It stays with the node until it is made up
-// for: by what the node earns, by tokens of the granter, for which it is a demand, or by its own
-// share.
+// AddDebt records tokens spent beyond what the node has. The debt stays with the node until it is
+// repaid from earned tokens, from tokens of the granter, for which the debt counts as demand, or
+// from the node's own share.
 func (h *Holder) AddDebt(account string, tokens float64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,8 +43,8 @@
 	held.earnings.tokens -= tokens
 }
 
-// RepayDebt makes up for what the node owes out of the tokens of granters that it holds and, where
-// its share is lent to nobody, out of that. It reports whether the node owes nothing any more.
+// RepayDebt repays the node's debt from the granted tokens that it holds and, while its share is
+// not lent, from the share. It reports whether no debt is left.
 func (h *Holder) RepayDebt(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +57,7 @@
 	return own.tokens >= 0
 }
 
-// TakeEarned spends one of the tokens that the node has earned and not passed on.
+// TakeEarned spends one token that the node has earned and not deposited.
 func (h *Holder) TakeEarned(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,9 +70,10 @@
 	return true
 }
 
-// WithdrawSurplus returns the tokens that the node passes on with a message that it sends now. It keeps
-// what it is likely to spend, and all while it owes some. The node has them no more, whether the
-// message arrives or not.
+// WithdrawSurplus removes the earned tokens that the node does not expect to spend and returns how
+// many to deposit with the granter, in the message that is about to be sent. It returns 0 while the
+// node has a debt. The tokens are gone from the node whether the message arrives or not, so that
+// they are spent at most once.
 func (h *Holder) WithdrawSurplus(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,7 +97,7 @@
 	return deposited
 }
 
-// Available returns how many tokens the node may spend now.
+// Available returns how many tokens the node can spend: earned ones and granted ones.
 func (h *Holder) Available(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,9 +106,10 @@
 	return max(held.earnings.tokens, 0) + float64(held.count(now))
 }
 
-// bound keeps what is saved up of what was earned within the node's part: that of what it keeps,
-// and the granter's of what it has not passed on. What is above goes to the granter. Where there is
-// room, tokens of a granter that have expired unspent become the node's own. The lock is held.
+// capEarned limits the saved earned tokens to the node's depth, which is LocalEarnedDepth of the
+// tokens earned within the window plus EarnedDepth of those not deposited yet. The excess becomes
+// surplus. Granted tokens that expired unspent become earned ones as far as the depth allows. The
+// caller holds h.mu.
 func (h *Holder) capEarned(account string, held *holding, terms Terms, now time.Time) {
 	own := &held.earnings
 	earned := own.earned.Total(terms.Window, now)
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -14,7 +14,8 @@
 	Rate: 1, Depth: 1, EarnedDepth: 0.1, LocalEarnedDepth: 0.05, Window: 10 * time.Second, Members: 1,
 }
 
-// TestWhatIsPassedOnIsGone before the message leaves, whatever becomes of it.
+// TestWithdrawSurplusRemovesTokens: withdrawn tokens leave the node before the message is sent.
+// Otherwise a lost or delayed message would let them be spent twice.
 func TestWithdrawSurplusRemovesTokens(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -26,7 +27,8 @@
 	g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 }
 
-// TestANodeKeepsWhatItNeeds and no more than may be saved up.
+// TestWithdrawSurplusKeepsExpectedDemand: a node keeps the tokens that it expects to spend, but no
+// more than its depth.
 func TestWithdrawSurplusKeepsExpectedDemand(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -41,8 +43,8 @@
 	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.LocalEarnedDepth)*200))
 }
 
-// TestWhatIsOwedStays with the node until it is made up for, whatever messages are lost: nothing is
-// spent or passed on before.
+// TestDebtBlocksSpendingUntilRepaid: a debt stays with the node until it is repaid, whichever
+// messages are lost. Nothing is spent or withdrawn before that.
 func TestDebtBlocksSpendingUntilRepaid(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -55,16 +57,17 @@
 		g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
 		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
-	g.Expect(holder.TokensToRequest("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
+	g.Expect(holder.TokensToRequest("s", time.Second, now)).To(BeNumerically(">=", 3), "the debt counts as demand")
 	holder.AddGrant("s", lending.Grant{Tokens: 3}, now, now)
 	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
-	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two paid for it")
+	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two tokens repaid the debt")
 	holder.AddDebt("s", 1, now)
 	holder.Earn("s", 1, terms, now)
-	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue(), "so does what is earned")
+	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue(), "earned tokens repay a debt")
 }
 
-// TestTokensThatExpire unspent become the node's own as far as it may save up, once.
+// TestExpiredTokensBecomeEarned: granted tokens that expire unspent become earned tokens up to the
+// node's depth, and only once.
 func TestExpiredTokensBecomeEarned(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -81,7 +84,8 @@
 	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("<", 1))
 }
 
-// TestATokenThatIsNotDue pays for nothing, also when it comes back.
+// TestTakeDueSkipsTokensNotYetDue: a token that is not due yet is not taken, also after it was
+// returned.
 func TestTakeDueSkipsTokensNotYetDue(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -95,7 +99,8 @@
 	g.Expect(holder.TakeDue("s", now.Add(50*time.Millisecond))).To(BeTrue())
 }
 
-// TestAShareThatIsLentIsNotForgotten with its account, before the lease is over.
+// TestRetainKeepsLentShares: an account is not forgotten before the lease of its share has ended.
+// Otherwise the share could be lent to a second granter.
 func TestRetainKeepsLentShares(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -108,8 +113,8 @@
 	g.Expect(holder.Lend("s", "two", terms, now.Add(time.Minute))).To(BeTrue())
 }
 
-// TestWhatAGranterSavesUp: part of what was brought within the window, those given out and not
-// spent yet included.
+// TestGranterDepthFollowsDeposits: a granter's depth is a fraction of the tokens deposited within
+// the window, granted tokens that are not spent yet included.
 func TestGranterDepthFollowsDeposits(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -122,11 +127,11 @@
 	g.Expect(granter.Grant(all, terms, now.Add(100*time.Millisecond)).Tokens).To(BeNumerically("<=", 5))
 	granter.Deposit("s", 50, terms, now.Add(time.Second))
 	g.Expect(granter.Grant(all, terms, now.Add(time.Second)).Tokens).To(BeNumerically(">=", 45))
-	g.Expect(granter.Grant(all, terms, now.Add(time.Minute)).Tokens).To(BeZero(), "nothing lasts")
+	g.Expect(granter.Grant(all, terms, now.Add(time.Minute)).Tokens).To(BeZero(), "tokens do not outlive the window")
 }
 
-// TestASmallShare: many nodes that have earned less than a token each save up about as many whole
-// tokens together as their parts add up to.
+// TestSmallEarningsRoundInAggregate: many nodes that have each earned less than one token save up
+// about as many whole tokens together as their fractions add up to.
 func TestSmallEarningsRoundInAggregate(t *testing.T) {
 	g := NewWithT(t)
 	saved := 0
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Granter gives out the tokens of accounts whose shares are lent to this node. What an earlier
-// life of the node was lent or had saved up is lost. It is safe for concurrent use.
+// Granter grants tokens from the accounts whose shares are lent to this node. It keeps neither
+// leases nor tokens across restarts. It is safe for concurrent use.
 type Granter struct {
 	mu      sync.Mutex // guards all below
 	buckets map[string]*bucket
 }
 
-// bucket holds the tokens of one account.
+// bucket is the token bucket of one account.
 type bucket struct {
-	// lenders holds until when each node lends its share; firstEnd is not after any of these.
+	// lenders maps each node to the expiry of its lease. earliestExpiry is not later than any of
+	// these.
 	lenders        map[string]time.Time
 	earliestExpiry time.Time
-	// tokens is below zero when some were given out before they are due.
+	// tokens is negative when tokens were granted before they were due.
 	tokens  float64
 	updated time.Time
-	// earned counts the tokens that nodes passed on, given those that were given out and may not
-	// be spent yet.
+	// earned sums the deposited tokens, granted the granted ones that may be unspent.
 	earned, granted SlidingSum
 }
 
-// NewGranter returns a granter to which nothing is lent.
+// NewGranter returns a granter without leases.
 func NewGranter() *Granter { return &Granter{buckets: map[string]*bucket{}} }
 
-// AddLease takes in that a node lends its share of an account for a lease.
+// AddLease starts or renews the lease of a node's share of an account.
 func (g *Granter) AddLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// EndLease takes in that a node does not lend its share of an account any more.
+// EndLease ends the lease of a node's share of an account.
 func (g *Granter) EndLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Deposit takes in tokens that a node has earned and passes on.
+// Deposit adds tokens that a node has earned and deposits.
 func (g *Granter) Deposit(account string, tokens float64, terms Terms, now time.Time) {
 	if terms.Window <= 0 {
 		return
@@ -67,8 +67,8 @@
 	entry.tokens = min(entry.tokens+tokens, entry.depth(terms, now))
 }
 
-// Grant gives out tokens of an account, as many as there are of those that are wanted, or one
-// that is due soon.
+// Grant grants as many of the wanted tokens as the account holds. If it holds none, it grants one
+// that becomes due within MaxTokenDelay, or says when there may be one.
 func (g *Granter) Grant(want Want, terms Terms, now time.Time) Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +92,7 @@
 	return result
 }
 
-// Retain forgets the accounts for which the function does not say so.
+// Retain forgets the accounts that the function does not want to keep.
 func (g *Granter) Retain(keep func(account string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// of returns the bucket of an account; the lock is held.
+// bucketFor returns the bucket of an account and creates it if needed. The caller holds g.mu.
 func (g *Granter) bucketFor(account string, now time.Time) *bucket {
 	entry := g.buckets[account]
 	if entry == nil {
@@ -113,20 +113,20 @@
 	return entry
 }
 
-// give takes out tokens.
+// withdraw removes tokens that are being granted and returns their number.
 func (b *bucket) withdraw(tokens int, now time.Time) int {
 	b.tokens -= float64(tokens)
 	b.granted.Add(float64(tokens), TokenLifetime+MaxTokenDelay, now)
 	return tokens
 }
 
-// share is the part of the nodes that lend their share now.
+// lentFraction is the fraction of all shares that is lent to this node.
 func (b *bucket) lentFraction(terms Terms) float64 {
 	return float64(len(b.lenders)) / float64(max(terms.members(), len(b.lenders)))
 }
 
-// advance lets flow in what the shares lent since the last time bring, and takes out the
-// lenders whose lease has ended. What can be saved up goes by the shares and by what was earned.
+// advance adds what the lent shares have yielded since the last update, up to the depth, and drops
+// expired leases.
 func (b *bucket) advance(terms Terms, now time.Time) {
 	if !now.After(b.updated) {
 		return
@@ -137,7 +137,8 @@
 	b.updated = now
 }
 
-// depth is how many tokens can be saved up now.
+// depth returns how many tokens the bucket holds at most. It depends on the lent shares and on the
+// deposits within the window, less the granted tokens that may be unspent.
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
 	depth := terms.Depth * b.lentFraction(terms)
 	if terms.Window > 0 {
@@ -146,8 +147,8 @@
 	return depth
 }
 
-// lent returns for how long shares were lent since the last time, added up over the lenders, and
-// takes out those whose lease has ended.
+// lentTime returns the time for which shares were lent since the last update, summed over the
+// lenders, and drops expired leases.
 func (b *bucket) lentTime(now time.Time) (total time.Duration) {
 	if now.Before(b.earliestExpiry) {
 		return time.Duration(len(b.lenders)) * now.Sub(b.updated)
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// membersPerGranter is how many nodes there are for each granter, mostGranters the most
-	// granters. Each node keeps its shares lent to all of them.
+	// There is one granter per membersPerGranter nodes, and at most maxGranters: each node keeps
+	// its shares lent to all granters.
 	membersPerGranter = 16
 	maxGranters       = 16
 )
 
-// SelectGranters returns the nodes that give out tokens, by their names: those with the fastest links.
-// The package is right whatever each node takes for granters; where they agree no share is idle.
+// SelectGranters returns the granters, sorted by name: the usable nodes with the fastest links.
+// Nodes need not agree on the granters for the limits to hold; where they agree, no share is idle.
 func SelectGranters(view *roster.View, usable readers.Reachable) []*roster.Record {
 	var eligible []*roster.Record
 	for _, record := range view.Records() {
@@ -35,8 +35,8 @@
 	return chosen
 }
 
-// GranterOf returns the one of the granters that gives out an account's tokens, nil when there are
-// none. When one goes, the others keep their accounts.
+// GranterOf returns the granter of an account, or nil if there are no granters. It uses rendezvous
+// hashing: when a granter leaves, only its own accounts move.
 func GranterOf(account string, granters []*roster.Record) *roster.Record {
 	var best *roster.Record
 	highest := uint64(0)
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Holder holds a node's tokens and knows to whom its shares are lent. A node that starts anew
-// holds nothing. It is safe for concurrent use.
+// Holder holds the tokens of one node and records to which granter each of its shares is lent. It
+// keeps nothing across restarts. It is safe for concurrent use.
 type Holder struct {
 	node string
 
@@ -17,64 +17,66 @@
 	accounts map[string]*holding
 }
 
-// holding is what the node has of one account.
+// holding is the state of one account.
 type holding struct {
 	batches []tokenBatch
-	// deniedUntil is until when the granter is not asked again, roomAt when it said that there
-	// would be a token.
+	// deniedUntil is when the granter may be asked again, nextTokenAt when it expects to have a
+	// token.
 	deniedUntil, nextTokenAt time.Time
-	// lentTo is the node that counts with the share at most until lentUntil.
+	// lentTo is the granter that uses the share, at most until lentUntil.
 	lentTo    string
 	lentUntil time.Time
-	// own is what the share has brought while it was lent to nobody.
+	// ownTokens is what the share has yielded while it was not lent.
 	ownTokens  float64
 	ownUpdated time.Time
 	earnings   earnings
-	// demand is how many tokens were called for, a count that fades over a second.
+	// demand counts the requested tokens, with exponential decay over one second.
 	demand        float64
 	demandUpdated time.Time
 }
 
-// deniedMost is for how long one answer refuses the requests of an account: a flood asks ten times a
-// second and node, no more, and room that comes early is found.
+// maxDenial is for how long one denial refuses further requests of an account. It limits the load
+// that a flood puts on the granter to ten requests per second and node, and lets tokens that become
+// available early be found.
 const maxDenial = 100 * time.Millisecond
 
-// likelySpent is how many tokens have to be likely to be spent in their life for some to be asked
-// for ahead.
+// minExpectedUse is the expected number of tokens spent within TokenLifetime below which none are
+// prefetched.
 const minExpectedUse = 0.5
 
-// lot is some tokens that may be spent between two moments.
+// tokenBatch holds tokens that may be spent within the same period.
 type tokenBatch struct {
 	count       int
 	from, until time.Time
 }
 
-// Token is one request's place within an account.
+// Token admits one request against an account.
 type Token struct {
 	account     string
 	from, until time.Time
-	// Wait is how long the request is to wait before it is sent.
+	// Wait is how long the request must wait before it is sent.
 	Wait time.Duration
 }
 
-// Valid reports whether the token may still be spent.
+// Valid reports whether the token has not expired.
 func (t Token) Valid(now time.Time) bool { return now.Before(t.until) }
 
-// TakeResult is the outcome of Take: a token was taken, the request is refused, or a granter has to
-// be asked.
+// TakeResult is the result of Take: a token was taken, the request is denied, or a grant has to be
+// requested first.
 type TakeResult int
 
-// Verdicts.
+// Results of Take.
 const (
 	Taken TakeResult = iota
 	Denied
 	GrantNeeded
 )
 
-// NewHolder returns the holder of a node.
+// NewHolder returns an empty holder for a node.
 func NewHolder(node string) *Holder { return &Holder{node: node, accounts: map[string]*holding{}} }
 
-// Take spends a token that is held.
+// Take spends a held token. With Denied, the token's Wait says when the granter expects to have
+// one.
 func (h *Holder) Take(account string, now time.Time) (TakeResult, Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,14 +90,15 @@
 	return GrantNeeded, Token{}
 }
 
-// TakeDue spends a token that is held and may be spent now.
+// TakeDue spends a held token if one is due already.
 func (h *Holder) TakeDue(account string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holdingFor(account).takeDue(now)
 }
 
-// RecordDemand notes that a request came, which says how many tokens will be wanted.
+// RecordDemand counts a request of the account. TokensToRequest and NeedsRefill estimate demand
+// from this count.
 func (h *Holder) RecordDemand(account string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,8 +107,8 @@
 	held.demand++
 }
 
-// TokensToRequest returns how many tokens to ask for: one, and what is likely to be called for in the time
-// given.
+// TokensToRequest returns how many tokens to request: one, plus the expected demand within the
+// horizon.
 func (h *Holder) TokensToRequest(account string, horizon time.Duration, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,8 +117,8 @@
 	return 1 + min(int(held.demand*horizon.Seconds()), maxTokensWanted-1)
 }
 
-// NeedsRefill reports whether what the node holds of a granter is less than what is likely to be called
-// for in the time given, and the granter may be asked.
+// NeedsRefill reports whether the granted tokens that the node holds do not cover the expected
+// demand within the horizon, and the granter may be asked.
 func (h *Holder) NeedsRefill(account string, horizon time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,8 +130,9 @@
 	return float64(held.count(now)) < max(held.demand*horizon.Seconds(), 1)
 }
 
-// AddGrant takes in a granter's answer to a question that was asked then. The granter counts with
-// its tokens for their life, which begins no earlier.
+// AddGrant adds the tokens of a granter's response. The granter counts the tokens as unspent for
+// their lifetime from the moment that it grants them, which is not before the request was sent; the
+// lifetime here therefore starts at requestedAt, so that it never ends later.
 func (h *Holder) AddGrant(account string, grant Grant, requestedAt, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,7 +146,7 @@
 	held.batches = append(held.batches, tokenBatch{count: grant.Tokens, from: from, until: requestedAt.Add(max(from.Sub(now), 0) + TokenLifetime)})
 }
 
-// Return gives back a token whose request did not run. It does not last longer for that.
+// Return gives back a token whose request did not run. Its expiry stays the same.
 func (h *Holder) Return(token Token) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,8 +154,9 @@
 	held.batches = append(held.batches, tokenBatch{count: 1, from: token.from, until: token.until})
 }
 
-// Lend notes that the node lends its share of an account with a message that it sends now, and
-// reports whether it does: not while another node may still count with it.
+// Lend records that the node lends its share of an account to a granter, in the message that is
+// about to be sent. It reports false, and records nothing, while another node may still use the
+// share.
 func (h *Holder) Lend(account, to string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,8 +169,8 @@
 	return true
 }
 
-// PreviousGranter returns the node that may still count with the node's share of an account, empty
-// for none or the given one.
+// PreviousGranter returns the node, other than the given granter, that may still use the node's
+// share of an account, or "" if there is none.
 func (h *Holder) PreviousGranter(account, granter string, now time.Time) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +181,7 @@
 	return held.lentTo
 }
 
-// ConfirmRelease takes in that a node has heard that some shares are not lent to it any more.
+// ConfirmRelease records that a granter has confirmed the release of the shares of some accounts.
 func (h *Holder) ConfirmRelease(granter string, accounts []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,13 +192,13 @@
 	}
 }
 
-// EndLeases takes in that a node certainly does not count with any share any more: its process has
-// ended, or it grants nothing any more.
+// EndLeases records that a node no longer uses any share: its process has ended, or it has stopped
+// granting.
 func (h *Holder) EndLeases(node string, now time.Time) {
 	h.EndLeasesIf(func(granter string) bool { return granter == node }, now)
 }
 
-// EndLeasesIf is Freed for all nodes of which the function says so.
+// EndLeasesIf does the same as EndLeases for every node that the function selects.
 func (h *Holder) EndLeasesIf(ended func(granter string) bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -204,7 +209,8 @@
 	}
 }
 
-// TakeOwnShare spends what the node's own share has brought while it is lent to nobody.
+// TakeOwnShare spends a token of the node's own share, which yields tokens only while it is not
+// lent.
 func (h *Holder) TakeOwnShare(account string, terms Terms, now time.Time) (Token, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +220,7 @@
 	return Token{account: account, until: now}, true
 }
 
-// takeOwn is TakeOwn with the lock held.
+// takeOwnShare implements TakeOwnShare. The caller holds h.mu.
 func (h *Holder) takeOwnShare(account string, held *holding, terms Terms, now time.Time) bool {
 	if now.Before(held.lentUntil) {
 		return false
@@ -236,8 +242,8 @@
 	return true
 }
 
-// whole rounds a node's part of what can be saved up to whole tokens, up or down by a hash, so
-// that the parts of all nodes still add up to about the whole.
+// roundShare rounds a node's part of a depth to whole tokens. A hash of account and node decides
+// whether up or down, so that the rounded parts of all nodes still add up to about the total.
 func (h *Holder) roundShare(account string, part float64) float64 {
 	floor := math.Floor(part)
 	fraction := float64(xxhash.Sum64String(account+"\x00"+h.node)) / math.MaxUint64
@@ -247,8 +253,8 @@
 	return floor
 }
 
-// Retain forgets the accounts for which the function does not say so, once no node counts with
-// their shares.
+// Retain forgets the accounts that the function does not want to keep, once no granter may use
+// their shares any more.
 func (h *Holder) Retain(keep func(account string) bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -259,7 +265,7 @@
 	}
 }
 
-// of returns what is held of an account; the lock is held.
+// holdingFor returns the state of an account and creates it if needed. The caller holds h.mu.
 func (h *Holder) holdingFor(account string) *holding {
 	held := h.accounts[account]
 	if held == nil {
@@ -269,7 +275,7 @@
 	return held
 }
 
-// take spends the token that may be spent first, and drops those whose time is over.
+// take spends the token that is due first and drops expired batches.
 func (h *holding) take(account string, now time.Time) (token Token, found bool) {
 	valid := h.batches[:0]
 	for _, batch := range h.batches {
@@ -292,7 +298,7 @@
 	return Token{account: account, from: chosen.from, until: chosen.until, Wait: max(chosen.from.Sub(now), 0)}, true
 }
 
-// takeDue spends a token that may be spent now.
+// takeDue spends a token that is due already.
 func (h *holding) takeDue(now time.Time) bool {
 	for i := range h.batches {
 		if batch := &h.batches[i]; batch.count > 0 && !now.Before(batch.from) && now.Before(batch.until) {
@@ -303,7 +309,7 @@
 	return false
 }
 
-// expired drops lots whose time is over and returns how many tokens of them were not spent.
+// expired drops expired batches and returns how many of their tokens were not spent.
 func (h *holding) expired(now time.Time) (unspent float64) {
 	valid := h.batches[:0]
 	for _, batch := range h.batches {
@@ -319,7 +325,7 @@
 	return unspent
 }
 
-// count returns how many tokens of granters may be spent now or soon.
+// count returns the number of granted tokens that have not expired, those not due yet included.
 func (h *holding) count(now time.Time) (total int) {
 	for _, batch := range h.batches {
 		if now.Before(batch.until) {
@@ -329,7 +335,7 @@
 	return total
 }
 
-// fade lets the count of requests fade.
+// decayDemand applies the exponential decay of the demand up to now.
 func (h *holding) decayDemand(now time.Time) {
 	if elapsed := now.Sub(h.demandUpdated); elapsed > 0 {
 		h.demand *= math.Exp(-elapsed.Seconds())
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -1,67 +1,69 @@
-// Package lending keeps what nodes spend together within a bound, without a counter that every
-// request asks. Tenants' rate limits and the repeats at a service are such accounts.
+// Package lending keeps the combined spending of all nodes within a rate, without a central counter
+// that every request must ask. The accounts are tenants' rate limits and the repeats at each
+// service.
 //
-// Each node owns an equal share of an account's flow of tokens. It lends the share to one other
-// node, the account's granter, for a short lease. The granter gives out tokens at the rate of the
-// shares that it holds: where all nodes lend to the same one that is the whole rate, and demand
-// may be anywhere. Where nodes cannot reach each other each group has the shares of its own
-// members, and a node that is alone its own. Since a share is lent to one node at a time, what is
-// given out by all granters and nodes together never exceeds the rate, whatever is cut off,
-// killed, suspended, or just restarted.
+// Each node owns an equal share of an account's rate. It lends the share to one other node, the
+// account's granter, for a short lease. The granter grants tokens at the rate of the shares that it
+// holds. If all nodes lend to the same granter it has the whole rate, and demand may arise at any
+// node. In a network partition, each part has the shares of its own members, and an isolated node
+// has its own share. Since a share is lent to one node at a time, the tokens that all granters and
+// nodes give out never exceed the rate, even when nodes are partitioned, killed, suspended or just
+// restarted.
 //
-// Tokens that a node has earned by itself are passed on whole: the node has them no more before
-// the message leaves, so that they are spent once or lost.
+// A node deposits tokens that it has earned itself with the granter. It removes them before it
+// sends the message, so that they are spent once or lost.
 //
-// The package is pure; carrier brings its messages.
+// The package does no I/O; package carrier exchanges the messages.
 package lending
 
 import "time"
 
-// Terms are what an account is filled by at one moment.
+// Terms are the token-bucket parameters of an account at one moment.
 type Terms struct {
-	// Rate is in tokens a second of all shares together, Depth how many of them can be saved up,
-	// Initial how many of these come with shares that are lent anew.
+	// Rate is the refill rate of all shares together, in tokens per second, and Depth their total
+	// depth in tokens. Initial is the part of Depth, in tokens, that newly lent shares start with.
 	Rate, Depth, Initial float64
-	// EarnedDepth is the part of the tokens earned within Window that can be saved up at the
-	// granter, those given out and not spent yet included. LocalEarnedDepth is that part at the node
-	// which earns them. Nothing is earned in an account whose Window is zero.
+	// EarnedDepth and LocalEarnedDepth are depths as fractions of the tokens earned within Window:
+	// that at the granter, which includes granted tokens that are not spent yet, and that at the
+	// node which earns them. If Window is zero, no tokens are earned.
 	EarnedDepth, LocalEarnedDepth float64
 	Window                        time.Duration
-	// Members is how many nodes own a share.
+	// Members is the number of nodes that own a share.
 	Members int
 }
 
 const (
-	// TokenLifetime is how long after it is given out a token may be spent.
+	// TokenLifetime is how long a token may be spent after it was granted or, if that is later,
+	// became due.
 	TokenLifetime = 500 * time.Millisecond
-	// MaxTokenDelay is how long before a token is due it is given out: to wait so long is better for
-	// a caller than to be refused.
+	// MaxTokenDelay is how long before it is due a token may be granted: for a caller, a short wait
+	// is better than a refusal.
 	MaxTokenDelay = 100 * time.Millisecond
-	// RequestTimeout bounds one question to a granter. It is far above a round trip between zones, so
-	// that only a lost or hanging peer reaches it.
+	// RequestTimeout limits one GrantRequest to a granter. It is far above the round-trip time
+	// between zones, so that only a lost or hanging peer reaches it.
 	RequestTimeout = 300 * time.Millisecond
 )
 
 const (
-	// leaseLeast and leaseMost bound a lease, leasePerMember is its length for each node: it is
-	// renewed some times, and a granter hears that from all of them.
+	// A lease lasts leasePerMember for each node, within minLease and maxLease. It grows with the
+	// number of nodes because each granter receives renewals from all of them.
 	minLease       = time.Second
 	maxLease       = 5 * time.Second
 	leasePerMember = 10 * time.Millisecond
-	// renewals is how often a lease is renewed before it would end.
+	// renewalsPerLease is how often a lease is renewed before it would expire.
 	renewalsPerLease = 3
-	// leaseMargin is how much longer than its granter counts with it a share is taken for lent:
-	// a message may take that long.
+	// leaseMargin is how much longer the lender considers a share lent than the granter does. It
+	// covers the time that the message may take.
 	leaseMargin = 250 * time.Millisecond
 )
 
-// lease returns how long a share is lent at a time.
+// leaseDuration returns the duration of a lease.
 func leaseDuration(members int) time.Duration {
 	return min(max(time.Duration(members)*leasePerMember, minLease), maxLease)
 }
 
-// RenewalInterval returns the time between two messages that renew a lease.
+// RenewalInterval returns the interval at which leases are renewed.
 func RenewalInterval(members int) time.Duration { return leaseDuration(members) / renewalsPerLease }
 
-// members is how many nodes own a share, at least one.
+// members returns the number of nodes that own a share, at least one.
 func (t Terms) members() int { return max(t.Members, 1) }
--- a/internal/sidecar/lending/message.go
+++ b/internal/sidecar/lending/message.go
@@ -2,60 +2,64 @@
 
 import "github.com/gravitational/trace"
 
-// GrantRequest is what a node sends to a granter.
+// GrantRequest is the message that a node sends to a granter: the leases of its shares, the tokens
+// that it wants, and those that it deposits.
 type GrantRequest struct {
-	// From is the node.
+	// From is the name of the sending node.
 	From string `json:"from"`
-	// Lends are the accounts whose share the node lends from now on for a lease.
+	// Lends lists the accounts whose shares the node lends, for one lease from now.
 	Lends []string `json:"lends,omitempty"`
-	// Releases are the accounts whose share the node does not lend any more: it has chosen another
-	// granter.
+	// Releases lists the accounts whose shares the node no longer lends to this granter because it
+	// has selected another one.
 	Releases []string `json:"releases,omitempty"`
-	// Wants is how many tokens the node wants of each account.
+	// Wants lists how many tokens the node requests of each account.
 	Wants []Want `json:"wants,omitempty"`
-	// Deposits are the tokens that the node has earned itself and passes on.
+	// Deposits lists the earned tokens that the node hands to the granter.
 	Deposits []Deposit `json:"brings,omitempty"`
 }
 
-// Want asks for tokens of one account.
+// Want requests tokens of one account.
 type Want struct {
-	// Account has the name that nodes of the version before know, which lend to tenants alone.
+	// Account is encoded as tenant for compatibility with nodes of the previous version, which lend
+	// only tenants' rate limits.
 	Account string `json:"tenant"`
 	Tokens  int    `json:"tokens"`
 }
 
-// Deposit passes tokens of one account on.
+// Deposit hands earned tokens of one account to the granter.
 type Deposit struct {
 	Account string  `json:"account"`
 	Tokens  float64 `json:"tokens"`
 }
 
-// GrantResponse has one grant for each want, in order.
+// GrantResponse holds one grant for each want, in the same order.
 type GrantResponse struct {
-	// Closed: the node grants nothing any more, and what was lent to it is its owner's again.
+	// Closed says that the node has stopped granting, and that every share lent to it is back with
+	// its owner.
 	Closed bool    `json:"closed,omitempty"`
 	Grants []Grant `json:"grants,omitempty"`
 }
 
-// Grant gives out tokens of one account, or none.
+// Grant grants tokens of one account, or none.
 type Grant struct {
 	Tokens int `json:"tokens,omitempty"`
-	// WaitMS is in milliseconds: after that time the tokens may be spent or, where there are
-	// none, there may be some.
+	// WaitMS is the delay in milliseconds after which the granted tokens may be spent or, if none
+	// are granted, after which there may be some.
 	WaitMS int64 `json:"waitMs,omitempty"`
-	// Unknown: the granter knows of no such account, or not enough of the other nodes.
+	// Unknown says that the granter does not know the account, or does not know enough of the other
+	// nodes to grant.
 	Unknown bool `json:"unknown,omitempty"`
 }
 
 const (
-	// mostNames bounds the accounts of one message.
+	// maxAccounts limits the accounts in each list of a message.
 	maxAccounts = 10_000
-	// mostWanted bounds the tokens that are wanted at once, mostPassed those that are passed on.
+	// maxTokensWanted limits the tokens of a want, maxDeposit those of a deposit.
 	maxTokensWanted = 10_000
 	maxDeposit      = 100_000
 )
 
-// Validate names the field of a message that no node sends so, and why.
+// Validate returns an error that names the first field whose value no correct node sends.
 func (a *GrantRequest) Validate() error {
 	switch {
 	case a.From == "":
--- a/internal/sidecar/lending/sum.go
+++ b/internal/sidecar/lending/sum.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// sumParts is in how many parts a Sum counts the time that it covers.
+// slidingSumBuckets is the number of time buckets of a SlidingSum.
 const slidingSumBuckets = 16
 
-// SlidingSum adds up what came lately. Its zero value is empty.
+// SlidingSum sums amounts over a sliding time window. Its zero value is empty.
 type SlidingSum struct {
 	buckets [slidingSumBuckets]float64
-	// began is when the first amount came, last the part of the time since then that was added
-	// to last.
+	// start is when the first amount was added. current is the number of the latest bucket, counted
+	// from start.
 	start   time.Time
 	current int64
 }
 
-// Add adds to the sum, which covers the time given.
+// Add adds an amount at the given time.
 func (s *SlidingSum) Add(amount float64, window time.Duration, now time.Time) {
 	if s.start.IsZero() {
 		s.start = now
@@ -23,8 +23,8 @@
 	s.buckets[s.current%slidingSumBuckets] += amount
 }
 
-// Total returns what came within the time given, at most: up to a sixteenth of the time is left
-// out at its beginning.
+// Total returns the sum over the window. It leaves out up to a sixteenth of the window at its
+// beginning, so that it never includes older amounts.
 func (s *SlidingSum) Total(window time.Duration, now time.Time) (total float64) {
 	s.advance(window, now)
 	for _, bucket := range s.buckets {
@@ -33,8 +33,8 @@
 	return total
 }
 
-// advance empties the parts that the time given does not cover any more, all of them when that
-// time has become longer.
+// advance clears the buckets that have left the window. It clears all of them if the window has
+// become so much longer that the bucket number falls back by slidingSumBuckets or more.
 func (s *SlidingSum) advance(window time.Duration, now time.Time) {
 	bucket := max(int64(now.Sub(s.start)/max(window/slidingSumBuckets, 1)), 0)
 	if s.current-bucket >= slidingSumBuckets {
--- a/internal/sidecar/lending/sum_test.go
+++ b/internal/sidecar/lending/sum_test.go
@@ -9,7 +9,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/lending"
 )
 
-// TestSumCoversNoMoreThanItsTime at any distance, and at least 15 of its 16 parts.
+// TestSlidingSumDropsOldAmounts: at any distance, the sum excludes amounts older than the window
+// and covers at least 15 of its 16 buckets.
 func TestSlidingSumDropsOldAmounts(t *testing.T) {
 	g := NewWithT(t)
 	const window = 10 * time.Second
@@ -27,7 +28,8 @@
 	}
 }
 
-// TestSumOverALongerTime begins anew rather than count what is too old.
+// TestSlidingSumResetsForLongerWindow: when the window becomes much longer, the sum starts over
+// rather than include amounts that are too old.
 func TestSlidingSumResetsForLongerWindow(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
