--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -1,5 +1,5 @@
-// Package carrier brings the messages of lending between nodes: it keeps the shares of a node's
-// accounts lent, asks granters for tokens, and answers other nodes.
+// Package carrier exchanges the messages of package lending between nodes: it renews the leases of
+// the node's shares, requests tokens from granters, and answers requests of other nodes.
 package carrier
 
 import (
@@ -23,44 +23,46 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// ErrNoGranter says that no node gives out tokens of an account.
-var ErrNoGranter = errors.New("nobody gives out tokens")
+// ErrNoGranter is returned when no node grants tokens of an account.
+var ErrNoGranter = errors.New("no granter for the account")
 
 const (
-	// grantersAge is for how long the granters that were found are used.
+	// granterCacheTTL is how long a selection of granters is reused.
 	granterCacheTTL = 200 * time.Millisecond
-	// grantersLook is the time between two looks at whether the granters have changed.
+	// granterPollInterval is the interval at which Run checks whether the granters have changed.
 	granterPollInterval = 100 * time.Millisecond
-	// sendsAtOnce is how many granters a node sends its shares to side by side.
+	// maxConcurrentSends limits how many granters a node sends leases to at the same time.
 	maxConcurrentSends = 4
 )
 
-// Options configure a carrier.
+// Options configures a Carrier.
 type Options struct {
-	// Name is that of what is lent, for log lines.
+	// Name is the name of what is lent, for log lines.
 	Name string
-	// Node is the node's own name.
+	// Node is the name of this node.
 	Node string
-	// View returns the other nodes, Usable whether one is believed to be there.
+	// View returns the current view of the nodes. Reachable reports whether a node is believed to
+	// be reachable.
 	View      func() *roster.View
 	Reachable readers.Reachable
-	// MembershipKnown reports whether the view holds about all nodes. One that has just started and takes
-	// itself for alone would take all shares for its own.
+	// MembershipKnown reports whether the view contains nearly all nodes. Without it, a node that
+	// has just started and sees no others would take the shares of all nodes for its own.
 	MembershipKnown func() bool
-	// Terms returns those of an account among so many nodes; false when there is no such account.
+	// Terms returns the terms of an account for the given number of nodes, or false if there is no
+	// such account.
 	Terms func(account string, memberCount int) (lending.Terms, bool)
-	// Accounts returns those that there are.
+	// Accounts returns the names of all accounts.
 	Accounts func() []string
-	// Prefetch is for how long the tokens that are asked for at once are to last.
+	// Prefetch is for how long the tokens of one request should last.
 	Prefetch time.Duration
-	// Send asks another node.
+	// Send sends a request to another node and returns its response.
 	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
-	// MarkLost is told of a node that did not answer.
+	// MarkLost is called with the name of a node that did not answer.
 	MarkLost func(node string)
 	Logger   *zap.Logger
 }
 
-// Carrier is safe for concurrent use.
+// Carrier holds and grants tokens on one node. It is safe for concurrent use.
 type Carrier struct {
 	options        Options
 	holder         *lending.Holder
@@ -70,31 +72,31 @@
 	cachedGranters atomic.Pointer[cachedGranters]
 }
 
-// found are the granters as they were at a moment.
+// cachedGranters is a selection of granters with the view and the time that it was made at.
 type cachedGranters struct {
 	granters []*roster.Record
 	view     *roster.View
 	at       time.Time
 }
 
-// New returns a carrier that lends the node's shares once Run is called.
+// New returns a carrier. It lends the node's shares once Run is called.
 func New(options Options) *Carrier {
 	return &Carrier{options: options, holder: lending.NewHolder(options.Node), granter: lending.NewGranter()}
 }
 
-// Holder returns what the node holds.
+// Holder returns the holder of the node's tokens.
 func (c *Carrier) Holder() *lending.Holder { return c.holder }
 
-// Terms returns those of an account now; false when there is no such account.
+// Terms returns the current terms of an account, or false if there is no such account.
 func (c *Carrier) Terms(account string) (lending.Terms, bool) {
 	return c.options.Terms(account, c.memberCount())
 }
 
-// MembershipKnown reports whether the node knows about all others.
+// MembershipKnown reports whether the node knows nearly all other nodes.
 func (c *Carrier) MembershipKnown() bool { return c.options.MembershipKnown() }
 
-// RequestTokens has the granter give tokens of an account to the node. Requests that come meanwhile wait for
-// the same answer.
+// RequestTokens requests tokens of an account from its granter and adds them to the holder.
+// Concurrent calls for the same account share one request.
 func (c *Carrier) RequestTokens(ctx context.Context, account string) error {
 	done := c.inFlight.DoChan(account, func() (any, error) {
 		var err error
@@ -126,17 +128,17 @@
 		return err
 	}
 	if len(response.Grants) != 1 {
-		return trace.BadParameter("grants: has %d entries, not 1", len(response.Grants))
+		return trace.BadParameter("grants: %d entries in the response, expected 1", len(response.Grants))
 	}
 	if response.Grants[0].Unknown {
-		return trace.NotFound("%s knows of no such account", granter.Node)
+		return trace.NotFound("granter %s does not know the account", granter.Node)
 	}
 	c.holder.AddGrant(account, response.Grants[0], now, clock.Now())
 	return nil
 }
 
-// send asks a granter, which may be the node itself. One that is not there, or closed, does not
-// count with what was lent to it.
+// send sends a request to a granter, which may be this node. If the granter's process has ended or
+// it has stopped granting, the leases to it end, since it no longer uses the shares.
 func (c *Carrier) send(granter *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 	if granter.Node == c.options.Node {
 		return c.Serve(request), nil
@@ -155,12 +157,12 @@
 	case response.Closed:
 		c.holder.EndLeases(granter.Node, clock.Now())
 		c.cachedGranters.Store(nil)
-		return nil, trace.ConnectionProblem(nil, "%s grants nothing any more", granter.Node)
+		return nil, trace.ConnectionProblem(nil, "granter %s has stopped granting", granter.Node)
 	}
 	return response, nil
 }
 
-// Serve answers another node, or the own one.
+// Serve answers a request of another node or of this one.
 func (c *Carrier) Serve(request *lending.GrantRequest) *lending.GrantResponse {
 	if c.closed.Load() {
 		return &lending.GrantResponse{Closed: true}
@@ -193,11 +195,11 @@
 	return response
 }
 
-// Close has the node grant nothing any more.
+// Close makes the node stop granting.
 func (c *Carrier) Close() { c.closed.Store(true) }
 
-// Run keeps the node's shares lent until the context ends: to other nodes at once when the
-// granters are others.
+// Run keeps the node's shares lent until the context ends. It renews the leases at an interval, and
+// at once when the granters have changed.
 func (c *Carrier) Run(ctx context.Context) {
 	var lentTo []*roster.Record
 	var lentAt time.Time
@@ -211,8 +213,8 @@
 	}
 }
 
-// lend renews the leases of all shares and passes on what was earned. Shares that are lent to a
-// node which is no granter of theirs any more are asked back first.
+// renewLeases renews the leases of all shares and deposits surplus tokens. It first releases shares
+// that are lent to a node which is no longer their granter.
 func (c *Carrier) renewLeases() {
 	if !c.options.MembershipKnown() {
 		return
@@ -227,7 +229,7 @@
 	c.sendAll(c.leaseRequests(accounts, granters), func(string, *lending.GrantRequest) {})
 }
 
-// releases returns what the node asks back, by whom it asks.
+// releaseRequests returns the requests that release shares from their previous granters, by node.
 func (c *Carrier) releaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
 	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
@@ -243,7 +245,7 @@
 	return requests
 }
 
-// lends returns what the node lends and passes on, by whom it goes to.
+// leaseRequests returns the requests that renew leases and deposit tokens, by node.
 func (c *Carrier) leaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
 	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
@@ -264,7 +266,7 @@
 	return requests
 }
 
-// passed returns the tokens that the node passes on now.
+// surplus withdraws and returns the tokens of an account to deposit.
 func (c *Carrier) surplus(account string, terms lending.Terms, now time.Time) float64 {
 	if terms.Window <= 0 {
 		return 0
@@ -272,10 +274,10 @@
 	return c.holder.WithdrawSurplus(account, terms, now)
 }
 
-// asks are messages by the node that they go to.
+// requestsByNode maps the name of a node to the request for it.
 type requestsByNode map[string]*lending.GrantRequest
 
-// to returns the message to a node.
+// to returns the request for a node and creates it if needed.
 func (r requestsByNode) to(node, from string) *lending.GrantRequest {
 	if r[node] == nil {
 		r[node] = &lending.GrantRequest{From: from}
@@ -283,7 +285,7 @@
 	return r[node]
 }
 
-// sendAll sends one message to each of the nodes and tells of those that were answered.
+// sendAll sends each request to its node and calls onSuccess for those that were answered.
 func (c *Carrier) sendAll(requests map[string]*lending.GrantRequest, onSuccess func(node string, request *lending.GrantRequest)) {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentSends)
@@ -305,11 +307,11 @@
 	_ = group.Wait()
 }
 
-// members is how many nodes own a share.
+// memberCount returns the number of nodes that own a share.
 func (c *Carrier) memberCount() int { return max(c.options.View().LiveCount(), 1) }
 
-// granters returns the nodes that give out tokens. They change with the view, and when a node is
-// lost.
+// granters returns the current granters. The cached selection is replaced when the view changes,
+// when a granter did not answer, and after granterCacheTTL.
 func (c *Carrier) granters() []*roster.Record {
 	view, now := c.options.View(), clock.Now()
 	if cached := c.cachedGranters.Load(); cached != nil && cached.view == view && now.Sub(cached.at) < granterCacheTTL {
@@ -318,7 +320,7 @@
 	next := &cachedGranters{granters: lending.SelectGranters(view, c.options.Reachable), view: view, at: now}
 	c.cachedGranters.Store(next)
 	c.holder.EndLeasesIf(func(granter string) bool {
-		// A node is closed before it says that it leaves.
+		// A node stops granting before it announces that it leaves.
 		record := view.Record(granter)
 		return record != nil && record.Leaving
 	}, now)
