--- a/internal/sidecar/quota/bounds.go
+++ b/internal/sidecar/quota/bounds.go
@@ -1,5 +1,5 @@
-// Package quota keeps tenants' requests within their rate limits over all nodes together, by
-// shares that are lent. Package lending has how, and why no limit is ever exceeded.
+// Package quota enforces tenants' rate limits across all nodes, by shares of the rate that nodes
+// lend to each other. Package lending describes the method, and why no limit is ever exceeded.
 package quota
 
 import (
@@ -10,47 +10,47 @@
 
 // Limit is what a tenant may send through all nodes together.
 type Limit struct {
-	// Rate is in requests a second, Burst in requests.
+	// Rate is in requests per second, Burst in requests.
 	Rate, Burst float64
 }
 
-// Bounds say what limits bind to: in each Window at most as many requests run as rate and burst
-// allow, increased by the share Overage and the number Slack.
+// Bounds defines how strictly limits apply: the requests that run in any Window are at most those
+// that rate and burst allow for it, increased by the fraction Overage and by the number Slack.
 type Bounds struct {
 	Window         time.Duration
 	Overage, Slack float64
 }
 
-// DefaultBounds are for a deployment that tells none.
+// DefaultBounds returns the bounds of a deployment that sets none.
 func DefaultBounds() Bounds {
 	return Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 }
 
 const (
-	// usableShare is the part of what the bounds allow that is given out. The rest covers what
-	// the arithmetic leaves out: messages that arrive after their lease, nodes that count each
-	// other differently while some come and go.
+	// usableFraction is the fraction of the bound that is granted. The rest covers what the
+	// calculation leaves out: messages that arrive after their lease has expired, and nodes that
+	// see different members while some join and leave.
 	usableFraction = 0.97
-	// savedShare is the part of the depth that can be saved up. The rest comes with shares that
-	// are lent anew, initialShare of the depth with all of them: a granter that takes over would
-	// otherwise begin with nothing and refuse requests well within the limit. A share can be lent anew four times in a window, since a lease has
-	// to end before.
+	// savedFraction is the fraction of the depth that can be saved up, initialFraction the fraction
+	// that all newly lent shares together start with. Without the latter, a granter that takes over
+	// would start empty and refuse requests well within the limit. savedFraction and four times
+	// initialFraction add up to 1: a share can be newly lent four times in a window, since its
+	// lease has to end first.
 	savedFraction   = 0.6
 	initialFraction = 0.1
-	// leastDepthTime says how much can at least be saved up, as the tokens of that time, and
-	// one token.
+	// minDepthTime sets the minimum depth: the tokens of this time, and at least one.
 	minDepthTime = 50 * time.Millisecond
 )
 
-// Terms returns how a limit is lent among so many nodes.
+// Terms returns the lending terms of a limit for the given number of nodes.
 func (b Bounds) Terms(limit Limit, members int) lending.Terms {
 	rate, depth := b.bucketParameters(limit)
 	return lending.Terms{Rate: rate, Depth: depth, Initial: depth * initialFraction, Members: members}
 }
 
-// tokens returns the rate in tokens a second at which a limit is given out, and how many can be
-// saved up. A window may hold what was saved up, what flows in, and tokens that were given out
-// up to their life before it began or are due shortly after it ends.
+// bucketParameters returns the refill rate of a limit in tokens per second, and the depth. The
+// requests of one window can use the saved tokens, the tokens that flow in during it, those granted
+// up to TokenLifetime before it began, and those that become due up to MaxTokenDelay after its end.
 func (b Bounds) bucketParameters(limit Limit) (rate, depth float64) {
 	usable := ((limit.Rate*b.Window.Seconds()+limit.Burst)*(1+b.Overage) + b.Slack) * usableFraction
 	inflowTime := (b.Window + lending.TokenLifetime + lending.MaxTokenDelay).Seconds()
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -15,34 +15,35 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Causes of refusals.
+// Reasons for refusing a request.
 var (
-	// ErrLimitReached: the tenant's limit is reached.
+	// ErrLimitReached: the tenant's rate limit is reached.
 	ErrLimitReached = errors.New("the tenant's rate limit is reached")
-	// ErrNoGrant: nobody can tell whether the limit is reached.
+	// ErrNoGrant: no granter answered, so that it is unknown whether the limit is reached.
 	ErrNoGrant = errors.New("nobody grants requests of the tenant")
 )
 
 const (
-	// askTries is how often one request asks in vain at most.
+	// maxFailedRequests is how many token requests may fail for one request of a caller.
 	maxFailedRequests = 4
-	// askAll is for how long one request asks on while the granter answers: others that wait for the same
-	// answers may have spent what they brought.
+	// maxRequestTime is for how long one request of a caller goes on requesting tokens from a
+	// granter that answers. Other requests that wait for the same response may spend all the tokens
+	// that it brings.
 	maxRequestTime = 300 * time.Millisecond
-	// leastWait is the shortest wait that a refused caller is told.
+	// minRetryAfter is the shortest wait that a refused caller is told.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Options configure a quota.
+// Options configures a Quota.
 type Options struct {
-	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
+	// Node, View, Reachable, MembershipKnown, Send and MarkLost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
 	Reachable       readers.Reachable
 	MembershipKnown func() bool
-	// Limit returns a tenant's limit in force; false when it has none.
+	// Limit returns the limit of a tenant that is in force, or false if it has none.
 	Limit func(tenant string) (Limit, bool)
-	// Tenants returns those that have a limit.
+	// Tenants returns the names of the tenants that have a limit.
 	Tenants  func() []string
 	Bounds   func() Bounds
 	Send     func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
@@ -51,15 +52,15 @@
 	Registry prometheus.Registerer
 }
 
-// Quota keeps the limits on one node, for its own callers and as a granter of others. It is safe
-// for concurrent use.
+// Quota enforces the limits on one node, for the node's own callers and as a granter for other
+// nodes. It is safe for concurrent use.
 type Quota struct {
 	*carrier.Carrier
 	options Options
 	results *prometheus.CounterVec
 }
 
-// New returns a quota that lends its shares once Run is called.
+// New returns a quota. It lends the node's shares once Run is called.
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
@@ -74,7 +75,7 @@
 	return created
 }
 
-// terms returns how a tenant's limit is lent among so many nodes.
+// terms returns the lending terms of a tenant's limit for the given number of nodes.
 func (q *Quota) terms(tenant string, members int) (lending.Terms, bool) {
 	limit, limited := q.options.Limit(tenant)
 	if !limited {
@@ -83,9 +84,9 @@
 	return q.options.Bounds().Terms(limit, members), true
 }
 
-// Take spends one request of a tenant that has a limit. The request is to wait as long as the
-// token says. The error is ErrSpent or ErrUnknown; the token's wait then says when there may be
-// room.
+// Take spends one token of a tenant that has a limit. The request must wait for the token's Wait
+// before it is sent. The error is ErrLimitReached or ErrNoGrant; the token's Wait then says when
+// the caller may try again.
 func (q *Quota) Take(ctx context.Context, tenant string) (lending.Token, error) {
 	start := clock.Now()
 	q.Holder().RecordDemand(tenant, start)
@@ -101,7 +102,7 @@
 		case failed == maxFailedRequests || ctx.Err() != nil:
 			return q.takeOwnShare(tenant)
 		case answered && clock.Since(start) >= maxRequestTime:
-			// Others had all that was given out: the limit is as good as reached.
+			// Other requests have taken all granted tokens, so the limit counts as reached.
 			return q.count("spent", lending.Token{Wait: minRetryAfter}, ErrLimitReached)
 		}
 		err := q.RequestTokens(ctx, tenant)
@@ -116,8 +117,8 @@
 	}
 }
 
-// TakeRetry spends one more run of a request, from what the node holds alone, and reports whether it
-// may.
+// TakeRetry spends one token for another run of a request and reports whether there was one. It
+// uses only tokens that the node holds and that are due.
 func (q *Quota) TakeRetry(tenant string) bool {
 	result, token := q.Holder().Take(tenant, clock.Now())
 	if result == lending.Taken && token.Wait > 0 {
@@ -135,7 +136,7 @@
 	return token, err
 }
 
-// takeOwn spends what the node's own share brings while nobody grants.
+// takeOwnShare spends a token of the node's own share when no granter answers.
 func (q *Quota) takeOwnShare(tenant string) (lending.Token, error) {
 	terms, limited := q.Terms(tenant)
 	if !limited {
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -24,26 +24,27 @@
 
 var bounds = quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// fleet plays the quotas of nodes on a virtual clock: requests at random moments, messages that
-// take time and get lost, groups of nodes that are cut off from each other.
+// fleet simulates the quotas of several nodes on a virtual clock: requests at random times,
+// messages that are delayed or lost, and network partitions.
 type fleet struct {
 	t       *testing.T
 	nodes   []*member
 	members *roster.Roster
 	tenants []string
-	// seed is that of what is drawn.
+	// seed is the seed of all random numbers.
 	seed uint64
 
 	mu     sync.Mutex // guards all below
 	random *rand.Rand
 	limits map[string]quota.Limit
-	// group is in which part of the network a node is.
+	// group maps each node to its part of a network partition.
 	group map[string]int
 	loss  float64
-	// spent are when requests of each tenant ran, unknown and refused how many did not.
+	// ran holds the times at which requests of each tenant ran. unknown and refused count those
+	// that did not run.
 	ran              map[string][]time.Time
 	unknown, refused map[string]int
-	// demand is how many requests a second come of each tenant.
+	// demand is the request rate of each tenant, in requests per second.
 	demand map[string]float64
 }
 
@@ -81,7 +82,7 @@
 	return f
 }
 
-// start begins a life of the node, which knows nothing of an earlier one.
+// start starts the node's process, without any state of an earlier one.
 func (f *fleet) start(node *member) {
 	ctx, end := context.WithCancel(context.Background())
 	created := quota.New(quota.Options{
@@ -113,7 +114,7 @@
 	node.mu.Lock()
 	if node.quota != nil && !node.dead {
 		node.mu.Unlock()
-		end() // another trouble has started it already
+		end() // another fault has already restarted it
 		return
 	}
 	node.quota, node.end, node.dead = created, end, false
@@ -121,7 +122,7 @@
 	go created.Run(ctx)
 }
 
-// kill ends the node's process; lives are separate.
+// kill ends the node's process. A later start creates a new quota.
 func (f *fleet) kill(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -129,7 +130,7 @@
 	node.end()
 }
 
-// thaw waits until the node is not suspended.
+// waitUntilResumed waits until the node is not suspended.
 func (m *member) waitUntilResumed() {
 	m.mu.Lock()
 	until := m.suspendedUntil
@@ -143,7 +144,7 @@
 	return f.nodes[slices.IndexFunc(f.nodes, func(node *member) bool { return node.name == name })]
 }
 
-// reaches draws whether a message arrives.
+// reaches reports at random whether a message arrives.
 func (f *fleet) reaches(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,8 +185,8 @@
 	return answer, nil
 }
 
-// play has requests come until the time is over. They are the same in every run: each tenant's are drawn
-// by themselves.
+// generateLoad sends requests for the given duration. Each tenant has its own random generator, so
+// that the requests are the same in every run.
 func (f *fleet) generateLoad(duration time.Duration) {
 	end := time.Now().Add(duration)
 	var running sync.WaitGroup
@@ -211,7 +212,7 @@
 	running.Wait()
 }
 
-// request plays one request: it runs a little after it got a token.
+// request simulates one request. It runs once the token that it got is due.
 func (f *fleet) request(node *member, tenant string) {
 	node.waitUntilResumed()
 	node.mu.Lock()
@@ -245,7 +246,7 @@
 	time.Sleep(time.Minute)
 }
 
-// most returns the most requests that ran within one window.
+// maxInWindow returns the largest number of requests that ran within one window.
 func maxInWindow(ran []time.Time) (count int) {
 	slices.SortFunc(ran, time.Time.Compare)
 	first := 0
@@ -258,13 +259,14 @@
 	return count
 }
 
-// allowed is how many a window may hold.
+// allowed returns the number of requests that a window may hold.
 func allowed(limit quota.Limit) int {
 	return int((limit.Rate*bounds.Window.Seconds()+limit.Burst)*(1+bounds.Overage) + bounds.Slack)
 }
 
-// TestDemandBelowTheLimit: where all is well at most one in a thousand is refused, at any size and
-// however little a tenant sends from each node.
+// TestDemandBelowLimit: without faults, at most one request in a thousand is refused while the
+// demand is below the limit, at any number of nodes and however few requests of a tenant come to
+// each node.
 func TestDemandBelowLimit(t *testing.T) {
 	for _, size := range []int{1, 13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -286,8 +288,8 @@
 	}
 }
 
-// TestDemandAboveTheLimit: no window holds more than the limit allows, and 0.95 of the rate is
-// used, whatever the limit's burst.
+// TestDemandAboveLimit: no window holds more requests than the limit allows, and at least 0.95 of
+// the rate is used, whatever the burst of the limit.
 func TestDemandAboveLimit(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
@@ -311,12 +313,12 @@
 	}
 }
 
-// trouble is one thing that goes wrong for a time.
+// fault injects a fault for some time and returns once it is over.
 type fault func(f *fleet, random *rand.Rand)
 
-// troubles are drawn by TestNeverAboveTheLimit.
+// faults are the faults that TestLimitHoldsUnderFaults chooses from.
 var faults = map[string]fault{
-	"part cut off": func(f *fleet, random *rand.Rand) {
+	"network partition": func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for _, node := range f.nodes {
 			f.group[node.name] = random.IntN(3)
@@ -327,7 +329,7 @@
 		clear(f.group)
 		f.mu.Unlock()
 	},
-	"each alone": func(f *fleet, random *rand.Rand) {
+	"every node isolated": func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for i, node := range f.nodes {
 			f.group[node.name] = i
@@ -347,7 +349,7 @@
 		f.loss = 0
 		f.mu.Unlock()
 	},
-	"some end and start anew": func(f *fleet, random *rand.Rand) {
+	"some nodes restart": func(f *fleet, random *rand.Rand) {
 		var killed []*member
 		for _, node := range f.nodes {
 			if random.IntN(3) == 0 {
@@ -360,7 +362,7 @@
 			f.start(node)
 		}
 	},
-	"all end and start anew": func(f *fleet, random *rand.Rand) {
+	"all nodes restart": func(f *fleet, random *rand.Rand) {
 		for _, node := range f.nodes {
 			f.kill(node)
 		}
@@ -369,7 +371,7 @@
 			f.start(node)
 		}
 	},
-	"some suspended": func(f *fleet, random *rand.Rand) {
+	"some nodes suspended": func(f *fleet, random *rand.Rand) {
 		until := time.Now().Add(time.Duration(500+random.IntN(5000)) * time.Millisecond)
 		for _, node := range f.nodes {
 			if random.IntN(4) == 0 {
@@ -382,11 +384,11 @@
 	},
 }
 
-// neverSeeds is how many plays there are.
+// faultSeeds is the number of simulations.
 const faultSeeds = 6
 
-// TestNeverAboveTheLimit whatever goes wrong, several things at a time: no window holds more
-// than the limit allows, the machines that are cut off, suspended or just started included.
+// TestLimitHoldsUnderFaults: with two random faults at a time, no window holds more requests than
+// the limit allows, counting also those of nodes that are partitioned, suspended or just restarted.
 func TestLimitHoldsUnderFaults(t *testing.T) {
 	names := make([]string, 0, len(faults))
 	for name := range faults {
@@ -424,7 +426,8 @@
 	}
 }
 
-// TestAfterACut the whole rate is used again within 2 s of its end.
+// TestRateRecoversAfterPartition: the whole rate is used again within 2 s of the end of a
+// partition.
 func TestRateRecoversAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -456,7 +459,7 @@
 	})
 }
 
-// TestALowerLimit binds one window after it came.
+// TestLoweredLimitAppliesAfterOneWindow: a lowered limit holds from one window after the change.
 func TestLoweredLimitAppliesAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -485,7 +488,8 @@
 	})
 }
 
-// TestAGranterThatStops hands its tenants over without a time in which all are refused.
+// TestGranterShutdown: when a granter shuts down, another one takes its tenants over without a
+// period in which all requests are refused.
 func TestGranterShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -518,8 +522,8 @@
 	})
 }
 
-// TestSharesOfAll: the shares that a fleet counts with add up to the whole, and so do the whole
-// tokens that its nodes can save up alone.
+// TestSharesAddUpToLimit: the depths of the nodes' own shares, rounded to whole tokens, add up to
+// about the depth of the limit.
 func TestSharesAddUpToLimit(t *testing.T) {
 	for _, members := range []int{1, 13, 88, 1000} {
 		g := NewWithT(t)
@@ -541,8 +545,8 @@
 	}
 }
 
-// TestManyAtOnceAtOneNode: of requests that come to one node at the same moment each has a token or is
-// told that the limit is reached; for none nobody is there to grant.
+// TestConcurrentRequestsAtOneNode: each of many concurrent requests at one node gets a token or is
+// refused because the limit is reached. None fails for want of a granter.
 func TestConcurrentRequestsAtOneNode(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		synctest.Test(t, func(t *testing.T) {
@@ -566,8 +570,8 @@
 	}
 }
 
-// TestLostMessages: of requests far below the limit as many are served as tries allow while one message in
-// twenty is lost: a question in vain is asked again.
+// TestLostMessages: with one message in twenty lost, a failed token request is tried again, so that
+// nearly all requests far below the limit are served.
 func TestLostMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -581,6 +585,6 @@
 		f.stop()
 		g.Expect(f.unknown["small"]).To(BeNumerically("<=", len(f.ran["small"])/50))
 		g.Expect(maxInWindow(f.ran["small"])).To(BeNumerically("<=", allowed(f.limits["small"])))
-		t.Logf("spent %d, unknown %d, refused %d", len(f.ran["small"]), f.unknown["small"], f.refused["small"])
+		t.Logf("ran %d, unknown %d, refused %d", len(f.ran["small"]), f.unknown["small"], f.refused["small"])
 	})
 }
