--- a/internal/sidecar/repeats/budget.go
+++ b/internal/sidecar/repeats/budget.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// The part of the allowance that nodes make use of where nothing is lent. The rest covers calls
-// made by repeated runs, which count as repeats where they arrive, and nodes that see different
-// numbers of members.
+// The fractions of the allowance that nodes use while shares are not lent. The rest covers calls
+// made by repeated runs, which count as repeats at the service that they call, and nodes that see
+// different numbers of members.
 const (
 	ratioFraction = 0.4
 	slackFraction = 0.4
 )
 
-// budget is this node's share of the repeats to one service: a part of its own
-// requests of a window, and a part of the slack divided by the members. As much
-// as flows in over a window can be spent at once: when nodes die, all that they
-// held is to be repeated in the same moment.
+// budget is this node's equal share of the repeats at one service: a fraction of its own requests
+// of a window, and a fraction of the slack divided by the number of members. All that flows in over
+// a window can be spent at once, because when nodes die all the requests that they were running are
+// repeated at the same moment.
 type budget struct {
 	mutex       sync.Mutex // guards all below
 	tokens      float64
 	initialized bool
-	// drained: what was held is taken over by an account that is lent.
+	// drained says that a lent account has taken over the tokens.
 	drained bool
 	updated time.Time
-	// requests is a count that fades over a window.
+	// requests counts requests, with exponential decay over a window.
 	requests float64
 }
 
-// first notes a request, which earns a share of a repeat.
+// recordRequest records a request, which earns a part of a repeat.
 func (b *budget) recordRequest(limits Limits, members int, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -50,15 +50,16 @@
 	return true
 }
 
-// left returns how many repeats there are.
+// remaining returns how many repeats are left.
 func (b *budget) remaining() float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.tokens
 }
 
-// drain takes all repeats out and returns how many are lacking of what can be saved up: what was
-// spent of late beyond what had flowed in.
+// drain removes all tokens and returns how many are missing to the capacity, that is how many were
+// spent recently beyond what had flowed in. It returns 0 if the budget was not used since the last
+// drain.
 func (b *budget) drain(limits Limits, members int, now time.Time) (deficit float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -71,19 +72,19 @@
 	return deficit
 }
 
-// half is half of this node's share of the slack. One half can be saved up and
-// is there at the start, the other flows in over a window.
+// halfSlack is half of this node's share of the slack. One half can be saved up and is available
+// from the start, the other flows in over a window.
 func halfSlack(limits Limits, members int) float64 {
 	return limits.Slack * slackFraction / 2 / float64(max(members, 1))
 }
 
-// most is what can be saved up: at least one repeat, which many nodes with few
-// requests each must save for.
+// capacity is how many tokens can be saved up. It is at least one repeat, which each of many nodes
+// with few requests has to save up for.
 func (b *budget) capacity(limits Limits, members int) float64 {
 	return max(halfSlack(limits, members)+limits.Ratio*ratioFraction*b.requests, 1)
 }
 
-// refill lets the other half of the share flow in over a window.
+// refill adds the half of the slack that flows in, in proportion to the elapsed part of a window.
 func (b *budget) refill(limits Limits, members int, now time.Time) {
 	inflow := halfSlack(limits, members)
 	b.drained = false
--- a/internal/sidecar/repeats/budget_test.go
+++ b/internal/sidecar/repeats/budget_test.go
@@ -7,14 +7,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestBudgetOverAllNodes: whatever the load does, the repeats of all nodes
-// together in any window stay below what the limits allow.
+// TestBudgetOverAllNodes: whatever the load, the repeats of all nodes together stay within the
+// limits in every window.
 func TestBudgetOverAllNodes(t *testing.T) {
 	limits := Limits{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 	cases := []struct {
 		name     string
 		nodes    int
-		requests int // of each node per tenth of a second
+		requests int // per node and tenth of a second
 	}{
 		{"calm", 10, 0}, {"one node", 1, 5}, {"busy", 10, 4}, {"many nodes", 100, 1}, {"very many nodes", 1000, 0},
 	}
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -24,7 +24,7 @@
 
 var limits = repeats.Limits{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 
-// fleet plays the repeats of nodes at one service on a virtual clock.
+// fleet simulates the repeats of several nodes at one service on a virtual clock.
 type fleet struct {
 	nodes   []*member
 	members *roster.Roster
@@ -34,7 +34,8 @@
 	random *rand.Rand
 	group  map[string]int
 	loss   float64
-	// requests and repeated are when requests began and were sent again.
+	// requests and repeated hold the times at which requests began and at which they were sent
+	// again.
 	requests, repeated []time.Time
 }
 
@@ -67,7 +68,7 @@
 	return f
 }
 
-// start begins a life of the node, unless it is alive.
+// start starts the node's process if it is not running.
 func (f *fleet) start(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -107,7 +108,8 @@
 	}
 }
 
-// alive returns the node's repeats once it is not suspended, nil when it has ended.
+// waitUntilResumed waits until the node is not suspended and returns its repeats, or nil if its
+// process has ended.
 func (m *member) waitUntilResumed() *repeats.Repeats {
 	m.mu.Lock()
 	wait := time.Until(m.suspendedUntil)
@@ -118,7 +120,7 @@
 	return m.instance
 }
 
-// reaches takes the time of a message and draws whether it arrives.
+// reaches sleeps for the delay of a message and reports at random whether the message arrives.
 func (f *fleet) reaches(from, to string) bool {
 	f.mu.Lock()
 	delay := time.Duration(200+f.random.IntN(2000)) * time.Microsecond
@@ -150,16 +152,16 @@
 	return answer, nil
 }
 
-// load says which requests come: how many a second, and what part of those at each node is to be
-// sent again.
+// load defines the requests: the rate per second, and the fraction of those at each node that has
+// to be sent again.
 type load struct {
 	rate   func(since time.Duration) float64
 	repeat func(node int) float64
-	// nested is the part of the requests that repeated runs make.
+	// nested is the fraction of the requests that repeated runs make.
 	nested float64
 }
 
-// play has requests come until the time is over.
+// generateLoad sends requests for the given duration.
 func (f *fleet) generateLoad(duration time.Duration, load load) {
 	began := time.Now()
 	var running sync.WaitGroup
@@ -193,7 +195,7 @@
 	if nested {
 		f.note(&f.repeated, start)
 	}
-	instance.RecordResult("s", true) // how many are accepted is of no account here
+	instance.RecordResult("s", true) // this test does not depend on how many are accepted
 	if repeat && instance.Take("s", repeats.Request{Nested: true}) {
 		node.waitUntilResumed()
 		f.note(&f.repeated, time.Now())
@@ -214,8 +216,8 @@
 	time.Sleep(time.Minute)
 }
 
-// excess is by how much the repeats of some window exceed what is allowed there, at most; below
-// zero when none does.
+// excess returns by how much the repeats of the worst window exceed what is allowed there. It is
+// negative if no window exceeds it.
 func (f *fleet) excess() float64 {
 	slices.SortFunc(f.requests, time.Time.Compare)
 	slices.SortFunc(f.repeated, time.Time.Compare)
@@ -228,7 +230,7 @@
 	return worst
 }
 
-// within counts the moments after the first and not after the second one.
+// within counts the times after from and not after to.
 func within(moments []time.Time, from, to time.Time) int {
 	after := func(bound time.Time) int {
 		index, _ := slices.BinarySearchFunc(moments, bound, func(moment, bound time.Time) int {
@@ -242,16 +244,17 @@
 	return after(to) - after(from)
 }
 
-// TestTheAllowanceWhereItIsNeeded: at least 0.8 of it is used, and no window holds more, when all
-// that is to be sent again is at a few nodes of many, or at all of them. Where a node has fewer than
-// two requests a second to send again, a token often expires before there is one: 0.5.
+// TestAllowanceIsUsedWhereNeeded: at least 0.8 of the allowance is used, and no window exceeds it,
+// whether all requests that have to be sent again are at a few of many nodes or spread over all of
+// them. Where a node has fewer than two such requests per second, tokens often expire before there
+// is one; there 0.5 is enough.
 func TestAllowanceIsUsedWhereNeeded(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
 		rate, minUsed  float64
 	}{{13, 1, 1000, 0.8}, {13, 13, 1000, 0.8}, {88, 9, 2000, 0.8}, {88, 88, 2000, 0.8}, {88, 88, 300, 0.5}}
 	for _, test := range cases {
-		t.Run(fmt.Sprintf("%d of %d nodes, %v requests a second", test.needing, test.nodes, test.rate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d of %d nodes, %v requests per second", test.needing, test.nodes, test.rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(uint64(test.nodes), test.nodes)
@@ -277,7 +280,8 @@
 	}
 }
 
-// TestCallsOfRepeatedRuns are paid for out of the same allowance, at all nodes and at a few.
+// TestCallsOfRepeatedRuns: the calls of repeated runs are charged to the same allowance, whether
+// requests are repeated at all nodes or at a few.
 func TestCallsOfRepeatedRuns(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
@@ -301,7 +305,8 @@
 	}
 }
 
-// TestASwitchAfterABurst: what nodes spent of their even shares right before shares are lent counts.
+// TestLendingEnabledAfterBurst: the repeats that nodes spent from their equal shares just before
+// lending starts count against the allowance.
 func TestLendingEnabledAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -323,10 +328,10 @@
 	})
 }
 
-// trouble is one thing that goes wrong for a time.
+// fault injects a fault for some time and returns once it is over.
 type fault func(f *fleet, random *rand.Rand)
 
-// cut has nodes in so many groups for a time.
+// partition puts the nodes into the given number of groups that cannot reach each other.
 func partition(groups int) fault {
 	return func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
@@ -341,7 +346,7 @@
 	}
 }
 
-// ended has one node of so many end and start anew.
+// restart kills about one in oneOf nodes and starts them again.
 func restart(oneOf int) fault {
 	return func(f *fleet, random *rand.Rand) {
 		var killed []*member
@@ -387,9 +392,9 @@
 	},
 }
 
-// TestNeverMoreThanAllowed whatever goes wrong, two things at a time, while the requests come
-// unevenly: no window holds more than is allowed. The second half of the seeds has calls of
-// repeated runs in place of the switch, without which nobody pays for those.
+// TestAllowanceHoldsUnderFaults: with two random faults at a time and uneven load, no window holds
+// more repeats than allowed. In the second half of the seeds, calls of repeated runs take the place
+// of the fault that turns lending off: while lending is off, nobody pays for such calls.
 func TestAllowanceHoldsUnderFaults(t *testing.T) {
 	const seeds = uint64(12)
 	for seed := range seeds {
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -1,19 +1,21 @@
-// Package repeats bounds how often requests are sent again after they have reached a back end, by
-// all nodes together at each service, and spends what is allowed where it saves most.
+// Package repeats limits the repeats of all nodes together at each service, and spends the
+// allowance where it saves most. A repeat is a send of a request that has already reached a back
+// end.
 //
-// The load that it answers: the back ends of one service reject much of what they get for some
-// seconds. Some nodes need far more repeats than their own requests have earned, while those of
-// others lie idle.
+// It is made for back ends of one service that reject much of their load for some seconds: some
+// nodes then need far more repeats than their own requests have earned, while the allowance of
+// other nodes is unused.
 //
-// Where requests compete for room the allowance is an account of package lending. A request earns
-// its node a part of a token; the node keeps what it needs itself and passes the rest on to the
-// service's granter, with its share of the slack. Tokens come back in lots that are asked for
-// ahead. No caller waits for them: a node that holds none spends what it has earned itself, or
-// sends nothing again. Elsewhere each node spends a part of its even share.
+// Where requests compete for capacity, the allowance is an account of package lending. Each request
+// earns its node a part of a token. The node keeps the tokens that it needs itself and deposits the
+// rest with the service's granter, to which it also lends its share of the slack. It prefetches
+// tokens from the granter in batches. No caller waits for them: a node without granted tokens
+// spends those that it has earned itself, or sends nothing again. Where requests do not compete,
+// each node spends a part of its equal share.
 //
-// A call that a repeated run makes is a repeat at the service that it calls. The node beside the
-// back end that makes it pays for it: it owes the token until its own requests or the granter's
-// tokens have made up for it.
+// A call made by a repeated run is a repeat at the service that it calls. The node beside the back
+// end that makes the call pays for it: it has a debt of one token until its own requests or tokens
+// of the granter have repaid it.
 package repeats
 
 import (
@@ -34,27 +36,29 @@
 )
 
 const (
-	// ahead is for how long a lot is to last: longer, and more of it expires unspent; shorter,
-	// and there are more questions.
+	// prefetchTime is for how long a batch of tokens should last. With a longer time more tokens
+	// expire unspent, with a shorter one there are more requests to granters.
 	prefetchTime = 200 * time.Millisecond
-	// askedLow is for how long what is held is to last when a lot is asked for.
+	// lowWaterMark is the time for which the held tokens must last; below it, a new batch is
+	// requested.
 	lowWaterMark = 50 * time.Millisecond
-	// askPause is how long no granter is asked after one did not answer.
+	// requestPause is how long no granter is asked after one did not answer.
 	requestPause = 100 * time.Millisecond
 )
 
-// Options configure repeats.
+// Options configures Repeats.
 type Options struct {
-	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
+	// Node, View, Reachable, MembershipKnown, Send and MarkLost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
 	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	MarkLost        func(node string)
-	// Limits bind at each service.
+	// Limits returns the limits that apply to each service.
 	Limits func() Limits
-	// Services returns those of the configuration in force, Exists whether one is among them.
+	// Services returns the services of the configuration in force. Exists reports whether a service
+	// is one of them.
 	Services func() []string
 	Exists   func(service string) bool
 	// On reports whether shares are lent.
@@ -63,31 +67,31 @@
 	Registry prometheus.Registerer
 }
 
-// Repeats keeps the allowance on one node. It is safe for concurrent use.
+// Repeats enforces the limits on one node. It is safe for concurrent use.
 type Repeats struct {
 	*carrier.Carrier
 	options Options
-	// services holds *serviceState by name.
+	// services maps names to *serviceState.
 	services sync.Map
 	results  *prometheus.CounterVec
 }
 
-// service is what the node knows of one service.
+// serviceState is the node's state of one service.
 type serviceState struct {
 	budget     budget
 	acceptance acceptance
-	// asking: a granter is being asked.
+	// requesting says that a request to a granter is in flight.
 	requesting atomic.Bool
 
-	// calledFor are the repeats that were called for of late.
+	// nestedDemand counts the recent repeats of nested calls.
 	nestedDemand demandCounter
 
 	mu sync.Mutex // guards all below
-	// askAfter is until when no granter is asked.
+	// requestAfter is when a granter may be asked again.
 	requestAfter time.Time
 }
 
-// New returns repeats whose shares are lent once Run is called.
+// New returns a Repeats. It lends the node's shares once Run is called.
 func New(options Options) *Repeats {
 	created := &Repeats{options: options}
 	created.Carrier = carrier.New(carrier.Options{
@@ -102,7 +106,7 @@
 	return created
 }
 
-// terms returns how a service's allowance is lent among so many nodes.
+// terms returns the lending terms of a service's allowance for the given number of nodes.
 func (r *Repeats) terms(service string, members int) (lending.Terms, bool) {
 	limits := r.options.Limits()
 	if limits.Window <= 0 || !r.options.On() || !r.options.Exists(service) {
@@ -122,8 +126,9 @@
 // On reports whether shares are lent.
 func (r *Repeats) On() bool { return r.options.On() }
 
-// RecordRequest notes a request for a service, which earns a part of a repeat. repeated is how likely it
-// is that a repeated run makes it, so that it is a repeat itself.
+// RecordRequest records a request for a service, which earns a part of a repeat. repeatProbability
+// is the probability that a repeated run makes the request, which is then a repeat itself and adds
+// to the node's debt.
 func (r *Repeats) RecordRequest(name string, repeatProbability float64) {
 	now, limits := clock.Now(), r.options.Limits()
 	state := r.serviceFor(name)
@@ -164,7 +169,8 @@
 	return r.spend(name, terms, now)
 }
 
-// spend takes the token of a repeat from where there is one.
+// spend spends a token for a repeat: a granted one, else an earned one, else one of the node's own
+// share. It first repays the debt.
 func (r *Repeats) spend(name string, terms lending.Terms, now time.Time) bool {
 	if r.MembershipKnown() && !r.Holder().RepayDebt(name, terms, now) {
 		return r.count("spent", false)
@@ -184,14 +190,14 @@
 	return r.count("spent", false)
 }
 
-// RecordResult takes in whether a back end of the service accepted a request that reached it.
+// RecordResult records whether a back end of the service accepted a request that reached it.
 func (r *Repeats) RecordResult(name string, accepted bool) {
 	if r.options.On() {
 		r.serviceFor(name).acceptance.add(accepted, clock.Now())
 	}
 }
 
-// RemainingByService returns how many repeats the node holds by service, of those that there are.
+// RemainingByService returns how many repeats the node holds for each existing service.
 func (r *Repeats) RemainingByService() map[string]float64 {
 	remaining := map[string]float64{}
 	r.services.Range(func(name, _ any) bool {
@@ -203,7 +209,7 @@
 	return remaining
 }
 
-// Remaining returns how many repeats the node holds at one service.
+// Remaining returns how many repeats the node holds for one service.
 func (r *Repeats) Remaining(name string) float64 {
 	if terms, lent := r.Terms(name); lent {
 		return r.Holder().Available(name, terms, clock.Now())
@@ -216,7 +222,7 @@
 	return taken
 }
 
-// of returns what is known of a service.
+// serviceFor returns the state of a service and creates it if needed.
 func (r *Repeats) serviceFor(name string) *serviceState {
 	if state, found := r.services.Load(name); found {
 		return state.(*serviceState)
@@ -225,29 +231,30 @@
 	return state.(*serviceState)
 }
 
-// carryOver turns what the node has overspent of its even share into a debt of the account, once
-// after lending begins.
+// transferDebt turns what the node has overspent of its equal share into a debt of the lent
+// account, once after lending begins.
 func (r *Repeats) transferDebt(name string, state *serviceState, limits Limits, terms lending.Terms, now time.Time) {
 	if deficit := state.budget.drain(limits, terms.Members, now); deficit > 0 {
 		r.Holder().AddDebt(name, deficit, now)
 	}
 }
 
-// pause has no granter asked for some time.
+// pauseRequests stops requests to granters for requestPause.
 func (s *serviceState) pauseRequests(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestAfter = now.Add(requestPause)
 }
 
-// mayAsk reports whether a granter may be asked again.
+// mayRequest reports whether a granter may be asked again.
 func (s *serviceState) mayRequest(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !now.Before(s.requestAfter)
 }
 
-// refill asks the granter for a lot when what is held is low.
+// refill requests a batch of tokens from the granter in the background if the held ones are running
+// low.
 func (r *Repeats) refill(name string, state *serviceState, now time.Time) {
 	if !state.mayRequest(now) || !r.Holder().NeedsRefill(name, lowWaterMark, now) || !state.requesting.CompareAndSwap(false, true) {
 		return
--- a/internal/sidecar/repeats/worth.go
+++ b/internal/sidecar/repeats/worth.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// Request is what decides how much a repeat of it is worth.
+// Request describes a request by what determines the value of repeating it.
 type Request struct {
-	// Nested: a running request waits for it, and what that has worked is lost without it.
+	// Nested says that another request, which is running, waits for this one. The work done by that
+	// run is lost without the repeat.
 	Nested bool
-	// Returning: the caller has been refused before, and has no time to come back again.
+	// Returning says that the caller has been refused before and has no time to try again.
 	Returning bool
 }
 
-// What a repeat saves, by the work that it is worth.
+// The value of a repeat that is accepted, in units of the work of one request.
 const (
-	// savesNested: the work of the run that waits for it, and its other calls.
+	// nestedValue is the work of the run that waits for the request, and of the other calls of that
+	// run.
 	nestedValue = 2
-	// savesReturning: the request, which is lost without it.
+	// returningValue is the request itself, which is lost without the repeat.
 	returningValue = 1
-	// savesFirst: the caller may come back, and be served late.
+	// firstValue is lower because the caller may try again and be served late.
 	firstValue = 0.5
-	// leastWorth is what a repeat is worth at least. Below, the back ends reject whatever comes:
-	// repeats only add to what they reject.
+	// minExpectedValue is the lowest expected value at which a request is repeated. Below it, the
+	// back ends reject almost everything, and repeats only add to the load that they reject.
 	minExpectedValue = 0.05
 )
 
-// saves returns what a repeat that is accepted saves.
+// value returns the value of a repeat that is accepted.
 func (r Request) value() float64 {
 	switch {
 	case r.Nested:
@@ -38,30 +40,30 @@
 	return firstValue
 }
 
-// worth returns what a repeat is worth where that part of what comes is accepted.
+// expectedValue returns the expected value of a repeat, given the fraction of requests that is
+// accepted.
 func (r Request) expectedValue(accepted float64) float64 { return accepted * r.value() }
 
-// spends reports whether a repeat may have one of the tokens that are held. Some are kept for
-// repeats that save more.
+// mayTake reports whether a repeat may take one of the available tokens, some of which are in
+// reserve for repeats of higher value.
 func mayTake(available, reserve float64) bool { return reserve < minReserve || available-reserve >= 1 }
 
 const (
-	// leastKept is from how many tokens on some are kept.
+	// minReserve is the smallest reserve, in tokens, that is kept.
 	minReserve = 0.1
-	// keptFor is for how long they are to last: more may not come sooner.
+	// reserveTime is for how long the reserve should last, since more tokens may not arrive before.
 	reserveTime = 200 * time.Millisecond
 )
 
-// calls are repeats that were called for of late and save most. It is safe for concurrent
-// use.
+// demandCounter counts the recent repeats of the highest value. It is safe for concurrent use.
 type demandCounter struct {
 	mu sync.Mutex // guards all below
-	// nested counts those of nested calls, as they fade over a second.
+	// nested counts repeats of nested calls, with exponential decay over one second.
 	nested  float64
 	updated time.Time
 }
 
-// add notes a repeat and returns how many tokens are kept from it for those that save more.
+// add records a repeat and returns how many tokens are in reserve for repeats of higher value.
 func (c *demandCounter) add(request Request, now time.Time) (reserve float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,22 +79,22 @@
 }
 
 const (
-	// acceptanceLife is how fast what back ends did fades. They begin and cease to reject within
-	// a second.
+	// acceptanceDecay is the time constant of the decay of acceptance. Back ends start and stop
+	// rejecting requests within a second.
 	acceptanceDecay = time.Second
-	// acceptanceLeast is how many sends say something.
+	// minAcceptanceSamples is the number of sends below which the fraction is not meaningful.
 	minAcceptanceSamples = 5
 )
 
-// acceptance is the part of the requests that back ends of a service accept of late. It is safe
-// for concurrent use; its zero value has seen none.
+// acceptance estimates the fraction of recent requests that the back ends of a service accept. It
+// is safe for concurrent use. Its zero value has no samples.
 type acceptance struct {
 	mu                       sync.Mutex // guards all below
 	sentCount, acceptedCount float64
 	updated                  time.Time
 }
 
-// add takes in what became of one send that reached a back end.
+// add records whether a send that reached a back end was accepted.
 func (a *acceptance) add(accepted bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,7 +105,8 @@
 	}
 }
 
-// share returns the part that is accepted, 1 where too little was seen of late.
+// acceptedFraction returns the fraction of requests that is accepted, or 1 if there are too few
+// recent samples.
 func (a *acceptance) acceptedFraction(now time.Time) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/sidecar/repeats/worth_test.go
+++ b/internal/sidecar/repeats/worth_test.go
@@ -15,7 +15,7 @@
 		g.Expect(returning.expectedValue(accepted)).To(BeNumerically(">", first.expectedValue(accepted)))
 	}
 	g.Expect(nested.expectedValue(0.5)).To(BeNumerically(">=", minExpectedValue))
-	g.Expect(nested.expectedValue(0.01)).To(BeNumerically("<", minExpectedValue), "whatever comes is rejected")
+	g.Expect(nested.expectedValue(0.01)).To(BeNumerically("<", minExpectedValue), "nearly all requests are rejected")
 }
 
 func TestReserveForNestedCalls(t *testing.T) {
@@ -23,22 +23,22 @@
 	now := time.Unix(1000, 0)
 	counter := &demandCounter{}
 	nested, client := Request{Nested: true}, Request{}
-	g.Expect(mayTake(1, counter.add(client, now))).To(BeTrue(), "nothing else is called for")
+	g.Expect(mayTake(1, counter.add(client, now))).To(BeTrue(), "no nested calls were recorded")
 	for range 10 {
-		g.Expect(counter.add(nested, now)).To(BeZero(), "nothing is kept from it")
+		g.Expect(counter.add(nested, now)).To(BeZero(), "nested calls may use the reserve")
 	}
 	reserve := counter.add(client, now)
 	g.Expect(reserve).To(BeNumerically("~", 10*reserveTime.Seconds(), 0.001))
 	g.Expect(mayTake(reserve+0.9, reserve)).To(BeFalse())
 	g.Expect(mayTake(reserve+1, reserve)).To(BeTrue())
-	g.Expect(mayTake(1, counter.add(client, now.Add(10*time.Second)))).To(BeTrue(), "of late there was none")
+	g.Expect(mayTake(1, counter.add(client, now.Add(10*time.Second)))).To(BeTrue(), "no recent nested calls")
 }
 
 func TestAcceptanceDecays(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	estimate := &acceptance{}
-	g.Expect(estimate.acceptedFraction(now)).To(Equal(1.0), "nothing is known")
+	g.Expect(estimate.acceptedFraction(now)).To(Equal(1.0), "no samples")
 	for range 20 {
 		estimate.add(false, now)
 	}
@@ -47,10 +47,11 @@
 		estimate.add(true, now)
 	}
 	g.Expect(estimate.acceptedFraction(now)).To(BeNumerically("~", 0.5, 0.01))
-	g.Expect(estimate.acceptedFraction(now.Add(10*time.Second))).To(Equal(1.0), "too old")
+	g.Expect(estimate.acceptedFraction(now.Add(10*time.Second))).To(Equal(1.0), "samples have decayed")
 }
 
-// TestWhatWasSpentBeforeIsOwed: what a node spent of its even share counts when shares are lent, once.
+// TestDrainReturnsDeficitOnce: what a node has overspent of its equal share is charged to the lent
+// account, and only once. Otherwise turning lending on would grant the same repeats again.
 func TestDrainReturnsDeficitOnce(t *testing.T) {
 	g := NewWithT(t)
 	limits := Limits{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
@@ -64,7 +65,7 @@
 	for even.take(limits, 1, now) {
 	}
 	g.Expect(even.drain(limits, 1, now)).To(BeNumerically(">", 0))
-	g.Expect(even.drain(limits, 1, now)).To(BeZero(), "it is owed once")
-	g.Expect(even.take(limits, 1, now)).To(BeFalse(), "and not had again when nothing is lent any more")
+	g.Expect(even.drain(limits, 1, now)).To(BeZero(), "the deficit is returned once")
+	g.Expect(even.take(limits, 1, now)).To(BeFalse(), "the tokens are not available again when lending ends")
 	g.Expect(even.remaining()).To(BeNumerically("<", before))
 }
