--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -137,8 +137,8 @@
 	b.updated = now
 }
 
-// depth returns how many tokens the bucket holds at most. It depends on the lent shares and on the
-// deposits within the window, less the granted tokens that may be unspent.
+// depth returns how many tokens the bucket holds at most. It depends on the lent shares and, if
+// tokens are earned, on the deposits within the window less the granted tokens that may be unspent.
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
 	depth := terms.Depth * b.lentFraction(terms)
 	if terms.Window > 0 {
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -19,10 +19,10 @@
 
 // SelectGranters returns the granters, sorted by name: the usable nodes with the fastest links.
 // Nodes need not agree on the granters for the limits to hold; where they agree, no share is idle.
-func SelectGranters(view *roster.View, usable readers.Reachable) []*roster.Record {
+func SelectGranters(view *roster.View, reachable readers.Reachable) []*roster.Record {
 	var eligible []*roster.Record
 	for _, record := range view.Records() {
-		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && usable(record) {
+		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && reachable(record) {
 			eligible = append(eligible, record)
 		}
 	}
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -131,8 +131,8 @@
 }
 
 // AddGrant adds the tokens of a granter's response. The granter counts the tokens as unspent for
-// their lifetime from the moment that it grants them, which is not before the request was sent; the
-// lifetime here therefore starts at requestedAt, so that it never ends later.
+// their lifetime from the moment that it grants them, which is not before the request was sent.
+// Here the lifetime starts at requestedAt, so that it does not end later than at the granter.
 func (h *Holder) AddGrant(account string, grant Grant, requestedAt, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
