--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -522,8 +522,8 @@
 	})
 }
 
-// TestSharesAddUpToLimit: the depths of the nodes' own shares, rounded to whole tokens, add up to
-// about the depth of the limit.
+// TestSharesAddUpToLimit: the depths of the nodes' own shares add up to no more than what the limit
+// allows to be saved up, apart from the variance of the rounding to whole tokens.
 func TestSharesAddUpToLimit(t *testing.T) {
 	for _, members := range []int{1, 13, 88, 1000} {
 		g := NewWithT(t)
