--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -207,7 +207,7 @@
 	c.sampleOverShare()
 	c.results, c.done = make(chan *attempt), make(chan struct{})
 	defer close(c.done)
-	c.handler.options.RetryBudget.First(c.service, c.retryProbability)
+	c.handler.options.RetryBudget.RecordRequest(c.service, c.retryProbability)
 	for {
 		result := c.sendOnce()
 		if result.response != nil {
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -92,14 +92,14 @@
 type RetryBudget interface {
 	// On reports whether the budget is shared between nodes.
 	On() bool
-	// First records a request. repeated is the probability that a retry made it.
-	First(service string, repeated float64)
+	// RecordRequest records a request. repeated is the probability that a retry made it.
+	RecordRequest(service string, repeated float64)
 	// Take spends one retry and reports whether one was left.
 	Take(service string, request repeats.Request) bool
-	// Reached records whether a back end accepted a request that reached it.
-	Reached(service string, accepted bool)
-	// LeftOf returns how many retries the node holds for the service.
-	LeftOf(service string) float64
+	// RecordResult records whether a back end accepted a request that reached it.
+	RecordResult(service string, accepted bool)
+	// Remaining returns how many retries the node holds for the service.
+	Remaining(service string) float64
 }
 
 // Quarantine decides which requests are refused because they crash the back ends that run them.
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -94,6 +94,6 @@
 	}
 	c.service = c.route.NextService()
 	c.sampleOverShare()
-	c.handler.options.RetryBudget.First(c.service, c.retryProbability)
+	c.handler.options.RetryBudget.RecordRequest(c.service, c.retryProbability)
 	return true, nil
 }
--- a/internal/sidecar/egress/quota.go
+++ b/internal/sidecar/egress/quota.go
@@ -14,12 +14,12 @@
 
 // Quota enforces the tenants' rate limits.
 type Quota interface {
-	// Take spends one request of a tenant that has a limit. The error is quota.ErrSpent when the
+	// Take spends one request of a tenant that has a limit. The error is quota.ErrLimitReached when the
 	// limit is reached; any other means that the limit cannot be checked.
 	Take(ctx context.Context, tenant string) (lending.Token, error)
-	// Again spends a token that the node holds on another run of a request, and reports whether
+	// TakeRetry spends a token that the node holds on another run of a request, and reports whether
 	// there was one.
-	Again(tenant string) bool
+	TakeRetry(tenant string) bool
 	// Return gives back the token of a request that did not run.
 	Return(lending.Token)
 }
@@ -30,8 +30,8 @@
 // Take implements Quota.
 func (noQuota) Take(context.Context, string) (lending.Token, error) { return lending.Token{}, nil }
 
-// Again implements Quota.
-func (noQuota) Again(string) bool { return true }
+// TakeRetry implements Quota.
+func (noQuota) TakeRetry(string) bool { return true }
 
 // Return implements Quota.
 func (noQuota) Return(lending.Token) {}
@@ -44,7 +44,7 @@
 	}
 	token, err := c.handler.options.Quota.Take(c.context, c.tenant.Name)
 	switch {
-	case errors.Is(err, quota.ErrSpent):
+	case errors.Is(err, quota.ErrLimitReached):
 		return outcome.Refusal(http.StatusTooManyRequests, outcome.StepQuota, token.Wait, err)
 	case err != nil:
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuota, token.Wait, err)
@@ -80,8 +80,8 @@
 			return refused.Cause
 		}
 		return nil
-	case !c.handler.options.Quota.Again(c.tenant.Name):
-		return quota.ErrSpent
+	case !c.handler.options.Quota.TakeRetry(c.tenant.Name):
+		return quota.ErrLimitReached
 	}
 	c.heldTokenRuns++
 	return nil
--- a/internal/sidecar/egress/quota_test.go
+++ b/internal/sidecar/egress/quota_test.go
@@ -32,8 +32,8 @@
 	token.Wait = s.wait
 	return token, s.err
 }
-func (s *scriptedQuota) Again(string) bool    { return true }
-func (s *scriptedQuota) Return(lending.Token) { s.returned = append(s.returned, "token") }
+func (s *scriptedQuota) TakeRetry(string) bool { return true }
+func (s *scriptedQuota) Return(lending.Token)  { s.returned = append(s.returned, "token") }
 
 // TestTenantLimit: requests above the limit are refused at once with a correct Retry-After; if
 // nothing grants tokens, they are refused as unavailable; the token of a request that did not run
@@ -54,10 +54,10 @@
 	}{
 		{"within the limit", limited, "/closed/", scriptedQuota{}, true, 200, "", 1, 0},
 		{"token valid soon", limited, "/closed/", scriptedQuota{wait: time.Millisecond}, true, 200, "", 1, 0},
-		{"above the limit", limited, "/closed/", scriptedQuota{err: quota.ErrSpent, wait: 1500 * time.Millisecond}, true, 429, "1.50", 1, 0},
-		{"no granter", limited, "/closed/", scriptedQuota{err: quota.ErrUnknown, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
+		{"above the limit", limited, "/closed/", scriptedQuota{err: quota.ErrLimitReached, wait: 1500 * time.Millisecond}, true, 429, "1.50", 1, 0},
+		{"no granter", limited, "/closed/", scriptedQuota{err: quota.ErrNoGrant, wait: 50 * time.Millisecond}, true, 503, "0.05", 1, 0},
 		{"an open route, with a key", limited, "/open/", scriptedQuota{}, true, 200, "", 1, 0},
-		{"no limit", unlimited, "/closed/", scriptedQuota{err: quota.ErrSpent}, true, 200, "", 0, 0},
+		{"no limit", unlimited, "/closed/", scriptedQuota{err: quota.ErrLimitReached}, true, 200, "", 0, 0},
 		{"no back end", limited, "/closed/", scriptedQuota{}, false, 503, "0.15", 1, 1},
 	}
 	for _, test := range cases {
--- a/internal/sidecar/egress/token_test.go
+++ b/internal/sidecar/egress/token_test.go
@@ -46,7 +46,7 @@
 		{"rejected, then served", []scriptedReply{rejectedReply, servedReply}, nil, true, 200, 1, 0},
 		{"rejected twice", []scriptedReply{rejectedReply, rejectedReply}, nil, true, 503, 1, 1},
 		{"unknown outcome, then served", []scriptedReply{unknownResult, servedReply}, nil, true, 200, 2, 0},
-		{"unknown outcome, with the limit reached", []scriptedReply{unknownResult, servedReply}, quota.ErrSpent, true, 502, 2, 0},
+		{"unknown outcome, with the limit reached", []scriptedReply{unknownResult, servedReply}, quota.ErrLimitReached, true, 502, 2, 0},
 		{"unknown outcome, then rejected", []scriptedReply{unknownResult, rejectedReply}, nil, true, 502, 2, 1},
 		{"rejected twice, without overload control", []scriptedReply{rejectedReply, rejectedReply}, nil, false, 503, 1, 0},
 		{"unknown outcome, then served, without overload control", []scriptedReply{unknownResult, servedReply}, nil, false, 200, 1, 0},
@@ -95,7 +95,7 @@
 func validToken() lending.Token {
 	now := time.Now().Add(time.Hour) // independent of how long the test takes
 	holder := lending.NewHolder("n")
-	holder.Granted("acme", lending.Grant{Tokens: 1}, now, now)
+	holder.AddGrant("acme", lending.Grant{Tokens: 1}, now, now)
 	_, token := holder.Take("acme", now)
 	return token
 }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -90,7 +90,7 @@
 // recordResult records a finished attempt and returns its result.
 func (c *call) recordResult(ended *attempt) result {
 	if ended.response != nil {
-		c.handler.options.RetryBudget.Reached(c.service, true)
+		c.handler.options.RetryBudget.RecordResult(c.service, true)
 		c.handler.options.Observer.Carried(ended.elapsed, ended.worked)
 	}
 	c.recordAttempt(ended)
@@ -201,7 +201,7 @@
 		return len(c.attempts) < c.refusalLimit() && c.candidateSet(clock.Now(), c.selection()).hasAlternative()
 	}
 	c.runs++
-	c.handler.options.RetryBudget.Reached(c.service, last.failure.Step != outcome.StepShed)
+	c.handler.options.RetryBudget.RecordResult(c.service, last.failure.Step != outcome.StepShed)
 	if last.failure.Outcome != outcome.NotRun {
 		c.mayHaveRun = true
 		if !c.route.Repeatable {
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -93,7 +93,7 @@
 
 // Granter answers other nodes' requests for shares of a budget.
 type Granter interface {
-	Serve(*lending.Ask) *lending.Answer
+	Serve(*lending.GrantRequest) *lending.GrantResponse
 }
 
 const (
--- a/internal/sidecar/exchange/lending.go
+++ b/internal/sidecar/exchange/lending.go
@@ -15,26 +15,26 @@
 )
 
 // AskQuota sends a node's request for a share of tenants' limits to a peer.
-func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+func (e *Exchanger) AskQuota(ctx context.Context, peer *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 	return e.requestGrant(ctx, peer, pathQuota, asked)
 }
 
 // AskRepeats sends a node's request for a share of the budget of repeats to a peer.
-func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+func (e *Exchanger) AskRepeats(ctx context.Context, peer *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 	return e.requestGrant(ctx, peer, pathRepeats, asked)
 }
 
-func (e *Exchanger) requestGrant(ctx context.Context, peer *roster.Record, path string, asked *lending.Ask) (*lending.Answer, error) {
+func (e *Exchanger) requestGrant(ctx context.Context, peer *roster.Record, path string, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 	resp, err := e.send(ctx, peer, path, asked)
 	if status := statusError(0); errors.As(err, &status) && status == http.StatusNotFound {
 		// A node of the previous version lends nothing, but is reachable all the same.
-		return &lending.Answer{Closed: true}, nil
+		return &lending.GrantResponse{Closed: true}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	answer := &lending.Answer{}
+	answer := &lending.GrantResponse{}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(answer); err != nil {
 		return nil, trace.Wrap(err, "request tokens from %s", peer.Node)
 	}
@@ -45,7 +45,7 @@
 func grantHandler(granter Granter) restful.RouteFunction {
 	return func(request *restful.Request, response *restful.Response) {
 		request.Request.Body = http.MaxBytesReader(response.ResponseWriter, request.Request.Body, maxMessageBytes)
-		asked := &lending.Ask{}
+		asked := &lending.GrantRequest{}
 		err := request.ReadEntity(asked)
 		if err == nil {
 			err = asked.Validate()
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -1,5 +1,5 @@
-// Package carrier brings the messages of lending between nodes: it keeps the shares of a node's
-// accounts lent, asks granters for tokens, and answers other nodes.
+// Package carrier exchanges the messages of package lending between nodes: it renews the leases of
+// the node's shares, requests tokens from granters, and answers requests of other nodes.
 package carrier
 
 import (
@@ -23,229 +23,231 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// ErrNoGranter says that no node gives out tokens of an account.
-var ErrNoGranter = errors.New("nobody gives out tokens")
+// ErrNoGranter is returned when no node grants tokens of an account.
+var ErrNoGranter = errors.New("no granter for the account")
 
 const (
-	// grantersAge is for how long the granters that were found are used.
-	grantersAge = 200 * time.Millisecond
-	// grantersLook is the time between two looks at whether the granters have changed.
-	grantersLook = 100 * time.Millisecond
-	// sendsAtOnce is how many granters a node sends its shares to side by side.
-	sendsAtOnce = 4
+	// granterCacheTTL is how long a selection of granters is reused.
+	granterCacheTTL = 200 * time.Millisecond
+	// granterPollInterval is the interval at which Run checks whether the granters have changed.
+	granterPollInterval = 100 * time.Millisecond
+	// maxConcurrentSends limits how many granters a node sends leases to at the same time.
+	maxConcurrentSends = 4
 )
 
-// Options configure a carrier.
+// Options configures a Carrier.
 type Options struct {
-	// Name is that of what is lent, for log lines.
+	// Name is the name of what is lent, for log lines.
 	Name string
-	// Node is the node's own name.
+	// Node is the name of this node.
 	Node string
-	// View returns the other nodes, Usable whether one is believed to be there.
-	View   func() *roster.View
-	Usable readers.Usable
-	// Known reports whether the view holds about all nodes. One that has just started and takes
-	// itself for alone would take all shares for its own.
-	Known func() bool
-	// Terms returns those of an account among so many nodes; false when there is no such account.
-	Terms func(account string, members int) (lending.Terms, bool)
-	// Accounts returns those that there are.
+	// View returns the current view of the nodes. Reachable reports whether a node is believed to
+	// be reachable.
+	View      func() *roster.View
+	Reachable readers.Usable
+	// MembershipKnown reports whether the view contains nearly all nodes. Without it, a node that
+	// has just started and sees no others would take the shares of all nodes for its own.
+	MembershipKnown func() bool
+	// Terms returns the terms of an account for the given number of nodes, or false if there is no
+	// such account.
+	Terms func(account string, memberCount int) (lending.Terms, bool)
+	// Accounts returns the names of all accounts.
 	Accounts func() []string
-	// Ahead is for how long the tokens that are asked for at once are to last.
-	Ahead time.Duration
-	// Send asks another node.
-	Send func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error)
-	// Lost is told of a node that did not answer.
-	Lost   func(node string)
-	Logger *zap.Logger
+	// Prefetch is for how long the tokens of one request should last.
+	Prefetch time.Duration
+	// Send sends a request to another node and returns its response.
+	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
+	// MarkLost is called with the name of a node that did not answer.
+	MarkLost func(node string)
+	Logger   *zap.Logger
 }
 
-// Carrier is safe for concurrent use.
+// Carrier holds and grants tokens on one node. It is safe for concurrent use.
 type Carrier struct {
-	options Options
-	holder  *lending.Holder
-	granter *lending.Granter
-	asking  singleflight.Group
-	closed  atomic.Bool
-	found   atomic.Pointer[found]
+	options        Options
+	holder         *lending.Holder
+	granter        *lending.Granter
+	inFlight       singleflight.Group
+	closed         atomic.Bool
+	cachedGranters atomic.Pointer[cachedGranters]
 }
 
-// found are the granters as they were at a moment.
-type found struct {
+// cachedGranters is a selection of granters with the view and the time that it was made at.
+type cachedGranters struct {
 	granters []*roster.Record
 	view     *roster.View
 	at       time.Time
 }
 
-// New returns a carrier that lends the node's shares once Run is called.
+// New returns a carrier. It lends the node's shares once Run is called.
 func New(options Options) *Carrier {
 	return &Carrier{options: options, holder: lending.NewHolder(options.Node), granter: lending.NewGranter()}
 }
 
-// Holder returns what the node holds.
+// Holder returns the holder of the node's tokens.
 func (c *Carrier) Holder() *lending.Holder { return c.holder }
 
-// Terms returns those of an account now; false when there is no such account.
+// Terms returns the current terms of an account, or false if there is no such account.
 func (c *Carrier) Terms(account string) (lending.Terms, bool) {
-	return c.options.Terms(account, c.members())
+	return c.options.Terms(account, c.memberCount())
 }
 
-// Known reports whether the node knows about all others.
-func (c *Carrier) Known() bool { return c.options.Known() }
+// MembershipKnown reports whether the node knows nearly all other nodes.
+func (c *Carrier) MembershipKnown() bool { return c.options.MembershipKnown() }
 
-// Ask has the granter give tokens of an account to the node. Requests that come meanwhile wait for
-// the same answer.
-func (c *Carrier) Ask(ctx context.Context, account string) error {
-	answered := c.asking.DoChan(account, func() (any, error) {
+// RequestTokens requests tokens of an account from its granter and adds them to the holder.
+// Concurrent calls for the same account share one request.
+func (c *Carrier) RequestTokens(ctx context.Context, account string) error {
+	done := c.inFlight.DoChan(account, func() (any, error) {
 		var err error
-		fault := contain.Run(c.options.Name, c.options.Logger, func() { err = c.askGranter(account) })
+		fault := contain.Run(c.options.Name, c.options.Logger, func() { err = c.requestGrant(account) })
 		return nil, errors.Join(err, fault)
 	})
 	select {
-	case result := <-answered:
+	case result := <-done:
 		return result.Err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (c *Carrier) askGranter(account string) error {
+func (c *Carrier) requestGrant(account string) error {
 	granter := lending.GranterOf(account, c.granters())
 	terms, exists := c.Terms(account)
 	if granter == nil || !exists {
 		return ErrNoGranter
 	}
 	now := clock.Now()
-	wanted := []lending.Want{{Account: account, Tokens: c.holder.Wanted(account, c.options.Ahead, now)}}
-	asked := &lending.Ask{From: c.options.Node, Wants: wanted}
+	wants := []lending.Want{{Account: account, Tokens: c.holder.TokensToRequest(account, c.options.Prefetch, now)}}
+	request := &lending.GrantRequest{From: c.options.Node, Wants: wants}
 	if c.holder.Lend(account, granter.Node, terms, now) {
-		asked.Lends = []string{account}
+		request.Lends = []string{account}
 	}
-	answer, err := c.send(granter, asked)
+	response, err := c.send(granter, request)
 	if err != nil {
 		return err
 	}
-	if len(answer.Grants) != 1 {
-		return trace.BadParameter("grants: has %d entries, not 1", len(answer.Grants))
+	if len(response.Grants) != 1 {
+		return trace.BadParameter("grants: %d entries in the response, expected 1", len(response.Grants))
 	}
-	if answer.Grants[0].Unknown {
-		return trace.NotFound("%s knows of no such account", granter.Node)
+	if response.Grants[0].Unknown {
+		return trace.NotFound("granter %s does not know the account", granter.Node)
 	}
-	c.holder.Granted(account, answer.Grants[0], now, clock.Now())
+	c.holder.AddGrant(account, response.Grants[0], now, clock.Now())
 	return nil
 }
 
-// send asks a granter, which may be the node itself. One that is not there, or closed, does not
-// count with what was lent to it.
-func (c *Carrier) send(granter *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+// send sends a request to a granter, which may be this node. If the granter's process has ended or
+// it has stopped granting, the leases to it end, since it no longer uses the shares.
+func (c *Carrier) send(granter *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
 	if granter.Node == c.options.Node {
-		return c.Serve(asked), nil
+		return c.Serve(request), nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lending.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), lending.RequestTimeout)
 	defer cancel()
-	answer, err := c.options.Send(ctx, granter, asked)
+	response, err := c.options.Send(ctx, granter, request)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		c.holder.Freed(granter.Node, clock.Now())
+		c.holder.EndLeases(granter.Node, clock.Now())
 		fallthrough
 	case err != nil:
-		c.options.Lost(granter.Node)
-		c.found.Store(nil)
+		c.options.MarkLost(granter.Node)
+		c.cachedGranters.Store(nil)
 		return nil, err
-	case answer.Closed:
-		c.holder.Freed(granter.Node, clock.Now())
-		c.found.Store(nil)
-		return nil, trace.ConnectionProblem(nil, "%s grants nothing any more", granter.Node)
+	case response.Closed:
+		c.holder.EndLeases(granter.Node, clock.Now())
+		c.cachedGranters.Store(nil)
+		return nil, trace.ConnectionProblem(nil, "granter %s has stopped granting", granter.Node)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Serve answers another node, or the own one.
-func (c *Carrier) Serve(asked *lending.Ask) *lending.Answer {
+// Serve answers a request of another node or of this one.
+func (c *Carrier) Serve(request *lending.GrantRequest) *lending.GrantResponse {
 	if c.closed.Load() {
-		return &lending.Answer{Closed: true}
+		return &lending.GrantResponse{Closed: true}
 	}
 	now := clock.Now()
-	for _, account := range asked.Releases {
+	for _, account := range request.Releases {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.Release(asked.From, account, terms, now)
+			c.granter.EndLease(request.From, account, terms, now)
 		}
 	}
-	for _, account := range asked.Lends {
+	for _, account := range request.Lends {
 		if terms, exists := c.Terms(account); exists {
-			c.granter.Lend(asked.From, account, terms, now)
+			c.granter.AddLease(request.From, account, terms, now)
 		}
 	}
-	for _, brought := range asked.Passes {
-		if terms, exists := c.Terms(brought.Account); exists {
-			c.granter.TakePassed(brought.Account, brought.Tokens, terms, now)
+	for _, deposit := range request.Deposits {
+		if terms, exists := c.Terms(deposit.Account); exists {
+			c.granter.Deposit(deposit.Account, deposit.Tokens, terms, now)
 		}
 	}
-	answer := &lending.Answer{}
-	for _, want := range asked.Wants {
+	response := &lending.GrantResponse{}
+	for _, want := range request.Wants {
 		terms, exists := c.Terms(want.Account)
-		if !exists || !c.options.Known() {
-			answer.Grants = append(answer.Grants, lending.Grant{Unknown: true})
+		if !exists || !c.options.MembershipKnown() {
+			response.Grants = append(response.Grants, lending.Grant{Unknown: true})
 			continue
 		}
-		answer.Grants = append(answer.Grants, c.granter.Grant(want, terms, now))
+		response.Grants = append(response.Grants, c.granter.Grant(want, terms, now))
 	}
-	return answer
+	return response
 }
 
-// Close has the node grant nothing any more.
+// Close makes the node stop granting.
 func (c *Carrier) Close() { c.closed.Store(true) }
 
-// Run keeps the node's shares lent until the context ends: to other nodes at once when the
-// granters are others.
+// Run keeps the node's shares lent until the context ends. It renews the leases at an interval, and
+// at once when the granters have changed.
 func (c *Carrier) Run(ctx context.Context) {
 	var lentTo []*roster.Record
 	var lentAt time.Time
 	for ctx.Err() == nil {
-		due := clock.Since(lentAt) >= lending.Renewal(c.members())
+		due := clock.Since(lentAt) >= lending.RenewalInterval(c.memberCount())
 		if len(c.options.Accounts()) > 0 && (due || !slices.EqualFunc(lentTo, c.granters(), (*roster.Record).SameNode)) {
 			lentTo, lentAt = c.granters(), clock.Now()
-			_ = contain.Run(c.options.Name, c.options.Logger, c.lend)
+			_ = contain.Run(c.options.Name, c.options.Logger, c.renewLeases)
 		}
-		pause.Wait(ctx, grantersLook)
+		pause.Wait(ctx, granterPollInterval)
 	}
 }
 
-// lend renews the leases of all shares and passes on what was earned. Shares that are lent to a
-// node which is no granter of theirs any more are asked back first.
-func (c *Carrier) lend() {
-	if !c.options.Known() {
+// renewLeases renews the leases of all shares and deposits surplus tokens. It first releases shares
+// that are lent to a node which is no longer their granter.
+func (c *Carrier) renewLeases() {
+	if !c.options.MembershipKnown() {
 		return
 	}
 	exists := func(account string) bool { _, exists := c.Terms(account); return exists }
 	c.holder.Retain(exists, clock.Now())
 	c.granter.Retain(exists)
 	accounts, granters := c.options.Accounts(), c.granters()
-	c.sendAll(c.releases(accounts, granters), func(granter string, asked *lending.Ask) {
-		c.holder.Released(granter, asked.Releases, clock.Now())
+	c.sendAll(c.releaseRequests(accounts, granters), func(granter string, request *lending.GrantRequest) {
+		c.holder.ConfirmRelease(granter, request.Releases, clock.Now())
 	})
-	c.sendAll(c.lends(accounts, granters), func(string, *lending.Ask) {})
+	c.sendAll(c.leaseRequests(accounts, granters), func(string, *lending.GrantRequest) {})
 }
 
-// releases returns what the node asks back, by whom it asks.
-func (c *Carrier) releases(accounts []string, granters []*roster.Record) map[string]*lending.Ask {
-	now, asked := clock.Now(), asks{}
+// releaseRequests returns the requests that release shares from their previous granters, by node.
+func (c *Carrier) releaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
+	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
 		if granter == nil {
 			continue
 		}
-		if held := c.holder.LentElsewhere(account, granter.Node, now); held != "" {
-			to := asked.to(held, c.options.Node)
+		if previous := c.holder.PreviousGranter(account, granter.Node, now); previous != "" {
+			to := requests.to(previous, c.options.Node)
 			to.Releases = append(to.Releases, account)
 		}
 	}
-	return asked
+	return requests
 }
 
-// lends returns what the node lends and passes on, by whom it goes to.
-func (c *Carrier) lends(accounts []string, granters []*roster.Record) map[string]*lending.Ask {
-	now, asked := clock.Now(), asks{}
+// leaseRequests returns the requests that renew leases and deposit tokens, by node.
+func (c *Carrier) leaseRequests(accounts []string, granters []*roster.Record) map[string]*lending.GrantRequest {
+	now, requests := clock.Now(), requestsByNode{}
 	for _, account := range accounts {
 		granter := lending.GranterOf(account, granters)
 		terms, exists := c.Terms(account)
@@ -253,72 +255,72 @@
 			continue
 		}
 		if c.holder.Lend(account, granter.Node, terms, now) {
-			to := asked.to(granter.Node, c.options.Node)
+			to := requests.to(granter.Node, c.options.Node)
 			to.Lends = append(to.Lends, account)
 		}
-		if passed := c.passed(account, terms, now); passed != 0 {
-			to := asked.to(granter.Node, c.options.Node)
-			to.Passes = append(to.Passes, lending.Passed{Account: account, Tokens: passed})
+		if surplus := c.surplus(account, terms, now); surplus != 0 {
+			to := requests.to(granter.Node, c.options.Node)
+			to.Deposits = append(to.Deposits, lending.Deposit{Account: account, Tokens: surplus})
 		}
 	}
-	return asked
+	return requests
 }
 
-// passed returns the tokens that the node passes on now.
-func (c *Carrier) passed(account string, terms lending.Terms, now time.Time) float64 {
+// surplus withdraws and returns the tokens of an account to deposit.
+func (c *Carrier) surplus(account string, terms lending.Terms, now time.Time) float64 {
 	if terms.Window <= 0 {
 		return 0
 	}
-	return c.holder.Pass(account, terms, now)
+	return c.holder.WithdrawSurplus(account, terms, now)
 }
 
-// asks are messages by the node that they go to.
-type asks map[string]*lending.Ask
+// requestsByNode maps the name of a node to the request for it.
+type requestsByNode map[string]*lending.GrantRequest
 
-// to returns the message to a node.
-func (a asks) to(node, from string) *lending.Ask {
-	if a[node] == nil {
-		a[node] = &lending.Ask{From: from}
+// to returns the request for a node and creates it if needed.
+func (r requestsByNode) to(node, from string) *lending.GrantRequest {
+	if r[node] == nil {
+		r[node] = &lending.GrantRequest{From: from}
 	}
-	return a[node]
+	return r[node]
 }
 
-// sendAll sends one message to each of the nodes and tells of those that were answered.
-func (c *Carrier) sendAll(messages map[string]*lending.Ask, answered func(node string, asked *lending.Ask)) {
+// sendAll sends each request to its node and calls onSuccess for those that were answered.
+func (c *Carrier) sendAll(requests map[string]*lending.GrantRequest, onSuccess func(node string, request *lending.GrantRequest)) {
 	var group errgroup.Group
-	group.SetLimit(sendsAtOnce)
-	for node, asked := range messages {
+	group.SetLimit(maxConcurrentSends)
+	for node, request := range requests {
 		granter := c.options.View().Record(node)
 		if granter == nil {
 			continue
 		}
 		group.Go(func() error {
-			if _, err := c.send(granter, asked); err != nil {
+			if _, err := c.send(granter, request); err != nil {
 				c.options.Logger.Info("shares of "+c.options.Name+" not lent or asked back", zap.String("peer", node),
-					zap.Int("lent", len(asked.Lends)), zap.Int("askedBack", len(asked.Releases)), zap.Error(err))
+					zap.Int("lent", len(request.Lends)), zap.Int("askedBack", len(request.Releases)), zap.Error(err))
 				return nil
 			}
-			answered(node, asked)
+			onSuccess(node, request)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// members is how many nodes own a share.
-func (c *Carrier) members() int { return max(c.options.View().LiveCount(), 1) }
+// memberCount returns the number of nodes that own a share.
+func (c *Carrier) memberCount() int { return max(c.options.View().LiveCount(), 1) }
 
-// granters returns the nodes that give out tokens. They change with the view, and when a node is
-// lost.
+// granters returns the current granters. The cached selection is replaced when the view changes,
+// when a granter did not answer, and after granterCacheTTL.
 func (c *Carrier) granters() []*roster.Record {
 	view, now := c.options.View(), clock.Now()
-	if held := c.found.Load(); held != nil && held.view == view && now.Sub(held.at) < grantersAge {
-		return held.granters
+	if cached := c.cachedGranters.Load(); cached != nil && cached.view == view && now.Sub(cached.at) < granterCacheTTL {
+		return cached.granters
 	}
-	next := &found{granters: lending.Granters(view, c.options.Usable), view: view, at: now}
-	c.found.Store(next)
-	c.holder.FreedIf(func(granter string) bool {
-		// A node is closed before it says that it leaves.
+	next := &cachedGranters{granters: lending.SelectGranters(view, c.options.Reachable), view: view, at: now}
+	c.cachedGranters.Store(next)
+	c.holder.EndLeasesIf(func(granter string) bool {
+		// A node stops granting before it announces that it leaves.
 		record := view.Record(granter)
 		return record != nil && record.Leaving
 	}, now)
--- a/internal/sidecar/lending/earned.go
+++ b/internal/sidecar/lending/earned.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// passedUnit is the least part of a token that is passed on.
-const passedUnit = 0.001
+// depositUnit is the smallest part of a token that is deposited with the granter.
+const depositUnit = 0.001
 
-// keptTime is for how long a node that spends tokens keeps what it is likely to spend: as long as
-// its tokens may be saved up where it calls for few.
-const keptTime = time.Second
+// reserveTime is the time for which a node keeps its expected demand in reserve when it deposits
+// earned tokens. A node with little demand can save up tokens for as long.
+const reserveTime = time.Second
 
-// earnings are what a node's own requests have earned.
+// earnings holds the tokens that a node's own requests have earned.
 type earnings struct {
-	// tokens may be spent here; below zero the node owes. surplus goes to the granter only.
+	// tokens can be spent on this node; a negative value is a debt. surplus can only be deposited
+	// with the granter, or repay a debt.
 	tokens, surplus float64
-	// earned counts what was earned lately, passed what of it was passed on.
-	earned, passed Sum
+	// earned and deposited sum the tokens earned and deposited within the window.
+	earned, deposited SlidingSum
 }
 
-// Earn takes in tokens that the node's own requests have earned.
+// Earn adds tokens that the node's own requests have earned.
 func (h *Holder) Earn(account string, tokens float64, terms Terms, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
+	held := h.holdingFor(account)
 	held.earnings.earned.Add(tokens, terms.Window, now)
 	held.earnings.tokens += tokens
-	h.bound(account, held, terms, now)
+	h.capEarned(account, held, terms, now)
 }
 
-// Owe takes in what was spent beyond what the node has. It stays with the node until it is made up
-// for: by what the node earns, by tokens of the granter, for which it is a demand, or by its own
-// share.
-func (h *Holder) Owe(account string, tokens float64, now time.Time) {
+// AddDebt records tokens spent beyond what the node has. The debt stays with the node until it is
+// repaid from earned tokens, from tokens of the granter, for which the debt counts as demand, or
+// from the node's own share.
+func (h *Holder) AddDebt(account string, tokens float64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	held.fade(now)
+	held := h.holdingFor(account)
+	held.decayDemand(now)
 	held.demand += tokens
 	held.earnings.tokens -= tokens
 }
 
-// Settle makes up for what the node owes out of the tokens of granters that it holds and, where
-// its share is lent to nobody, out of that. It reports whether the node owes nothing any more.
-func (h *Holder) Settle(account string, terms Terms, now time.Time) bool {
+// RepayDebt repays the node's debt from the granted tokens that it holds and, while its share is
+// not lent, from the share. It reports whether no debt is left.
+func (h *Holder) RepayDebt(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	own := &held.earnings
-	for own.tokens < 0 && (held.takeDue(now) || h.takeOwn(account, held, terms, now)) {
+	for own.tokens < 0 && (held.takeDue(now) || h.takeOwnShare(account, held, terms, now)) {
 		own.tokens++
 	}
 	return own.tokens >= 0
 }
 
-// TakeEarned spends one of the tokens that the node has earned and not passed on.
+// TakeEarned spends one token that the node has earned and not deposited.
 func (h *Holder) TakeEarned(account string, terms Terms, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	if held.earnings.tokens < 1 {
 		return false
 	}
@@ -69,57 +70,59 @@
 	return true
 }
 
-// Pass returns the tokens that the node passes on with a message that it sends now. It keeps
-// what it is likely to spend, and all while it owes some. The node has them no more, whether the
-// message arrives or not.
-func (h *Holder) Pass(account string, terms Terms, now time.Time) float64 {
+// WithdrawSurplus removes the earned tokens that the node does not expect to spend and returns how
+// many to deposit with the granter, in the message that is about to be sent. It returns 0 while the
+// node has a debt. The tokens are gone from the node whether the message arrives or not, so that
+// they are spent at most once.
+func (h *Holder) WithdrawSurplus(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
-	held.fade(now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
+	held.decayDemand(now)
 	own := &held.earnings
 	if own.tokens < 0 {
-		paid := min(own.surplus, -own.tokens)
-		own.tokens += paid
-		own.surplus -= paid
+		repaid := min(own.surplus, -own.tokens)
+		own.tokens += repaid
+		own.surplus -= repaid
 	}
 	if own.tokens < 0 {
 		return 0
 	}
-	kept := min(own.tokens, held.demand*keptTime.Seconds())
-	passed := math.Floor((own.tokens-kept+own.surplus)/passedUnit) * passedUnit
-	passed = min(passed, mostPassed)
-	own.tokens, own.surplus = kept, 0
-	own.passed.Add(passed, terms.Window, now)
-	return passed
+	reserve := min(own.tokens, held.demand*reserveTime.Seconds())
+	deposited := math.Floor((own.tokens-reserve+own.surplus)/depositUnit) * depositUnit
+	deposited = min(deposited, maxDeposit)
+	own.tokens, own.surplus = reserve, 0
+	own.deposited.Add(deposited, terms.Window, now)
+	return deposited
 }
 
-// Held returns how many tokens the node may spend now.
-func (h *Holder) Held(account string, terms Terms, now time.Time) float64 {
+// Available returns how many tokens the node can spend: earned ones and granted ones.
+func (h *Holder) Available(account string, terms Terms, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	held := h.of(account)
-	h.bound(account, held, terms, now)
+	held := h.holdingFor(account)
+	h.capEarned(account, held, terms, now)
 	return max(held.earnings.tokens, 0) + float64(held.count(now))
 }
 
-// bound keeps what is saved up of what was earned within the node's part: that of what it keeps,
-// and the granter's of what it has not passed on. What is above goes to the granter. Where there is
-// room, tokens of a granter that have expired unspent become the node's own. The lock is held.
-func (h *Holder) bound(account string, held *holding, terms Terms, now time.Time) {
+// capEarned limits the saved earned tokens to the node's depth, which is LocalEarnedDepth of the
+// tokens earned within the window plus EarnedDepth of those not deposited yet. The excess becomes
+// surplus. Granted tokens that expired unspent become earned ones as far as the depth allows. The
+// caller holds h.mu.
+func (h *Holder) capEarned(account string, held *holding, terms Terms, now time.Time) {
 	own := &held.earnings
-	earned := own.earned.Within(terms.Window, now)
-	unpassed := max(earned-own.passed.Within(terms.Window, now), 0)
-	most := terms.EarnedKept*earned + terms.EarnedDepth*unpassed
-	if most < 1 {
-		most = h.whole(account, most)
+	earned := own.earned.Total(terms.Window, now)
+	undeposited := max(earned-own.deposited.Total(terms.Window, now), 0)
+	capacity := terms.LocalEarnedDepth*earned + terms.EarnedDepth*undeposited
+	if capacity < 1 {
+		capacity = h.roundShare(account, capacity)
 	}
 	if unspent := held.expired(now); unspent > 0 {
-		own.tokens += min(unspent, max(most-own.tokens, 0))
+		own.tokens += min(unspent, max(capacity-own.tokens, 0))
 	}
-	if above := own.tokens - most; above > 0 {
-		own.tokens = most
-		own.surplus = min(own.surplus+above, terms.EarnedKept*earned)
+	if excess := own.tokens - capacity; excess > 0 {
+		own.tokens = capacity
+		own.surplus = min(own.surplus+excess, terms.LocalEarnedDepth*earned)
 	}
 }
--- a/internal/sidecar/lending/earned_test.go
+++ b/internal/sidecar/lending/earned_test.go
@@ -11,82 +11,86 @@
 )
 
 var terms = lending.Terms{
-	Rate: 1, Depth: 1, EarnedDepth: 0.1, EarnedKept: 0.05, Window: 10 * time.Second, Members: 1,
+	Rate: 1, Depth: 1, EarnedDepth: 0.1, LocalEarnedDepth: 0.05, Window: 10 * time.Second, Members: 1,
 }
 
-// TestWhatIsPassedOnIsGone before the message leaves, whatever becomes of it.
-func TestWhatIsPassedOnIsGone(t *testing.T) {
+// TestWithdrawSurplusRemovesTokens: withdrawn tokens leave the node before the message is sent.
+// Otherwise a lost or delayed message would let them be spent twice.
+func TestWithdrawSurplusRemovesTokens(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 100, terms, now)
-	passed := holder.Pass("s", terms, now)
-	g.Expect(passed).To(BeNumerically(">", 10))
+	surplus := holder.WithdrawSurplus("s", terms, now)
+	g.Expect(surplus).To(BeNumerically(">", 10))
 	g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
-	g.Expect(holder.Pass("s", terms, now)).To(BeZero())
+	g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 }
 
-// TestANodeKeepsWhatItNeeds and no more than may be saved up.
-func TestANodeKeepsWhatItNeeds(t *testing.T) {
+// TestWithdrawSurplusKeepsExpectedDemand: a node keeps the tokens that it expects to spend, but no
+// more than its depth.
+func TestWithdrawSurplusKeepsExpectedDemand(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 100, terms, now)
 	for range 8 {
-		holder.Came("s", now)
+		holder.RecordDemand("s", now)
 	}
-	holder.Pass("s", terms, now)
-	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("~", 8, 0.01))
+	holder.WithdrawSurplus("s", terms, now)
+	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("~", 8, 0.01))
 	holder.Earn("s", 100, terms, now)
-	g.Expect(holder.Held("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.EarnedKept)*200))
+	g.Expect(holder.Available("s", terms, now)).To(BeNumerically("<=", (terms.EarnedDepth+terms.LocalEarnedDepth)*200))
 }
 
-// TestWhatIsOwedStays with the node until it is made up for, whatever messages are lost: nothing is
-// spent or passed on before.
-func TestWhatIsOwedStays(t *testing.T) {
+// TestDebtBlocksSpendingUntilRepaid: a debt stays with the node until it is repaid, whichever
+// messages are lost. Nothing is spent or withdrawn before that.
+func TestDebtBlocksSpendingUntilRepaid(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	g.Expect(holder.Lend("s", "granter", terms, now)).To(BeTrue())
-	holder.Owe("s", 3, now)
+	holder.AddDebt("s", 3, now)
 	holder.Earn("s", 1, terms, now)
 	for range 5 {
-		g.Expect(holder.Pass("s", terms, now)).To(BeZero())
+		g.Expect(holder.WithdrawSurplus("s", terms, now)).To(BeZero())
 		g.Expect(holder.TakeEarned("s", terms, now)).To(BeFalse())
-		g.Expect(holder.Settle("s", terms, now)).To(BeFalse())
+		g.Expect(holder.RepayDebt("s", terms, now)).To(BeFalse())
 	}
-	g.Expect(holder.Wanted("s", time.Second, now)).To(BeNumerically(">=", 3), "it is called for")
-	holder.Granted("s", lending.Grant{Tokens: 3}, now, now)
-	g.Expect(holder.Settle("s", terms, now)).To(BeTrue())
-	g.Expect(holder.Held("s", terms, now)).To(Equal(1.0), "two paid for it")
-	holder.Owe("s", 1, now)
+	g.Expect(holder.TokensToRequest("s", time.Second, now)).To(BeNumerically(">=", 3), "the debt counts as demand")
+	holder.AddGrant("s", lending.Grant{Tokens: 3}, now, now)
+	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue())
+	g.Expect(holder.Available("s", terms, now)).To(Equal(1.0), "two tokens repaid the debt")
+	holder.AddDebt("s", 1, now)
 	holder.Earn("s", 1, terms, now)
-	g.Expect(holder.Settle("s", terms, now)).To(BeTrue(), "so does what is earned")
+	g.Expect(holder.RepayDebt("s", terms, now)).To(BeTrue(), "earned tokens repay a debt")
 }
 
-// TestTokensThatExpire unspent become the node's own as far as it may save up, once.
-func TestTokensThatExpire(t *testing.T) {
+// TestExpiredTokensBecomeEarned: granted tokens that expire unspent become earned tokens up to the
+// node's depth, and only once.
+func TestExpiredTokensBecomeEarned(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
 	holder.Earn("s", 40, terms, now)
 	for holder.TakeEarned("s", terms, now) {
 	}
-	holder.Granted("s", lending.Grant{Tokens: 20}, now, now)
-	g.Expect(holder.Held("s", terms, now)).To(Equal(20.0))
-	later := now.Add(lending.TokenLife)
-	g.Expect(holder.Held("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.EarnedKept), 0.01))
+	holder.AddGrant("s", lending.Grant{Tokens: 20}, now, now)
+	g.Expect(holder.Available("s", terms, now)).To(Equal(20.0))
+	later := now.Add(lending.TokenLifetime)
+	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("~", 40*(terms.EarnedDepth+terms.LocalEarnedDepth), 0.01))
 	for holder.TakeEarned("s", terms, later) {
 	}
-	g.Expect(holder.Held("s", terms, later)).To(BeNumerically("<", 1))
+	g.Expect(holder.Available("s", terms, later)).To(BeNumerically("<", 1))
 }
 
-// TestATokenThatIsNotDue pays for nothing, also when it comes back.
-func TestATokenThatIsNotDue(t *testing.T) {
+// TestTakeDueSkipsTokensNotYetDue: a token that is not due yet is not taken, also after it was
+// returned.
+func TestTakeDueSkipsTokensNotYetDue(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
-	holder.Granted("s", lending.Grant{Tokens: 1, WaitMS: 50}, now, now)
+	holder.AddGrant("s", lending.Grant{Tokens: 1, WaitMS: 50}, now, now)
 	g.Expect(holder.TakeDue("s", now)).To(BeFalse())
 	_, token := holder.Take("s", now)
 	g.Expect(token.Wait).To(Equal(50 * time.Millisecond))
@@ -95,8 +99,9 @@
 	g.Expect(holder.TakeDue("s", now.Add(50*time.Millisecond))).To(BeTrue())
 }
 
-// TestAShareThatIsLentIsNotForgotten with its account, before the lease is over.
-func TestAShareThatIsLentIsNotForgotten(t *testing.T) {
+// TestRetainKeepsLentShares: an account is not forgotten before the lease of its share has ended.
+// Otherwise the share could be lent to a second granter.
+func TestRetainKeepsLentShares(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	holder := lending.NewHolder("n")
@@ -108,26 +113,26 @@
 	g.Expect(holder.Lend("s", "two", terms, now.Add(time.Minute))).To(BeTrue())
 }
 
-// TestWhatAGranterSavesUp: part of what was brought within the window, those given out and not
-// spent yet included.
-func TestWhatAGranterSavesUp(t *testing.T) {
+// TestGranterDepthFollowsDeposits: a granter's depth is a fraction of the tokens deposited within
+// the window, granted tokens that are not spent yet included.
+func TestGranterDepthFollowsDeposits(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	granter := lending.NewGranter()
-	granter.TakePassed("s", 1000, terms, now)
+	granter.Deposit("s", 1000, terms, now)
 	all := lending.Want{Account: "s", Tokens: 10_000}
-	given := granter.Grant(all, terms, now).Tokens
-	g.Expect(given).To(Equal(100))
-	granter.TakePassed("s", 50, terms, now.Add(100*time.Millisecond))
+	granted := granter.Grant(all, terms, now).Tokens
+	g.Expect(granted).To(Equal(100))
+	granter.Deposit("s", 50, terms, now.Add(100*time.Millisecond))
 	g.Expect(granter.Grant(all, terms, now.Add(100*time.Millisecond)).Tokens).To(BeNumerically("<=", 5))
-	granter.TakePassed("s", 50, terms, now.Add(time.Second))
+	granter.Deposit("s", 50, terms, now.Add(time.Second))
 	g.Expect(granter.Grant(all, terms, now.Add(time.Second)).Tokens).To(BeNumerically(">=", 45))
-	g.Expect(granter.Grant(all, terms, now.Add(time.Minute)).Tokens).To(BeZero(), "nothing lasts")
+	g.Expect(granter.Grant(all, terms, now.Add(time.Minute)).Tokens).To(BeZero(), "tokens do not outlive the window")
 }
 
-// TestASmallShare: many nodes that have earned less than a token each save up about as many whole
-// tokens together as their parts add up to.
-func TestASmallShare(t *testing.T) {
+// TestSmallEarningsRoundInAggregate: many nodes that have each earned less than one token save up
+// about as many whole tokens together as their fractions add up to.
+func TestSmallEarningsRoundInAggregate(t *testing.T) {
 	g := NewWithT(t)
 	saved := 0
 	for i := range 1000 {
@@ -141,17 +146,17 @@
 			saved++
 		}
 	}
-	g.Expect(saved).To(BeNumerically("~", 1000*2*(terms.EarnedDepth+terms.EarnedKept), 50))
+	g.Expect(saved).To(BeNumerically("~", 1000*2*(terms.EarnedDepth+terms.LocalEarnedDepth), 50))
 }
 
-func TestBringsThatNoNodeSends(t *testing.T) {
+func TestValidateRejectsInvalidDeposits(t *testing.T) {
 	g := NewWithT(t)
-	asked := &lending.Ask{From: "n", Passes: []lending.Passed{{Account: "s", Tokens: 3.5}}}
-	g.Expect(asked.Validate()).To(Succeed())
+	request := &lending.GrantRequest{From: "n", Deposits: []lending.Deposit{{Account: "s", Tokens: 3.5}}}
+	g.Expect(request.Validate()).To(Succeed())
 	for _, tokens := range []float64{1e9, -1} {
-		asked.Passes[0].Tokens = tokens
-		g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings.tokens")))
+		request.Deposits[0].Tokens = tokens
+		g.Expect(request.Validate()).To(MatchError(ContainSubstring("brings.tokens")))
 	}
-	asked.Passes = make([]lending.Passed, 10_001)
-	g.Expect(asked.Validate()).To(MatchError(ContainSubstring("brings")))
+	request.Deposits = make([]lending.Deposit, 10_001)
+	g.Expect(request.Validate()).To(MatchError(ContainSubstring("brings")))
 }
--- a/internal/sidecar/lending/granter.go
+++ b/internal/sidecar/lending/granter.go
@@ -5,163 +5,164 @@
 	"time"
 )
 
-// Granter gives out the tokens of accounts whose shares are lent to this node. What an earlier
-// life of the node was lent or had saved up is lost. It is safe for concurrent use.
+// Granter grants tokens from the accounts whose shares are lent to this node. It keeps neither
+// leases nor tokens across restarts. It is safe for concurrent use.
 type Granter struct {
 	mu      sync.Mutex // guards all below
 	buckets map[string]*bucket
 }
 
-// bucket holds the tokens of one account.
+// bucket is the token bucket of one account.
 type bucket struct {
-	// lenders holds until when each node lends its share; firstEnd is not after any of these.
-	lenders  map[string]time.Time
-	firstEnd time.Time
-	// tokens is below zero when some were given out before they are due.
-	tokens float64
-	last   time.Time
-	// earned counts the tokens that nodes passed on, given those that were given out and may not
-	// be spent yet.
-	earned, given Sum
+	// lenders maps each node to the expiry of its lease. earliestExpiry is not later than any of
+	// these.
+	lenders        map[string]time.Time
+	earliestExpiry time.Time
+	// tokens is negative when tokens were granted before they were due.
+	tokens  float64
+	updated time.Time
+	// earned sums the deposited tokens, granted the granted ones that may be unspent.
+	earned, granted SlidingSum
 }
 
-// NewGranter returns a granter to which nothing is lent.
+// NewGranter returns a granter without leases.
 func NewGranter() *Granter { return &Granter{buckets: map[string]*bucket{}} }
 
-// Lend takes in that a node lends its share of an account for a lease.
-func (g *Granter) Lend(from, account string, terms Terms, now time.Time) {
+// AddLease starts or renews the lease of a node's share of an account.
+func (g *Granter) AddLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.of(account, now)
-	held.advance(terms, now)
-	until := now.Add(lease(terms.Members))
-	if _, renewed := held.lenders[from]; !renewed {
-		held.tokens += terms.Initial / float64(terms.members())
+	entry := g.bucketFor(account, now)
+	entry.advance(terms, now)
+	expiry := now.Add(leaseDuration(terms.Members))
+	if _, renewed := entry.lenders[from]; !renewed {
+		entry.tokens += terms.Initial / float64(terms.members())
 	}
-	held.lenders[from] = until
-	if len(held.lenders) == 1 || until.Before(held.firstEnd) {
-		held.firstEnd = until
+	entry.lenders[from] = expiry
+	if len(entry.lenders) == 1 || expiry.Before(entry.earliestExpiry) {
+		entry.earliestExpiry = expiry
 	}
 }
 
-// Release takes in that a node does not lend its share of an account any more.
-func (g *Granter) Release(from, account string, terms Terms, now time.Time) {
+// EndLease ends the lease of a node's share of an account.
+func (g *Granter) EndLease(from, account string, terms Terms, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if held := g.buckets[account]; held != nil {
-		held.advance(terms, now)
-		delete(held.lenders, from)
+	if entry := g.buckets[account]; entry != nil {
+		entry.advance(terms, now)
+		delete(entry.lenders, from)
 	}
 }
 
-// TakePassed takes in tokens that a node has earned and passes on.
-func (g *Granter) TakePassed(account string, tokens float64, terms Terms, now time.Time) {
+// Deposit adds tokens that a node has earned and deposits.
+func (g *Granter) Deposit(account string, tokens float64, terms Terms, now time.Time) {
 	if terms.Window <= 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.of(account, now)
-	held.advance(terms, now)
-	held.earned.Add(tokens, terms.Window, now)
-	held.tokens = min(held.tokens+tokens, held.depth(terms, now))
+	entry := g.bucketFor(account, now)
+	entry.advance(terms, now)
+	entry.earned.Add(tokens, terms.Window, now)
+	entry.tokens = min(entry.tokens+tokens, entry.depth(terms, now))
 }
 
-// Grant gives out tokens of an account, as many as there are of those that are wanted, or one
-// that is due soon.
+// Grant grants as many of the wanted tokens as the account holds. If it holds none, it grants one
+// that becomes due within MaxTokenDelay, or says when there may be one.
 func (g *Granter) Grant(want Want, terms Terms, now time.Time) Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held := g.buckets[want.Account]
-	if held == nil {
-		return Grant{WaitMS: Renewal(terms.Members).Milliseconds()}
+	entry := g.buckets[want.Account]
+	if entry == nil {
+		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
-	held.advance(terms, now)
-	if held.tokens >= 1 {
-		return Grant{Tokens: held.give(min(want.Tokens, int(held.tokens)), now)}
+	entry.advance(terms, now)
+	if entry.tokens >= 1 {
+		return Grant{Tokens: entry.withdraw(min(want.Tokens, int(entry.tokens)), now)}
 	}
-	inflow := terms.Rate * held.share(terms)
+	inflow := terms.Rate * entry.lentFraction(terms)
 	if inflow <= 0 {
-		return Grant{WaitMS: Renewal(terms.Members).Milliseconds()}
+		return Grant{WaitMS: RenewalInterval(terms.Members).Milliseconds()}
 	}
-	wait := time.Duration((1 - held.tokens) / inflow * float64(time.Second))
-	granted := Grant{WaitMS: min(wait, leaseMost).Milliseconds() + 1}
-	if wait < MostDelay {
-		granted.Tokens = held.give(1, now)
+	wait := time.Duration((1 - entry.tokens) / inflow * float64(time.Second))
+	result := Grant{WaitMS: min(wait, maxLease).Milliseconds() + 1}
+	if wait < MaxTokenDelay {
+		result.Tokens = entry.withdraw(1, now)
 	}
-	return granted
+	return result
 }
 
-// Retain forgets the accounts for which the function does not say so.
-func (g *Granter) Retain(kept func(account string) bool) {
+// Retain forgets the accounts that the function does not want to keep.
+func (g *Granter) Retain(keep func(account string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for account := range g.buckets {
-		if !kept(account) {
+		if !keep(account) {
 			delete(g.buckets, account)
 		}
 	}
 }
 
-// of returns the bucket of an account; the lock is held.
-func (g *Granter) of(account string, now time.Time) *bucket {
-	held := g.buckets[account]
-	if held == nil {
-		held = &bucket{lenders: map[string]time.Time{}, last: now}
-		g.buckets[account] = held
+// bucketFor returns the bucket of an account and creates it if needed. The caller holds g.mu.
+func (g *Granter) bucketFor(account string, now time.Time) *bucket {
+	entry := g.buckets[account]
+	if entry == nil {
+		entry = &bucket{lenders: map[string]time.Time{}, updated: now}
+		g.buckets[account] = entry
 	}
-	return held
+	return entry
 }
 
-// give takes out tokens.
-func (b *bucket) give(tokens int, now time.Time) int {
+// withdraw removes tokens that are being granted and returns their number.
+func (b *bucket) withdraw(tokens int, now time.Time) int {
 	b.tokens -= float64(tokens)
-	b.given.Add(float64(tokens), TokenLife+MostDelay, now)
+	b.granted.Add(float64(tokens), TokenLifetime+MaxTokenDelay, now)
 	return tokens
 }
 
-// share is the part of the nodes that lend their share now.
-func (b *bucket) share(terms Terms) float64 {
+// lentFraction is the fraction of all shares that is lent to this node.
+func (b *bucket) lentFraction(terms Terms) float64 {
 	return float64(len(b.lenders)) / float64(max(terms.members(), len(b.lenders)))
 }
 
-// advance lets flow in what the shares lent since the last time bring, and takes out the
-// lenders whose lease has ended. What can be saved up goes by the shares and by what was earned.
+// advance adds what the lent shares have yielded since the last update, up to the depth, and drops
+// expired leases.
 func (b *bucket) advance(terms Terms, now time.Time) {
-	if !now.After(b.last) {
+	if !now.After(b.updated) {
 		return
 	}
 	members := float64(max(terms.members(), len(b.lenders)))
-	b.tokens += terms.Rate * b.lent(now).Seconds() / members
+	b.tokens += terms.Rate * b.lentTime(now).Seconds() / members
 	b.tokens = min(b.tokens, b.depth(terms, now))
-	b.last = now
+	b.updated = now
 }
 
-// depth is how many tokens can be saved up now.
+// depth returns how many tokens the bucket holds at most. It depends on the lent shares and, if
+// tokens are earned, on the deposits within the window less the granted tokens that may be unspent.
 func (b *bucket) depth(terms Terms, now time.Time) float64 {
-	depth := terms.Depth * b.share(terms)
+	depth := terms.Depth * b.lentFraction(terms)
 	if terms.Window > 0 {
-		depth += terms.EarnedDepth*b.earned.Within(terms.Window, now) - b.given.Within(TokenLife+MostDelay, now)
+		depth += terms.EarnedDepth*b.earned.Total(terms.Window, now) - b.granted.Total(TokenLifetime+MaxTokenDelay, now)
 	}
 	return depth
 }
 
-// lent returns for how long shares were lent since the last time, added up over the lenders, and
-// takes out those whose lease has ended.
-func (b *bucket) lent(now time.Time) (total time.Duration) {
-	if now.Before(b.firstEnd) {
-		return time.Duration(len(b.lenders)) * now.Sub(b.last)
+// lentTime returns the time for which shares were lent since the last update, summed over the
+// lenders, and drops expired leases.
+func (b *bucket) lentTime(now time.Time) (total time.Duration) {
+	if now.Before(b.earliestExpiry) {
+		return time.Duration(len(b.lenders)) * now.Sub(b.updated)
 	}
-	b.firstEnd = time.Time{}
-	for node, until := range b.lenders {
-		if until.After(b.last) {
-			total += min(until.Sub(b.last), now.Sub(b.last))
+	b.earliestExpiry = time.Time{}
+	for node, expiry := range b.lenders {
+		if expiry.After(b.updated) {
+			total += min(expiry.Sub(b.updated), now.Sub(b.updated))
 		}
 		switch {
-		case !until.After(now):
+		case !expiry.After(now):
 			delete(b.lenders, node)
-		case b.firstEnd.IsZero() || until.Before(b.firstEnd):
-			b.firstEnd = until
+		case b.earliestExpiry.IsZero() || expiry.Before(b.earliestExpiry):
+			b.earliestExpiry = expiry
 		}
 	}
 	return total
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// membersPerGranter is how many nodes there are for each granter, mostGranters the most
-	// granters. Each node keeps its shares lent to all of them.
+	// There is one granter per membersPerGranter nodes, and at most maxGranters: each node keeps
+	// its shares lent to all granters.
 	membersPerGranter = 16
-	mostGranters      = 16
+	maxGranters       = 16
 )
 
-// Granters returns the nodes that give out tokens, by their names: those with the fastest links.
-// The package is right whatever each node takes for granters; where they agree no share is idle.
-func Granters(view *roster.View, usable readers.Usable) []*roster.Record {
-	var able []*roster.Record
+// SelectGranters returns the granters, sorted by name: the usable nodes with the fastest links.
+// Nodes need not agree on the granters for the limits to hold; where they agree, no share is idle.
+func SelectGranters(view *roster.View, reachable readers.Usable) []*roster.Record {
+	var eligible []*roster.Record
 	for _, record := range view.Records() {
-		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && usable(record) {
-			able = append(able, record)
+		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && reachable(record) {
+			eligible = append(eligible, record)
 		}
 	}
-	count := min((len(able)+membersPerGranter-1)/membersPerGranter, mostGranters)
-	slices.SortFunc(able, func(a, b *roster.Record) int {
+	count := min((len(eligible)+membersPerGranter-1)/membersPerGranter, maxGranters)
+	slices.SortFunc(eligible, func(a, b *roster.Record) int {
 		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(xxhash.Sum64String(a.Node), xxhash.Sum64String(b.Node)))
 	})
-	chosen := able[:count]
+	chosen := eligible[:count]
 	slices.SortFunc(chosen, func(a, b *roster.Record) int { return cmp.Compare(a.Node, b.Node) })
 	return chosen
 }
 
-// GranterOf returns the one of the granters that gives out an account's tokens, nil when there are
-// none. When one goes, the others keep their accounts.
+// GranterOf returns the granter of an account, or nil if there are no granters. It uses rendezvous
+// hashing: when a granter leaves, only its own accounts move.
 func GranterOf(account string, granters []*roster.Record) *roster.Record {
 	var best *roster.Record
 	highest := uint64(0)
--- a/internal/sidecar/lending/sum.go
+++ b/internal/sidecar/lending/sum.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// sumParts is in how many parts a Sum counts the time that it covers.
-const sumParts = 16
+// slidingSumBuckets is the number of time buckets of a SlidingSum.
+const slidingSumBuckets = 16
 
-// Sum adds up what came lately. Its zero value is empty.
-type Sum struct {
-	parts [sumParts]float64
-	// began is when the first amount came, last the part of the time since then that was added
-	// to last.
-	began time.Time
-	last  int64
+// SlidingSum sums amounts over a sliding time window. Its zero value is empty.
+type SlidingSum struct {
+	buckets [slidingSumBuckets]float64
+	// start is when the first amount was added. current is the number of the latest bucket, counted
+	// from start.
+	start   time.Time
+	current int64
 }
 
-// Add adds to the sum, which covers the time given.
-func (s *Sum) Add(amount float64, covers time.Duration, now time.Time) {
-	if s.began.IsZero() {
-		s.began = now
+// Add adds an amount at the given time.
+func (s *SlidingSum) Add(amount float64, window time.Duration, now time.Time) {
+	if s.start.IsZero() {
+		s.start = now
 	}
-	s.advance(covers, now)
-	s.parts[s.last%sumParts] += amount
+	s.advance(window, now)
+	s.buckets[s.current%slidingSumBuckets] += amount
 }
 
-// Within returns what came within the time given, at most: up to a sixteenth of the time is left
-// out at its beginning.
-func (s *Sum) Within(covers time.Duration, now time.Time) (total float64) {
-	s.advance(covers, now)
-	for _, part := range s.parts {
-		total += part
+// Total returns the sum over the window. It leaves out up to a sixteenth of the window at its
+// beginning, so that it never includes older amounts.
+func (s *SlidingSum) Total(window time.Duration, now time.Time) (total float64) {
+	s.advance(window, now)
+	for _, bucket := range s.buckets {
+		total += bucket
 	}
 	return total
 }
 
-// advance empties the parts that the time given does not cover any more, all of them when that
-// time has become longer.
-func (s *Sum) advance(covers time.Duration, now time.Time) {
-	part := max(int64(now.Sub(s.began)/max(covers/sumParts, 1)), 0)
-	if s.last-part >= sumParts {
-		s.parts, s.last = [sumParts]float64{}, part
+// advance clears the buckets that have left the window. It clears all of them if the window has
+// become so much longer that the bucket number falls back by slidingSumBuckets or more.
+func (s *SlidingSum) advance(window time.Duration, now time.Time) {
+	bucket := max(int64(now.Sub(s.start)/max(window/slidingSumBuckets, 1)), 0)
+	if s.current-bucket >= slidingSumBuckets {
+		s.buckets, s.current = [slidingSumBuckets]float64{}, bucket
 		return
 	}
-	for passed := range min(part-s.last, sumParts) {
-		s.parts[(part-passed)%sumParts] = 0
+	for offset := range min(bucket-s.current, slidingSumBuckets) {
+		s.buckets[(bucket-offset)%slidingSumBuckets] = 0
 	}
-	s.last = max(s.last, part)
+	s.current = max(s.current, bucket)
 }
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -15,57 +15,58 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Causes of refusals.
+// Reasons for refusing a request.
 var (
-	// ErrSpent: the tenant's limit is reached.
-	ErrSpent = errors.New("the tenant's rate limit is reached")
-	// ErrUnknown: nobody can tell whether the limit is reached.
-	ErrUnknown = errors.New("nobody grants requests of the tenant")
+	// ErrLimitReached: the tenant's rate limit is reached.
+	ErrLimitReached = errors.New("the tenant's rate limit is reached")
+	// ErrNoGrant: no granter answered, so that it is unknown whether the limit is reached.
+	ErrNoGrant = errors.New("nobody grants requests of the tenant")
 )
 
 const (
-	// askTries is how often one request asks in vain at most.
-	askTries = 4
-	// askAll is for how long one request asks on while the granter answers: others that wait for the same
-	// answers may have spent what they brought.
-	askAll = 300 * time.Millisecond
-	// leastWait is the shortest wait that a refused caller is told.
-	leastWait = 50 * time.Millisecond
+	// maxFailedRequests is how many token requests may fail for one request of a caller.
+	maxFailedRequests = 4
+	// maxRequestTime is for how long one request of a caller goes on requesting tokens from a
+	// granter that answers. Other requests that wait for the same response may spend all the tokens
+	// that it brings.
+	maxRequestTime = 300 * time.Millisecond
+	// minRetryAfter is the shortest wait that a refused caller is told.
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// Options configure a quota.
+// Options configures a Quota.
 type Options struct {
-	// Node, View, Usable, Known, Send and Lost are as in carrier.Options.
-	Node   string
-	View   func() *roster.View
-	Usable readers.Usable
-	Known  func() bool
-	// Limit returns a tenant's limit in force; false when it has none.
+	// Node, View, Reachable, MembershipKnown, Send and MarkLost are as in carrier.Options.
+	Node            string
+	View            func() *roster.View
+	Reachable       readers.Usable
+	MembershipKnown func() bool
+	// Limit returns the limit of a tenant that is in force, or false if it has none.
 	Limit func(tenant string) (Limit, bool)
-	// Tenants returns those that have a limit.
+	// Tenants returns the names of the tenants that have a limit.
 	Tenants  func() []string
 	Bounds   func() Bounds
-	Send     func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error)
-	Lost     func(node string)
+	Send     func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
+	MarkLost func(node string)
 	Logger   *zap.Logger
 	Registry prometheus.Registerer
 }
 
-// Quota keeps the limits on one node, for its own callers and as a granter of others. It is safe
-// for concurrent use.
+// Quota enforces the limits on one node, for the node's own callers and as a granter for other
+// nodes. It is safe for concurrent use.
 type Quota struct {
 	*carrier.Carrier
 	options Options
 	results *prometheus.CounterVec
 }
 
-// New returns a quota that lends its shares once Run is called.
+// New returns a quota. It lends the node's shares once Run is called.
 func New(options Options) *Quota {
 	created := &Quota{options: options}
 	created.Carrier = carrier.New(carrier.Options{
-		Name: "limits", Node: options.Node, View: options.View, Usable: options.Usable, Known: options.Known,
-		Terms: created.terms, Accounts: options.Tenants, Ahead: lending.TokenLife,
-		Send: options.Send, Lost: options.Lost, Logger: options.Logger,
+		Name: "limits", Node: options.Node, View: options.View, Reachable: options.Reachable, MembershipKnown: options.MembershipKnown,
+		Terms: created.terms, Accounts: options.Tenants, Prefetch: lending.TokenLifetime,
+		Send: options.Send, MarkLost: options.MarkLost, Logger: options.Logger,
 	})
 	created.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_quota_requests_total", Help: "Requests of tenants with a limit, by what became of them: granted, own, spent, unknown.",
@@ -74,7 +75,7 @@
 	return created
 }
 
-// terms returns how a tenant's limit is lent among so many nodes.
+// terms returns the lending terms of a tenant's limit for the given number of nodes.
 func (q *Quota) terms(tenant string, members int) (lending.Terms, bool) {
 	limit, limited := q.options.Limit(tenant)
 	if !limited {
@@ -83,28 +84,28 @@
 	return q.options.Bounds().Terms(limit, members), true
 }
 
-// Take spends one request of a tenant that has a limit. The request is to wait as long as the
-// token says. The error is ErrSpent or ErrUnknown; the token's wait then says when there may be
-// room.
+// Take spends one token of a tenant that has a limit. The request must wait for the token's Wait
+// before it is sent. The error is ErrLimitReached or ErrNoGrant; the token's Wait then says when
+// the caller may try again.
 func (q *Quota) Take(ctx context.Context, tenant string) (lending.Token, error) {
-	began := clock.Now()
-	q.Holder().Came(tenant, began)
+	start := clock.Now()
+	q.Holder().RecordDemand(tenant, start)
 	for failed, answered := 0, false; ; {
-		switch verdict, token := q.Holder().Take(tenant, clock.Now()); {
-		case verdict == lending.Taken:
-			return q.counted("granted", token, nil)
-		case verdict == lending.Denied:
-			token.Wait = max(token.Wait, leastWait)
-			return q.counted("spent", token, ErrSpent)
+		switch result, token := q.Holder().Take(tenant, clock.Now()); {
+		case result == lending.Taken:
+			return q.count("granted", token, nil)
+		case result == lending.Denied:
+			token.Wait = max(token.Wait, minRetryAfter)
+			return q.count("spent", token, ErrLimitReached)
 		}
 		switch {
-		case failed == askTries || ctx.Err() != nil:
-			return q.takeOwn(tenant)
-		case answered && clock.Since(began) >= askAll:
-			// Others had all that was given out: the limit is as good as reached.
-			return q.counted("spent", lending.Token{Wait: leastWait}, ErrSpent)
+		case failed == maxFailedRequests || ctx.Err() != nil:
+			return q.takeOwnShare(tenant)
+		case answered && clock.Since(start) >= maxRequestTime:
+			// Other requests have taken all granted tokens, so the limit counts as reached.
+			return q.count("spent", lending.Token{Wait: minRetryAfter}, ErrLimitReached)
 		}
-		err := q.Ask(ctx, tenant)
+		err := q.RequestTokens(ctx, tenant)
 		answered = err == nil
 		if answered {
 			continue
@@ -116,37 +117,37 @@
 	}
 }
 
-// Again spends one more run of a request, from what the node holds alone, and reports whether it
-// may.
-func (q *Quota) Again(tenant string) bool {
-	verdict, token := q.Holder().Take(tenant, clock.Now())
-	if verdict == lending.Taken && token.Wait > 0 {
+// TakeRetry spends one token for another run of a request and reports whether there was one. It
+// uses only tokens that the node holds and that are due.
+func (q *Quota) TakeRetry(tenant string) bool {
+	result, token := q.Holder().Take(tenant, clock.Now())
+	if result == lending.Taken && token.Wait > 0 {
 		q.Holder().Return(token)
 		return false
 	}
-	return verdict == lending.Taken
+	return result == lending.Taken
 }
 
 // Return gives back the token of a request that did not run.
 func (q *Quota) Return(token lending.Token) { q.Holder().Return(token) }
 
-func (q *Quota) counted(result string, token lending.Token, err error) (lending.Token, error) {
+func (q *Quota) count(result string, token lending.Token, err error) (lending.Token, error) {
 	q.results.WithLabelValues(result).Inc()
 	return token, err
 }
 
-// takeOwn spends what the node's own share brings while nobody grants.
-func (q *Quota) takeOwn(tenant string) (lending.Token, error) {
+// takeOwnShare spends a token of the node's own share when no granter answers.
+func (q *Quota) takeOwnShare(tenant string) (lending.Token, error) {
 	terms, limited := q.Terms(tenant)
 	if !limited {
 		return lending.Token{}, nil
 	}
-	if !q.options.Known() {
-		return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
+	if !q.options.MembershipKnown() {
+		return q.count("unknown", lending.Token{Wait: minRetryAfter}, ErrNoGrant)
 	}
-	token, found := q.Holder().TakeOwn(tenant, terms, clock.Now())
+	token, found := q.Holder().TakeOwnShare(tenant, terms, clock.Now())
 	if found {
-		return q.counted("own", token, nil)
+		return q.count("own", token, nil)
 	}
-	return q.counted("unknown", lending.Token{Wait: leastWait}, ErrUnknown)
+	return q.count("unknown", lending.Token{Wait: minRetryAfter}, ErrNoGrant)
 }
--- a/internal/sidecar/quota/quota_test.go
+++ b/internal/sidecar/quota/quota_test.go
@@ -24,44 +24,45 @@
 
 var bounds = quota.Bounds{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// fleet plays the quotas of nodes on a virtual clock: requests at random moments, messages that
-// take time and get lost, groups of nodes that are cut off from each other.
+// fleet simulates the quotas of several nodes on a virtual clock: requests at random times,
+// messages that are delayed or lost, and network partitions.
 type fleet struct {
 	t       *testing.T
 	nodes   []*member
 	members *roster.Roster
 	tenants []string
-	// seed is that of what is drawn.
+	// seed is the seed of all random numbers.
 	seed uint64
 
 	mu     sync.Mutex // guards all below
 	random *rand.Rand
 	limits map[string]quota.Limit
-	// group is in which part of the network a node is.
+	// group maps each node to its part of a network partition.
 	group map[string]int
 	loss  float64
-	// spent are when requests of each tenant ran, unknown and refused how many did not.
-	spent            map[string][]time.Time
+	// ran holds the times at which requests of each tenant ran. unknown and refused count those
+	// that did not run.
+	ran              map[string][]time.Time
 	unknown, refused map[string]int
-	// demand is how many requests a second come of each tenant.
+	// demand is the request rate of each tenant, in requests per second.
 	demand map[string]float64
 }
 
 // member is one node. A restart replaces its quota.
 type member struct {
-	name   string
-	mu     sync.Mutex // guards all below
-	quota  *quota.Quota
-	end    context.CancelFunc
-	dead   bool
-	frozen time.Time
-	lost   map[string]time.Time
+	name           string
+	mu             sync.Mutex // guards all below
+	quota          *quota.Quota
+	end            context.CancelFunc
+	dead           bool
+	suspendedUntil time.Time
+	lost           map[string]time.Time
 }
 
 func newFleet(t *testing.T, seed uint64, size int, limits map[string]quota.Limit) *fleet {
 	f := &fleet{
 		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), limits: limits, group: map[string]int{},
-		spent: map[string][]time.Time{}, unknown: map[string]int{}, refused: map[string]int{}, demand: map[string]float64{},
+		ran: map[string][]time.Time{}, unknown: map[string]int{}, refused: map[string]int{}, demand: map[string]float64{},
 		members: roster.New(roster.Record{Node: "n0", Epoch: 1, Zone: "z", Address: "a:1", PeerAddress: "n0", Endpoint: &roster.Endpoint{ID: "i", Slots: 1}}),
 	}
 	for tenant := range limits {
@@ -81,17 +82,17 @@
 	return f
 }
 
-// start begins a life of the node, which knows nothing of an earlier one.
+// start starts the node's process, without any state of an earlier one.
 func (f *fleet) start(node *member) {
 	ctx, end := context.WithCancel(context.Background())
-	made := quota.New(quota.Options{
+	created := quota.New(quota.Options{
 		Node: node.name, View: f.members.View,
-		Usable: func(record *roster.Record) bool {
+		Reachable: func(record *roster.Record) bool {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			return time.Since(node.lost[record.Node]) > time.Second
 		},
-		Known: func() bool { return true },
+		MembershipKnown: func() bool { return true },
 		Limit: func(tenant string) (quota.Limit, bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -100,10 +101,10 @@
 		},
 		Tenants: func() []string { return f.tenants },
 		Bounds:  func() quota.Bounds { return bounds },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-			return f.send(ctx, node, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
+			return f.send(ctx, node, to, request)
 		},
-		Lost: func(name string) {
+		MarkLost: func(name string) {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			node.lost[name] = time.Now()
@@ -113,15 +114,15 @@
 	node.mu.Lock()
 	if node.quota != nil && !node.dead {
 		node.mu.Unlock()
-		end() // another trouble has started it already
+		end() // another fault has already restarted it
 		return
 	}
-	node.quota, node.end, node.dead = made, end, false
+	node.quota, node.end, node.dead = created, end, false
 	node.mu.Unlock()
-	go made.Run(ctx)
+	go created.Run(ctx)
 }
 
-// kill ends the node's process; lives are separate.
+// kill ends the node's process. A later start creates a new quota.
 func (f *fleet) kill(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -129,21 +130,21 @@
 	node.end()
 }
 
-// thaw waits until the node is not suspended.
-func (m *member) thaw() {
+// waitUntilResumed waits until the node is not suspended.
+func (m *member) waitUntilResumed() {
 	m.mu.Lock()
-	until := m.frozen
+	until := m.suspendedUntil
 	m.mu.Unlock()
 	if wait := time.Until(until); wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-func (f *fleet) named(name string) *member {
+func (f *fleet) nodeNamed(name string) *member {
 	return f.nodes[slices.IndexFunc(f.nodes, func(node *member) bool { return node.name == name })]
 }
 
-// reaches draws whether a message arrives.
+// reaches reports at random whether a message arrives.
 func (f *fleet) reaches(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,37 +158,37 @@
 	time.Sleep(delay)
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-	if err := asked.Validate(); err != nil {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
+	if err := request.Validate(); err != nil {
 		f.t.Error(err)
 	}
 	f.delay()
-	other := f.named(to.Node)
+	other := f.nodeNamed(to.Node)
 	if !f.reaches(from.name, to.Node) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	other.thaw()
+	other.waitUntilResumed()
 	other.mu.Lock()
 	serving, dead := other.quota, other.dead
 	other.mu.Unlock()
 	if dead {
 		return nil, fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
 	}
-	answer := serving.Serve(asked)
+	answer := serving.Serve(request)
 	f.delay()
 	if !f.reaches(to.Node, from.name) || ctx.Err() != nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	from.thaw()
+	from.waitUntilResumed()
 	return answer, nil
 }
 
-// play has requests come until the time is over. They are the same in every run: each tenant's are drawn
-// by themselves.
-func (f *fleet) play(lasts time.Duration) {
-	end := time.Now().Add(lasts)
+// generateLoad sends requests for the given duration. Each tenant has its own random generator, so
+// that the requests are the same in every run.
+func (f *fleet) generateLoad(duration time.Duration) {
+	end := time.Now().Add(duration)
 	var running sync.WaitGroup
 	for i, tenant := range f.tenants {
 		random := rand.New(rand.NewPCG(f.seed, uint64(i)))
@@ -211,9 +212,9 @@
 	running.Wait()
 }
 
-// request plays one request: it runs a little after it got a token.
+// request simulates one request. It runs once the token that it got is due.
 func (f *fleet) request(node *member, tenant string) {
-	node.thaw()
+	node.waitUntilResumed()
 	node.mu.Lock()
 	serving, dead := node.quota, node.dead
 	node.mu.Unlock()
@@ -224,13 +225,13 @@
 	if err == nil {
 		time.Sleep(token.Wait)
 	}
-	node.thaw()
+	node.waitUntilResumed()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case err == nil:
-		f.spent[tenant] = append(f.spent[tenant], time.Now())
-	case errors.Is(err, quota.ErrSpent):
+		f.ran[tenant] = append(f.ran[tenant], time.Now())
+	case errors.Is(err, quota.ErrLimitReached):
 		f.refused[tenant]++
 	default:
 		f.unknown[tenant]++
@@ -245,12 +246,12 @@
 	time.Sleep(time.Minute)
 }
 
-// most returns the most requests that ran within one window.
-func most(spent []time.Time) (count int) {
-	slices.SortFunc(spent, time.Time.Compare)
+// maxInWindow returns the largest number of requests that ran within one window.
+func maxInWindow(ran []time.Time) (count int) {
+	slices.SortFunc(ran, time.Time.Compare)
 	first := 0
-	for last := range spent {
-		for spent[last].Sub(spent[first]) >= bounds.Window {
+	for last := range ran {
+		for ran[last].Sub(ran[first]) >= bounds.Window {
 			first++
 		}
 		count = max(count, last-first+1)
@@ -258,14 +259,15 @@
 	return count
 }
 
-// allowed is how many a window may hold.
+// allowed returns the number of requests that a window may hold.
 func allowed(limit quota.Limit) int {
 	return int((limit.Rate*bounds.Window.Seconds()+limit.Burst)*(1+bounds.Overage) + bounds.Slack)
 }
 
-// TestDemandBelowTheLimit: where all is well at most one in a thousand is refused, at any size and
-// however little a tenant sends from each node.
-func TestDemandBelowTheLimit(t *testing.T) {
+// TestDemandBelowLimit: without faults, at most one request in a thousand is refused while the
+// demand is below the limit, at any number of nodes and however few requests of a tenant come to
+// each node.
+func TestDemandBelowLimit(t *testing.T) {
 	for _, size := range []int{1, 13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -276,19 +278,19 @@
 				for tenant, limit := range limits {
 					f.demand[tenant] = limit.Rate / 1.6
 				}
-				f.play(10 * time.Second)
+				f.generateLoad(10 * time.Second)
 				f.stop()
 				for tenant := range limits {
-					g.Expect(f.unknown[tenant]+f.refused[tenant]).To(BeNumerically("<=", 1+len(f.spent[tenant])/1000), tenant)
+					g.Expect(f.unknown[tenant]+f.refused[tenant]).To(BeNumerically("<=", 1+len(f.ran[tenant])/1000), tenant)
 				}
 			})
 		})
 	}
 }
 
-// TestDemandAboveTheLimit: no window holds more than the limit allows, and 0.95 of the rate is
-// used, whatever the limit's burst.
-func TestDemandAboveTheLimit(t *testing.T) {
+// TestDemandAboveLimit: no window holds more requests than the limit allows, and at least 0.95 of
+// the rate is used, whatever the burst of the limit.
+func TestDemandAboveLimit(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -299,11 +301,11 @@
 				for tenant, limit := range limits {
 					f.demand[tenant] = limit.Rate * 5
 				}
-				f.play(15 * time.Second)
+				f.generateLoad(15 * time.Second)
 				f.stop()
 				for tenant, limit := range limits {
-					g.Expect(most(f.spent[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
-					used := float64(len(f.spent[tenant])) / (limit.Rate * 15)
+					g.Expect(maxInWindow(f.ran[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
+					used := float64(len(f.ran[tenant])) / (limit.Rate * 15)
 					g.Expect(used).To(BeNumerically(">=", 0.95), tenant)
 				}
 			})
@@ -311,12 +313,12 @@
 	}
 }
 
-// trouble is one thing that goes wrong for a time.
-type trouble func(f *fleet, random *rand.Rand)
+// fault injects a fault for some time and returns once it is over.
+type fault func(f *fleet, random *rand.Rand)
 
-// troubles are drawn by TestNeverAboveTheLimit.
-var troubles = map[string]trouble{
-	"part cut off": func(f *fleet, random *rand.Rand) {
+// faults are the faults that TestLimitHoldsUnderFaults chooses from.
+var faults = map[string]fault{
+	"network partition": func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for _, node := range f.nodes {
 			f.group[node.name] = random.IntN(3)
@@ -327,7 +329,7 @@
 		clear(f.group)
 		f.mu.Unlock()
 	},
-	"each alone": func(f *fleet, random *rand.Rand) {
+	"every node isolated": func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for i, node := range f.nodes {
 			f.group[node.name] = i
@@ -347,20 +349,20 @@
 		f.loss = 0
 		f.mu.Unlock()
 	},
-	"some end and start anew": func(f *fleet, random *rand.Rand) {
-		var ended []*member
+	"some nodes restart": func(f *fleet, random *rand.Rand) {
+		var killed []*member
 		for _, node := range f.nodes {
 			if random.IntN(3) == 0 {
 				f.kill(node)
-				ended = append(ended, node)
+				killed = append(killed, node)
 			}
 		}
 		time.Sleep(time.Duration(50+random.IntN(2000)) * time.Millisecond)
-		for _, node := range ended {
+		for _, node := range killed {
 			f.start(node)
 		}
 	},
-	"all end and start anew": func(f *fleet, random *rand.Rand) {
+	"all nodes restart": func(f *fleet, random *rand.Rand) {
 		for _, node := range f.nodes {
 			f.kill(node)
 		}
@@ -369,12 +371,12 @@
 			f.start(node)
 		}
 	},
-	"some suspended": func(f *fleet, random *rand.Rand) {
+	"some nodes suspended": func(f *fleet, random *rand.Rand) {
 		until := time.Now().Add(time.Duration(500+random.IntN(5000)) * time.Millisecond)
 		for _, node := range f.nodes {
 			if random.IntN(4) == 0 {
 				node.mu.Lock()
-				node.frozen = until
+				node.suspendedUntil = until
 				node.mu.Unlock()
 			}
 		}
@@ -382,18 +384,18 @@
 	},
 }
 
-// neverSeeds is how many plays there are.
-const neverSeeds = 6
+// faultSeeds is the number of simulations.
+const faultSeeds = 6
 
-// TestNeverAboveTheLimit whatever goes wrong, several things at a time: no window holds more
-// than the limit allows, the machines that are cut off, suspended or just started included.
-func TestNeverAboveTheLimit(t *testing.T) {
-	names := make([]string, 0, len(troubles))
-	for name := range troubles {
+// TestLimitHoldsUnderFaults: with two random faults at a time, no window holds more requests than
+// the limit allows, counting also those of nodes that are partitioned, suspended or just restarted.
+func TestLimitHoldsUnderFaults(t *testing.T) {
+	names := make([]string, 0, len(faults))
+	for name := range faults {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for seed := range uint64(neverSeeds) {
+	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
@@ -404,28 +406,29 @@
 					f.demand[tenant] = limit.Rate * 4
 				}
 				var running sync.WaitGroup
-				for side := range uint64(2) {
-					random := rand.New(rand.NewPCG(seed, side))
+				for worker := range uint64(2) {
+					random := rand.New(rand.NewPCG(seed, worker))
 					running.Go(func() {
 						for end := time.Now().Add(15 * time.Second); time.Now().Before(end); {
 							time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
-							troubles[names[random.IntN(len(names))]](f, random)
+							faults[names[random.IntN(len(names))]](f, random)
 						}
 					})
 				}
-				running.Go(func() { f.play(20 * time.Second) })
+				running.Go(func() { f.generateLoad(20 * time.Second) })
 				running.Wait()
 				f.stop()
 				for tenant, limit := range limits {
-					g.Expect(most(f.spent[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
+					g.Expect(maxInWindow(f.ran[tenant])).To(BeNumerically("<=", allowed(limit)), tenant)
 				}
 			})
 		})
 	}
 }
 
-// TestAfterACut the whole rate is used again within 2 s of its end.
-func TestAfterACut(t *testing.T) {
+// TestRateRecoversAfterPartition: the whole rate is used again within 2 s of the end of a
+// partition.
+func TestRateRecoversAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limits := map[string]quota.Limit{"t": {Rate: 100, Burst: 100}}
@@ -444,11 +447,11 @@
 			f.mu.Unlock()
 		}()
 		began := time.Now()
-		f.play(12 * time.Second)
+		f.generateLoad(12 * time.Second)
 		f.stop()
 		after := 0
-		for _, at := range f.spent["t"] {
-			if since := at.Sub(began); since >= 7*time.Second && since < 12*time.Second {
+		for _, ranAt := range f.ran["t"] {
+			if since := ranAt.Sub(began); since >= 7*time.Second && since < 12*time.Second {
 				after++
 			}
 		}
@@ -456,8 +459,8 @@
 	})
 }
 
-// TestALowerLimit binds one window after it came.
-func TestALowerLimit(t *testing.T) {
+// TestLoweredLimitAppliesAfterOneWindow: a lowered limit holds from one window after the change.
+func TestLoweredLimitAppliesAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(t, 6, 30, map[string]quota.Limit{"t": {Rate: 200, Burst: 200}})
@@ -472,21 +475,22 @@
 			f.mu.Unlock()
 			lowered = time.Now()
 		}()
-		f.play(15 * time.Second)
+		f.generateLoad(15 * time.Second)
 		f.stop()
 		var after []time.Time
-		for _, at := range f.spent["t"] {
+		for _, at := range f.ran["t"] {
 			if at.Sub(lowered) >= bounds.Window {
 				after = append(after, at)
 			}
 		}
-		g.Expect(most(after)).To(BeNumerically("<=", allowed(lower)))
+		g.Expect(maxInWindow(after)).To(BeNumerically("<=", allowed(lower)))
 		g.Expect(float64(len(after))).To(BeNumerically(">", 0.8*lower.Rate*(15-3-bounds.Window.Seconds())))
 	})
 }
 
-// TestAGranterThatStops hands its tenants over without a time in which all are refused.
-func TestAGranterThatStops(t *testing.T) {
+// TestGranterShutdown: when a granter shuts down, another one takes its tenants over without a
+// period in which all requests are refused.
+func TestGranterShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limits := map[string]quota.Limit{}
@@ -498,29 +502,29 @@
 		for tenant := range limits {
 			f.demand[tenant] = 20 / 1.6
 		}
-		granters := lending.Granters(f.members.View(), func(*roster.Record) bool { return true })
+		granters := lending.SelectGranters(f.members.View(), func(*roster.Record) bool { return true })
 		go func() {
 			time.Sleep(2 * time.Second)
-			stops := f.named(granters[0].Node)
-			stops.quota.Close()
-			leaving := *f.members.View().Record(stops.name)
+			stopping := f.nodeNamed(granters[0].Node)
+			stopping.quota.Close()
+			leaving := *f.members.View().Record(stopping.name)
 			leaving.Leaving, leaving.Counter = true, 2
 			f.members.Merge([]*roster.Record{&leaving})
 		}()
-		f.play(6 * time.Second)
+		f.generateLoad(6 * time.Second)
 		f.stop()
-		refused, ran := 0, 0
+		refused, served := 0, 0
 		for tenant := range limits {
 			refused += f.refused[tenant] + f.unknown[tenant]
-			ran += len(f.spent[tenant])
+			served += len(f.ran[tenant])
 		}
-		g.Expect(float64(refused) / float64(ran)).To(BeNumerically("<", 0.03))
+		g.Expect(float64(refused) / float64(served)).To(BeNumerically("<", 0.03))
 	})
 }
 
-// TestSharesOfAll: the shares that a fleet counts with add up to the whole, and so do the whole
-// tokens that its nodes can save up alone.
-func TestSharesOfAll(t *testing.T) {
+// TestSharesAddUpToLimit: the depths of the nodes' own shares add up to no more than what the limit
+// allows to be saved up, apart from the variance of the rounding to whole tokens.
+func TestSharesAddUpToLimit(t *testing.T) {
 	for _, members := range []int{1, 13, 88, 1000} {
 		g := NewWithT(t)
 		limit := quota.Limit{Rate: 30, Burst: 30}
@@ -528,9 +532,9 @@
 		alone := 0
 		for i := range members {
 			holder := lending.NewHolder(fmt.Sprint("n", i))
-			holder.TakeOwn("t", bounds.Terms(limit, members), now)
+			holder.TakeOwnShare("t", bounds.Terms(limit, members), now)
 			for {
-				if _, found := holder.TakeOwn("t", bounds.Terms(limit, members), now.Add(time.Hour)); !found {
+				if _, found := holder.TakeOwnShare("t", bounds.Terms(limit, members), now.Add(time.Hour)); !found {
 					break
 				}
 				alone++
@@ -541,33 +545,33 @@
 	}
 }
 
-// TestManyAtOnceAtOneNode: of requests that come to one node at the same moment each has a token or is
-// told that the limit is reached; for none nobody is there to grant.
-func TestManyAtOnceAtOneNode(t *testing.T) {
+// TestConcurrentRequestsAtOneNode: each of many concurrent requests at one node gets a token or is
+// refused because the limit is reached. None fails for want of a granter.
+func TestConcurrentRequestsAtOneNode(t *testing.T) {
 	for _, size := range []int{13, 88} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newFleet(t, uint64(size), size, map[string]quota.Limit{"large": {Rate: 300, Burst: 30}})
 			time.Sleep(4 * time.Second)
 			f.demand["large"] = 200
-			var crowds sync.WaitGroup
+			var requests sync.WaitGroup
 			for range 20 {
 				for range 60 {
-					crowds.Go(func() { f.request(f.nodes[1], "large") })
+					requests.Go(func() { f.request(f.nodes[1], "large") })
 				}
-				f.play(250 * time.Millisecond)
+				f.generateLoad(250 * time.Millisecond)
 			}
-			crowds.Wait()
+			requests.Wait()
 			f.stop()
 			g.Expect(f.unknown["large"]).To(BeZero())
-			g.Expect(len(f.spent["large"])).To(BeNumerically(">", 1000))
-			g.Expect(most(f.spent["large"])).To(BeNumerically("<=", allowed(f.limits["large"])))
+			g.Expect(len(f.ran["large"])).To(BeNumerically(">", 1000))
+			g.Expect(maxInWindow(f.ran["large"])).To(BeNumerically("<=", allowed(f.limits["large"])))
 		})
 	}
 }
 
-// TestLostMessages: of requests far below the limit as many are served as tries allow while one message in
-// twenty is lost: a question in vain is asked again.
+// TestLostMessages: with one message in twenty lost, a failed token request is tried again, so that
+// nearly all requests far below the limit are served.
 func TestLostMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -577,10 +581,10 @@
 		f.loss = 0.05
 		f.mu.Unlock()
 		f.demand["small"] = 8
-		f.play(60 * time.Second)
+		f.generateLoad(60 * time.Second)
 		f.stop()
-		g.Expect(f.unknown["small"]).To(BeNumerically("<=", len(f.spent["small"])/50))
-		g.Expect(most(f.spent["small"])).To(BeNumerically("<=", allowed(f.limits["small"])))
-		t.Logf("spent %d, unknown %d, refused %d", len(f.spent["small"]), f.unknown["small"], f.refused["small"])
+		g.Expect(f.unknown["small"]).To(BeNumerically("<=", len(f.ran["small"])/50))
+		g.Expect(maxInWindow(f.ran["small"])).To(BeNumerically("<=", allowed(f.limits["small"])))
+		t.Logf("ran %d, unknown %d, refused %d", len(f.ran["small"]), f.unknown["small"], f.refused["small"])
 	})
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -22,10 +22,10 @@
 
 func (s *Sidecar) addQuota() {
 	s.quota = quota.New(quota.Options{
-		Node:   s.options.Settings.Node,
-		View:   s.members.View,
-		Usable: func(record *roster.Record) bool { return s.exchanger.Usable(record) },
-		Known:  s.knowsOthers,
+		Node:            s.options.Settings.Node,
+		View:            s.members.View,
+		Reachable:       func(record *roster.Record) bool { return s.exchanger.Usable(record) },
+		MembershipKnown: s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
@@ -35,10 +35,10 @@
 		},
 		Tenants: func() []string { return s.keeper.Table().LimitedTenantNames() },
 		Bounds:  func() quota.Bounds { return s.settings.Load().Quota },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.Lost(node) },
+		MarkLost: func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
@@ -46,21 +46,21 @@
 
 func (s *Sidecar) addRepeats() {
 	s.repeats = repeats.New(repeats.Options{
-		Node:     s.options.Settings.Node,
-		View:     s.members.View,
-		Usable:   func(record *roster.Record) bool { return s.exchanger.Usable(record) },
-		Known:    s.knowsOthers,
-		Limits:   func() repeats.Limits { return s.settings.Load().Retries },
-		Services: func() []string { return s.keeper.Table().ServiceNames() },
+		Node:            s.options.Settings.Node,
+		View:            s.members.View,
+		Reachable:       func(record *roster.Record) bool { return s.exchanger.Usable(record) },
+		MembershipKnown: s.knowsOthers,
+		Limits:          func() repeats.Limits { return s.settings.Load().Retries },
+		Services:        func() []string { return s.keeper.Table().ServiceNames() },
 		Exists: func(service string) bool {
 			table := s.keeper.Table()
 			return table != nil && table.Service(service) != nil
 		},
 		On: func() bool { return s.options.Settings.LendRepeats && s.contention.On() },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
+		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		Lost:     func(node string) { s.exchanger.Lost(node) },
+		MarkLost: func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
--- a/internal/sidecar/repeats/budget.go
+++ b/internal/sidecar/repeats/budget.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// The part of the allowance that nodes make use of where nothing is lent. The rest covers calls
-// made by repeated runs, which count as repeats where they arrive, and nodes that see different
-// numbers of members.
+// The fractions of the allowance that nodes use while shares are not lent. The rest covers calls
+// made by repeated runs, which count as repeats at the service that they call, and nodes that see
+// different numbers of members.
 const (
-	ratioShare = 0.4
-	slackShare = 0.4
+	ratioFraction = 0.4
+	slackFraction = 0.4
 )
 
-// budget is this node's share of the repeats to one service: a part of its own
-// requests of a window, and a part of the slack divided by the members. As much
-// as flows in over a window can be spent at once: when nodes die, all that they
-// held is to be repeated in the same moment.
+// budget is this node's equal share of the repeats at one service: a fraction of its own requests
+// of a window, and a fraction of the slack divided by the number of members. All that flows in over
+// a window can be spent at once, because when nodes die all the requests that they were running are
+// repeated at the same moment.
 type budget struct {
-	mutex  sync.Mutex // guards all below
-	tokens float64
-	filled bool
-	// drained: what was held is taken over by an account that is lent.
+	mutex       sync.Mutex // guards all below
+	tokens      float64
+	initialized bool
+	// drained says that a lent account has taken over the tokens.
 	drained bool
-	last    time.Time
-	// requests is a count that fades over a window.
+	updated time.Time
+	// requests counts requests, with exponential decay over a window.
 	requests float64
 }
 
-// first notes a request, which earns a share of a repeat.
-func (b *budget) first(limits Limits, members int, now time.Time) {
+// recordRequest records a request, which earns a part of a repeat.
+func (b *budget) recordRequest(limits Limits, members int, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.refill(limits, members, now)
 	b.requests++
-	b.tokens = min(b.tokens+limits.Ratio*ratioShare, b.most(limits, members))
+	b.tokens = min(b.tokens+limits.Ratio*ratioFraction, b.capacity(limits, members))
 }
 
 // take spends one repeat and reports whether there was one.
@@ -50,52 +50,53 @@
 	return true
 }
 
-// left returns how many repeats there are.
-func (b *budget) left() float64 {
+// remaining returns how many repeats are left.
+func (b *budget) remaining() float64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.tokens
 }
 
-// drain takes all repeats out and returns how many are lacking of what can be saved up: what was
-// spent of late beyond what had flowed in.
-func (b *budget) drain(limits Limits, members int, now time.Time) (lacking float64) {
+// drain removes all tokens and returns how many are missing to the capacity, that is how many were
+// spent recently beyond what had flowed in. It returns 0 if the budget was not used since the last
+// drain.
+func (b *budget) drain(limits Limits, members int, now time.Time) (deficit float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.filled && !b.drained {
+	if b.initialized && !b.drained {
 		b.refill(limits, members, now)
-		lacking = b.most(limits, members) - b.tokens
+		deficit = b.capacity(limits, members) - b.tokens
 	}
 	b.tokens, b.requests = 0, 0
-	b.filled, b.drained, b.last = true, true, now
-	return lacking
+	b.initialized, b.drained, b.updated = true, true, now
+	return deficit
 }
 
-// half is half of this node's share of the slack. One half can be saved up and
-// is there at the start, the other flows in over a window.
-func half(limits Limits, members int) float64 {
-	return limits.Slack * slackShare / 2 / float64(max(members, 1))
+// halfSlack is half of this node's share of the slack. One half can be saved up and is available
+// from the start, the other flows in over a window.
+func halfSlack(limits Limits, members int) float64 {
+	return limits.Slack * slackFraction / 2 / float64(max(members, 1))
 }
 
-// most is what can be saved up: at least one repeat, which many nodes with few
-// requests each must save for.
-func (b *budget) most(limits Limits, members int) float64 {
-	return max(half(limits, members)+limits.Ratio*ratioShare*b.requests, 1)
+// capacity is how many tokens can be saved up. It is at least one repeat, which each of many nodes
+// with few requests has to save up for.
+func (b *budget) capacity(limits Limits, members int) float64 {
+	return max(halfSlack(limits, members)+limits.Ratio*ratioFraction*b.requests, 1)
 }
 
-// refill lets the other half of the share flow in over a window.
+// refill adds the half of the slack that flows in, in proportion to the elapsed part of a window.
 func (b *budget) refill(limits Limits, members int, now time.Time) {
-	share := half(limits, members)
+	inflow := halfSlack(limits, members)
 	b.drained = false
-	if !b.filled {
-		b.tokens, b.filled, b.last = share, true, now
+	if !b.initialized {
+		b.tokens, b.initialized, b.updated = inflow, true, now
 		return
 	}
 	if limits.Window > 0 {
-		passed := float64(now.Sub(b.last)) / float64(limits.Window)
-		b.tokens += share * passed
-		b.requests *= math.Exp(-passed)
+		elapsed := float64(now.Sub(b.updated)) / float64(limits.Window)
+		b.tokens += inflow * elapsed
+		b.requests *= math.Exp(-elapsed)
 	}
-	b.tokens = min(b.tokens, b.most(limits, members))
-	b.last = now
+	b.tokens = min(b.tokens, b.capacity(limits, members))
+	b.updated = now
 }
--- a/internal/sidecar/repeats/fleet_test.go
+++ b/internal/sidecar/repeats/fleet_test.go
@@ -24,7 +24,7 @@
 
 var limits = repeats.Limits{Ratio: 0.2, Slack: 60, Window: 10 * time.Second}
 
-// fleet plays the repeats of nodes at one service on a virtual clock.
+// fleet simulates the repeats of several nodes at one service on a virtual clock.
 type fleet struct {
 	nodes   []*member
 	members *roster.Roster
@@ -34,18 +34,19 @@
 	random *rand.Rand
 	group  map[string]int
 	loss   float64
-	// requests and repeated are when requests began and were sent again.
+	// requests and repeated hold the times at which requests began and at which they were sent
+	// again.
 	requests, repeated []time.Time
 }
 
 // member is one node. A restart replaces its repeats.
 type member struct {
-	name   string
-	mu     sync.Mutex // guards all below
-	held   *repeats.Repeats
-	end    context.CancelFunc
-	frozen time.Time
-	lost   map[string]time.Time
+	name           string
+	mu             sync.Mutex // guards all below
+	instance       *repeats.Repeats
+	end            context.CancelFunc
+	suspendedUntil time.Time
+	lost           map[string]time.Time
 }
 
 func newFleet(seed uint64, size int) *fleet {
@@ -67,58 +68,59 @@
 	return f
 }
 
-// start begins a life of the node, unless it is alive.
+// start starts the node's process if it is not running.
 func (f *fleet) start(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.held != nil {
+	if node.instance != nil {
 		return
 	}
 	ctx, end := context.WithCancel(context.Background())
 	node.end = end
-	node.held = repeats.New(repeats.Options{
-		Node: node.name, View: f.members.View, Known: func() bool { return true }, On: f.on.Load,
-		Usable: func(record *roster.Record) bool {
+	node.instance = repeats.New(repeats.Options{
+		Node: node.name, View: f.members.View, MembershipKnown: func() bool { return true }, On: f.on.Load,
+		Reachable: func(record *roster.Record) bool {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			return time.Since(node.lost[record.Node]) > time.Second
 		},
 		Limits:   func() repeats.Limits { return limits },
 		Services: func() []string { return []string{"s"} }, Exists: func(string) bool { return true },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-			return f.send(ctx, node, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
+			return f.send(ctx, node, to, request)
 		},
-		Lost: func(name string) {
+		MarkLost: func(name string) {
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			node.lost[name] = time.Now()
 		},
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
-	go node.held.Run(ctx)
+	go node.instance.Run(ctx)
 }
 
 func (f *fleet) kill(node *member) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	if node.held != nil {
+	if node.instance != nil {
 		node.end()
-		node.held = nil
+		node.instance = nil
 	}
 }
 
-// alive returns the node's repeats once it is not suspended, nil when it has ended.
-func (m *member) alive() *repeats.Repeats {
+// waitUntilResumed waits until the node is not suspended and returns its repeats, or nil if its
+// process has ended.
+func (m *member) waitUntilResumed() *repeats.Repeats {
 	m.mu.Lock()
-	wait := time.Until(m.frozen)
+	wait := time.Until(m.suspendedUntil)
 	m.mu.Unlock()
 	time.Sleep(max(wait, 0))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held
+	return m.instance
 }
 
-// reaches takes the time of a message and draws whether it arrives.
+// reaches sleeps for the delay of a message and reports at random whether the message arrives.
 func (f *fleet) reaches(from, to string) bool {
 	f.mu.Lock()
 	delay := time.Duration(200+f.random.IntN(2000)) * time.Microsecond
@@ -128,8 +130,8 @@
 	return arrives
 }
 
-func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-	if err := asked.Validate(); err != nil {
+func (f *fleet) send(ctx context.Context, from *member, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error) {
+	if err := request.Validate(); err != nil {
 		return nil, err
 	}
 	other := f.nodes[slices.IndexFunc(f.nodes, func(node *member) bool { return node.name == to.Node })]
@@ -137,65 +139,65 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	serving := other.alive()
+	serving := other.waitUntilResumed()
 	if serving == nil {
 		return nil, fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
 	}
-	answer := serving.Serve(asked)
+	answer := serving.Serve(request)
 	if !f.reaches(to.Node, from.name) || ctx.Err() != nil {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	from.alive()
+	from.waitUntilResumed()
 	return answer, nil
 }
 
-// load says which requests come: how many a second, and what part of those at each node is to be
-// sent again.
+// load defines the requests: the rate per second, and the fraction of those at each node that has
+// to be sent again.
 type load struct {
-	rate  func(since time.Duration) float64
-	again func(node int) float64
-	// nested is the part of the requests that repeated runs make.
+	rate   func(since time.Duration) float64
+	repeat func(node int) float64
+	// nested is the fraction of the requests that repeated runs make.
 	nested float64
 }
 
-// play has requests come until the time is over.
-func (f *fleet) play(lasts time.Duration, load load) {
+// generateLoad sends requests for the given duration.
+func (f *fleet) generateLoad(duration time.Duration, load load) {
 	began := time.Now()
 	var running sync.WaitGroup
-	for time.Since(began) < lasts {
+	for time.Since(began) < duration {
 		f.mu.Lock()
 		gap := time.Duration(f.random.ExpFloat64() / load.rate(time.Since(began)) * float64(time.Second))
 		number := f.random.IntN(len(f.nodes))
-		again := f.random.Float64() < load.again(number)
+		repeat := f.random.Float64() < load.repeat(number)
 		nested := f.random.Float64() < load.nested
 		f.mu.Unlock()
 		time.Sleep(min(gap, 100*time.Millisecond))
 		if gap <= 100*time.Millisecond {
-			running.Go(func() { f.request(f.nodes[number], again, nested) })
+			running.Go(func() { f.request(f.nodes[number], repeat, nested) })
 		}
 	}
 	running.Wait()
 }
 
-func (f *fleet) request(node *member, again, nested bool) {
-	held := node.alive()
-	if held == nil {
+func (f *fleet) request(node *member, repeat, nested bool) {
+	instance := node.waitUntilResumed()
+	if instance == nil {
 		return
 	}
-	begun := time.Now()
-	chance := 0.0
+	start := time.Now()
+	probability := 0.0
 	if nested {
-		chance = 1
+		probability = 1
 	}
-	held.First("s", chance)
-	f.note(&f.requests, begun)
+	instance.RecordRequest("s", probability)
+	f.note(&f.requests, start)
 	if nested {
-		f.note(&f.repeated, begun)
+		f.note(&f.repeated, start)
 	}
-	held.Reached("s", true) // how many are accepted is of no account here
-	if again && held.Take("s", repeats.Request{Nested: true}) {
-		node.alive()
+	instance.RecordResult("s", true) // this test does not depend on how many are accepted
+	if repeat && instance.Take("s", repeats.Request{Nested: true}) {
+		node.waitUntilResumed()
 		f.note(&f.repeated, time.Now())
 	}
 }
@@ -214,8 +216,8 @@
 	time.Sleep(time.Minute)
 }
 
-// excess is by how much the repeats of some window exceed what is allowed there, at most; below
-// zero when none does.
+// excess returns by how much the repeats of the worst window exceed what is allowed there. It is
+// negative if no window exceeds it.
 func (f *fleet) excess() float64 {
 	slices.SortFunc(f.requests, time.Time.Compare)
 	slices.SortFunc(f.repeated, time.Time.Compare)
@@ -228,7 +230,7 @@
 	return worst
 }
 
-// within counts the moments after the first and not after the second one.
+// within counts the times after from and not after to.
 func within(moments []time.Time, from, to time.Time) int {
 	after := func(bound time.Time) int {
 		index, _ := slices.BinarySearchFunc(moments, bound, func(moment, bound time.Time) int {
@@ -242,26 +244,27 @@
 	return after(to) - after(from)
 }
 
-// TestTheAllowanceWhereItIsNeeded: at least 0.8 of it is used, and no window holds more, when all
-// that is to be sent again is at a few nodes of many, or at all of them. Where a node has fewer than
-// two requests a second to send again, a token often expires before there is one: 0.5.
-func TestTheAllowanceWhereItIsNeeded(t *testing.T) {
+// TestAllowanceIsUsedWhereNeeded: at least 0.8 of the allowance is used, and no window exceeds it,
+// whether all requests that have to be sent again are at a few of many nodes or spread over all of
+// them. Where a node has fewer than two such requests per second, tokens often expire before there
+// is one; there 0.5 is enough.
+func TestAllowanceIsUsedWhereNeeded(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
-		rate, least    float64
+		rate, minUsed  float64
 	}{{13, 1, 1000, 0.8}, {13, 13, 1000, 0.8}, {88, 9, 2000, 0.8}, {88, 88, 2000, 0.8}, {88, 88, 300, 0.5}}
-	for _, held := range cases {
-		t.Run(fmt.Sprintf("%d of %d nodes, %v requests a second", held.needing, held.nodes, held.rate), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%d of %d nodes, %v requests per second", test.needing, test.nodes, test.rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := newFleet(uint64(held.nodes), held.nodes)
-				f.play(30*time.Second, load{
-					rate: func(time.Duration) float64 { return held.rate },
-					again: func(node int) float64 {
-						if node >= held.needing {
+				f := newFleet(uint64(test.nodes), test.nodes)
+				f.generateLoad(30*time.Second, load{
+					rate: func(time.Duration) float64 { return test.rate },
+					repeat: func(node int) float64 {
+						if node >= test.needing {
 							return 0
 						}
-						return min(0.5*float64(held.nodes)/float64(held.needing), 1)
+						return min(0.5*float64(test.nodes)/float64(test.needing), 1)
 					},
 				})
 				end := time.Now()
@@ -269,29 +272,30 @@
 				g.Expect(f.excess()).To(BeNumerically("<=", 0))
 				from := end.Add(-2 * limits.Window)
 				allowed := limits.Ratio*float64(within(f.requests, from, end)) + 2*limits.Slack
-				wanted := min(allowed, 0.5*float64(within(f.requests, from, end)), float64(held.needing)/float64(held.nodes)*float64(within(f.requests, from, end)))
+				wanted := min(allowed, 0.5*float64(within(f.requests, from, end)), float64(test.needing)/float64(test.nodes)*float64(within(f.requests, from, end)))
 				t.Logf("%d of %.0f, %.0f below the bound", within(f.repeated, from, end), wanted, -f.excess())
-				g.Expect(float64(within(f.repeated, from, end)) / wanted).To(BeNumerically(">=", held.least))
+				g.Expect(float64(within(f.repeated, from, end)) / wanted).To(BeNumerically(">=", test.minUsed))
 			})
 		})
 	}
 }
 
-// TestCallsOfRepeatedRuns are paid for out of the same allowance, at all nodes and at a few.
+// TestCallsOfRepeatedRuns: the calls of repeated runs are charged to the same allowance, whether
+// requests are repeated at all nodes or at a few.
 func TestCallsOfRepeatedRuns(t *testing.T) {
 	cases := []struct {
 		nodes, needing int
 		nested         float64
 	}{{13, 13, 0.1}, {88, 88, 0.142}, {88, 88, 0.16}, {13, 2, 0.16}}
-	for _, held := range cases {
-		t.Run(fmt.Sprintf("%v, %d of %d nodes", held.nested, held.needing, held.nodes), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%v, %d of %d nodes", test.nested, test.needing, test.nodes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := newFleet(3, held.nodes)
-				f.play(40*time.Second, load{
+				f := newFleet(3, test.nodes)
+				f.generateLoad(40*time.Second, load{
 					rate:   func(time.Duration) float64 { return 1000 },
-					again:  func(node int) float64 { return map[bool]float64{true: 0.5}[node < held.needing] },
-					nested: held.nested,
+					repeat: func(node int) float64 { return map[bool]float64{true: 0.5}[node < test.needing] },
+					nested: test.nested,
 				})
 				f.stop()
 				t.Logf("%.0f below the bound", -f.excess())
@@ -301,21 +305,22 @@
 	}
 }
 
-// TestASwitchAfterABurst: what nodes spent of their even shares right before shares are lent counts.
-func TestASwitchAfterABurst(t *testing.T) {
+// TestLendingEnabledAfterBurst: the repeats that nodes spent from their equal shares just before
+// lending starts count against the allowance.
+func TestLendingEnabledAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(4, 13)
 		f.on.Store(false)
 		time.AfterFunc(24*time.Second, func() { f.on.Store(true) })
-		f.play(40*time.Second, load{
+		f.generateLoad(40*time.Second, load{
 			rate: func(since time.Duration) float64 {
 				if since < 23*time.Second {
 					return 20
 				}
 				return 1000
 			},
-			again: func(int) float64 { return 1 },
+			repeat: func(int) float64 { return 1 },
 		})
 		f.stop()
 		t.Logf("%.0f below the bound", -f.excess())
@@ -323,11 +328,11 @@
 	})
 }
 
-// trouble is one thing that goes wrong for a time.
-type trouble func(f *fleet, random *rand.Rand)
+// fault injects a fault for some time and returns once it is over.
+type fault func(f *fleet, random *rand.Rand)
 
-// cut has nodes in so many groups for a time.
-func cut(groups int) trouble {
+// partition puts the nodes into the given number of groups that cannot reach each other.
+func partition(groups int) fault {
 	return func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		for _, node := range f.nodes {
@@ -341,25 +346,25 @@
 	}
 }
 
-// ended has one node of so many end and start anew.
-func ended(oneOf int) trouble {
+// restart kills about one in oneOf nodes and starts them again.
+func restart(oneOf int) fault {
 	return func(f *fleet, random *rand.Rand) {
-		var gone []*member
+		var killed []*member
 		for _, node := range f.nodes {
 			if random.IntN(oneOf) == 0 {
 				f.kill(node)
-				gone = append(gone, node)
+				killed = append(killed, node)
 			}
 		}
 		time.Sleep(time.Duration(50+random.IntN(2000)) * time.Millisecond)
-		for _, node := range gone {
+		for _, node := range killed {
 			f.start(node)
 		}
 	}
 }
 
-var troubles = []trouble{
-	cut(2), cut(3), cut(1000), ended(3), ended(1),
+var faults = []fault{
+	partition(2), partition(3), partition(1000), restart(3), restart(1),
 	func(f *fleet, random *rand.Rand) {
 		f.mu.Lock()
 		f.loss = 0.3
@@ -374,7 +379,7 @@
 		for _, node := range f.nodes {
 			if random.IntN(4) == 0 {
 				node.mu.Lock()
-				node.frozen = until
+				node.suspendedUntil = until
 				node.mu.Unlock()
 			}
 		}
@@ -387,38 +392,38 @@
 	},
 }
 
-// TestNeverMoreThanAllowed whatever goes wrong, two things at a time, while the requests come
-// unevenly: no window holds more than is allowed. The second half of the seeds has calls of
-// repeated runs in place of the switch, without which nobody pays for those.
-func TestNeverMoreThanAllowed(t *testing.T) {
+// TestAllowanceHoldsUnderFaults: with two random faults at a time and uneven load, no window holds
+// more repeats than allowed. In the second half of the seeds, calls of repeated runs take the place
+// of the fault that turns lending off: while lending is off, nobody pays for such calls.
+func TestAllowanceHoldsUnderFaults(t *testing.T) {
 	const seeds = uint64(12)
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(seed, []int{13, 30, 88}[seed%3])
-				played, nested := troubles, 0.0
+				injected, nested := faults, 0.0
 				if seed >= seeds/2 {
-					played, nested = troubles[:len(troubles)-1], 0.12
+					injected, nested = faults[:len(faults)-1], 0.12
 				}
 				var running sync.WaitGroup
-				for side := range uint64(2) {
-					random := rand.New(rand.NewPCG(seed, side))
+				for worker := range uint64(2) {
+					random := rand.New(rand.NewPCG(seed, worker))
 					running.Go(func() {
 						for end := time.Now().Add(40 * time.Second); time.Now().Before(end); {
 							time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
-							played[random.IntN(len(played))](f, random)
+							injected[random.IntN(len(injected))](f, random)
 						}
 					})
 				}
-				f.play(50*time.Second, load{
+				f.generateLoad(50*time.Second, load{
 					rate: func(since time.Duration) float64 {
 						if since%(7*time.Second) < 2*time.Second {
 							return 1500
 						}
 						return 200
 					},
-					again:  func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
+					repeat: func(node int) float64 { return []float64{1, 0.3}[min(node%4, 1)] },
 					nested: nested,
 				})
 				running.Wait()
