--- a/internal/sidecar/exchange/announce.go
+++ b/internal/sidecar/exchange/announce.go
@@ -11,7 +11,7 @@
 // no node of that zone reaches the store.
 func (e *Exchanger) AnnounceVersion() {
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
-	targets := e.peersOf(readers.AssignedNodes(view, own, e.Usable))
+	targets := e.peersOf(readers.AssignedNodes(view, own, e.Reachable))
 	for _, zone := range view.Zones() {
 		if peers := e.peersOf(view.Zone(zone)); zone != own.Zone && len(peers) > smallZoneSize {
 			targets = append(targets, peers[rand.N(len(peers))])
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -187,7 +187,7 @@
 	}
 	own, view := e.options.Roster.Own(), e.options.Roster.View()
 	if rand.Float64() < readerShare {
-		if reader := readers.AssignedReader(view, own, e.Usable); reader != nil {
+		if reader := readers.AssignedReader(view, own, e.Reachable); reader != nil {
 			return reader
 		}
 	}
@@ -276,8 +276,8 @@
 // Met reports whether this node was in contact with another one since it started.
 func (e *Exchanger) Met() bool { return e.hadContact.Load() }
 
-// Usable reports whether a node is not recorded as lost.
-func (e *Exchanger) Usable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
+// Reachable reports whether a node is not recorded as lost.
+func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
 
 // Lost records that a node did not respond; it is retried more often until it does.
 func (e *Exchanger) Lost(node string) { e.lost.add(node, clock.Now()) }
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -144,8 +144,8 @@
 func (c *proofChecker) pick() *roster.Record {
 	e := c.exchanger
 	view := e.options.Roster.View()
-	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Usable)
-	all := readers.All(view, e.Usable)
+	near, _ := readers.Zone(view, e.options.Roster.Own().Zone, e.Reachable)
+	all := readers.All(view, e.Reachable)
 	for _, candidates := range [][]*roster.Record{near, all, view.Records()} {
 		if found := c.withoutStale(c.askable(candidates)); len(found) > 0 {
 			return found[rand.N(len(found))]
--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -59,7 +59,7 @@
 func TestLostPeerRecoversOnContact(t *testing.T) {
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
-	lost := func() bool { return !first.exchanger.Usable(second.record) }
+	lost := func() bool { return !first.exchanger.Reachable(second.record) }
 	first.exchanger.Lost("second")
 	g.Expect(lost()).To(BeTrue())
 	g.Expect(second.exchanger.ExchangeWith(t.Context(), first.record)).To(Succeed())
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -164,7 +164,7 @@
 // readersOf returns the members that are readers.
 func readersOf(members []*storeMember) (found []*storeMember) {
 	for _, member := range members {
-		if readers.IsReader(member.exchanger.options.Roster.View(), member.record, member.exchanger.Usable) {
+		if readers.IsReader(member.exchanger.options.Roster.View(), member.record, member.exchanger.Reachable) {
 			found = append(found, member)
 		}
 	}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -24,7 +24,7 @@
 	s.quota = quota.New(quota.Options{
 		Node:            s.options.Settings.Node,
 		View:            s.members.View,
-		Reachable:       func(record *roster.Record) bool { return s.exchanger.Usable(record) },
+		Reachable:       func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
 		MembershipKnown: s.knowsOthers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
@@ -48,7 +48,7 @@
 	s.repeats = repeats.New(repeats.Options{
 		Node:            s.options.Settings.Node,
 		View:            s.members.View,
-		Reachable:       func(record *roster.Record) bool { return s.exchanger.Usable(record) },
+		Reachable:       func(record *roster.Record) bool { return s.exchanger.Reachable(record) },
 		MembershipKnown: s.knowsOthers,
 		Limits:          func() repeats.Limits { return s.settings.Load().Retries },
 		Services:        func() []string { return s.keeper.Table().ServiceNames() },
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -40,7 +40,7 @@
 
 // reads reports whether this node reads the store.
 func (s *Sidecar) reads() bool {
-	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Usable)
+	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Reachable)
 }
 
 // compactors is how many of the nodes that read the store keep the snapshot of all records, one
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -68,7 +68,7 @@
 
 // reading returns the nodes of all zones that read the store.
 func (s *Sidecar) reading() []*roster.Record {
-	return readers.All(s.members.View(), s.exchanger.Usable)
+	return readers.All(s.members.View(), s.exchanger.Reachable)
 }
 
 // judge compares the back end's version with others by what the node sees of its
