--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -233,7 +233,7 @@
 	answer, err := e.post(ctx, peer, e.newMessage())
 	if err != nil {
 		if ctx.Err() == nil {
-			e.Lost(peer.Node)
+			e.MarkLost(peer.Node)
 			e.options.Suspect(peer)
 		}
 		return err
@@ -279,8 +279,8 @@
 // Reachable reports whether a node is not recorded as lost.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
 
-// Lost records that a node did not respond; it is retried more often until it does.
-func (e *Exchanger) Lost(node string) { e.lost.add(node, clock.Now()) }
+// MarkLost records that a node did not respond; it is retried more often until it does.
+func (e *Exchanger) MarkLost(node string) { e.lost.add(node, clock.Now()) }
 
 // newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
--- a/internal/sidecar/exchange/lost_test.go
+++ b/internal/sidecar/exchange/lost_test.go
@@ -60,11 +60,11 @@
 	g := NewWithT(t)
 	first, second := newMember(t, "first"), newMember(t, "second")
 	lost := func() bool { return !first.exchanger.Reachable(second.record) }
-	first.exchanger.Lost("second")
+	first.exchanger.MarkLost("second")
 	g.Expect(lost()).To(BeTrue())
 	g.Expect(second.exchanger.ExchangeWith(t.Context(), first.record)).To(Succeed())
 	g.Expect(lost()).To(BeFalse())
-	first.exchanger.Lost("second")
+	first.exchanger.MarkLost("second")
 	second.members.Merge([]*roster.Record{first.record})
 	second.exchanger.AnnouncePresence(t.Context())
 	g.Expect(lost()).To(BeFalse())
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -38,7 +38,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskQuota(ctx, to, asked)
 		},
-		MarkLost: func(node string) { s.exchanger.Lost(node) },
+		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
@@ -60,7 +60,7 @@
 		Send: func(ctx context.Context, to *roster.Record, asked *lending.GrantRequest) (*lending.GrantResponse, error) {
 			return s.exchanger.AskRepeats(ctx, to, asked)
 		},
-		MarkLost: func(node string) { s.exchanger.Lost(node) },
+		MarkLost: func(node string) { s.exchanger.MarkLost(node) },
 		Logger:   s.logger,
 		Registry: s.options.Registry,
 	})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -281,7 +281,7 @@
 }
 
 // Unreachable implements egress.Observer.
-func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.Lost(node) }
+func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.MarkLost(node) }
 
 // Regained implements egress.Observer.
 func (o *callObserver) Regained(node string) {
