--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -44,7 +44,7 @@
 	// View returns the current view of the nodes. Reachable reports whether a node is believed to
 	// be reachable.
 	View      func() *roster.View
-	Reachable readers.Usable
+	Reachable readers.Reachable
 	// MembershipKnown reports whether the view contains nearly all nodes. Without it, a node that
 	// has just started and sees no others would take the shares of all nodes for its own.
 	MembershipKnown func() bool
--- a/internal/sidecar/lending/granters.go
+++ b/internal/sidecar/lending/granters.go
@@ -19,7 +19,7 @@
 
 // SelectGranters returns the granters, sorted by name: the usable nodes with the fastest links.
 // Nodes need not agree on the granters for the limits to hold; where they agree, no share is idle.
-func SelectGranters(view *roster.View, reachable readers.Usable) []*roster.Record {
+func SelectGranters(view *roster.View, reachable readers.Reachable) []*roster.Record {
 	var eligible []*roster.Record
 	for _, record := range view.Records() {
 		if !record.Leaving && !record.Gone() && record.PeerAddress != "" && reachable(record) {
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -39,7 +39,7 @@
 	// Node, View, Reachable, MembershipKnown, Send and MarkLost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Reachable       readers.Usable
+	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	// Limit returns the limit of a tenant that is in force, or false if it has none.
 	Limit func(tenant string) (Limit, bool)
--- a/internal/sidecar/readers/readers.go
+++ b/internal/sidecar/readers/readers.go
@@ -23,8 +23,8 @@
 	nodesPerReader = 32
 )
 
-// Usable reports whether a node is believed to be reachable.
-type Usable func(*roster.Record) bool
+// Reachable reports whether a node is believed to be reachable.
+type Reachable func(*roster.Record) bool
 
 // Count returns the number of readers in a zone with the given number of nodes, one of
 // the given number of zones.
@@ -43,7 +43,7 @@
 // Zone divides the nodes of one zone into readers, ordered by rank, and others, ordered
 // by name. Nodes that are leaving, gone or not reachable are in neither. Nodes with
 // faster links are preferred as readers.
-func Zone(view *roster.View, zone string, reachable Usable) (reading, others []*roster.Record) {
+func Zone(view *roster.View, zone string, reachable Reachable) (reading, others []*roster.Record) {
 	records := view.Zone(zone)
 	ranking := make([]rankedNode, 0, len(records))
 	for _, record := range records {
@@ -65,7 +65,7 @@
 }
 
 // All returns the readers of all zones.
-func All(view *roster.View, reachable Usable) (reading []*roster.Record) {
+func All(view *roster.View, reachable Reachable) (reading []*roster.Record) {
 	for _, zone := range view.Zones() {
 		near, _ := Zone(view, zone, reachable)
 		reading = append(reading, near...)
@@ -76,14 +76,14 @@
 // IsReader reports whether the node is a reader of its zone. A node that is leaving, or
 // whose back end is gone, depends on the readers until it ends; it reads only when its
 // zone has no reader.
-func IsReader(view *roster.View, own *roster.Record, reachable Usable) bool {
+func IsReader(view *roster.View, own *roster.Record, reachable Reachable) bool {
 	reading, _ := Zone(view, own.Zone, reachable)
 	return len(reading) == 0 || slices.ContainsFunc(reading, own.SameNode)
 }
 
 // AssignedNodes returns the nodes that the given one notifies of what it has read. Each
 // node of a zone that is not a reader is assigned to one reader of the zone.
-func AssignedNodes(view *roster.View, own *roster.Record, reachable Usable) []*roster.Record {
+func AssignedNodes(view *roster.View, own *roster.Record, reachable Reachable) []*roster.Record {
 	reading, others := Zone(view, own.Zone, reachable)
 	if !slices.ContainsFunc(reading, own.SameNode) {
 		return nil
@@ -108,7 +108,7 @@
 
 // AssignedReader returns the reader that notifies the given node, nil when the node is a
 // reader itself or its zone has none.
-func AssignedReader(view *roster.View, own *roster.Record, reachable Usable) *roster.Record {
+func AssignedReader(view *roster.View, own *roster.Record, reachable Reachable) *roster.Record {
 	reading, others := Zone(view, own.Zone, reachable)
 	if slices.ContainsFunc(others, own.SameNode) && len(reading) > 0 {
 		return assignedReader(own, reading)
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -51,7 +51,7 @@
 	// Node, View, Reachable, MembershipKnown, Send and MarkLost are as in carrier.Options.
 	Node            string
 	View            func() *roster.View
-	Reachable       readers.Usable
+	Reachable       readers.Reachable
 	MembershipKnown func() bool
 	Send            func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
 	MarkLost        func(node string)
