--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -37,7 +37,7 @@
 
 // baselineStats returns the statistics that are sent with a request to a canary; nil for all other
 // back ends.
-func (h *Handler) baselineStats(service, route string, record *roster.Record) *rollout.Usual {
+func (h *Handler) baselineStats(service, route string, record *roster.Record) *rollout.BaselineRates {
 	if !h.isCanary(service, record) {
 		return nil
 	}
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -57,7 +57,7 @@
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: time.Second, Priority: 1, MaximumWait: 20 * time.Millisecond,
-		ExpectedServiceTime: 30 * time.Millisecond, Usual: &rollout.Usual{Failing: 0.25, Slow: 0.004},
+		ExpectedServiceTime: 30 * time.Millisecond, Usual: &rollout.BaselineRates{Failing: 0.25, Slow: 0.004},
 	}
 	received, err := hop.ParseRequest(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -34,7 +34,7 @@
 	Repeated bool
 	// Usual is sent with requests to a version under comparison: the usual rate of bad answers to
 	// such requests. It is nil otherwise.
-	Usual *rollout.Usual
+	Usual *rollout.BaselineRates
 }
 
 // ErrMalformedHeader is returned for an internal header that cannot be parsed.
@@ -115,7 +115,7 @@
 		Repeated: numbers[4]&flagRepeated != 0,
 	}
 	if hasUsual {
-		read.Usual = &rollout.Usual{
+		read.Usual = &rollout.BaselineRates{
 			Failing: min(float64(numbers[5])/shareScale, 1), Slow: min(float64(numbers[6])/shareScale, 1),
 		}
 	}
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -38,7 +38,7 @@
 
 func (*failureCount) Refuses() bool { return false }
 func (*failureCount) Judges() bool  { return true }
-func (c *failureCount) Answered(_ *http.Request, failed bool, _, _ time.Duration, _ rollout.Usual) {
+func (c *failureCount) Answered(_ *http.Request, failed bool, _, _ time.Duration, _ rollout.BaselineRates) {
 	if failed {
 		c.Add(1)
 	}
@@ -154,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newCrashFixture(t)
-			f.reported = func(reported *hop.Request) { reported.Usual = &rollout.Usual{} }
+			f.reported = func(reported *hop.Request) { reported.Usual = &rollout.BaselineRates{} }
 			release := f.startRequests(t, 4, abort)
 			if tc.ends {
 				g.Expect(f.server.Listener.Close()).To(Succeed())
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -115,7 +115,7 @@
 	// Judges reports whether answers currently count as evidence.
 	Judges() bool
 	// Answered records the result of one request, which also identifies the route.
-	Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual)
+	Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.BaselineRates)
 }
 
 const (
--- a/internal/sidecar/rollout/baseline.go
+++ b/internal/sidecar/rollout/baseline.go
@@ -53,16 +53,16 @@
 }
 
 // Usual returns the shares of a route.
-func (b *Baseline) Usual(route string, now time.Time) Usual {
+func (b *Baseline) Usual(route string, now time.Time) BaselineRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.routes[route]
 	if held == nil {
-		return Usual{Failing: priorShare, Slow: priorShare}
+		return BaselineRates{Failing: priorShare, Slow: priorShare}
 	}
 	held.fade(now)
 	all := held.answers + priorAnswers
-	return Usual{
+	return BaselineRates{
 		Failing: (held.failed + priorAnswers*priorShare) / all,
 		Slow:    (held.slow + priorAnswers*priorShare) / all,
 	}
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Usual is how often answers of the versions before are bad: the trouble that strikes
+// BaselineRates is how often answers of the versions before are bad: the trouble that strikes
 // every version is not held against the new one.
-type Usual struct {
+type BaselineRates struct {
 	// Failing is the share of failures, Slow that of answers that took SlowFactor times
 	// as long as usual; both between zero and one.
 	Failing, Slow float64
@@ -26,7 +26,7 @@
 	// Failed: the answer is a failure, or none came. Slow: it took SlowFactor times as
 	// long as usual. A back end that warms up is not to be called slow.
 	Failed, Slow bool
-	Usual        Usual
+	Usual        BaselineRates
 }
 
 // A judge runs Page's cumulative sum test (E. S. Page, "Continuous Inspection Schemes",
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -109,7 +109,7 @@
 // answer draws one answer, and whether the version made it bad.
 func (p *trial) answer(at time.Duration, pace float64, struck bool) (rollout.Answer, bool) {
 	const scatter, usualFailing, usualSlow = 0.7, 0.005, 0.03
-	made := rollout.Answer{Route: routes[p.random.IntN(len(routes))], Usual: rollout.Usual{Failing: usualFailing, Slow: usualSlow}}
+	made := rollout.Answer{Route: routes[p.random.IntN(len(routes))], Usual: rollout.BaselineRates{Failing: usualFailing, Slow: usualSlow}}
 	ratio := pace * math.Exp(p.random.NormFloat64()*scatter-scatter*scatter/2)
 	made.Failed = p.random.Float64() < usualFailing
 	bad := false
