--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -41,7 +41,7 @@
 	if !h.isCanary(service, record) {
 		return nil
 	}
-	stats := h.baseline(service).Usual(route, clock.Now())
+	stats := h.baseline(service).BaselineRates(route, clock.Now())
 	return &stats
 }
 
--- a/internal/sidecar/rollout/baseline.go
+++ b/internal/sidecar/rollout/baseline.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Usual returns the shares of a route.
-func (b *Baseline) Usual(route string, now time.Time) BaselineRates {
+// BaselineRates returns the shares of a route.
+func (b *Baseline) BaselineRates(route string, now time.Time) BaselineRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held := b.routes[route]
