--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -261,7 +261,7 @@
 		return ""
 	}
 	if taker.control.Judges() {
-		taker.control.Answered(rollout.Answer{Route: "r", Failed: bad(taker), Usual: rollout.BaselineRates{Failing: 0.01, Slow: 0.01}})
+		taker.control.Answered(rollout.Answer{Route: "r", Failed: bad(taker), BaselineRates: rollout.BaselineRates{Failing: 0.01, Slow: 0.01}})
 	}
 	return taker.members.Own().Endpoint.Version
 }
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -80,7 +80,7 @@
 	c.options.Logger.Info("back end judged", zap.String("endpoint", endpoint.ID), zap.String("service", endpoint.Service),
 		zap.String("software", endpoint.Version), zap.Bool("faulty", evidence.Faulty), zap.Float64("lean", evidence.Lean),
 		zap.Int("answers", evidence.Answers), zap.Int("failed", evidence.Failed), zap.Int("slow", evidence.Slow),
-		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.Usual.Failing), zap.Float64("usualSlow", answer.Usual.Slow))
+		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.BaselineRates.Failing), zap.Float64("usualSlow", answer.BaselineRates.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.LastAssessment = &roster.Assessment{
 			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.Lean*leanUnits) / leanUnits,
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -26,7 +26,7 @@
 	// Failed: the answer is a failure, or none came. Slow: it took SlowFactor times as
 	// long as usual. A back end that warms up is not to be called slow.
 	Failed, Slow bool
-	Usual        BaselineRates
+	BaselineRates        BaselineRates
 }
 
 // A judge runs Page's cumulative sum test (E. S. Page, "Continuous Inspection Schemes",
@@ -119,7 +119,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.count(answer)
-	failing, slow := weight(answer.Failed, answer.Usual.Failing), weight(answer.Slow, answer.Usual.Slow)
+	failing, slow := weight(answer.Failed, answer.BaselineRates.Failing), weight(answer.Slow, answer.BaselineRates.Slow)
 	loud := j.all.add(failing, slow)
 	loud = j.sumsOf(answer.Route).add(failing, slow) || loud
 	j.seen.Faulty = j.seen.Faulty || loud
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -109,7 +109,7 @@
 // answer draws one answer, and whether the version made it bad.
 func (p *trial) answer(at time.Duration, pace float64, struck bool) (rollout.Answer, bool) {
 	const scatter, usualFailing, usualSlow = 0.7, 0.005, 0.03
-	made := rollout.Answer{Route: routes[p.random.IntN(len(routes))], Usual: rollout.BaselineRates{Failing: usualFailing, Slow: usualSlow}}
+	made := rollout.Answer{Route: routes[p.random.IntN(len(routes))], BaselineRates: rollout.BaselineRates{Failing: usualFailing, Slow: usualSlow}}
 	ratio := pace * math.Exp(p.random.NormFloat64()*scatter-scatter*scatter/2)
 	made.Failed = p.random.Float64() < usualFailing
 	bad := false
@@ -117,8 +117,8 @@
 		bad = p.spoil(&p.version, &made, &ratio)
 	}
 	if at >= p.troubleAt && at < p.ends {
-		made.Usual.Failing += p.struck * p.trouble.failing
-		made.Usual.Slow += p.struck * p.trouble.slow
+		made.BaselineRates.Failing += p.struck * p.trouble.failing
+		made.BaselineRates.Slow += p.struck * p.trouble.slow
 		if struck {
 			p.spoil(&p.trouble, &made, &ratio)
 		}
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -90,7 +90,7 @@
 // Answered implements ingress.Judge. While the back end warms up it is slow whatever its
 // version is, and so are all answers that were under way while the node stood still.
 func (j *judge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.BaselineRates) {
-	answer := rollout.Answer{Failed: failed, Usual: usual}
+	answer := rollout.Answer{Failed: failed, BaselineRates: usual}
 	if table := j.sidecar.keeper.Table(); table != nil {
 		if matched := table.MatchRequest(request); matched != nil {
 			answer.Route = matched.Name
