--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -249,7 +249,7 @@
 		Nested:    c.nested,
 		OverShare: c.overShare,
 		Repeated:  a.repeated,
-		Usual:     c.handler.baselineStats(c.service, c.route.Name, a.record),
+		BaselineRates:     c.handler.baselineStats(c.service, c.route.Name, a.record),
 	}
 	header[hop.HeaderHop] = []string{metadata.Format()}
 	header[hop.HeaderVersion] = []string{strconv.FormatUint(c.table.Version(), 10)}
--- a/internal/sidecar/hop/hop_test.go
+++ b/internal/sidecar/hop/hop_test.go
@@ -57,15 +57,15 @@
 	g := NewWithT(t)
 	sent := hop.Request{
 		Service: "one", Caller: "two", Remaining: time.Second, Priority: 1, MaximumWait: 20 * time.Millisecond,
-		ExpectedServiceTime: 30 * time.Millisecond, Usual: &rollout.BaselineRates{Failing: 0.25, Slow: 0.004},
+		ExpectedServiceTime: 30 * time.Millisecond, BaselineRates: &rollout.BaselineRates{Failing: 0.25, Slow: 0.004},
 	}
 	received, err := hop.ParseRequest(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(received).To(Equal(sent))
-	sent.Usual = nil
+	sent.BaselineRates = nil
 	received, err = hop.ParseRequest(sent.Format())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(received.Usual).To(BeNil())
+	g.Expect(received.BaselineRates).To(BeNil())
 }
 
 func TestReplyOfThePreviousRelease(t *testing.T) {
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -32,9 +32,9 @@
 	Nested, OverShare bool
 	// Repeated: the request reached a back end before, so the nested calls of its run are repeats.
 	Repeated bool
-	// Usual is sent with requests to a version under comparison: the usual rate of bad answers to
+	// BaselineRates is sent with requests to a version under comparison: the usual rate of bad answers to
 	// such requests. It is nil otherwise.
-	Usual *rollout.BaselineRates
+	BaselineRates *rollout.BaselineRates
 }
 
 // ErrMalformedHeader is returned for an internal header that cannot be parsed.
@@ -68,9 +68,9 @@
 	} {
 		line = strconv.AppendInt(append(line, ' '), number, 10)
 	}
-	if r.Usual != nil {
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Failing*shareScale), 10)
-		line = strconv.AppendInt(append(line, ' '), int64(r.Usual.Slow*shareScale), 10)
+	if r.BaselineRates != nil {
+		line = strconv.AppendInt(append(line, ' '), int64(r.BaselineRates.Failing*shareScale), 10)
+		line = strconv.AppendInt(append(line, ' '), int64(r.BaselineRates.Slow*shareScale), 10)
 	}
 	return string(line)
 }
@@ -115,7 +115,7 @@
 		Repeated: numbers[4]&flagRepeated != 0,
 	}
 	if hasUsual {
-		read.Usual = &rollout.BaselineRates{
+		read.BaselineRates = &rollout.BaselineRates{
 			Failing: min(float64(numbers[5])/shareScale, 1), Slow: min(float64(numbers[6])/shareScale, 1),
 		}
 	}
--- a/internal/sidecar/ingress/ends_test.go
+++ b/internal/sidecar/ingress/ends_test.go
@@ -154,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newCrashFixture(t)
-			f.reported = func(reported *hop.Request) { reported.Usual = &rollout.BaselineRates{} }
+			f.reported = func(reported *hop.Request) { reported.BaselineRates = &rollout.BaselineRates{} }
 			release := f.startRequests(t, 4, abort)
 			if tc.ends {
 				g.Expect(f.server.Listener.Close()).To(Succeed())
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -151,10 +151,10 @@
 // is no sign of bad software.
 func (a *arrival) reportToJudge(failed bool) {
 	judge := a.handler.options.Judge
-	if judge == nil || a.duplicateCrash || a.reported.Usual == nil || !judge.Judges() {
+	if judge == nil || a.duplicateCrash || a.reported.BaselineRates == nil || !judge.Judges() {
 		return
 	}
-	judge.Answered(a.request, failed, clock.Since(a.started)-a.waited, a.reported.ExpectedServiceTime, *a.reported.Usual)
+	judge.Answered(a.request, failed, clock.Since(a.started)-a.waited, a.reported.ExpectedServiceTime, *a.reported.BaselineRates)
 }
 
 // handleResponse checks an answer and forwards it if it belongs to this request.
