--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -15,7 +15,7 @@
 // judging is the judge of one back end.
 type judging struct {
 	incarnation roster.Incarnation
-	judge       *rollout.Judge
+	judge       *rollout.Detector
 
 	mu sync.Mutex // guards all below
 	// faulty is what others were last told, published when.
@@ -120,7 +120,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if held = c.judging.Load(); held == nil || held.incarnation != endpoint.Incarnation() {
-		held = &judging{incarnation: endpoint.Incarnation(), judge: &rollout.Judge{}}
+		held = &judging{incarnation: endpoint.Incarnation(), judge: &rollout.Detector{}}
 		c.judging.Store(held)
 	}
 	return held
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -58,9 +58,9 @@
 	routesMost = 64
 )
 
-// Judge gathers the evidence of one back end. It is safe for concurrent use; the zero
+// Detector gathers the evidence of one back end. It is safe for concurrent use; the zero
 // value has seen nothing.
-type Judge struct {
+type Detector struct {
 	mu     sync.Mutex // guards all below
 	all    sums
 	routes map[string]*sums
@@ -84,13 +84,13 @@
 }
 
 // Evidence returns what was seen so far.
-func (j *Judge) Evidence(now time.Time) Evidence {
+func (j *Detector) Evidence(now time.Time) Evidence {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.evidence(now)
 }
 
-func (j *Judge) evidence(now time.Time) Evidence {
+func (j *Detector) evidence(now time.Time) Evidence {
 	j.fade(now)
 	found := j.seen
 	found.Lean = j.lean
@@ -102,7 +102,7 @@
 
 // wary reports whether a sum is on its way to the alarm: the back end does not speak for its
 // version then.
-func (j *Judge) wary() bool {
+func (j *Detector) wary() bool {
 	if j.all.highest() >= waryPart*alarm {
 		return true
 	}
@@ -115,7 +115,7 @@
 }
 
 // Observe takes in one answer and returns what the judge thinks then.
-func (j *Judge) Observe(answer Answer, now time.Time) Evidence {
+func (j *Detector) Observe(answer Answer, now time.Time) Evidence {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.count(answer)
@@ -128,7 +128,7 @@
 	return j.evidence(now)
 }
 
-func (j *Judge) count(answer Answer) {
+func (j *Detector) count(answer Answer) {
 	j.seen.Answers++
 	if answer.Failed {
 		j.seen.Failed++
@@ -147,14 +147,14 @@
 	return (failing + slow) / 2
 }
 
-func (j *Judge) fade(now time.Time) {
+func (j *Detector) fade(now time.Time) {
 	if passed := now.Sub(j.last); !j.last.IsZero() && passed > 0 {
 		j.lean *= math.Exp2(-float64(passed) / float64(leanHalfLife))
 	}
 	j.last = now
 }
 
-func (j *Judge) sumsOf(route string) *sums {
+func (j *Detector) sumsOf(route string) *sums {
 	if j.routes == nil {
 		j.routes = map[string]*sums{}
 	}
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -51,7 +51,7 @@
 	const backEnds = 3
 	move := rollout.Begin(order(1), start)
 	trialTime := move.PromoteAt(rollout.DefaultLimits()).Sub(start)
-	judges := make([]rollout.Judge, backEnds)
+	judges := make([]rollout.Detector, backEnds)
 	struck := make([]bool, backEnds)
 	for i := range struck {
 		struck[i] = p.random.Float64() < p.struck
@@ -84,7 +84,7 @@
 }
 
 // onTrial returns the back end that is on trial: in turn, those that are faulty aside.
-func (p *trial) onTrial(at time.Duration, judges []rollout.Judge) int {
+func (p *trial) onTrial(at time.Duration, judges []rollout.Detector) int {
 	var candidates []int
 	for i := range judges {
 		if !judges[i].Evidence(start.Add(at)).Faulty {
@@ -97,7 +97,7 @@
 	return candidates[int(at/time.Second)%len(candidates)]
 }
 
-func tallyOf(judges []rollout.Judge, at time.Duration) rollout.Tally {
+func tallyOf(judges []rollout.Detector, at time.Duration) rollout.Tally {
 	tally := rollout.Tally{Present: 8, Others: 8}
 	for i := range judges {
 		seen := judges[i].Evidence(start.Add(at))
@@ -217,7 +217,7 @@
 // say as much as several.
 func TestALoneBackEnd(t *testing.T) {
 	const perSecond, answers = 8, 80
-	judge := &rollout.Judge{}
+	judge := &rollout.Detector{}
 	now := start
 	for range answers {
 		judge.Observe(rollout.Answer{Route: "first"}, now)
