--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -78,12 +78,12 @@
 		return
 	}
 	c.options.Logger.Info("back end judged", zap.String("endpoint", endpoint.ID), zap.String("service", endpoint.Service),
-		zap.String("software", endpoint.Version), zap.Bool("faulty", evidence.Faulty), zap.Float64("lean", evidence.Lean),
+		zap.String("software", endpoint.Version), zap.Bool("faulty", evidence.Faulty), zap.Float64("lean", evidence.LogOdds),
 		zap.Int("answers", evidence.Answers), zap.Int("failed", evidence.Failed), zap.Int("slow", evidence.Slow),
 		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.BaselineRates.Failing), zap.Float64("usualSlow", answer.BaselineRates.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.LastAssessment = &roster.Assessment{
-			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.Lean*leanUnits) / leanUnits,
+			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.LogOdds*leanUnits) / leanUnits,
 		}
 		return record, true
 	})
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -78,9 +78,9 @@
 	Answers, Failed, Slow int
 	// Faulty: the back end fails, or is slow, more often than others are. It stays so.
 	Faulty bool
-	// Lean is how far the answers of late speak against the back end, or below zero for
+	// LogOdds is how far the answers of late speak against the back end, or below zero for
 	// it, as the logarithm of odds.
-	Lean float64
+	LogOdds float64
 }
 
 // Evidence returns what was seen so far.
@@ -93,9 +93,9 @@
 func (j *Detector) evidence(now time.Time) Evidence {
 	j.fade(now)
 	found := j.seen
-	found.Lean = j.lean
+	found.LogOdds = j.lean
 	if j.wary() {
-		found.Lean = max(j.lean, 0)
+		found.LogOdds = max(j.lean, 0)
 	}
 	return found
 }
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -101,7 +101,7 @@
 	tally := rollout.Tally{Present: 8, Others: 8}
 	for i := range judges {
 		seen := judges[i].Evidence(start.Add(at))
-		tally.Add(seen.Answers, seen.Faulty, seen.Lean)
+		tally.Add(seen.Answers, seen.Faulty, seen.LogOdds)
 	}
 	return tally
 }
@@ -225,8 +225,8 @@
 	}
 	seen := judge.Evidence(now)
 	tally := rollout.Tally{Present: 1, Others: 1}
-	tally.Add(seen.Answers, seen.Faulty, seen.Lean)
-	NewWithT(t).Expect(tally.Promotes()).To(BeTrue(), "lean %v", seen.Lean)
+	tally.Add(seen.Answers, seen.Faulty, seen.LogOdds)
+	NewWithT(t).Expect(tally.Promotes()).To(BeTrue(), "lean %v", seen.LogOdds)
 }
 
 // TestFewRequests: how many of a thousand versions are promoted where few requests are on
