--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -263,7 +263,7 @@
 	c.options.Logger.Info("roll-out phase", zap.String("service", held.Service), zap.String("software", held.Version),
 		zap.Stringer("phase", held.Phase), zap.String("cause", held.Cause), zap.Duration("left", held.Deadline.Sub(now)),
 		zap.Int("present", tally.Present), zap.Int("others", tally.Others),
-		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.Lean), zap.Float64("load", tally.Load))
+		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.LogOdds), zap.Float64("load", tally.Load))
 }
 
 // Follow takes in changed records: a version that no order names is held, since its
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -199,8 +199,8 @@
 	// Answered is how many have answered requests, Faulty how many of these are faulty,
 	// Against and For how many lean clearly that way.
 	Answered, Faulty, Against, For int
-	// Lean is the sum of theirs.
-	Lean float64
+	// LogOdds is the sum of theirs.
+	LogOdds float64
 }
 
 // last reports whether no other version is left to go back to.
@@ -216,7 +216,7 @@
 	}
 	t.Answered++
 	lean = min(max(lean, -leanMost), leanMost)
-	t.Lean += lean
+	t.LogOdds += lean
 	switch {
 	case faulty:
 		t.Faulty++
@@ -259,13 +259,13 @@
 	if t.Faulty >= t.several() && t.Faulty >= t.For {
 		return true
 	}
-	return t.Faulty+t.Against >= t.several() && t.Lean >= condemningLean
+	return t.Faulty+t.Against >= t.several() && t.LogOdds >= condemningLean
 }
 
 // Promotes reports whether all requests may move: several back ends have answered, all
 // together they speak for the version, and there are enough of them.
 func (t Tally) Promotes() bool {
-	return !t.Condemns() && t.Present > 0 && t.Answered >= t.several() && t.Lean <= t.promotingLean() && t.hasRoom()
+	return !t.Condemns() && t.Present > 0 && t.Answered >= t.several() && t.LogOdds <= t.promotingLean() && t.hasRoom()
 }
 
 func (t Tally) promotingLean() float64 {
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -208,8 +208,8 @@
 
 // good and bad are tallies of a version that is to be promoted and of one that is not.
 var (
-	good    = rollout.Tally{Present: 8, Others: 8, Answered: 3, For: 3, Lean: -9}
-	bad     = rollout.Tally{Present: 8, Others: 8, Answered: 2, Faulty: 2, Lean: 8}
+	good    = rollout.Tally{Present: 8, Others: 8, Answered: 3, For: 3, LogOdds: -9}
+	bad     = rollout.Tally{Present: 8, Others: 8, Answered: 2, Faulty: 2, LogOdds: 8}
 	unknown = rollout.Tally{Present: 8, Others: 8}
 )
 
@@ -271,9 +271,9 @@
 		{"two are faulty", rollout.Trial, bad, time.Second, rollout.Condemned},
 		{"while it is promoted", rollout.Promoting, bad, 13500 * time.Millisecond, rollout.Condemned},
 		{"one of several is faulty", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Faulty: 1, For: 1}, time.Second, rollout.Trial},
-		{"the only one is faulty", rollout.Trial, rollout.Tally{Present: 1, Others: 8, Answered: 1, Faulty: 1, Lean: 4}, time.Second, rollout.Condemned},
-		{"two are faulty, and more are not", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 5, Faulty: 2, For: 3, Lean: -4}, time.Second, rollout.Trial},
-		{"two lean against it", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Against: 2, Lean: 4}, time.Second, rollout.Condemned},
+		{"the only one is faulty", rollout.Trial, rollout.Tally{Present: 1, Others: 8, Answered: 1, Faulty: 1, LogOdds: 4}, time.Second, rollout.Condemned},
+		{"two are faulty, and more are not", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 5, Faulty: 2, For: 3, LogOdds: -4}, time.Second, rollout.Trial},
+		{"two lean against it", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Against: 2, LogOdds: 4}, time.Second, rollout.Condemned},
 		{"the deadline has just passed", rollout.Promoting, good, 14500 * time.Millisecond, rollout.Promoting},
 		{"no end was heard of", rollout.Promoting, good, 16 * time.Second, rollout.Condemned},
 		{"done stays done", rollout.Completed, bad, 16 * time.Second, rollout.Completed},
@@ -297,14 +297,14 @@
 		"good":                          {func(*rollout.Tally) {}, true},
 		"one of several is faulty":      {func(tally *rollout.Tally) { tally.Faulty, tally.For = 1, 2 }, true},
 		"bad":                           {func(tally *rollout.Tally) { *tally = bad }, false},
-		"too little was seen":           {func(tally *rollout.Tally) { tally.Lean = -1 }, false},
+		"too little was seen":           {func(tally *rollout.Tally) { tally.LogOdds = -1 }, false},
 		"one alone has answered":        {func(tally *rollout.Tally) { tally.Answered = 1 }, false},
 		"too few back ends":             {func(tally *rollout.Tally) { tally.Present = 3 }, false},
 		"two thirds at a low load":      {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.5 }, true},
 		"two thirds at full load":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.95 }, false},
 		"nearly all at full load":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 20, 22, 1.3 }, true},
 		"no back end":                   {func(tally *rollout.Tally) { tally.Present = 0 }, false},
-		"two, and one has spoken":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered, tally.Lean = 2, 2, 2, -4 }, false},
+		"two, and one has spoken":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered, tally.LogOdds = 2, 2, 2, -4 }, false},
 		"the only one, where one is it": {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered = 1, 1, 1 }, true},
 	}
 	for name, met := range cases {
