--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -351,7 +351,7 @@
 			tally.Present++
 		}
 		if judgement := record.Assessment(); judgement != nil {
-			tally.Add(judgement.Answers, judgement.Faulty, judgement.Lean)
+			tally.Add(judgement.Answers, judgement.Faulty, judgement.LogOdds)
 		}
 	}
 	return tally
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -83,7 +83,7 @@
 		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.BaselineRates.Failing), zap.Float64("usualSlow", answer.BaselineRates.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.LastAssessment = &roster.Assessment{
-			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.LogOdds*leanUnits) / leanUnits,
+			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, LogOdds: math.Round(evidence.LogOdds*leanUnits) / leanUnits,
 		}
 		return record, true
 	})
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -69,9 +69,9 @@
 	Answers int `json:"answers"`
 	// Faulty means that the back end fails or is slow more often than others.
 	Faulty bool `json:"faulty,omitempty"`
-	// Lean is the log-odds, from recent responses, that the back end is faulty. Negative values
+	// LogOdds is the log-odds, from recent responses, that the back end is faulty. Negative values
 	// favor the back end.
-	Lean float64 `json:"lean"`
+	LogOdds float64 `json:"lean"`
 }
 
 // Assessment returns the node's assessment of its current back end, nil if there is none.
