--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -75,7 +75,7 @@
 
 // carried is a move with what the node has done for it. The controller's lock guards it.
 type carried struct {
-	rollout.Move
+	rollout.State
 	// order is the revision of the order that all below concerns.
 	order uint64
 	// began is when the node heard of the order, asked how many requests of the service
@@ -165,7 +165,7 @@
 
 // begin returns the move of an order. A node that has just started does not know yet whether
 // other versions are in use.
-func (c *Controller) begin(order rollout.Order, now time.Time) rollout.Move {
+func (c *Controller) begin(order rollout.Order, now time.Time) rollout.State {
 	if !c.options.Settled() {
 		return rollout.Begin(order, now)
 	}
@@ -214,7 +214,7 @@
 }
 
 // learn merges a move and reports whether it is news.
-func (c *Controller) learn(move rollout.Move, now time.Time) (news bool) {
+func (c *Controller) learn(move rollout.State, now time.Time) (news bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.moves[move.Service]
@@ -224,7 +224,7 @@
 	}
 	rewritten := held.Rewritten(move)
 	merged, news := held.Merge(move)
-	held.Move = merged
+	held.State = merged
 	if !news {
 		return false
 	}
@@ -232,7 +232,7 @@
 	case rewritten:
 		held.order = merged.Revision
 	case merged.Revision != held.order:
-		*held = carried{Move: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Asked()}
+		*held = carried{State: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Asked()}
 	}
 	c.use(move.Service, move.Version)
 	c.entered(held, now)
@@ -324,7 +324,7 @@
 		tally := c.tally(held.Service, held.Version)
 		judged, changed := held.Judged(tally, now)
 		if changed {
-			held.Move = judged
+			held.State = judged
 			c.entered(held, now)
 			news = true
 		}
@@ -394,13 +394,13 @@
 		candidates, others := c.candidates(held)
 		stint := held.Stint(candidates, others, c.options.Limits(), c.pace(held, now), now)
 		alone := c.options.Settled() && others == 0 && len(candidates) > 0
-		plan := rollout.NewPlan(held.Move, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
+		plan := rollout.NewPlan(held.State, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
 		plan.Moved = held.moved
 		made[service] = plan
 	}
 	for service, versions := range c.unheard {
 		if made[service] == nil {
-			made[service] = rollout.NewPlan(rollout.Move{}, rollout.Stint{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
+			made[service] = rollout.NewPlan(rollout.State{}, rollout.Stint{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
 		}
 	}
 	if len(made) == 0 {
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -96,7 +96,7 @@
 // write brings the store to a phase of a move. The key is read first: a condition on its
 // revision keeps apart what two nodes decide, and keeps a write whose answer was lost from
 // taking effect after a later one.
-func (c *Controller) write(ctx context.Context, next rollout.Move) {
+func (c *Controller) write(ctx context.Context, next rollout.State) {
 	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	stored, revision, err := c.stored(bounded, next.Service)
@@ -131,7 +131,7 @@
 	return status, found.Revision, nil
 }
 
-func (c *Controller) swap(ctx context.Context, next rollout.Move, revision uint64) error {
+func (c *Controller) swap(ctx context.Context, next rollout.State, revision uint64) error {
 	value, err := c.options.Codec.EncodeStatus(Status{
 		Service: next.Service, Version: next.Version, Revision: next.Order.Revision, Phase: next.Phase, Deadline: clock.WallTime(next.Deadline),
 	})
@@ -146,7 +146,7 @@
 
 // wrote takes in that the store has the phase. deadline is the one that the store had,
 // zero when this node has just written its own.
-func (c *Controller) wrote(move rollout.Move, deadline time.Time) {
+func (c *Controller) wrote(move rollout.State, deadline time.Time) {
 	now := clock.Now()
 	c.mu.Lock()
 	held := c.moves[move.Service]
@@ -164,7 +164,7 @@
 		news = held.Phase != move.Phase
 		merged.Phase, merged.Cause, merged.Recorded = move.Phase, move.Cause, true
 	}
-	held.Move = merged
+	held.State = merged
 	if news {
 		c.entered(held, now)
 		c.publish(now)
@@ -177,7 +177,7 @@
 }
 
 // notWritten logs a failed write and has the next one wait.
-func (c *Controller) notWritten(move rollout.Move, err error) {
+func (c *Controller) notWritten(move rollout.State, err error) {
 	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", move.Service),
 		zap.Stringer("phase", move.Phase), zap.Error(err))
 	c.mu.Lock()
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -16,7 +16,7 @@
 
 // Judged returns the move after a look at what its back ends are called, and whether it
 // changed. Every node does this by itself; nobody waits for the store to stop sending.
-func (m Move) Judged(tally Tally, now time.Time) (Move, bool) {
+func (m State) Judged(tally Tally, now time.Time) (State, bool) {
 	if m.Phase >= Condemned {
 		return m, false
 	}
@@ -33,7 +33,7 @@
 
 // Ordered returns the move of an order that was heard at that moment. A version that is the
 // only one in use has nothing to be tried against: its move is over at once.
-func Ordered(order Order, tally Tally, now time.Time) Move {
+func Ordered(order Order, tally Tally, now time.Time) State {
 	begun := Begin(order, now)
 	if tally.last() {
 		begun.Phase = Completed
@@ -42,7 +42,7 @@
 }
 
 // Due returns the phase that is to be written to the store now, and whether one is.
-func (m Move) Due(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
+func (m State) Due(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
 	switch {
 	case m.Phase.Final():
 		return m.Phase, !m.Recorded
@@ -64,7 +64,7 @@
 }
 
 // Reached returns the move in a phase that the store has.
-func (m Move) Reached(phase Phase) Move {
+func (m State) Reached(phase Phase) State {
 	switch {
 	case phase != RolledBack || m.Cause != "":
 	case m.Phase == Trial:
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -55,8 +55,8 @@
 // Final reports whether nothing follows on the phase.
 func (p Phase) Final() bool { return p >= Completed }
 
-// Move is what a node knows of an order that is carried out. It is a value.
-type Move struct {
+// State is what a node knows of an order that is carried out. It is a value.
+type State struct {
 	Order
 	Phase Phase
 	// Recorded: the store is known to have the phase.
@@ -68,14 +68,14 @@
 }
 
 // Begin returns the move of an order that was heard at that moment.
-func Begin(order Order, now time.Time) Move {
-	return Move{Order: order, Deadline: now.Add(order.Duration)}
+func Begin(order Order, now time.Time) State {
+	return State{Order: order, Deadline: now.Add(order.Duration)}
 }
 
 // Merge returns what is known after another node's account of the service's move, and
 // whether that is news. The later order holds; of one order the later phase, and the
 // earlier deadline, since whoever heard late counts from then.
-func (m Move) Merge(other Move) (merged Move, news bool) {
+func (m State) Merge(other State) (merged State, news bool) {
 	switch order := cmp.Compare(other.Revision, m.Revision); {
 	case order > 0 && m.Rewritten(other):
 		return m.adopted(other), true
@@ -99,14 +99,14 @@
 
 // Rewritten reports whether the other move is of the same order, which operators have written again
 // since the store came back from an older copy. Within one era the same words are another order.
-func (m Move) Rewritten(other Move) bool {
+func (m State) Rewritten(other State) bool {
 	return store.EraOf(other.Revision) > store.EraOf(m.Revision) &&
 		other.Service == m.Service && other.Version == m.Version && other.Duration == m.Duration
 }
 
 // adopted returns the move under the revision of its order that was written again. What was decided
 // stays decided, whatever the store has lost; of two ends the one that this node knows stays.
-func (m Move) adopted(other Move) Move {
+func (m State) adopted(other State) State {
 	m.Revision = other.Revision
 	if other.Deadline.Before(m.Deadline) {
 		m.Deadline = other.Deadline
@@ -132,7 +132,7 @@
 }
 
 // Tell returns the move as it is told at that moment.
-func (m Move) Tell(now time.Time) Told {
+func (m State) Tell(now time.Time) Told {
 	return Told{
 		Service: m.Service, Version: m.Version, Revision: m.Revision, DurationMS: m.Duration.Milliseconds(),
 		LeftMS: m.Deadline.Sub(now).Milliseconds(), Phase: m.Phase, Recorded: m.Recorded, Cause: m.Cause,
@@ -143,12 +143,12 @@
 const longestMS = int64(24 * time.Hour / time.Millisecond)
 
 // Hear returns the move that was told, and whether it is one.
-func (t Told) Hear(now time.Time) (Move, bool) {
+func (t Told) Hear(now time.Time) (State, bool) {
 	if t.Service == "" || t.Version == "" || t.Revision == 0 || t.Phase < Trial || t.Phase > RolledBack ||
 		t.DurationMS <= 0 || t.DurationMS > longestMS || t.LeftMS > t.DurationMS || t.LeftMS < -longestMS {
-		return Move{}, false
+		return State{}, false
 	}
-	return Move{
+	return State{
 		Order: Order{
 			Service: t.Service, Version: t.Version, Revision: t.Revision,
 			Duration: time.Duration(t.DurationMS) * time.Millisecond,
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -17,7 +17,7 @@
 	return rollout.Order{Service: "s", Version: "v2", Revision: revision, Duration: 14 * time.Second}
 }
 
-func inPhase(phase rollout.Phase) rollout.Move {
+func inPhase(phase rollout.Phase) rollout.State {
 	move := rollout.Begin(order(5), start)
 	move.Phase = phase
 	return move
@@ -29,12 +29,12 @@
 	later := rollout.Begin(order(6), start)
 	cases := []struct {
 		name        string
-		held, other rollout.Move
+		held, other rollout.State
 		want        rollout.Phase
 		revision    uint64
 		news        bool
 	}{
-		{"nothing was known", rollout.Move{}, inPhase(rollout.Trial), rollout.Trial, 5, true},
+		{"nothing was known", rollout.State{}, inPhase(rollout.Trial), rollout.Trial, 5, true},
 		{"the same", inPhase(rollout.Trial), inPhase(rollout.Trial), rollout.Trial, 5, false},
 		{"a later phase", inPhase(rollout.Trial), inPhase(rollout.Promoting), rollout.Promoting, 5, true},
 		{"an earlier phase", inPhase(rollout.Promoting), inPhase(rollout.Trial), rollout.Promoting, 5, false},
@@ -368,7 +368,7 @@
 	record := func(version string) *roster.Record {
 		return &roster.Record{Endpoint: &roster.Endpoint{Version: version}}
 	}
-	for _, move := range []rollout.Move{{}, inPhase(rollout.RolledBack)} {
+	for _, move := range []rollout.State{{}, inPhase(rollout.RolledBack)} {
 		plan := rollout.NewPlan(move, rollout.Stint{}, []string{"v3"}, false, rollout.NewSplit())
 		g.Expect(plan.Moves()).To(BeFalse())
 		for _, selected := range []rollout.Selection{plan.Select(false), plan.Otherwise()} {
@@ -399,17 +399,17 @@
 	}
 	cases := []struct {
 		name   string
-		held   rollout.Move
+		held   rollout.State
 		other  rollout.Order
 		phase  rollout.Phase
 		news   bool
 		stored bool
 	}{
-		{"of a later era", rollout.Move{Order: order(1, 500), Phase: rollout.Completed, Recorded: true}, order(2, 3), rollout.Completed, true, false},
-		{"under way", rollout.Move{Order: order(1, 500), Phase: rollout.Promoting, Recorded: true}, order(2, 3), rollout.Promoting, true, false},
-		{"of an earlier era", rollout.Move{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(1, 500), rollout.Completed, false, true},
-		{"of the same era", rollout.Move{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(2, 9), rollout.Trial, true, false},
-		{"for another version", rollout.Move{Order: rollout.Order{Service: "s", Version: "v1", Revision: store.RevisionIn(1, 500), Duration: time.Minute}, Phase: rollout.Completed}, order(2, 3), rollout.Trial, true, false},
+		{"of a later era", rollout.State{Order: order(1, 500), Phase: rollout.Completed, Recorded: true}, order(2, 3), rollout.Completed, true, false},
+		{"under way", rollout.State{Order: order(1, 500), Phase: rollout.Promoting, Recorded: true}, order(2, 3), rollout.Promoting, true, false},
+		{"of an earlier era", rollout.State{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(1, 500), rollout.Completed, false, true},
+		{"of the same era", rollout.State{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(2, 9), rollout.Trial, true, false},
+		{"for another version", rollout.State{Order: rollout.Order{Service: "s", Version: "v1", Revision: store.RevisionIn(1, 500), Duration: time.Minute}, Phase: rollout.Completed}, order(2, 3), rollout.Trial, true, false},
 	}
 	for _, played := range cases {
 		t.Run(played.name, func(t *testing.T) {
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -64,7 +64,7 @@
 
 // slackShare is the part of the node's requests by which its part of the slack is used
 // up at the deadline.
-func (m Move) slackShare(limits Limits, pace Pace) float64 {
+func (m State) slackShare(limits Limits, pace Pace) float64 {
 	expected := pace.PerSecond * m.Duration.Seconds()
 	if expected <= 0 {
 		return 0
@@ -73,15 +73,15 @@
 }
 
 // promotion is how long before the deadline all requests move.
-func (m Move) promotion(limits Limits) time.Duration {
+func (m State) promotion(limits Limits) time.Duration {
 	return min(time.Duration(float64(m.Duration)*limits.Share*promotionPart), promotionMost)
 }
 
 // PromoteAt is when all requests are to move to the version.
-func (m Move) PromoteAt(limits Limits) time.Time { return m.Deadline.Add(-m.promotion(limits)) }
+func (m State) PromoteAt(limits Limits) time.Time { return m.Deadline.Add(-m.promotion(limits)) }
 
 // CompleteAt is when the move is to be declared done.
-func (m Move) CompleteAt(limits Limits) time.Time {
+func (m State) CompleteAt(limits Limits) time.Time {
 	promotion := m.promotion(limits)
 	ahead := max(time.Duration(float64(promotion)*completionPart), completionLeast)
 	return m.Deadline.Add(-min(ahead, time.Duration(float64(promotion)*completionMost)))
@@ -89,7 +89,7 @@
 
 // Weight is how many times as many requests go to the version at a moment of the trial as
 // if they were spread evenly over it.
-func (m Move) Weight(limits Limits, now time.Time) float64 {
+func (m State) Weight(limits Limits, now time.Time) float64 {
 	left := m.PromoteAt(limits).Sub(now)
 	whole := m.Duration - m.promotion(limits)
 	if left <= time.Duration(float64(whole)*lastPart) {
@@ -112,7 +112,7 @@
 // A version may be bad only under load. So the requests go to few back ends at a time,
 // as many as have the load that the others have; where one alone would have less, they go
 // there for a part of each turn only.
-func (m Move) Stint(candidates []string, others int, limits Limits, pace Pace, now time.Time) Stint {
+func (m State) Stint(candidates []string, others int, limits Limits, pace Pace, now time.Time) Stint {
 	candidates = candidates[:min(len(candidates), trialBackEnds)]
 	if len(candidates) == 0 || others == 0 || m.Phase != Trial || !now.Before(m.PromoteAt(limits)) {
 		return Stint{}
