--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -167,7 +167,7 @@
 // other versions are in use.
 func (c *Controller) begin(order rollout.Order, now time.Time) rollout.State {
 	if !c.options.Settled() {
-		return rollout.Begin(order, now)
+		return rollout.NewState(order, now)
 	}
 	return rollout.Ordered(order, c.tally(order.Service, order.Version), now)
 }
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -49,7 +49,7 @@
 
 func (p *trial) play() outcome {
 	const backEnds = 3
-	move := rollout.Begin(order(1), start)
+	move := rollout.NewState(order(1), start)
 	trialTime := move.PromoteAt(rollout.DefaultLimits()).Sub(start)
 	judges := make([]rollout.Detector, backEnds)
 	struck := make([]bool, backEnds)
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -67,8 +67,8 @@
 	Cause string
 }
 
-// Begin returns the move of an order that was heard at that moment.
-func Begin(order Order, now time.Time) State {
+// NewState returns the move of an order that was heard at that moment.
+func NewState(order Order, now time.Time) State {
 	return State{Order: order, Deadline: now.Add(order.Duration)}
 }
 
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -18,7 +18,7 @@
 }
 
 func inPhase(phase rollout.Phase) rollout.State {
-	move := rollout.Begin(order(5), start)
+	move := rollout.NewState(order(5), start)
 	move.Phase = phase
 	return move
 }
@@ -26,7 +26,7 @@
 // TestMerge: the later order holds, of one order the later phase, and a move that is
 // over stays as it is.
 func TestMerge(t *testing.T) {
-	later := rollout.Begin(order(6), start)
+	later := rollout.NewState(order(6), start)
 	cases := []struct {
 		name        string
 		held, other rollout.State
@@ -59,8 +59,8 @@
 // TestTheEarlierDeadlineHolds: who heard late counts from then, who heard early is right.
 func TestTheEarlierDeadlineHolds(t *testing.T) {
 	g := NewWithT(t)
-	heardLate := rollout.Begin(order(5), start.Add(time.Second))
-	merged, news := heardLate.Merge(rollout.Begin(order(5), start))
+	heardLate := rollout.NewState(order(5), start.Add(time.Second))
+	merged, news := heardLate.Merge(rollout.NewState(order(5), start))
 	g.Expect(news).To(BeFalse())
 	g.Expect(merged.Deadline).To(Equal(start.Add(14 * time.Second)))
 }
@@ -123,7 +123,7 @@
 func exposure(limits rollout.Limits, duration time.Duration, others int, pace rollout.Pace) float64 {
 	given := order(5)
 	given.Duration = duration
-	move := rollout.Begin(given, start)
+	move := rollout.NewState(given, start)
 	const step = time.Millisecond
 	total := 0.0
 	for now := start; now.Before(move.Deadline); now = now.Add(step) {
@@ -163,7 +163,7 @@
 	} {
 		given := order(5)
 		given.Duration = duration
-		move := rollout.Begin(given, start)
+		move := rollout.NewState(given, start)
 		g.Expect(move.CompleteAt(limits).Sub(move.PromoteAt(limits))).To(BeNumerically(">=", least))
 		g.Expect(move.Deadline.Sub(move.CompleteAt(limits))).To(BeNumerically(">=", 280*time.Millisecond))
 	}
@@ -186,7 +186,7 @@
 func TestStint(t *testing.T) {
 	g := NewWithT(t)
 	limits := rollout.Limits{Share: 0.1}
-	move := rollout.Begin(order(5), start)
+	move := rollout.NewState(order(5), start)
 	seen := map[string]bool{}
 	for number := range 6 {
 		stint := move.Stint(several, 34, limits, rollout.Pace{}, start.Add(time.Duration(number)*time.Second))
@@ -216,7 +216,7 @@
 // TestDue: what is to be written when.
 func TestDue(t *testing.T) {
 	limits := rollout.Limits{Share: 0.1}
-	move := rollout.Begin(order(5), start)
+	move := rollout.NewState(order(5), start)
 	promote, complete := move.PromoteAt(limits), move.CompleteAt(limits)
 	cases := []struct {
 		name     string
@@ -415,14 +415,14 @@
 		t.Run(played.name, func(t *testing.T) {
 			g := NewWithT(t)
 			played.held.Deadline = now.Add(time.Second)
-			merged, news := played.held.Merge(rollout.Begin(played.other, now))
+			merged, news := played.held.Merge(rollout.NewState(played.other, now))
 			g.Expect(news).To(Equal(played.news))
 			g.Expect(merged.Phase).To(Equal(played.phase))
 			g.Expect(merged.Recorded).To(Equal(played.stored))
 			if played.news {
 				g.Expect(merged.Revision).To(Equal(played.other.Revision))
 			}
-			again, news := merged.Merge(rollout.Begin(played.other, now))
+			again, news := merged.Merge(rollout.NewState(played.other, now))
 			g.Expect(news).To(BeFalse())
 			g.Expect(again).To(Equal(merged))
 		})
