--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -222,7 +222,7 @@
 		held = &carried{}
 		c.moves[move.Service] = held
 	}
-	rewritten := held.Rewritten(move)
+	rewritten := held.ReissuedBy(move)
 	merged, news := held.Merge(move)
 	held.State = merged
 	if !news {
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -77,7 +77,7 @@
 // earlier deadline, since whoever heard late counts from then.
 func (m State) Merge(other State) (merged State, news bool) {
 	switch order := cmp.Compare(other.Revision, m.Revision); {
-	case order > 0 && m.Rewritten(other):
+	case order > 0 && m.ReissuedBy(other):
 		return m.adopted(other), true
 	case order > 0:
 		return other, true
@@ -97,9 +97,9 @@
 	return m, true
 }
 
-// Rewritten reports whether the other move is of the same order, which operators have written again
+// ReissuedBy reports whether the other move is of the same order, which operators have written again
 // since the store came back from an older copy. Within one era the same words are another order.
-func (m State) Rewritten(other State) bool {
+func (m State) ReissuedBy(other State) bool {
 	return store.EraOf(other.Revision) > store.EraOf(m.Revision) &&
 		other.Service == m.Service && other.Version == m.Version && other.Duration == m.Duration
 }
