--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -185,7 +185,7 @@
 }
 
 // Hear takes in what a peer tells of moves and reports whether some of it is news.
-func (c *Controller) Hear(told []rollout.Told) (news bool) {
+func (c *Controller) Hear(told []rollout.WireState) (news bool) {
 	now := clock.Now()
 	for _, one := range told {
 		move, valid := one.Hear(now)
@@ -199,14 +199,14 @@
 }
 
 // Tell returns the moves as peers are told of them; nil when there are none.
-func (c *Controller) Tell() []rollout.Told {
+func (c *Controller) Tell() []rollout.WireState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.moves) == 0 {
 		return nil
 	}
 	now := clock.Now()
-	told := make([]rollout.Told, 0, len(c.moves))
+	told := make([]rollout.WireState, 0, len(c.moves))
 	for _, service := range slices.Sorted(maps.Keys(c.moves)) {
 		told = append(told, c.moves[service].Tell(now))
 	}
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -118,9 +118,9 @@
 	return m
 }
 
-// Told is a move as one node tells it to another. Clocks differ, so that what is left
+// WireState is a move as one node tells it to another. Clocks differ, so that what is left
 // of the time is told and not when it ends.
-type Told struct {
+type WireState struct {
 	Service    string `json:"service"`
 	Version    string `json:"version"`
 	Revision   uint64 `json:"revision"`
@@ -132,8 +132,8 @@
 }
 
 // Tell returns the move as it is told at that moment.
-func (m State) Tell(now time.Time) Told {
-	return Told{
+func (m State) Tell(now time.Time) WireState {
+	return WireState{
 		Service: m.Service, Version: m.Version, Revision: m.Revision, DurationMS: m.Duration.Milliseconds(),
 		LeftMS: m.Deadline.Sub(now).Milliseconds(), Phase: m.Phase, Recorded: m.Recorded, Cause: m.Cause,
 	}
@@ -143,7 +143,7 @@
 const longestMS = int64(24 * time.Hour / time.Millisecond)
 
 // Hear returns the move that was told, and whether it is one.
-func (t Told) Hear(now time.Time) (State, bool) {
+func (t WireState) Hear(now time.Time) (State, bool) {
 	if t.Service == "" || t.Version == "" || t.Revision == 0 || t.Phase < Trial || t.Phase > RolledBack ||
 		t.DurationMS <= 0 || t.DurationMS > longestMS || t.LeftMS > t.DurationMS || t.LeftMS < -longestMS {
 		return State{}, false
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -94,16 +94,16 @@
 }
 
 func TestToldThatCannotBe(t *testing.T) {
-	spoil := map[string]func(*rollout.Told){
-		"no service":               func(told *rollout.Told) { told.Service = "" },
-		"no version":               func(told *rollout.Told) { told.Version = "" },
-		"no order":                 func(told *rollout.Told) { told.Revision = 0 },
-		"a phase after the last":   func(told *rollout.Told) { told.Phase = rollout.RolledBack + 1 },
-		"a phase before the first": func(told *rollout.Told) { told.Phase = -1 },
-		"no time":                  func(told *rollout.Told) { told.DurationMS = 0 },
-		"more left than there was": func(told *rollout.Told) { told.LeftMS = told.DurationMS + 1 },
-		"a time that overflows":    func(told *rollout.Told) { told.DurationMS, told.LeftMS = 1<<62, 1<<61 },
-		"over for ever":            func(told *rollout.Told) { told.LeftMS = -1 << 62 },
+	spoil := map[string]func(*rollout.WireState){
+		"no service":               func(told *rollout.WireState) { told.Service = "" },
+		"no version":               func(told *rollout.WireState) { told.Version = "" },
+		"no order":                 func(told *rollout.WireState) { told.Revision = 0 },
+		"a phase after the last":   func(told *rollout.WireState) { told.Phase = rollout.RolledBack + 1 },
+		"a phase before the first": func(told *rollout.WireState) { told.Phase = -1 },
+		"no time":                  func(told *rollout.WireState) { told.DurationMS = 0 },
+		"more left than there was": func(told *rollout.WireState) { told.LeftMS = told.DurationMS + 1 },
+		"a time that overflows":    func(told *rollout.WireState) { told.DurationMS, told.LeftMS = 1<<62, 1<<61 },
+		"over for ever":            func(told *rollout.WireState) { told.LeftMS = -1 << 62 },
 	}
 	for name, change := range spoil {
 		t.Run(name, func(t *testing.T) {
