--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -169,7 +169,7 @@
 	if !c.options.Settled() {
 		return rollout.NewState(order, now)
 	}
-	return rollout.Ordered(order, c.tally(order.Service, order.Version), now)
+	return rollout.Start(order, c.tally(order.Service, order.Version), now)
 }
 
 // Restored takes in that the store has come back from an older copy: no status is known to be there.
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -31,9 +31,9 @@
 	return m, true
 }
 
-// Ordered returns the move of an order that was heard at that moment. A version that is the
+// Start returns the move of an order that was heard at that moment. A version that is the
 // only one in use has nothing to be tried against: its move is over at once.
-func Ordered(order Order, tally Tally, now time.Time) State {
+func Start(order Order, tally Tally, now time.Time) State {
 	begun := NewState(order, now)
 	if tally.last() {
 		begun.Phase = Completed
