--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -322,7 +322,7 @@
 	news := false
 	for _, held := range c.moves {
 		tally := c.tally(held.Service, held.Version)
-		judged, changed := held.Judged(tally, now)
+		judged, changed := held.Evaluate(tally, now)
 		if changed {
 			held.State = judged
 			c.entered(held, now)
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -14,9 +14,9 @@
 // alone.
 const expiry = 1500 * time.Millisecond
 
-// Judged returns the move after a look at what its back ends are called, and whether it
+// Evaluate returns the move after a look at what its back ends are called, and whether it
 // changed. Every node does this by itself; nobody waits for the store to stop sending.
-func (m State) Judged(tally Tally, now time.Time) (State, bool) {
+func (m State) Evaluate(tally Tally, now time.Time) (State, bool) {
 	if m.Phase >= Condemned {
 		return m, false
 	}
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -281,7 +281,7 @@
 	for _, met := range cases {
 		t.Run(met.name, func(t *testing.T) {
 			g := NewWithT(t)
-			judged, changed := inPhase(met.phase).Judged(met.tally, start.Add(met.at))
+			judged, changed := inPhase(met.phase).Evaluate(met.tally, start.Add(met.at))
 			g.Expect(judged.Phase).To(Equal(met.want))
 			g.Expect(changed).To(Equal(met.want != met.phase))
 			g.Expect(judged.Cause != "").To(Equal(changed))
