--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -56,7 +56,7 @@
 // act begins to write the phase that is due, when it is this node's turn; the lock is
 // held.
 func (c *Controller) act(ctx context.Context, held *carried, tally rollout.Tally, now time.Time) {
-	phase, due := held.Due(tally, c.options.Limits(), now)
+	phase, due := held.DuePhase(tally, c.options.Limits(), now)
 	if !due {
 		held.dueSince = time.Time{}
 		return
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -41,8 +41,8 @@
 	return begun
 }
 
-// Due returns the phase that is to be written to the store now, and whether one is.
-func (m State) Due(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
+// DuePhase returns the phase that is to be written to the store now, and whether one is.
+func (m State) DuePhase(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
 	switch {
 	case m.Phase.Final():
 		return m.Phase, !m.Recorded
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -248,7 +248,7 @@
 			g := NewWithT(t)
 			held := inPhase(met.phase)
 			held.Recorded = met.recorded
-			phase, due := held.Due(met.tally, limits, met.at)
+			phase, due := held.DuePhase(met.tally, limits, met.at)
 			g.Expect(due).To(Equal(met.due))
 			if due {
 				g.Expect(phase).To(Equal(met.want))
