--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -68,7 +68,7 @@
 		return
 	}
 	held.writing, held.notBefore = true, now.Add(retryBase)
-	next := held.Reached(phase)
+	next := held.WithRecordedPhase(phase)
 	go c.write(ctx, next)
 }
 
@@ -101,7 +101,7 @@
 	defer cancel()
 	stored, revision, err := c.stored(bounded, next.Service)
 	if err == nil && stored.Revision == next.Revision && (stored.Phase.Final() || stored.Phase >= next.Phase) {
-		c.wrote(next.Reached(stored.Phase), clock.FromWallTime(stored.Deadline))
+		c.wrote(next.WithRecordedPhase(stored.Phase), clock.FromWallTime(stored.Deadline))
 		return
 	}
 	if err == nil {
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -63,8 +63,8 @@
 	return Trial, !m.Recorded
 }
 
-// Reached returns the move in a phase that the store has.
-func (m State) Reached(phase Phase) State {
+// WithRecordedPhase returns the move in a phase that the store has.
+func (m State) WithRecordedPhase(phase Phase) State {
 	switch {
 	case phase != RolledBack || m.Cause != "":
 	case m.Phase == Trial:
