--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -5,7 +5,7 @@
 // Causes of a move that is taken back.
 const (
 	CauseFaulty = "several back ends of the version are faulty"
-	CauseLate   = "not done by the deadline"
+	CauseDeadlineMissed   = "not done by the deadline"
 	CauseUnseen = "too little was seen of the version, or it has too few back ends"
 )
 
@@ -24,7 +24,7 @@
 	case tally.Condemns():
 		m.Phase, m.Recorded, m.Cause = Condemned, false, CauseFaulty
 	case now.After(m.Deadline.Add(expiry)) && !tally.last():
-		m.Phase, m.Recorded, m.Cause = Condemned, false, CauseLate
+		m.Phase, m.Recorded, m.Cause = Condemned, false, CauseDeadlineMissed
 	default:
 		return m, false
 	}
@@ -70,7 +70,7 @@
 	case m.Phase == Trial:
 		m.Cause = CauseUnseen
 	default:
-		m.Cause = CauseLate
+		m.Cause = CauseDeadlineMissed
 	}
 	m.Phase, m.Recorded = phase, true
 	return m
