--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -6,7 +6,7 @@
 const (
 	CauseFaulty = "several back ends of the version are faulty"
 	CauseDeadlineMissed   = "not done by the deadline"
-	CauseUnseen = "too little was seen of the version, or it has too few back ends"
+	CauseInsufficientEvidence = "too little was seen of the version, or it has too few back ends"
 )
 
 // expiry is how long after its deadline a move of which no end was heard is taken for
@@ -68,7 +68,7 @@
 	switch {
 	case phase != RolledBack || m.Cause != "":
 	case m.Phase == Trial:
-		m.Cause = CauseUnseen
+		m.Cause = CauseInsufficientEvidence
 	default:
 		m.Cause = CauseDeadlineMissed
 	}
