--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -414,8 +414,8 @@
 const paceKnown = time.Second
 
 // pace is how often requests of a move's service come to this node; the lock is held.
-func (c *Controller) pace(held *carried, now time.Time) rollout.Pace {
-	pace := rollout.Pace{Members: c.options.Members.View().LiveCount()}
+func (c *Controller) pace(held *carried, now time.Time) rollout.RequestRate {
+	pace := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
 	if elapsed := now.Sub(held.began); elapsed >= paceKnown {
 		pace.PerSecond = float64(c.split(held.Service).Asked()-held.asked) / elapsed.Seconds()
 	}
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -120,7 +120,7 @@
 // exposure adds up what part of all requests a version gets between order and deadline,
 // in units of the whole, when it turns bad after the last moment at which that could be
 // noticed.
-func exposure(limits rollout.Limits, duration time.Duration, others int, pace rollout.Pace) float64 {
+func exposure(limits rollout.Limits, duration time.Duration, others int, pace rollout.RequestRate) float64 {
 	given := order(5)
 	given.Duration = duration
 	move := rollout.NewState(given, start)
@@ -144,7 +144,7 @@
 		for _, others := range []int{1, 4, 22, 34, 76, 500} {
 			g := NewWithT(t)
 			limits := rollout.Limits{Share: 0.1}
-			got := exposure(limits, duration, others, rollout.Pace{PerSecond: 10, Members: 80})
+			got := exposure(limits, duration, others, rollout.RequestRate{PerSecond: 10, Members: 80})
 			g.Expect(got).To(BeNumerically("<=", limits.Share), "%s, %d others", duration, others)
 			if duration < time.Minute {
 				g.Expect(got).To(BeNumerically(">=", limits.Share/2), "%s, %d others", duration, others)
@@ -175,7 +175,7 @@
 	g := NewWithT(t)
 	const members, perSecond, seconds = 48, 80.0, 14.0
 	limits := rollout.DefaultLimits()
-	got := exposure(limits, seconds*time.Second, 8, rollout.Pace{PerSecond: perSecond / members, Members: members})
+	got := exposure(limits, seconds*time.Second, 8, rollout.RequestRate{PerSecond: perSecond / members, Members: members})
 	allowed := limits.Share + limits.Slack/(perSecond*seconds)
 	g.Expect(got).To(BeNumerically("<=", allowed))
 	g.Expect(got).To(BeNumerically(">=", limits.Share+0.02), "some 25 requests more than by the share")
@@ -189,21 +189,21 @@
 	move := rollout.NewState(order(5), start)
 	seen := map[string]bool{}
 	for number := range 6 {
-		stint := move.Stint(several, 34, limits, rollout.Pace{}, start.Add(time.Duration(number)*time.Second))
+		stint := move.Stint(several, 34, limits, rollout.RequestRate{}, start.Add(time.Duration(number)*time.Second))
 		g.Expect(stint.BackEnds).To(HaveLen(1))
 		g.Expect(stint.Share).To(BeNumerically("~", 1.0/34, 1e-9))
 		seen[stint.BackEnds[0]] = true
 	}
 	g.Expect(seen).To(HaveLen(3), "evidence gathers on few")
-	g.Expect(move.Stint(several, 100, limits, rollout.Pace{}, start).BackEnds).To(HaveLen(2))
+	g.Expect(move.Stint(several, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
 	last := move.PromoteAt(limits).Add(-2 * time.Second)
-	g.Expect(move.Stint(several, 100, limits, rollout.Pace{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
-	g.Expect(move.Stint(several, 34, limits, rollout.Pace{}, last).BackEnds).To(HaveLen(2))
-	g.Expect(move.Stint(several, 34, limits, rollout.Pace{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
-	g.Expect(move.Stint(nil, 34, limits, rollout.Pace{}, start)).To(Equal(rollout.Stint{}))
-	g.Expect(move.Stint(several, 0, limits, rollout.Pace{}, start)).To(Equal(rollout.Stint{}))
-	g.Expect(move.Stint(several, 34, limits, rollout.Pace{}, move.PromoteAt(limits))).To(Equal(rollout.Stint{}))
-	g.Expect(inPhase(rollout.Condemned).Stint(several, 34, limits, rollout.Pace{}, start)).To(Equal(rollout.Stint{}))
+	g.Expect(move.Stint(several, 100, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
+	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(2))
+	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
+	g.Expect(move.Stint(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
+	g.Expect(move.Stint(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
+	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.Stint{}))
+	g.Expect(inPhase(rollout.Condemned).Stint(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
 }
 
 // good and bad are tallies of a version that is to be promoted and of one that is not.
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -54,8 +54,8 @@
 // slack aside.
 func (l Limits) trialShare() float64 { return l.Share * trialPart }
 
-// Pace is how often requests of a service come to one of several nodes.
-type Pace struct {
+// RequestRate is how often requests of a service come to one of several nodes.
+type RequestRate struct {
 	// PerSecond is the node's own rate, zero while it is not known.
 	PerSecond float64
 	// Members is how many nodes share the slack.
@@ -64,7 +64,7 @@
 
 // slackShare is the part of the node's requests by which its part of the slack is used
 // up at the deadline.
-func (m State) slackShare(limits Limits, pace Pace) float64 {
+func (m State) slackShare(limits Limits, pace RequestRate) float64 {
 	expected := pace.PerSecond * m.Duration.Seconds()
 	if expected <= 0 {
 		return 0
@@ -112,7 +112,7 @@
 // A version may be bad only under load. So the requests go to few back ends at a time,
 // as many as have the load that the others have; where one alone would have less, they go
 // there for a part of each turn only.
-func (m State) Stint(candidates []string, others int, limits Limits, pace Pace, now time.Time) Stint {
+func (m State) Stint(candidates []string, others int, limits Limits, pace RequestRate, now time.Time) Stint {
 	candidates = candidates[:min(len(candidates), trialBackEnds)]
 	if len(candidates) == 0 || others == 0 || m.Phase != Trial || !now.Before(m.PromoteAt(limits)) {
 		return Stint{}
