--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -80,7 +80,7 @@
 
 // pause is the time between two requests that go to the version.
 func (p *trial) pause(move *rollout.State, at time.Duration) time.Duration {
-	return time.Duration(float64(time.Second) / (p.perSecond * move.Weight(rollout.DefaultLimits(), start.Add(at))))
+	return time.Duration(float64(time.Second) / (p.perSecond * move.TrialWeight(rollout.DefaultLimits(), start.Add(at))))
 }
 
 // onTrial returns the back end that is on trial: in turn, those that are faulty aside.
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -87,9 +87,9 @@
 	return m.Deadline.Add(-min(ahead, time.Duration(float64(promotion)*completionMost)))
 }
 
-// Weight is how many times as many requests go to the version at a moment of the trial as
+// TrialWeight is how many times as many requests go to the version at a moment of the trial as
 // if they were spread evenly over it.
-func (m State) Weight(limits Limits, now time.Time) float64 {
+func (m State) TrialWeight(limits Limits, now time.Time) float64 {
 	left := m.PromoteAt(limits).Sub(now)
 	whole := m.Duration - m.promotion(limits)
 	if left <= time.Duration(float64(whole)*lastPart) {
@@ -120,7 +120,7 @@
 	elapsed := max(m.Duration-m.Deadline.Sub(now), 0)
 	number, into := int(elapsed/turn), elapsed%turn
 	usual := 1 / float64(others)
-	wanted := (limits.trialShare() + m.slackShare(limits, pace)) * m.Weight(limits, now)
+	wanted := (limits.trialShare() + m.slackShare(limits, pace)) * m.TrialWeight(limits, now)
 	together := min(int(math.Ceil(wanted/usual)), len(candidates))
 	share := min(float64(together)*usual, 1)
 	duty := wanted / share
