--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -400,7 +400,7 @@
 	}
 	for service, versions := range c.unheard {
 		if made[service] == nil {
-			made[service] = rollout.NewPlan(rollout.State{}, rollout.Stint{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
+			made[service] = rollout.NewPlan(rollout.State{}, rollout.TrialAssignment{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
 		}
 	}
 	if len(made) == 0 {
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -15,7 +15,7 @@
 	// held all the same.
 	Version string
 	Phase   Phase
-	Stint   Stint
+	Stint   TrialAssignment
 	// Held are versions besides that get no requests.
 	Held []string
 	// Alone: no back end of another version is there, so that the version is in use.
@@ -39,7 +39,7 @@
 func NewSplit() *Split { return &Split{sequence: evenly.NewSequence()} }
 
 // NewPlan returns a plan that goes on with a split.
-func NewPlan(move State, stint Stint, held []string, alone bool, split *Split) *Plan {
+func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Split) *Plan {
 	return &Plan{Version: move.Version, Phase: move.Phase, Stint: stint, Held: held, Alone: alone, split: split}
 }
 
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -200,10 +200,10 @@
 	g.Expect(move.Stint(several, 100, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
 	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(2))
 	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
-	g.Expect(move.Stint(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
-	g.Expect(move.Stint(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
-	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.Stint{}))
-	g.Expect(inPhase(rollout.Condemned).Stint(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.Stint{}))
+	g.Expect(move.Stint(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(move.Stint(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(inPhase(rollout.Condemned).Stint(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
 }
 
 // good and bad are tallies of a version that is to be promoted and of one that is not.
@@ -322,7 +322,7 @@
 	idle := &roster.Record{Node: "b", Endpoint: &roster.Endpoint{Version: "v2"}}
 	old := &roster.Record{Node: "c", Endpoint: &roster.Endpoint{Version: "v1"}}
 	nameless := &roster.Record{Node: "d", Endpoint: &roster.Endpoint{}}
-	stint := rollout.Stint{BackEnds: []string{"a"}, Share: 0.05}
+	stint := rollout.TrialAssignment{BackEnds: []string{"a"}, Share: 0.05}
 	const requests = 10000
 	cases := []struct {
 		name                  string
@@ -340,7 +340,7 @@
 	for _, met := range cases {
 		t.Run(met.name, func(t *testing.T) {
 			g := NewWithT(t)
-			given := rollout.Stint{}
+			given := rollout.TrialAssignment{}
 			if met.phase == rollout.Trial {
 				given = stint
 			}
@@ -369,7 +369,7 @@
 		return &roster.Record{Endpoint: &roster.Endpoint{Version: version}}
 	}
 	for _, move := range []rollout.State{{}, inPhase(rollout.RolledBack)} {
-		plan := rollout.NewPlan(move, rollout.Stint{}, []string{"v3"}, false, rollout.NewSplit())
+		plan := rollout.NewPlan(move, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplit())
 		g.Expect(plan.Moves()).To(BeFalse())
 		for _, selected := range []rollout.Selection{plan.Select(false), plan.Otherwise()} {
 			g.Expect(selected.Admits(record("v1"))).To(BeTrue())
@@ -385,7 +385,7 @@
 	g := NewWithT(t)
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
 	for phase, takes := range map[rollout.Phase]bool{rollout.Trial: true, rollout.Condemned: false, rollout.RolledBack: false} {
-		plan := rollout.NewPlan(inPhase(phase), rollout.Stint{}, nil, true, rollout.NewSplit())
+		plan := rollout.NewPlan(inPhase(phase), rollout.TrialAssignment{}, nil, true, rollout.NewSplit())
 		g.Expect(plan.Select(false).Admits(fresh)).To(Equal(takes), phase.String())
 	}
 }
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -98,8 +98,8 @@
 	return earlyWeight
 }
 
-// Stint is who is on trial at a moment, and with what part of the service's requests.
-type Stint struct {
+// TrialAssignment is who is on trial at a moment, and with what part of the service's requests.
+type TrialAssignment struct {
 	// BackEnds share the requests; empty while nobody is on trial.
 	BackEnds []string
 	Share    float64
@@ -112,10 +112,10 @@
 // A version may be bad only under load. So the requests go to few back ends at a time,
 // as many as have the load that the others have; where one alone would have less, they go
 // there for a part of each turn only.
-func (m State) Stint(candidates []string, others int, limits Limits, pace RequestRate, now time.Time) Stint {
+func (m State) Stint(candidates []string, others int, limits Limits, pace RequestRate, now time.Time) TrialAssignment {
 	candidates = candidates[:min(len(candidates), trialBackEnds)]
 	if len(candidates) == 0 || others == 0 || m.Phase != Trial || !now.Before(m.PromoteAt(limits)) {
-		return Stint{}
+		return TrialAssignment{}
 	}
 	elapsed := max(m.Duration-m.Deadline.Sub(now), 0)
 	number, into := int(elapsed/turn), elapsed%turn
@@ -125,11 +125,11 @@
 	share := min(float64(together)*usual, 1)
 	duty := wanted / share
 	if float64(into) >= duty*float64(turn) {
-		return Stint{}
+		return TrialAssignment{}
 	}
 	chosen := make([]string, together)
 	for i := range chosen {
 		chosen[i] = candidates[(number*together+i)%len(candidates)]
 	}
-	return Stint{BackEnds: chosen, Share: share}
+	return TrialAssignment{BackEnds: chosen, Share: share}
 }
