--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -392,7 +392,7 @@
 	made := make(map[string]*rollout.Plan, len(c.moves)+len(c.unheard))
 	for service, held := range c.moves {
 		candidates, others := c.candidates(held)
-		stint := held.Stint(candidates, others, c.options.Limits(), c.pace(held, now), now)
+		stint := held.TrialAssignment(candidates, others, c.options.Limits(), c.pace(held, now), now)
 		alone := c.options.Settled() && others == 0 && len(candidates) > 0
 		plan := rollout.NewPlan(held.State, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
 		plan.Moved = held.moved
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -131,7 +131,7 @@
 			total += step.Seconds()
 			continue
 		}
-		total += move.Stint(several, others, limits, pace, now).Share * step.Seconds()
+		total += move.TrialAssignment(several, others, limits, pace, now).Share * step.Seconds()
 	}
 	return total / duration.Seconds()
 }
@@ -189,21 +189,21 @@
 	move := rollout.NewState(order(5), start)
 	seen := map[string]bool{}
 	for number := range 6 {
-		stint := move.Stint(several, 34, limits, rollout.RequestRate{}, start.Add(time.Duration(number)*time.Second))
+		stint := move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, start.Add(time.Duration(number)*time.Second))
 		g.Expect(stint.BackEnds).To(HaveLen(1))
 		g.Expect(stint.Share).To(BeNumerically("~", 1.0/34, 1e-9))
 		seen[stint.BackEnds[0]] = true
 	}
 	g.Expect(seen).To(HaveLen(3), "evidence gathers on few")
-	g.Expect(move.Stint(several, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
+	g.Expect(move.TrialAssignment(several, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
 	last := move.PromoteAt(limits).Add(-2 * time.Second)
-	g.Expect(move.Stint(several, 100, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
-	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(2))
-	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
-	g.Expect(move.Stint(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(move.Stint(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(move.Stint(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(inPhase(rollout.Condemned).Stint(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(move.TrialAssignment(several, 100, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
+	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(2))
+	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
+	g.Expect(move.TrialAssignment(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(move.TrialAssignment(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(inPhase(rollout.Condemned).TrialAssignment(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
 }
 
 // good and bad are tallies of a version that is to be promoted and of one that is not.
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -105,14 +105,14 @@
 	Share    float64
 }
 
-// Stint returns who is on trial at a moment. candidates are the back ends of the version
+// TrialAssignment returns who is on trial at a moment. candidates are the back ends of the version
 // that may be, in an order on which all nodes agree; others is how many back ends serve
 // the service besides.
 //
 // A version may be bad only under load. So the requests go to few back ends at a time,
 // as many as have the load that the others have; where one alone would have less, they go
 // there for a part of each turn only.
-func (m State) Stint(candidates []string, others int, limits Limits, pace RequestRate, now time.Time) TrialAssignment {
+func (m State) TrialAssignment(candidates []string, others int, limits Limits, pace RequestRate, now time.Time) TrialAssignment {
 	candidates = candidates[:min(len(candidates), trialBackEnds)]
 	if len(candidates) == 0 || others == 0 || m.Phase != Trial || !now.Before(m.PromoteAt(limits)) {
 		return TrialAssignment{}
