--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -15,7 +15,7 @@
 	// held all the same.
 	Version string
 	Phase   Phase
-	Stint   TrialAssignment
+	TrialAssignment   TrialAssignment
 	// Held are versions besides that get no requests.
 	Held []string
 	// Alone: no back end of another version is there, so that the version is in use.
@@ -40,7 +40,7 @@
 
 // NewPlan returns a plan that goes on with a split.
 func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Split) *Plan {
-	return &Plan{Version: move.Version, Phase: move.Phase, Stint: stint, Held: held, Alone: alone, split: split}
+	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, Held: held, Alone: alone, split: split}
 }
 
 // Moves reports whether all requests go to the version.
@@ -59,10 +59,10 @@
 	switch {
 	case p.Moves():
 		return Only(p.Version)
-	case !sentBefore && len(p.Stint.BackEnds) > 0:
-		if place := p.split.sequence.NextFraction(); place < p.Stint.Share {
-			index := int(place / p.Stint.Share * float64(len(p.Stint.BackEnds)))
-			return Node(p.Stint.BackEnds[min(index, len(p.Stint.BackEnds)-1)], p.Version)
+	case !sentBefore && len(p.TrialAssignment.BackEnds) > 0:
+		if place := p.split.sequence.NextFraction(); place < p.TrialAssignment.Share {
+			index := int(place / p.TrialAssignment.Share * float64(len(p.TrialAssignment.BackEnds)))
+			return Node(p.TrialAssignment.BackEnds[min(index, len(p.TrialAssignment.BackEnds)-1)], p.Version)
 		}
 	}
 	return p.others()
