--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -16,8 +16,8 @@
 	Version string
 	Phase   Phase
 	TrialAssignment   TrialAssignment
-	// Held are versions besides that get no requests.
-	Held []string
+	// HeldVersions are versions besides that get no requests.
+	HeldVersions []string
 	// Alone: no back end of another version is there, so that the version is in use.
 	Alone bool
 	// Moved is since when all requests go to the version, zero while they do not.
@@ -40,7 +40,7 @@
 
 // NewPlan returns a plan that goes on with a split.
 func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Split) *Plan {
-	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, Held: held, Alone: alone, split: split}
+	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, Alone: alone, split: split}
 }
 
 // Moves reports whether all requests go to the version.
@@ -69,7 +69,7 @@
 }
 
 // others are the back ends that the move leaves alone.
-func (p *Plan) others() Selection { return Without(append(slices.Clone(p.Held), p.Version)...) }
+func (p *Plan) others() Selection { return Without(append(slices.Clone(p.HeldVersions), p.Version)...) }
 
 // Otherwise returns who takes a request when none of those selected is there. While a
 // version is on trial, or was judged bad, its back ends do not stand in for others: right
