--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -18,8 +18,8 @@
 	TrialAssignment   TrialAssignment
 	// HeldVersions are versions besides that get no requests.
 	HeldVersions []string
-	// Alone: no back end of another version is there, so that the version is in use.
-	Alone bool
+	// OnlyVersion: no back end of another version is there, so that the version is in use.
+	OnlyVersion bool
 	// Moved is since when all requests go to the version, zero while they do not.
 	Moved time.Time
 	split *Split
@@ -40,12 +40,12 @@
 
 // NewPlan returns a plan that goes on with a split.
 func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Split) *Plan {
-	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, Alone: alone, split: split}
+	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, OnlyVersion: alone, split: split}
 }
 
 // Moves reports whether all requests go to the version.
 func (p *Plan) Moves() bool {
-	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.Alone))
+	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.OnlyVersion))
 }
 
 // Compares reports whether answers are compared by version.
