--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -395,7 +395,7 @@
 		stint := held.TrialAssignment(candidates, others, c.options.Limits(), c.pace(held, now), now)
 		alone := c.options.Settled() && others == 0 && len(candidates) > 0
 		plan := rollout.NewPlan(held.State, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
-		plan.Moved = held.moved
+		plan.PromotedAt = held.moved
 		made[service] = plan
 	}
 	for service, versions := range c.unheard {
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	if endpoint.Version != plan.Version {
-		return plan.Moves() && !plan.Moved.IsZero() && clock.Since(plan.Moved) >= settle
+		return plan.Moves() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= settle
 	}
 	switch plan.Phase {
 	case rollout.Condemned, rollout.RolledBack:
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -20,8 +20,8 @@
 	HeldVersions []string
 	// OnlyVersion: no back end of another version is there, so that the version is in use.
 	OnlyVersion bool
-	// Moved is since when all requests go to the version, zero while they do not.
-	Moved time.Time
+	// PromotedAt is since when all requests go to the version, zero while they do not.
+	PromotedAt time.Time
 	split *Split
 }
 
