--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -18,7 +18,7 @@
 func (c *call) choose() (*attempt, *outcome.Failure) {
 	candidateSet := c.candidateSet(clock.Now(), c.selection())
 	index, seen := candidateSet.draw()
-	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Moves() {
+	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Promoted() {
 		// The canary back ends have no capacity. That is no reason to refuse the request: fall back
 		// to the versions in use.
 		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	if endpoint.Version != plan.Version {
-		return plan.Moves() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= settle
+		return plan.Promoted() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= settle
 	}
 	switch plan.Phase {
 	case rollout.Condemned, rollout.RolledBack:
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -43,8 +43,8 @@
 	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, OnlyVersion: alone, split: split}
 }
 
-// Moves reports whether all requests go to the version.
-func (p *Plan) Moves() bool {
+// Promoted reports whether all requests go to the version.
+func (p *Plan) Promoted() bool {
 	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.OnlyVersion))
 }
 
@@ -57,7 +57,7 @@
 		p.split.asked.Add(1)
 	}
 	switch {
-	case p.Moves():
+	case p.Promoted():
 		return Only(p.Version)
 	case !sentBefore && len(p.TrialAssignment.BackEnds) > 0:
 		if place := p.split.sequence.NextFraction(); place < p.TrialAssignment.Share {
@@ -75,7 +75,7 @@
 // version is on trial, or was judged bad, its back ends do not stand in for others: right
 // after a restart a node may know of no other ones for a moment.
 func (p *Plan) Otherwise() Selection {
-	if p.Moves() {
+	if p.Promoted() {
 		return Every()
 	}
 	return p.others()
