--- a/internal/sidecar/egress/versions.go
+++ b/internal/sidecar/egress/versions.go
@@ -32,7 +32,7 @@
 // in use.
 func (h *Handler) isCanary(service string, record *roster.Record) bool {
 	plan := h.plan(service)
-	return plan != nil && plan.Compares() && record.Endpoint.Version == plan.Version
+	return plan != nil && plan.ComparesVersions() && record.Endpoint.Version == plan.Version
 }
 
 // baselineStats returns the statistics that are sent with a request to a canary; nil for all other
@@ -58,7 +58,7 @@
 // with it. Refusals and calls that the caller cancelled are not counted.
 func (a *attempt) observeBaseline(now time.Time) {
 	plan := a.call.handler.plan(a.service)
-	if plan == nil || !plan.Compares() || a.canary || a.call.context.Err() != nil {
+	if plan == nil || !plan.ComparesVersions() || a.canary || a.call.context.Err() != nil {
 		return
 	}
 	failed := a.response != nil && a.response.StatusCode >= http.StatusInternalServerError
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -27,7 +27,7 @@
 // trial, or all requests have just moved to it.
 func (c *Controller) Judges() bool {
 	endpoint, plan := c.own()
-	return plan != nil && plan.Compares() && endpoint.Version == plan.Version
+	return plan != nil && plan.ComparesVersions() && endpoint.Version == plan.Version
 }
 
 // own returns the own back end and the plan of its service; the plan is nil when nothing
@@ -67,7 +67,7 @@
 // Answered takes in what a request showed of the own back end, while Judges holds.
 func (c *Controller) Answered(answer rollout.Answer) {
 	endpoint, plan := c.own()
-	if plan == nil || !plan.Compares() || endpoint.Version != plan.Version {
+	if plan == nil || !plan.ComparesVersions() || endpoint.Version != plan.Version {
 		return
 	}
 	judged := c.judgeOf(endpoint)
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -48,8 +48,8 @@
 	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.OnlyVersion))
 }
 
-// Compares reports whether answers are compared by version.
-func (p *Plan) Compares() bool { return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting) }
+// ComparesVersions reports whether answers are compared by version.
+func (p *Plan) ComparesVersions() bool { return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting) }
 
 // Select returns who may take a request. One that was sent before is not for a trial.
 func (p *Plan) Select(sentBefore bool) Selection {
