--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -21,7 +21,7 @@
 	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Promoted() {
 		// The canary back ends have no capacity. That is no reason to refuse the request: fall back
 		// to the versions in use.
-		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
+		candidateSet = c.candidateSet(candidateSet.now, plan.Fallback())
 		index, seen = candidateSet.draw()
 	}
 	if candidateSet.limitExceeded {
@@ -82,7 +82,7 @@
 	}
 	selection := plan.Select(len(c.attempts) > 0)
 	if !c.handler.hasAvailable(c.service, selection, c.regions()) {
-		return plan.Otherwise()
+		return plan.Fallback()
 	}
 	return selection
 }
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -71,10 +71,10 @@
 // others are the back ends that the move leaves alone.
 func (p *Plan) others() Selection { return Without(append(slices.Clone(p.HeldVersions), p.Version)...) }
 
-// Otherwise returns who takes a request when none of those selected is there. While a
+// Fallback returns who takes a request when none of those selected is there. While a
 // version is on trial, or was judged bad, its back ends do not stand in for others: right
 // after a restart a node may know of no other ones for a moment.
-func (p *Plan) Otherwise() Selection {
+func (p *Plan) Fallback() Selection {
 	if p.Promoted() {
 		return Every()
 	}
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -371,7 +371,7 @@
 	for _, move := range []rollout.State{{}, inPhase(rollout.RolledBack)} {
 		plan := rollout.NewPlan(move, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplit())
 		g.Expect(plan.Promoted()).To(BeFalse())
-		for _, selected := range []rollout.Selection{plan.Select(false), plan.Otherwise()} {
+		for _, selected := range []rollout.Selection{plan.Select(false), plan.Fallback()} {
 			g.Expect(selected.Admits(record("v1"))).To(BeTrue())
 			g.Expect(selected.Admits(record("v3"))).To(BeFalse())
 			g.Expect(selected.Admits(record("v2"))).To(Equal(move.Version == ""))
