--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -232,7 +232,7 @@
 	case rewritten:
 		held.order = merged.Revision
 	case merged.Revision != held.order:
-		*held = carried{State: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Asked()}
+		*held = carried{State: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Requests()}
 	}
 	c.use(move.Service, move.Version)
 	c.entered(held, now)
@@ -417,7 +417,7 @@
 func (c *Controller) pace(held *carried, now time.Time) rollout.RequestRate {
 	pace := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
 	if elapsed := now.Sub(held.began); elapsed >= paceKnown {
-		pace.PerSecond = float64(c.split(held.Service).Asked()-held.asked) / elapsed.Seconds()
+		pace.PerSecond = float64(c.split(held.Service).Requests()-held.asked) / elapsed.Seconds()
 	}
 	return pace
 }
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -32,8 +32,8 @@
 	asked atomic.Int64
 }
 
-// Asked returns how many requests were divided.
-func (s *Split) Asked() int64 { return s.asked.Load() }
+// Requests returns how many requests were divided.
+func (s *Split) Requests() int64 { return s.asked.Load() }
 
 // NewSplit returns a split.
 func NewSplit() *Split { return &Split{sequence: evenly.NewSequence()} }
