--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -70,7 +70,7 @@
 	// no order names, with when they were first seen.
 	versions map[string]map[string]bool
 	unheard  map[string]map[string]time.Time
-	splits   map[string]*rollout.Split
+	splits   map[string]*rollout.Splitter
 }
 
 // carried is a move with what the node has done for it. The controller's lock guards it.
@@ -99,7 +99,7 @@
 	return &Controller{
 		options: options, metrics: newMetrics(options.Registry), wake: make(chan struct{}, 1),
 		moves: map[string]*carried{}, versions: map[string]map[string]bool{},
-		unheard: map[string]map[string]time.Time{}, splits: map[string]*rollout.Split{},
+		unheard: map[string]map[string]time.Time{}, splits: map[string]*rollout.Splitter{},
 	}
 }
 
@@ -422,7 +422,7 @@
 	return pace
 }
 
-func (c *Controller) split(service string) *rollout.Split {
+func (c *Controller) split(service string) *rollout.Splitter {
 	if c.splits[service] == nil {
 		c.splits[service] = rollout.NewSplit()
 	}
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -22,24 +22,24 @@
 	OnlyVersion bool
 	// PromotedAt is since when all requests go to the version, zero while they do not.
 	PromotedAt time.Time
-	split *Split
+	split *Splitter
 }
 
-// Split divides the requests of one service and outlives its plans.
-type Split struct {
+// Splitter divides the requests of one service and outlives its plans.
+type Splitter struct {
 	sequence *evenly.Sequence
 	// asked counts the requests that were divided.
 	asked atomic.Int64
 }
 
 // Requests returns how many requests were divided.
-func (s *Split) Requests() int64 { return s.asked.Load() }
+func (s *Splitter) Requests() int64 { return s.asked.Load() }
 
 // NewSplit returns a split.
-func NewSplit() *Split { return &Split{sequence: evenly.NewSequence()} }
+func NewSplit() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
 // NewPlan returns a plan that goes on with a split.
-func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Split) *Plan {
+func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Splitter) *Plan {
 	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, OnlyVersion: alone, split: split}
 }
 
