--- a/internal/sidecar/egress/notice_test.go
+++ b/internal/sidecar/egress/notice_test.go
@@ -128,7 +128,7 @@
 		members.Merge([]*roster.Record{&versioned})
 	}
 	handler.options.View = members.View
-	plan := rollout.NewPlan(rollout.State{Order: rollout.Order{Version: "v2"}, Phase: rollout.Trial}, rollout.TrialAssignment{BackEnds: []string{"a"}, Share: 1}, nil, false, rollout.NewSplit())
+	plan := rollout.NewPlan(rollout.State{Order: rollout.Order{Version: "v2"}, Phase: rollout.Trial}, rollout.TrialAssignment{BackEnds: []string{"a"}, Share: 1}, nil, false, rollout.NewSplitter())
 	handler.options.Plan = func(string) *rollout.Plan { return plan }
 	for range 10 {
 		g.Expect(sendRequest(handler).Code).To(Equal(http.StatusOK))
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -424,7 +424,7 @@
 
 func (c *Controller) split(service string) *rollout.Splitter {
 	if c.splits[service] == nil {
-		c.splits[service] = rollout.NewSplit()
+		c.splits[service] = rollout.NewSplitter()
 	}
 	return c.splits[service]
 }
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -35,8 +35,8 @@
 // Requests returns how many requests were divided.
 func (s *Splitter) Requests() int64 { return s.asked.Load() }
 
-// NewSplit returns a split.
-func NewSplit() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
+// NewSplitter returns a split.
+func NewSplitter() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
 // NewPlan returns a plan that goes on with a split.
 func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Splitter) *Plan {
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -344,7 +344,7 @@
 			if met.phase == rollout.Trial {
 				given = stint
 			}
-			plan := rollout.NewPlan(inPhase(met.phase), given, nil, false, rollout.NewSplit())
+			plan := rollout.NewPlan(inPhase(met.phase), given, nil, false, rollout.NewSplitter())
 			counts := map[*roster.Record]int{}
 			for range requests {
 				selected := plan.Select(met.sentBefore)
@@ -369,7 +369,7 @@
 		return &roster.Record{Endpoint: &roster.Endpoint{Version: version}}
 	}
 	for _, move := range []rollout.State{{}, inPhase(rollout.RolledBack)} {
-		plan := rollout.NewPlan(move, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplit())
+		plan := rollout.NewPlan(move, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplitter())
 		g.Expect(plan.Promoted()).To(BeFalse())
 		for _, selected := range []rollout.Selection{plan.Select(false), plan.Fallback()} {
 			g.Expect(selected.Admits(record("v1"))).To(BeTrue())
@@ -385,7 +385,7 @@
 	g := NewWithT(t)
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
 	for phase, takes := range map[rollout.Phase]bool{rollout.Trial: true, rollout.Condemned: false, rollout.RolledBack: false} {
-		plan := rollout.NewPlan(inPhase(phase), rollout.TrialAssignment{}, nil, true, rollout.NewSplit())
+		plan := rollout.NewPlan(inPhase(phase), rollout.TrialAssignment{}, nil, true, rollout.NewSplitter())
 		g.Expect(plan.Select(false).Admits(fresh)).To(Equal(takes), phase.String())
 	}
 }
