--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -78,7 +78,7 @@
 func (c *call) selection() rollout.Selection {
 	plan := c.handler.plan(c.service)
 	if plan == nil {
-		return rollout.Every()
+		return rollout.All()
 	}
 	selection := plan.Select(len(c.attempts) > 0)
 	if !c.handler.hasAvailable(c.service, selection, c.regions()) {
--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -44,13 +44,13 @@
 				ZoneExists: func(string) bool { return true }, Broadcast: func() {}, OnChange: func(string, bool) {}, Logger: zap.NewNop(),
 			})
 			handler.options.Emptied = orders.Zones
-			before := handler.subset(members.View(), "s", rollout.Every(), regions{})
+			before := handler.subset(members.View(), "s", rollout.All(), regions{})
 			g.Expect(before.records).To(HaveLen(9))
 			for i, zone := range test.emptied {
 				orders.Ordered(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Emptied: true})
 			}
 			found := map[string]bool{}
-			for _, record := range handler.subset(members.View(), "s", rollout.Every(), regionsOf(test.route, test.tenant)).records {
+			for _, record := range handler.subset(members.View(), "s", rollout.All(), regionsOf(test.route, test.tenant)).records {
 				found[record.Zone] = true
 			}
 			g.Expect(found).To(HaveLen(len(test.expected)))
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -242,7 +242,7 @@
 	if !from.alive {
 		return ""
 	}
-	selected := rollout.Every()
+	selected := rollout.All()
 	if plan := from.control.Plan(service); plan != nil {
 		selected = plan.Select(false)
 	}
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -76,7 +76,7 @@
 // after a restart a node may know of no other ones for a moment.
 func (p *Plan) Fallback() Selection {
 	if p.Promoted() {
-		return Every()
+		return All()
 	}
 	return p.others()
 }
--- a/internal/sidecar/rollout/selection.go
+++ b/internal/sidecar/rollout/selection.go
@@ -16,8 +16,8 @@
 	Admits func(*roster.Record) bool
 }
 
-// Every lets all back ends take a request.
-func Every() Selection { return Selection{} }
+// All lets all back ends take a request.
+func All() Selection { return Selection{} }
 
 // Without lets those take a request that are of other versions. An empty version is that
 // of back ends that tell none, and excludes nobody.
