--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -37,8 +37,8 @@
 	// Settled reports whether the node has served for some time: it knows the orders given
 	// before, and the versions that are in use.
 	Settled func() bool
-	// Spread tells the peers of the moves, SpreadRecord of the node's own record.
-	Spread, SpreadRecord func()
+	// Broadcast tells the peers of the moves, SpreadRecord of the node's own record.
+	Broadcast, SpreadRecord func()
 	Logger               *zap.Logger
 	Registry             prometheus.Registerer
 }
@@ -159,7 +159,7 @@
 	if c.learn(c.begin(order, now), now) {
 		c.options.Logger.Info("roll-out ordered", zap.String("service", order.Service), zap.String("software", order.Version),
 			zap.Uint64("revision", order.Revision), zap.Duration("duration", order.Duration))
-		c.options.Spread()
+		c.options.Broadcast()
 	}
 }
 
@@ -333,7 +333,7 @@
 	c.publish(now)
 	c.mu.Unlock()
 	if news {
-		c.options.Spread()
+		c.options.Broadcast()
 	}
 }
 
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -171,7 +171,7 @@
 	}
 	c.mu.Unlock()
 	if news {
-		c.options.Spread()
+		c.options.Broadcast()
 	}
 	c.signal()
 }
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -24,7 +24,7 @@
 		Load:         func(service, version string) float64 { return s.egress.Load(service, version) },
 		Readers:      s.reading,
 		Settled:      s.settled,
-		Spread:       func() { go s.spread(context.Background()) },
+		Broadcast:       func() { go s.spread(context.Background()) },
 		SpreadRecord: func() { s.spread(context.Background()) },
 		Logger:       s.logger,
 		Registry:     s.options.Registry,
