--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -37,8 +37,8 @@
 	// Settled reports whether the node has served for some time: it knows the orders given
 	// before, and the versions that are in use.
 	Settled func() bool
-	// Broadcast tells the peers of the moves, SpreadRecord of the node's own record.
-	Broadcast, SpreadRecord func()
+	// Broadcast tells the peers of the moves, BroadcastRecord of the node's own record.
+	Broadcast, BroadcastRecord func()
 	Logger               *zap.Logger
 	Registry             prometheus.Registerer
 }
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -191,7 +191,7 @@
 			return slices.DeleteFunc(members.View().Records(), func(record *roster.Record) bool { return record.Gone() })
 		},
 		Settled: func() bool { return time.Since(moment) >= settleTime },
-		Broadcast:  func() {}, SpreadRecord: func() {},
+		Broadcast:  func() {}, BroadcastRecord: func() {},
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	members.Observe(control.Follow)
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -87,7 +87,7 @@
 		}
 		return record, true
 	})
-	go c.options.SpreadRecord()
+	go c.options.BroadcastRecord()
 	c.signal()
 }
 
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -25,7 +25,7 @@
 		Readers:      s.reading,
 		Settled:      s.settled,
 		Broadcast:       func() { go s.spread(context.Background()) },
-		SpreadRecord: func() { s.spread(context.Background()) },
+		BroadcastRecord: func() { s.spread(context.Background()) },
 		Logger:       s.logger,
 		Registry:     s.options.Registry,
 	})
