--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -20,8 +20,8 @@
 }
 
 // subject returns the service, tenant and priority whose share the request counts against.
-func (c *call) subject() shares.Subject {
-	return shares.Subject{Service: c.service, Tenant: c.tenant.Name, Priority: c.priority()}
+func (c *call) subject() shares.Flow {
+	return shares.Flow{Service: c.service, Tenant: c.tenant.Name, Priority: c.priority()}
 }
 
 // sampleOverShare decides whether the request is above its tenant's share, once for all attempts at
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -35,7 +35,7 @@
 			handler.options.MarkOverShare = true
 			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
 			handler.options.Contended = func() bool { return test.contended }
-			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
+			of := shares.Flow{Service: "s", Tenant: "acme", Priority: 5}
 			marked, told := 0, 0
 			for range 100 {
 				// The simulated node reports no shares itself.
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -92,8 +92,8 @@
 	return &told{meters: make([]shares.Meter, size), heard: make([]shares.Heard, size)}
 }
 
-func subject(tenant int) shares.Subject {
-	return shares.Subject{Service: "one", Tenant: tenantNames[tenant]}
+func subject(tenant int) shares.Flow {
+	return shares.Flow{Service: "one", Tenant: tenantNames[tenant]}
 }
 
 func (w *told) part(f *fleet, from *node, tenant int) float64 {
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -19,8 +19,8 @@
 	mostHeard = 4096
 )
 
-// Subject is a tenant's requests of one priority to a service.
-type Subject struct {
+// Flow is a tenant's requests of one priority to a service.
+type Flow struct {
 	Service, Tenant string
 	Priority        int
 }
@@ -29,7 +29,7 @@
 // is ready and knows nothing. It is safe for concurrent use.
 type Heard struct {
 	mu    sync.RWMutex // guards all below
-	parts map[Subject]*part
+	parts map[Flow]*part
 	// swept is when subjects were last looked for of which nothing is known any more.
 	swept time.Time
 }
@@ -45,7 +45,7 @@
 }
 
 // Take takes in what a reply told. Of subjects for which there has always been room nothing is kept.
-func (h *Heard) Take(of Subject, told Standing, now time.Time) {
+func (h *Heard) Take(of Flow, told Standing, now time.Time) {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
@@ -59,14 +59,14 @@
 }
 
 // add returns the part of a subject, which it makes where there is none.
-func (h *Heard) add(of Subject, now time.Time) *part {
+func (h *Heard) add(of Flow, now time.Time) *part {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if held := h.parts[of]; held != nil {
 		return held
 	}
 	if h.parts == nil {
-		h.parts = map[Subject]*part{}
+		h.parts = map[Flow]*part{}
 	}
 	if len(h.parts) >= mostHeard && now.Sub(h.swept) >= hearAge {
 		h.swept = now
@@ -85,7 +85,7 @@
 
 // Part returns which part of the subject's requests is within its share; Whole when nothing recent
 // is known.
-func (h *Heard) Part(of Subject, now time.Time) float64 {
+func (h *Heard) Part(of Flow, now time.Time) float64 {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
