--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -177,7 +177,7 @@
 	// randomFloat returns a random number in [0, 1).
 	randomFloat func() float64
 	// tenantShares holds the tenants' shares that responses reported.
-	tenantShares shares.Heard
+	tenantShares shares.Tracker
 
 	// baselines hold the failure and latency statistics of the versions in use, by service, while a
 	// canary is compared with them.
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -77,7 +77,7 @@
 // told is the package's: what meters tell with replies.
 type told struct {
 	meters []shares.Meter
-	heard  []shares.Heard
+	heard  []shares.Tracker
 }
 
 // tenantNames are by number.
@@ -89,7 +89,7 @@
 }()
 
 func newTold(size int) *told {
-	return &told{meters: make([]shares.Meter, size), heard: make([]shares.Heard, size)}
+	return &told{meters: make([]shares.Meter, size), heard: make([]shares.Tracker, size)}
 }
 
 func subject(tenant int) shares.Flow {
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -25,9 +25,9 @@
 	Priority        int
 }
 
-// Heard is what the node of callers knows of tenants' shares, by what replies told. The zero value
+// Tracker is what the node of callers knows of tenants' shares, by what replies told. The zero value
 // is ready and knows nothing. It is safe for concurrent use.
-type Heard struct {
+type Tracker struct {
 	mu    sync.RWMutex // guards all below
 	parts map[Flow]*part
 	// swept is when subjects were last looked for of which nothing is known any more.
@@ -45,7 +45,7 @@
 }
 
 // Take takes in what a reply told. Of subjects for which there has always been room nothing is kept.
-func (h *Heard) Take(of Flow, told Standing, now time.Time) {
+func (h *Tracker) Take(of Flow, told Standing, now time.Time) {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
@@ -59,7 +59,7 @@
 }
 
 // add returns the part of a subject, which it makes where there is none.
-func (h *Heard) add(of Flow, now time.Time) *part {
+func (h *Tracker) add(of Flow, now time.Time) *part {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if held := h.parts[of]; held != nil {
@@ -85,7 +85,7 @@
 
 // Part returns which part of the subject's requests is within its share; Whole when nothing recent
 // is known.
-func (h *Heard) Part(of Flow, now time.Time) float64 {
+func (h *Tracker) Part(of Flow, now time.Time) float64 {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -12,7 +12,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	var meter Meter
-	var heard Heard
+	var heard Tracker
 	now := time.Unix(1, 0)
 	for number := range 3 * mostTenants {
 		meter.Came(number, "t", time.Millisecond, Whole, now)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -81,7 +81,7 @@
 // TestWhatWasHeardHasAnAge: without a reply a tenant is within its share again.
 func TestWhatWasHeardHasAnAge(t *testing.T) {
 	g := NewWithT(t)
-	var heard shares.Heard
+	var heard shares.Tracker
 	of := shares.Flow{Service: "one", Tenant: "large"}
 	now := time.Unix(1, 0)
 	heard.Take(of, shares.Standing{}, now)
