--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -44,8 +44,8 @@
 	at time.Time
 }
 
-// Take takes in what a reply told. Of subjects for which there has always been room nothing is kept.
-func (h *Tracker) Take(of Flow, told Standing, now time.Time) {
+// Observe takes in what a reply told. Of subjects for which there has always been room nothing is kept.
+func (h *Tracker) Observe(of Flow, told Standing, now time.Time) {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
