--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -31,7 +31,7 @@
 	if !c.countsAgainstShare() {
 		return
 	}
-	c.shareFraction = c.handler.tenantShares.Part(c.subject(), clock.Now())
+	c.shareFraction = c.handler.tenantShares.Fraction(c.subject(), clock.Now())
 	c.overShare = c.shareFraction < shares.Whole && c.handler.randomFloat() >= c.shareFraction
 }
 
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -97,7 +97,7 @@
 }
 
 func (w *told) part(f *fleet, from *node, tenant int) float64 {
-	return w.heard[from.number].Part(subject(tenant), f.now)
+	return w.heard[from.number].Fraction(subject(tenant), f.now)
 }
 
 func (w *told) came(f *fleet, at *node, request *asked) {
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -83,9 +83,9 @@
 	return added
 }
 
-// Part returns which part of the subject's requests is within its share; Whole when nothing recent
+// Fraction returns which part of the subject's requests is within its share; Whole when nothing recent
 // is known.
-func (h *Tracker) Part(of Flow, now time.Time) float64 {
+func (h *Tracker) Fraction(of Flow, now time.Time) float64 {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -85,15 +85,15 @@
 	of := shares.Flow{Service: "one", Tenant: "large"}
 	now := time.Unix(1, 0)
 	heard.Observe(of, shares.Standing{}, now)
-	g.Expect(heard.Part(of, now)).To(Equal(shares.Whole))
+	g.Expect(heard.Fraction(of, now)).To(Equal(shares.Whole))
 	heard.Observe(of, shares.Standing{Share: time.Second, Demand: 8 * time.Second}, now)
-	g.Expect(heard.Part(of, now)).To(Equal(0.25), "twice the share is left to the queues")
-	g.Expect(heard.Part(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.Whole))
-	g.Expect(heard.Part(of, now.Add(2*time.Second))).To(Equal(shares.Whole))
+	g.Expect(heard.Fraction(of, now)).To(Equal(0.25), "twice the share is left to the queues")
+	g.Expect(heard.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.Whole))
+	g.Expect(heard.Fraction(of, now.Add(2*time.Second))).To(Equal(shares.Whole))
 	for range 100 {
 		heard.Observe(of, shares.Standing{}, now)
 	}
-	g.Expect(heard.Part(of, now)).To(Equal(shares.Whole), "there is room again")
+	g.Expect(heard.Fraction(of, now)).To(Equal(shares.Whole), "there is room again")
 }
 
 // BenchmarkMeter is one request of 2,000 tenants.
