--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -27,12 +27,12 @@
 // sampleOverShare decides whether the request is above its tenant's share, once for all attempts at
 // a service.
 func (c *call) sampleOverShare() {
-	c.shareFraction, c.overShare = shares.Whole, false
+	c.shareFraction, c.overShare = shares.FullFraction, false
 	if !c.countsAgainstShare() {
 		return
 	}
 	c.shareFraction = c.handler.tenantShares.Fraction(c.subject(), clock.Now())
-	c.overShare = c.shareFraction < shares.Whole && c.handler.randomFloat() >= c.shareFraction
+	c.overShare = c.shareFraction < shares.FullFraction && c.handler.randomFloat() >= c.shareFraction
 }
 
 // setShareHeader tells the sidecar of the back end for which fraction of the tenant's requests this
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -117,7 +117,7 @@
 // alone marks nothing: each queue by itself.
 type alone struct{}
 
-func (alone) part(*fleet, *node, int) float64      { return shares.Whole }
+func (alone) part(*fleet, *node, int) float64      { return shares.FullFraction }
 func (alone) came(*fleet, *node, *asked)           {}
 func (alone) answered(*fleet, *node, *asked, bool) {}
 func (alone) step(*fleet)                          {}
@@ -156,7 +156,7 @@
 	}
 	wanted := demands[tenant]
 	sorted := slices.Sorted(slices.Values(demands[:]))
-	return min(shares.MaxMin(sorted, members*fleetSlots)/max(wanted, 1e-9), shares.Whole)
+	return min(shares.MaxMin(sorted, members*fleetSlots)/max(wanted, 1e-9), shares.FullFraction)
 }
 func (w *summed) came(*fleet, *node, *asked)           {}
 func (w *summed) answered(*fleet, *node, *asked, bool) {}
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -90,12 +90,12 @@
 	held := h.parts[of]
 	h.mu.RUnlock()
 	if held == nil {
-		return Whole
+		return FullFraction
 	}
 	held.mu.Lock()
 	defer held.mu.Unlock()
 	if now.Sub(held.at) >= hearAge || held.demand <= held.share*margin {
-		return Whole
+		return FullFraction
 	}
 	return clamp(held.share * margin / held.demand)
 }
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -15,8 +15,8 @@
 	var heard Tracker
 	now := time.Unix(1, 0)
 	for number := range 3 * mostTenants {
-		meter.Came(number, "t", time.Millisecond, Whole, now)
-		meter.Came(0, fmt.Sprint(number), time.Millisecond, Whole, now)
+		meter.Came(number, "t", time.Millisecond, FullFraction, now)
+		meter.Came(0, fmt.Sprint(number), time.Millisecond, FullFraction, now)
 		heard.Observe(Flow{Tenant: fmt.Sprint(number)}, Standing{Share: 1, Demand: 9}, now)
 	}
 	g.Expect(len(meter.classes)).To(BeNumerically("<=", mostClasses))
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Whole is the part of a tenant's requests that is within its share where nothing else is known.
-const Whole = 1.0
+// FullFraction is the part of a tenant's requests that is within its share where nothing else is known.
+const FullFraction = 1.0
 
 const (
 	// leastPart is the smallest part: some requests always tell what is offered.
@@ -39,12 +39,12 @@
 func ParsePart(text string) float64 {
 	units, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		return Whole
+		return FullFraction
 	}
 	return clamp(float64(units) / partUnits)
 }
 
-func clamp(part float64) float64 { return min(max(part, leastPart), Whole) }
+func clamp(part float64) float64 { return min(max(part, leastPart), FullFraction) }
 
 // Standing is what a back end's node tells of a tenant: the most that one tenant may have of what gets
 // room there, and what this one asks for. The zero value says that there is room for all.
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -22,11 +22,11 @@
 // TestHeaders: what is written is read again; what no node writes says nothing.
 func TestHeaders(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(shares.FormatPart(shares.Whole)).To(BeEmpty())
+	g.Expect(shares.FormatPart(shares.FullFraction)).To(BeEmpty())
 	g.Expect(shares.ParsePart(shares.FormatPart(0.25))).To(Equal(0.25))
 	g.Expect(shares.ParsePart("0")).To(BeNumerically(">", 0), "some requests tell what is offered")
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
-		g.Expect(shares.ParsePart(text)).To(Equal(shares.Whole), text)
+		g.Expect(shares.ParsePart(text)).To(Equal(shares.FullFraction), text)
 	}
 	told := shares.Standing{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
 	g.Expect(shares.ParseStanding(told.Format())).To(Equal(told))
@@ -42,8 +42,8 @@
 	now = from
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		meter.Came(1, "small", time.Millisecond, shares.Whole, now)
-		meter.Came(1, "large", 9*time.Millisecond, shares.Whole, now)
+		meter.Came(1, "small", time.Millisecond, shares.FullFraction, now)
+		meter.Came(1, "large", 9*time.Millisecond, shares.FullFraction, now)
 		meter.Served(1, 5*time.Millisecond, now)
 	}
 	return now.Add(250 * time.Millisecond)
@@ -71,7 +71,7 @@
 	now := time.Unix(1, 0)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		all.Came(0, "t", 8*time.Millisecond, shares.Whole, now)
+		all.Came(0, "t", 8*time.Millisecond, shares.FullFraction, now)
 		part.Came(0, "t", 2*time.Millisecond, 0.25, now)
 	}
 	now = now.Add(250 * time.Millisecond)
@@ -85,15 +85,15 @@
 	of := shares.Flow{Service: "one", Tenant: "large"}
 	now := time.Unix(1, 0)
 	heard.Observe(of, shares.Standing{}, now)
-	g.Expect(heard.Fraction(of, now)).To(Equal(shares.Whole))
+	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction))
 	heard.Observe(of, shares.Standing{Share: time.Second, Demand: 8 * time.Second}, now)
 	g.Expect(heard.Fraction(of, now)).To(Equal(0.25), "twice the share is left to the queues")
-	g.Expect(heard.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.Whole))
-	g.Expect(heard.Fraction(of, now.Add(2*time.Second))).To(Equal(shares.Whole))
+	g.Expect(heard.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.FullFraction))
+	g.Expect(heard.Fraction(of, now.Add(2*time.Second))).To(Equal(shares.FullFraction))
 	for range 100 {
 		heard.Observe(of, shares.Standing{}, now)
 	}
-	g.Expect(heard.Fraction(of, now)).To(Equal(shares.Whole), "there is room again")
+	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction), "there is room again")
 }
 
 // BenchmarkMeter is one request of 2,000 tenants.
@@ -108,7 +108,7 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond / 2)
 		name := names[i*7%len(names)]
-		meter.Came(0, name, 10*time.Millisecond, shares.Whole, now)
+		meter.Came(0, name, 10*time.Millisecond, shares.FullFraction, now)
 		meter.Served(0, 5*time.Millisecond, now)
 		meter.Standing(0, name, now)
 	}
