--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -41,7 +41,7 @@
 	if c.overShare {
 		return
 	}
-	if shareFraction := shares.FormatPart(c.shareFraction); shareFraction != "" {
+	if shareFraction := shares.FormatFraction(c.shareFraction); shareFraction != "" {
 		header[hop.HeaderShare] = []string{shareFraction}
 	}
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -26,8 +26,8 @@
 	partUnits = 1000
 )
 
-// FormatPart writes a part as the value of a header, empty for Whole.
-func FormatPart(part float64) string {
+// FormatFraction writes a part as the value of a header, empty for Whole.
+func FormatFraction(part float64) string {
 	if units := int64(part * partUnits); units < partUnits {
 		return strconv.FormatInt(units, 10)
 	}
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -22,8 +22,8 @@
 // TestHeaders: what is written is read again; what no node writes says nothing.
 func TestHeaders(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(shares.FormatPart(shares.FullFraction)).To(BeEmpty())
-	g.Expect(shares.ParsePart(shares.FormatPart(0.25))).To(Equal(0.25))
+	g.Expect(shares.FormatFraction(shares.FullFraction)).To(BeEmpty())
+	g.Expect(shares.ParsePart(shares.FormatFraction(0.25))).To(Equal(0.25))
 	g.Expect(shares.ParsePart("0")).To(BeNumerically(">", 0), "some requests tell what is offered")
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
 		g.Expect(shares.ParsePart(text)).To(Equal(shares.FullFraction), text)
