--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -37,7 +37,7 @@
 	tenant := a.shareTenant()
 	a.countedInShare = tenant != ""
 	if a.countedInShare && !a.reported.OverShare {
-		part := shares.ParsePart(a.request.Header.Get(hop.HeaderShare))
+		part := shares.ParseFraction(a.request.Header.Get(hop.HeaderShare))
 		a.handler.meter.Came(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
 	}
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -34,9 +34,9 @@
 	return ""
 }
 
-// ParsePart reads the value of a header. What no node writes is Whole: nodes of the version before
+// ParseFraction reads the value of a header. What no node writes is Whole: nodes of the version before
 // tell nothing.
-func ParsePart(text string) float64 {
+func ParseFraction(text string) float64 {
 	units, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
 		return FullFraction
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -23,10 +23,10 @@
 func TestHeaders(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(shares.FormatFraction(shares.FullFraction)).To(BeEmpty())
-	g.Expect(shares.ParsePart(shares.FormatFraction(0.25))).To(Equal(0.25))
-	g.Expect(shares.ParsePart("0")).To(BeNumerically(">", 0), "some requests tell what is offered")
+	g.Expect(shares.ParseFraction(shares.FormatFraction(0.25))).To(Equal(0.25))
+	g.Expect(shares.ParseFraction("0")).To(BeNumerically(">", 0), "some requests tell what is offered")
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
-		g.Expect(shares.ParsePart(text)).To(Equal(shares.FullFraction), text)
+		g.Expect(shares.ParseFraction(text)).To(Equal(shares.FullFraction), text)
 	}
 	told := shares.Standing{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
 	g.Expect(shares.ParseStanding(told.Format())).To(Equal(told))
