--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -39,7 +39,7 @@
 			marked, told := 0, 0
 			for range 100 {
 				// The simulated node reports no shares itself.
-				handler.tenantShares.Observe(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
+				handler.tenantShares.Observe(of, shares.Allocation{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
 				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
 			}
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -45,12 +45,12 @@
 }
 
 // Observe takes in what a reply told. Of subjects for which there has always been room nothing is kept.
-func (h *Tracker) Observe(of Flow, told Standing, now time.Time) {
+func (h *Tracker) Observe(of Flow, told Allocation, now time.Time) {
 	h.mu.RLock()
 	held := h.parts[of]
 	h.mu.RUnlock()
 	if held == nil {
-		if told == (Standing{}) {
+		if told == (Allocation{}) {
 			return
 		}
 		held = h.add(of, now)
@@ -100,12 +100,12 @@
 	return clamp(held.share * margin / held.demand)
 }
 
-func (p *part) take(told Standing, now time.Time) {
+func (p *part) take(told Allocation, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	share, demand := float64(told.Share), float64(told.Demand)
 	switch {
-	case told == (Standing{}):
+	case told == (Allocation{}):
 		share, demand = roomy*p.demand, p.demand
 	case now.Sub(p.at) >= hearAge:
 		p.share, p.demand = share, demand
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -17,7 +17,7 @@
 	for number := range 3 * mostTenants {
 		meter.Came(number, "t", time.Millisecond, FullFraction, now)
 		meter.Came(0, fmt.Sprint(number), time.Millisecond, FullFraction, now)
-		heard.Observe(Flow{Tenant: fmt.Sprint(number)}, Standing{Share: 1, Demand: 9}, now)
+		heard.Observe(Flow{Tenant: fmt.Sprint(number)}, Allocation{Share: 1, Demand: 9}, now)
 	}
 	g.Expect(len(meter.classes)).To(BeNumerically("<=", mostClasses))
 	g.Expect(len(meter.classes[0].demands)).To(BeNumerically("<=", mostTenants))
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -46,16 +46,16 @@
 
 func clamp(part float64) float64 { return min(max(part, leastPart), FullFraction) }
 
-// Standing is what a back end's node tells of a tenant: the most that one tenant may have of what gets
+// Allocation is what a back end's node tells of a tenant: the most that one tenant may have of what gets
 // room there, and what this one asks for. The zero value says that there is room for all.
-type Standing struct{ Share, Demand time.Duration }
+type Allocation struct{ Share, Demand time.Duration }
 
 // roomForAll is the zero value as a header.
 const roomForAll = "0"
 
 // Format writes the standing as the value of a header.
-func (s Standing) Format() string {
-	if s == (Standing{}) {
+func (s Allocation) Format() string {
+	if s == (Allocation{}) {
 		return roomForAll
 	}
 	line := strconv.AppendInt(make([]byte, 0, 32), s.Share.Microseconds(), 10)
@@ -63,15 +63,15 @@
 }
 
 // ParseStanding reads the value of a header. What no node writes is the zero value.
-func ParseStanding(text string) Standing {
+func ParseStanding(text string) Allocation {
 	share, demand, found := strings.Cut(text, " ")
 	const bits = 40 // of microseconds: some days
 	allowed, shareErr := strconv.ParseUint(share, 10, bits)
 	asked, demandErr := strconv.ParseUint(demand, 10, bits)
 	if !found || shareErr != nil || demandErr != nil {
-		return Standing{}
+		return Allocation{}
 	}
-	return Standing{Share: time.Duration(allowed) * time.Microsecond, Demand: time.Duration(asked) * time.Microsecond}
+	return Allocation{Share: time.Duration(allowed) * time.Microsecond, Demand: time.Duration(asked) * time.Microsecond}
 }
 
 const (
@@ -139,14 +139,14 @@
 }
 
 // Standing returns that of a tenant, the zero value while there is room for all.
-func (m *Meter) Standing(priority int, tenant string, now time.Time) Standing {
+func (m *Meter) Standing(priority int, tenant string, now time.Time) Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	held := m.class(priority, now)
 	if math.IsInf(held.share, 1) {
-		return Standing{}
+		return Allocation{}
 	}
-	told := Standing{Share: time.Duration(held.share)}
+	told := Allocation{Share: time.Duration(held.share)}
 	if offered := held.demands[tenant]; offered != nil {
 		told.Demand = time.Duration(offered.faded)
 	}
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -28,11 +28,11 @@
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
 		g.Expect(shares.ParseFraction(text)).To(Equal(shares.FullFraction), text)
 	}
-	told := shares.Standing{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
+	told := shares.Allocation{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
 	g.Expect(shares.ParseStanding(told.Format())).To(Equal(told))
-	g.Expect(shares.ParseStanding(shares.Standing{}.Format())).To(Equal(shares.Standing{}))
+	g.Expect(shares.ParseStanding(shares.Allocation{}.Format())).To(Equal(shares.Allocation{}))
 	for _, text := range []string{"", "1", "-1 2", "1 2 3", "1 99999999999999999999"} {
-		g.Expect(shares.ParseStanding(text)).To(Equal(shares.Standing{}), text)
+		g.Expect(shares.ParseStanding(text)).To(Equal(shares.Allocation{}), text)
 	}
 }
 
@@ -55,13 +55,13 @@
 	g := NewWithT(t)
 	var meter shares.Meter
 	now := time.Unix(1, 0)
-	g.Expect(meter.Standing(1, "large", now)).To(Equal(shares.Standing{}))
+	g.Expect(meter.Standing(1, "large", now)).To(Equal(shares.Allocation{}))
 	now = flood(&meter, now)
 	large, small := meter.Standing(1, "large", now), meter.Standing(1, "small", now)
 	g.Expect(large.Demand.Seconds() / large.Share.Seconds()).To(BeNumerically("~", 9.0/4, 0.01))
 	g.Expect(small.Demand).To(BeNumerically("<", small.Share))
-	g.Expect(meter.Standing(0, "large", now)).To(Equal(shares.Standing{}))
-	g.Expect(meter.Standing(1, "large", now.Add(3*time.Second))).To(Equal(shares.Standing{}))
+	g.Expect(meter.Standing(0, "large", now)).To(Equal(shares.Allocation{}))
+	g.Expect(meter.Standing(1, "large", now.Add(3*time.Second))).To(Equal(shares.Allocation{}))
 }
 
 // TestMarkedRequestsAreOffered: a request that is not marked counts for those that are.
@@ -84,14 +84,14 @@
 	var heard shares.Tracker
 	of := shares.Flow{Service: "one", Tenant: "large"}
 	now := time.Unix(1, 0)
-	heard.Observe(of, shares.Standing{}, now)
+	heard.Observe(of, shares.Allocation{}, now)
 	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction))
-	heard.Observe(of, shares.Standing{Share: time.Second, Demand: 8 * time.Second}, now)
+	heard.Observe(of, shares.Allocation{Share: time.Second, Demand: 8 * time.Second}, now)
 	g.Expect(heard.Fraction(of, now)).To(Equal(0.25), "twice the share is left to the queues")
 	g.Expect(heard.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.FullFraction))
 	g.Expect(heard.Fraction(of, now.Add(2*time.Second))).To(Equal(shares.FullFraction))
 	for range 100 {
-		heard.Observe(of, shares.Standing{}, now)
+		heard.Observe(of, shares.Allocation{}, now)
 	}
 	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction), "there is room again")
 }
