--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -50,6 +50,6 @@
 // reached a queue report none.
 func (c *call) observeShare(header http.Header) {
 	if reported := header.Get(hop.HeaderShare); reported != "" && c.countsAgainstShare() {
-		c.handler.tenantShares.Observe(c.subject(), shares.ParseStanding(reported), clock.Now())
+		c.handler.tenantShares.Observe(c.subject(), shares.ParseAllocation(reported), clock.Now())
 	}
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -62,8 +62,8 @@
 	return string(strconv.AppendInt(append(line, ' '), s.Demand.Microseconds(), 10))
 }
 
-// ParseStanding reads the value of a header. What no node writes is the zero value.
-func ParseStanding(text string) Allocation {
+// ParseAllocation reads the value of a header. What no node writes is the zero value.
+func ParseAllocation(text string) Allocation {
 	share, demand, found := strings.Cut(text, " ")
 	const bits = 40 // of microseconds: some days
 	allowed, shareErr := strconv.ParseUint(share, 10, bits)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -29,10 +29,10 @@
 		g.Expect(shares.ParseFraction(text)).To(Equal(shares.FullFraction), text)
 	}
 	told := shares.Allocation{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
-	g.Expect(shares.ParseStanding(told.Format())).To(Equal(told))
-	g.Expect(shares.ParseStanding(shares.Allocation{}.Format())).To(Equal(shares.Allocation{}))
+	g.Expect(shares.ParseAllocation(told.Format())).To(Equal(told))
+	g.Expect(shares.ParseAllocation(shares.Allocation{}.Format())).To(Equal(shares.Allocation{}))
 	for _, text := range []string{"", "1", "-1 2", "1 2 3", "1 99999999999999999999"} {
-		g.Expect(shares.ParseStanding(text)).To(Equal(shares.Allocation{}), text)
+		g.Expect(shares.ParseAllocation(text)).To(Equal(shares.Allocation{}), text)
 	}
 }
 
