--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -53,7 +53,7 @@
 // that was refused for another reason says nothing about the capacity.
 func (a *arrival) setShareHeader(header http.Header) {
 	if a.countedInShare {
-		reported := a.handler.meter.Standing(a.reported.Priority, a.shareTenant(), clock.Now())
+		reported := a.handler.meter.Allocation(a.reported.Priority, a.shareTenant(), clock.Now())
 		header[hop.HeaderShare] = []string{reported.Format()}
 	}
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -138,8 +138,8 @@
 	m.class(priority, now).served += float64(work)
 }
 
-// Standing returns that of a tenant, the zero value while there is room for all.
-func (m *Meter) Standing(priority int, tenant string, now time.Time) Allocation {
+// Allocation returns that of a tenant, the zero value while there is room for all.
+func (m *Meter) Allocation(priority int, tenant string, now time.Time) Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	held := m.class(priority, now)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -55,13 +55,13 @@
 	g := NewWithT(t)
 	var meter shares.Meter
 	now := time.Unix(1, 0)
-	g.Expect(meter.Standing(1, "large", now)).To(Equal(shares.Allocation{}))
+	g.Expect(meter.Allocation(1, "large", now)).To(Equal(shares.Allocation{}))
 	now = flood(&meter, now)
-	large, small := meter.Standing(1, "large", now), meter.Standing(1, "small", now)
+	large, small := meter.Allocation(1, "large", now), meter.Allocation(1, "small", now)
 	g.Expect(large.Demand.Seconds() / large.Share.Seconds()).To(BeNumerically("~", 9.0/4, 0.01))
 	g.Expect(small.Demand).To(BeNumerically("<", small.Share))
-	g.Expect(meter.Standing(0, "large", now)).To(Equal(shares.Allocation{}))
-	g.Expect(meter.Standing(1, "large", now.Add(3*time.Second))).To(Equal(shares.Allocation{}))
+	g.Expect(meter.Allocation(0, "large", now)).To(Equal(shares.Allocation{}))
+	g.Expect(meter.Allocation(1, "large", now.Add(3*time.Second))).To(Equal(shares.Allocation{}))
 }
 
 // TestMarkedRequestsAreOffered: a request that is not marked counts for those that are.
@@ -75,7 +75,7 @@
 		part.Came(0, "t", 2*time.Millisecond, 0.25, now)
 	}
 	now = now.Add(250 * time.Millisecond)
-	g.Expect(part.Standing(0, "t", now)).To(Equal(all.Standing(0, "t", now)))
+	g.Expect(part.Allocation(0, "t", now)).To(Equal(all.Allocation(0, "t", now)))
 }
 
 // TestWhatWasHeardHasAnAge: without a reply a tenant is within its share again.
@@ -110,6 +110,6 @@
 		name := names[i*7%len(names)]
 		meter.Came(0, name, 10*time.Millisecond, shares.FullFraction, now)
 		meter.Served(0, 5*time.Millisecond, now)
-		meter.Standing(0, name, now)
+		meter.Allocation(0, name, now)
 	}
 }
