--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -38,7 +38,7 @@
 	a.countedInShare = tenant != ""
 	if a.countedInShare && !a.reported.OverShare {
 		part := shares.ParseFraction(a.request.Header.Get(hop.HeaderShare))
-		a.handler.meter.Came(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
+		a.handler.meter.RecordArrival(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
 	}
 }
 
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -102,7 +102,7 @@
 
 func (w *told) came(f *fleet, at *node, request *asked) {
 	if !request.over {
-		w.meters[at.number].Came(0, tenantNames[request.tenant], fleetWork, request.part, f.now)
+		w.meters[at.number].RecordArrival(0, tenantNames[request.tenant], fleetWork, request.part, f.now)
 	}
 }
 
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -15,8 +15,8 @@
 	var heard Tracker
 	now := time.Unix(1, 0)
 	for number := range 3 * mostTenants {
-		meter.Came(number, "t", time.Millisecond, FullFraction, now)
-		meter.Came(0, fmt.Sprint(number), time.Millisecond, FullFraction, now)
+		meter.RecordArrival(number, "t", time.Millisecond, FullFraction, now)
+		meter.RecordArrival(0, fmt.Sprint(number), time.Millisecond, FullFraction, now)
 		heard.Observe(Flow{Tenant: fmt.Sprint(number)}, Allocation{Share: 1, Demand: 9}, now)
 	}
 	g.Expect(len(meter.classes)).To(BeNumerically("<=", mostClasses))
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -114,9 +114,9 @@
 // demand is what a tenant offers: work in nanoseconds, in the present window and faded from those before.
 type demand struct{ now, faded float64 }
 
-// Came takes in that a request of a tenant came that was not marked. part is that of the tenant's
+// RecordArrival takes in that a request of a tenant came that was not marked. part is that of the tenant's
 // requests which its node does not mark.
-func (m *Meter) Came(priority int, tenant string, work time.Duration, part float64, now time.Time) {
+func (m *Meter) RecordArrival(priority int, tenant string, work time.Duration, part float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	held := m.class(priority, now)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -42,8 +42,8 @@
 	now = from
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		meter.Came(1, "small", time.Millisecond, shares.FullFraction, now)
-		meter.Came(1, "large", 9*time.Millisecond, shares.FullFraction, now)
+		meter.RecordArrival(1, "small", time.Millisecond, shares.FullFraction, now)
+		meter.RecordArrival(1, "large", 9*time.Millisecond, shares.FullFraction, now)
 		meter.Served(1, 5*time.Millisecond, now)
 	}
 	return now.Add(250 * time.Millisecond)
@@ -71,8 +71,8 @@
 	now := time.Unix(1, 0)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		all.Came(0, "t", 8*time.Millisecond, shares.FullFraction, now)
-		part.Came(0, "t", 2*time.Millisecond, 0.25, now)
+		all.RecordArrival(0, "t", 8*time.Millisecond, shares.FullFraction, now)
+		part.RecordArrival(0, "t", 2*time.Millisecond, 0.25, now)
 	}
 	now = now.Add(250 * time.Millisecond)
 	g.Expect(part.Allocation(0, "t", now)).To(Equal(all.Allocation(0, "t", now)))
@@ -108,7 +108,7 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond / 2)
 		name := names[i*7%len(names)]
-		meter.Came(0, name, 10*time.Millisecond, shares.FullFraction, now)
+		meter.RecordArrival(0, name, 10*time.Millisecond, shares.FullFraction, now)
 		meter.Served(0, 5*time.Millisecond, now)
 		meter.Allocation(0, name, now)
 	}
