--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -45,7 +45,7 @@
 // countAdmitted counts in the meter that the request got a slot.
 func (a *arrival) countAdmitted() {
 	if a.countedInShare {
-		a.handler.meter.Served(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
+		a.handler.meter.RecordServed(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
 	}
 }
 
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -108,7 +108,7 @@
 
 func (w *told) answered(f *fleet, at *node, request *asked, served bool) {
 	if served {
-		w.meters[at.number].Served(0, fleetWork, f.now)
+		w.meters[at.number].RecordServed(0, fleetWork, f.now)
 	}
 	w.heard[request.from].Observe(subject(request.tenant), w.meters[at.number].Allocation(0, tenantNames[request.tenant], f.now), f.now)
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -131,8 +131,8 @@
 	offered.now += float64(work) / clamp(part)
 }
 
-// Served takes in that a request of some tenant got a slot.
-func (m *Meter) Served(priority int, work time.Duration, now time.Time) {
+// RecordServed takes in that a request of some tenant got a slot.
+func (m *Meter) RecordServed(priority int, work time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.class(priority, now).served += float64(work)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -44,7 +44,7 @@
 		now = now.Add(10 * time.Millisecond)
 		meter.RecordArrival(1, "small", time.Millisecond, shares.FullFraction, now)
 		meter.RecordArrival(1, "large", 9*time.Millisecond, shares.FullFraction, now)
-		meter.Served(1, 5*time.Millisecond, now)
+		meter.RecordServed(1, 5*time.Millisecond, now)
 	}
 	return now.Add(250 * time.Millisecond)
 }
@@ -109,7 +109,7 @@
 		now = now.Add(time.Millisecond / 2)
 		name := names[i*7%len(names)]
 		meter.RecordArrival(0, name, 10*time.Millisecond, shares.FullFraction, now)
-		meter.Served(0, 5*time.Millisecond, now)
+		meter.RecordServed(0, 5*time.Millisecond, now)
 		meter.Allocation(0, name, now)
 	}
 }
