--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -143,7 +143,7 @@
 	}
 	if report := t.report.Load(); report != nil && report.matches(record) {
 		age := now.Sub(report.receivedAt)
-		described.Outstanding += report.others.Others(now)
+		described.Outstanding += report.others.OtherRequests(now)
 		described.ServiceTime = time.Duration(float64(expectedWork) * choice.DecayedPace(report.Factor, age, report.others.HalfLife()))
 		described.HoldTime = report.HoldTime
 		described.FailureRate = choice.DecayedFailureRate(report.FailureRate, age, report.others.HalfLife())
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -432,7 +432,7 @@
 func (e *estimated) observe(others float64, slots int, held time.Duration, now time.Time) {
 	e.Estimate = e.After(others, slots, held, now)
 }
-func (e *estimated) others(now time.Time) float64 { return e.Others(now) }
+func (e *estimated) others(now time.Time) float64 { return e.OtherRequests(now) }
 
 // fixed forgets half of a report in a fixed time.
 type fixed struct {
--- a/internal/sidecar/occupancy/occupancy.go
+++ b/internal/sidecar/occupancy/occupancy.go
@@ -57,8 +57,8 @@
 	return next
 }
 
-// Others returns how many requests of others are believed to be there.
-func (e Estimate) Others(now time.Time) float64 {
+// OtherRequests returns how many requests of others are believed to be there.
+func (e Estimate) OtherRequests(now time.Time) float64 {
 	if e.others == 0 {
 		return 0
 	}
--- a/internal/sidecar/occupancy/occupancy_test.go
+++ b/internal/sidecar/occupancy/occupancy_test.go
@@ -52,7 +52,7 @@
 		t.Run(heard.name, func(t *testing.T) {
 			g := NewWithT(t)
 			estimate, last := after(heard.reports, heard.others, heard.gap, heard.held)
-			g.Expect(estimate.Others(last.Add(heard.age))).To(BeNumerically("~", heard.want, 1e-6))
+			g.Expect(estimate.OtherRequests(last.Add(heard.age))).To(BeNumerically("~", heard.want, 1e-6))
 		})
 	}
 }
@@ -60,7 +60,7 @@
 // TestNothingHeard: who was never heard of is taken for idle, so that it is tried.
 func TestNothingHeard(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(occupancy.Estimate{}.Others(time.Unix(100, 0))).To(BeZero())
+	g.Expect(occupancy.Estimate{}.OtherRequests(time.Unix(100, 0))).To(BeZero())
 }
 
 // TestOneWrongReport: the next report replaces it.
@@ -69,5 +69,5 @@
 	estimate, last := after(10, 3, 200*ms, 50*ms)
 	estimate = estimate.After(1e9, eight, time.Hour, last.Add(200*ms))
 	estimate = estimate.After(3, eight, 50*ms, last.Add(400*ms))
-	g.Expect(estimate.Others(last.Add(1200 * ms))).To(BeNumerically("~", 1.5, 1e-6))
+	g.Expect(estimate.OtherRequests(last.Add(1200 * ms))).To(BeNumerically("~", 1.5, 1e-6))
 }
