--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -244,12 +244,12 @@
 	metadata := hop.Request{
 		Service: a.service, Caller: options.Caller(), Remaining: remaining, Priority: c.priority(),
 		MaximumWait: c.maxAttemptWait(request, a), ExpectedServiceTime: c.work().Mean(c.assumedWork()),
-		Returning: request.Returning && !request.LacksRetryTime(),
-		Suspect:   a.crashed,
-		Nested:    c.nested,
-		OverShare: c.overShare,
-		Repeated:  a.repeated,
-		BaselineRates:     c.handler.baselineStats(c.service, c.route.Name, a.record),
+		Returning:     request.Returning && !request.LacksRetryTime(),
+		Suspect:       a.crashed,
+		Nested:        c.nested,
+		OverShare:     c.overShare,
+		Repeated:      a.repeated,
+		BaselineRates: c.handler.baselineStats(c.service, c.route.Name, a.record),
 	}
 	header[hop.HeaderHop] = []string{metadata.Format()}
 	header[hop.HeaderVersion] = []string{strconv.FormatUint(c.table.Version(), 10)}
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -39,8 +39,8 @@
 	Settled func() bool
 	// Broadcast tells the peers of the moves, BroadcastRecord of the node's own record.
 	Broadcast, BroadcastRecord func()
-	Logger               *zap.Logger
-	Registry             prometheus.Registerer
+	Logger                     *zap.Logger
+	Registry                   prometheus.Registerer
 }
 
 const (
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -190,8 +190,8 @@
 		Readers: func() []*roster.Record {
 			return slices.DeleteFunc(members.View().Records(), func(record *roster.Record) bool { return record.Gone() })
 		},
-		Settled: func() bool { return time.Since(moment) >= settleTime },
-		Broadcast:  func() {}, BroadcastRecord: func() {},
+		Settled:   func() bool { return time.Since(moment) >= settleTime },
+		Broadcast: func() {}, BroadcastRecord: func() {},
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	members.Observe(control.Follow)
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -4,8 +4,8 @@
 
 // Causes of a move that is taken back.
 const (
-	CauseFaulty = "several back ends of the version are faulty"
-	CauseDeadlineMissed   = "not done by the deadline"
+	CauseFaulty               = "several back ends of the version are faulty"
+	CauseDeadlineMissed       = "not done by the deadline"
 	CauseInsufficientEvidence = "too little was seen of the version, or it has too few back ends"
 )
 
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -25,8 +25,8 @@
 	Route string
 	// Failed: the answer is a failure, or none came. Slow: it took SlowFactor times as
 	// long as usual. A back end that warms up is not to be called slow.
-	Failed, Slow bool
-	BaselineRates        BaselineRates
+	Failed, Slow  bool
+	BaselineRates BaselineRates
 }
 
 // A judge runs Page's cumulative sum test (E. S. Page, "Continuous Inspection Schemes",
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -13,16 +13,16 @@
 type Plan struct {
 	// Version is the one that a move concerns; empty while there is none and versions are
 	// held all the same.
-	Version string
-	Phase   Phase
-	TrialAssignment   TrialAssignment
+	Version         string
+	Phase           Phase
+	TrialAssignment TrialAssignment
 	// HeldVersions are versions besides that get no requests.
 	HeldVersions []string
 	// OnlyVersion: no back end of another version is there, so that the version is in use.
 	OnlyVersion bool
 	// PromotedAt is since when all requests go to the version, zero while they do not.
 	PromotedAt time.Time
-	split *Splitter
+	split      *Splitter
 }
 
 // Splitter divides the requests of one service and outlives its plans.
@@ -49,7 +49,9 @@
 }
 
 // ComparesVersions reports whether answers are compared by version.
-func (p *Plan) ComparesVersions() bool { return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting) }
+func (p *Plan) ComparesVersions() bool {
+	return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting)
+}
 
 // Select returns who may take a request. One that was sent before is not for a trial.
 func (p *Plan) Select(sentBefore bool) Selection {
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -20,14 +20,14 @@
 func (s *Sidecar) addRollouts() {
 	s.rollouts = controller.New(controller.Options{
 		Store: s.options.Store, Codec: s.options.Rollouts, Members: s.members,
-		Limits:       func() rollout.Limits { return s.settings.Load().Rollout },
-		Load:         func(service, version string) float64 { return s.egress.Load(service, version) },
-		Readers:      s.reading,
-		Settled:      s.settled,
+		Limits:          func() rollout.Limits { return s.settings.Load().Rollout },
+		Load:            func(service, version string) float64 { return s.egress.Load(service, version) },
+		Readers:         s.reading,
+		Settled:         s.settled,
 		Broadcast:       func() { go s.spread(context.Background()) },
 		BroadcastRecord: func() { s.spread(context.Background()) },
-		Logger:       s.logger,
-		Registry:     s.options.Registry,
+		Logger:          s.logger,
+		Registry:        s.options.Registry,
 	})
 }
 
