--- a/internal/sidecar/occupancy/occupancy.go
+++ b/internal/sidecar/occupancy/occupancy.go
@@ -14,7 +14,7 @@
 	// others is how many requests of others the last report told of.
 	others float64
 	// taken is when it came; zero before the first.
-	taken time.Time
+	reportedAt time.Time
 	// gap is the smoothed time between two reports, zero before the second.
 	gap time.Duration
 	// halfLife is the time in which half of others is forgotten.
@@ -28,32 +28,32 @@
 	// before the next one comes makes the back end look idle to everybody; at four
 	// gaps it has lost a sixth when the next one comes. In TestFleet half or twice as
 	// many change nothing at 0.55 of the capacity, and late answers by a fifth at 0.7.
-	gapsRemembered = 4
+	halfLifeGaps = 4
 	// leastHalfLife and mostHalfLife bound the half-life: whatever is told, a back
 	// end that was full is tried again. The first report has the longest: a node
 	// that asks rarely may not hear a second one for long.
-	leastHalfLife = 100 * time.Millisecond
-	mostHalfLife  = 30 * time.Second
+	minHalfLife = 100 * time.Millisecond
+	maxHalfLife = 30 * time.Second
 	// fullTimes bounds what a report may tell, in units of the slots. A queue that
 	// is longer serves nobody in time either.
-	fullTimes = 8
+	maxQueueFactor = 8
 )
 
 // After returns the estimate after a report of that many requests of others, at a
 // back end of that many slots each of which is held for that time. A slot that is
 // held for long is still taken when a report is old.
-func (e Estimate) After(others float64, slots int, held time.Duration, now time.Time) Estimate {
-	next := Estimate{others: min(max(others, 0), float64(fullTimes*max(slots, 1))), taken: now, gap: e.gap}
+func (e Estimate) After(others float64, slots int, holdTime time.Duration, now time.Time) Estimate {
+	next := Estimate{others: min(max(others, 0), float64(maxQueueFactor*max(slots, 1))), reportedAt: now, gap: e.gap}
 	switch {
-	case e.taken.IsZero():
-		next.halfLife = mostHalfLife
+	case e.reportedAt.IsZero():
+		next.halfLife = maxHalfLife
 		return next
 	case e.gap == 0:
-		next.gap = now.Sub(e.taken)
+		next.gap = now.Sub(e.reportedAt)
 	default:
-		next.gap += (now.Sub(e.taken) - e.gap) / gapSmoothing
+		next.gap += (now.Sub(e.reportedAt) - e.gap) / gapSmoothing
 	}
-	next.halfLife = min(max(gapsRemembered*next.gap, held, leastHalfLife), mostHalfLife)
+	next.halfLife = min(max(halfLifeGaps*next.gap, holdTime, minHalfLife), maxHalfLife)
 	return next
 }
 
@@ -62,15 +62,15 @@
 	if e.others == 0 {
 		return 0
 	}
-	return e.others * math.Exp2(-float64(now.Sub(e.taken))/float64(e.halfLife))
+	return e.others * math.Exp2(-float64(now.Sub(e.reportedAt))/float64(e.halfLife))
 }
 
 // Weight returns the part of the last report that still counts, zero before the first.
 func (e Estimate) Weight(now time.Time) float64 {
-	if e.taken.IsZero() {
+	if e.reportedAt.IsZero() {
 		return 0
 	}
-	return math.Exp2(-float64(max(now.Sub(e.taken), 0)) / float64(e.halfLife))
+	return math.Exp2(-float64(max(now.Sub(e.reportedAt), 0)) / float64(e.halfLife))
 }
 
 // HalfLife returns the time in which half of the report is forgotten.
--- a/internal/sidecar/occupancy/occupancy_test.go
+++ b/internal/sidecar/occupancy/occupancy_test.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	ms    = time.Millisecond
-	eight = 8
+	ms        = time.Millisecond
+	slotCount = 8
 )
 
 // after returns the estimate after reports of that many others, a gap apart, and
 // the moment of the last.
-func after(reports int, others float64, gap, held time.Duration) (occupancy.Estimate, time.Time) {
+func estimateAfter(reports int, others float64, gap, holdTime time.Duration) (occupancy.Estimate, time.Time) {
 	now := time.Unix(100, 0)
-	estimate := occupancy.Estimate{}.After(others, eight, held, now)
+	estimate := occupancy.Estimate{}.After(others, slotCount, holdTime, now)
 	for range reports - 1 {
 		now = now.Add(gap)
-		estimate = estimate.After(others, eight, held, now)
+		estimate = estimate.After(others, slotCount, holdTime, now)
 	}
 	return estimate, now
 }
 
-func TestOthers(t *testing.T) {
+func TestOtherRequests(t *testing.T) {
 	cases := []struct {
-		name      string
-		reports   int
-		others    float64
-		gap, held time.Duration
-		age       time.Duration
-		want      float64
+		name          string
+		reports       int
+		others        float64
+		gap, holdTime time.Duration
+		age           time.Duration
+		want          float64
 	}{
 		{"fresh", 1, 5, 0, 300 * ms, 0, 5},
 		{"the first one is kept", 1, 6, 0, 300 * ms, 30 * time.Second, 3},
@@ -48,26 +48,26 @@
 		{"less than none", 1, -4, 0, 300 * ms, 0, 0},
 		{"no number", 1, math.Inf(1), 0, 300 * ms, 0, 64},
 	}
-	for _, heard := range cases {
-		t.Run(heard.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			estimate, last := after(heard.reports, heard.others, heard.gap, heard.held)
-			g.Expect(estimate.OtherRequests(last.Add(heard.age))).To(BeNumerically("~", heard.want, 1e-6))
+			estimate, last := estimateAfter(tc.reports, tc.others, tc.gap, tc.holdTime)
+			g.Expect(estimate.OtherRequests(last.Add(tc.age))).To(BeNumerically("~", tc.want, 1e-6))
 		})
 	}
 }
 
 // TestNothingHeard: who was never heard of is taken for idle, so that it is tried.
-func TestNothingHeard(t *testing.T) {
+func TestNoReport(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(occupancy.Estimate{}.OtherRequests(time.Unix(100, 0))).To(BeZero())
 }
 
 // TestOneWrongReport: the next report replaces it.
-func TestOneWrongReport(t *testing.T) {
+func TestOutlierReport(t *testing.T) {
 	g := NewWithT(t)
-	estimate, last := after(10, 3, 200*ms, 50*ms)
-	estimate = estimate.After(1e9, eight, time.Hour, last.Add(200*ms))
-	estimate = estimate.After(3, eight, 50*ms, last.Add(400*ms))
+	estimate, last := estimateAfter(10, 3, 200*ms, 50*ms)
+	estimate = estimate.After(1e9, slotCount, time.Hour, last.Add(200*ms))
+	estimate = estimate.After(3, slotCount, 50*ms, last.Add(400*ms))
 	g.Expect(estimate.OtherRequests(last.Add(1200 * ms))).To(BeNumerically("~", 1.5, 1e-6))
 }
--- a/internal/sidecar/rollout/baseline.go
+++ b/internal/sidecar/rollout/baseline.go
@@ -9,7 +9,7 @@
 const (
 	// usualHalfLife is the time in which half of what was seen of the versions before is
 	// forgotten: what is compared are the same seconds.
-	usualHalfLife = 3 * time.Second
+	baselineHalfLife = 3 * time.Second
 	// priorAnswers count as if they had been seen before, priorShare of them bad.
 	priorAnswers, priorShare = 10.0, 0.02
 )
@@ -18,11 +18,11 @@
 // safe for concurrent use; the zero value has seen none.
 type Baseline struct {
 	mu     sync.Mutex // guards routes
-	routes map[string]*shares
+	routes map[string]*decayedCounts
 }
 
 // shares are counts that fade with time.
-type shares struct {
+type decayedCounts struct {
 	answers, failed, slow float64
 	last                  time.Time
 }
@@ -32,23 +32,23 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.routes == nil {
-		b.routes = map[string]*shares{}
+		b.routes = map[string]*decayedCounts{}
 	}
-	held := b.routes[route]
-	if held == nil {
-		if len(b.routes) >= routesMost {
+	counts := b.routes[route]
+	if counts == nil {
+		if len(b.routes) >= maxRoutes {
 			return
 		}
-		held = &shares{last: now}
-		b.routes[route] = held
+		counts = &decayedCounts{last: now}
+		b.routes[route] = counts
 	}
-	held.fade(now)
-	held.answers++
+	counts.decay(now)
+	counts.answers++
 	if failed {
-		held.failed++
+		counts.failed++
 	}
 	if slow {
-		held.slow++
+		counts.slow++
 	}
 }
 
@@ -56,20 +56,20 @@
 func (b *Baseline) BaselineRates(route string, now time.Time) BaselineRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	held := b.routes[route]
-	if held == nil {
+	counts := b.routes[route]
+	if counts == nil {
 		return BaselineRates{Failing: priorShare, Slow: priorShare}
 	}
-	held.fade(now)
-	all := held.answers + priorAnswers
+	counts.decay(now)
+	total := counts.answers + priorAnswers
 	return BaselineRates{
-		Failing: (held.failed + priorAnswers*priorShare) / all,
-		Slow:    (held.slow + priorAnswers*priorShare) / all,
+		Failing: (counts.failed + priorAnswers*priorShare) / total,
+		Slow:    (counts.slow + priorAnswers*priorShare) / total,
 	}
 }
 
-func (s *shares) fade(now time.Time) {
-	part := math.Exp2(-float64(max(now.Sub(s.last), 0)) / float64(usualHalfLife))
-	s.answers, s.failed, s.slow = s.answers*part, s.failed*part, s.slow*part
-	s.last = now
+func (c *decayedCounts) decay(now time.Time) {
+	factor := math.Exp2(-float64(max(now.Sub(c.last), 0)) / float64(baselineHalfLife))
+	c.answers, c.failed, c.slow = c.answers*factor, c.failed*factor, c.slow*factor
+	c.last = now
 }
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -48,10 +48,10 @@
 	tickInterval = 50 * time.Millisecond
 	// holdMost is how long a version that no order names gets nothing: its order may not
 	// have been heard. Software that comes without an order is used after that time.
-	holdMost = 10 * time.Second
+	maxHold = 10 * time.Second
 	// settle is how long after all requests have moved the back ends of other versions
 	// still take what other nodes send that have not heard yet.
-	settle = 200 * time.Millisecond
+	propagationGrace = 200 * time.Millisecond
 )
 
 // Controller carries out roll-outs. It is safe for concurrent use; what a request needs
@@ -62,28 +62,28 @@
 	wake    chan struct{}
 	plans   atomic.Pointer[map[string]*rollout.Plan]
 	// judging is of the back end that is judged now; nil while none is.
-	judging atomic.Pointer[judging]
+	evaluation atomic.Pointer[evaluation]
 
-	mu    sync.Mutex // guards all below and the replacement of plans and judging
-	moves map[string]*carried
+	mu       sync.Mutex // guards all below and the replacement of plans and judging
+	rollouts map[string]*activeRollout
 	// versions holds the versions of each service that are in use, unheard those that
 	// no order names, with when they were first seen.
-	versions map[string]map[string]bool
-	unheard  map[string]map[string]time.Time
-	splits   map[string]*rollout.Splitter
+	versions  map[string]map[string]bool
+	withheld  map[string]map[string]time.Time
+	splitters map[string]*rollout.Splitter
 }
 
 // carried is a move with what the node has done for it. The controller's lock guards it.
-type carried struct {
+type activeRollout struct {
 	rollout.State
 	// order is the revision of the order that all below concerns.
-	order uint64
+	orderRevision uint64
 	// began is when the node heard of the order, asked how many requests of the service
 	// it had divided then.
-	began time.Time
-	asked int64
+	startedAt       time.Time
+	requestsAtStart int64
 	// moved is when all requests went to the version, by this node; zero before.
-	moved time.Time
+	promotedAt time.Time
 	// due is the phase that waits to be written, dueSince since when.
 	due      rollout.Phase
 	dueSince time.Time
@@ -98,8 +98,8 @@
 func New(options Options) *Controller {
 	return &Controller{
 		options: options, metrics: newMetrics(options.Registry), wake: make(chan struct{}, 1),
-		moves: map[string]*carried{}, versions: map[string]map[string]bool{},
-		unheard: map[string]map[string]time.Time{}, splits: map[string]*rollout.Splitter{},
+		rollouts: map[string]*activeRollout{}, versions: map[string]map[string]bool{},
+		withheld: map[string]map[string]time.Time{}, splitters: map[string]*rollout.Splitter{},
 	}
 }
 
@@ -126,11 +126,11 @@
 func (c *Controller) Active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.unheard) > 0 {
+	if len(c.withheld) > 0 {
 		return true
 	}
-	for _, held := range c.moves {
-		if !held.Phase.Final() || !held.Recorded {
+	for _, active := range c.rollouts {
+		if !active.Phase.Final() || !active.Recorded {
 			return true
 		}
 	}
@@ -146,17 +146,17 @@
 
 // Plan returns how the service's requests are divided, nil when nothing divides them.
 func (c *Controller) Plan(service string) *rollout.Plan {
-	held := c.plans.Load()
-	if held == nil {
+	current := c.plans.Load()
+	if current == nil {
 		return nil
 	}
-	return (*held)[service]
+	return (*current)[service]
 }
 
 // Ordered takes in an order that the store has.
 func (c *Controller) Ordered(order rollout.Order) {
 	now := clock.Now()
-	if c.learn(c.begin(order, now), now) {
+	if c.merge(c.initialState(order, now), now) {
 		c.options.Logger.Info("roll-out ordered", zap.String("service", order.Service), zap.String("software", order.Version),
 			zap.Uint64("revision", order.Revision), zap.Duration("duration", order.Duration))
 		c.options.Broadcast()
@@ -165,7 +165,7 @@
 
 // begin returns the move of an order. A node that has just started does not know yet whether
 // other versions are in use.
-func (c *Controller) begin(order rollout.Order, now time.Time) rollout.State {
+func (c *Controller) initialState(order rollout.Order, now time.Time) rollout.State {
 	if !c.options.Settled() {
 		return rollout.NewState(order, now)
 	}
@@ -177,91 +177,91 @@
 func (c *Controller) Restored() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, held := range c.moves {
-		held.Recorded = false
-		held.failures, held.notBefore = 0, time.Time{}
+	for _, active := range c.rollouts {
+		active.Recorded = false
+		active.failures, active.notBefore = 0, time.Time{}
 	}
 	c.signal()
 }
 
 // Hear takes in what a peer tells of moves and reports whether some of it is news.
-func (c *Controller) Hear(told []rollout.WireState) (news bool) {
+func (c *Controller) Hear(received []rollout.WireState) (changed bool) {
 	now := clock.Now()
-	for _, one := range told {
-		move, valid := one.Hear(now)
+	for _, wire := range received {
+		state, valid := wire.Hear(now)
 		if !valid {
-			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", one))
+			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", wire))
 			continue
 		}
-		news = c.learn(move, now) || news
+		changed = c.merge(state, now) || changed
 	}
-	return news
+	return changed
 }
 
 // Tell returns the moves as peers are told of them; nil when there are none.
 func (c *Controller) Tell() []rollout.WireState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.moves) == 0 {
+	if len(c.rollouts) == 0 {
 		return nil
 	}
 	now := clock.Now()
-	told := make([]rollout.WireState, 0, len(c.moves))
-	for _, service := range slices.Sorted(maps.Keys(c.moves)) {
-		told = append(told, c.moves[service].Tell(now))
+	states := make([]rollout.WireState, 0, len(c.rollouts))
+	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
+		states = append(states, c.rollouts[service].Tell(now))
 	}
-	return told
+	return states
 }
 
 // learn merges a move and reports whether it is news.
-func (c *Controller) learn(move rollout.State, now time.Time) (news bool) {
+func (c *Controller) merge(state rollout.State, now time.Time) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.moves[move.Service]
-	if held == nil {
-		held = &carried{}
-		c.moves[move.Service] = held
-	}
-	rewritten := held.ReissuedBy(move)
-	merged, news := held.Merge(move)
-	held.State = merged
-	if !news {
+	active := c.rollouts[state.Service]
+	if active == nil {
+		active = &activeRollout{}
+		c.rollouts[state.Service] = active
+	}
+	reissued := active.ReissuedBy(state)
+	merged, changed := active.Merge(state)
+	active.State = merged
+	if !changed {
 		return false
 	}
 	switch {
-	case rewritten:
-		held.order = merged.Revision
-	case merged.Revision != held.order:
-		*held = carried{State: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Requests()}
-	}
-	c.use(move.Service, move.Version)
-	c.entered(held, now)
-	c.publish(now)
+	case reissued:
+		active.orderRevision = merged.Revision
+	case merged.Revision != active.orderRevision:
+		*active = activeRollout{State: merged, orderRevision: merged.Revision, startedAt: now, requestsAtStart: c.splitter(state.Service).Requests()}
+	}
+	c.markInUse(state.Service, state.Version)
+	c.enterPhase(active, now)
+	c.updatePlans(now)
 	c.signal()
 	return true
 }
 
 // use notes that a version is in use, or is known by an order.
-func (c *Controller) use(service, version string) {
+func (c *Controller) markInUse(service, version string) {
 	if c.versions[service] == nil {
 		c.versions[service] = map[string]bool{}
 	}
 	c.versions[service][version] = true
-	delete(c.unheard[service], version)
-	if len(c.unheard[service]) == 0 {
-		delete(c.unheard, service)
+	delete(c.withheld[service], version)
+	if len(c.withheld[service]) == 0 {
+		delete(c.withheld, service)
 	}
 }
 
 // entered logs a move's phase and notes when the requests moved; the lock is held.
-func (c *Controller) entered(held *carried, now time.Time) {
-	if (held.Phase == rollout.Promoting || held.Phase == rollout.Completed) && held.moved.IsZero() {
-		held.moved = now
-	}
-	c.metrics.phase.WithLabelValues(held.Service).Set(float64(held.Phase))
-	tally := c.tally(held.Service, held.Version)
-	c.options.Logger.Info("roll-out phase", zap.String("service", held.Service), zap.String("software", held.Version),
-		zap.Stringer("phase", held.Phase), zap.String("cause", held.Cause), zap.Duration("left", held.Deadline.Sub(now)),
+func (c *Controller) enterPhase(active *activeRollout, now time.Time) {
+	if (active.Phase == rollout.Promoting || active.Phase == rollout.Completed) && active.promotedAt.IsZero() {
+		active.promotedAt = now
+	}
+	c.metrics.phase.WithLabelValues(active.Service).Set(float64(active.Phase))
+	tally := c.tally(active.Service, active.Version)
+	c.options.Logger.Info("roll-out phase", zap.String("service", active.Service), zap.String("software", active.Version),
+		zap.Stringer("phase", active.Phase), zap.String("cause", active.Cause), zap.Duration("left", active.Deadline.Sub(now)),
 		zap.Int("present", tally.Present), zap.Int("others", tally.Others),
 		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.LogOdds), zap.Float64("load", tally.Load))
 }
@@ -278,37 +278,37 @@
 			continue
 		}
 		if !settled || len(c.versions[endpoint.Service]) == 0 {
-			c.use(endpoint.Service, endpoint.Version)
+			c.markInUse(endpoint.Service, endpoint.Version)
 			continue
 		}
-		c.hold(endpoint.Service, endpoint.Version)
+		c.withhold(endpoint.Service, endpoint.Version)
 	}
 }
 
 // hold has a version get nothing for a time; the lock is held.
-func (c *Controller) hold(service, version string) {
-	if c.unheard[service] == nil {
-		c.unheard[service] = map[string]time.Time{}
+func (c *Controller) withhold(service, version string) {
+	if c.withheld[service] == nil {
+		c.withheld[service] = map[string]time.Time{}
 	}
-	if _, known := c.unheard[service][version]; known {
+	if _, known := c.withheld[service][version]; known {
 		return
 	}
 	now := clock.Now()
-	c.unheard[service][version] = now
+	c.withheld[service][version] = now
 	c.options.Logger.Warn("software that no order names gets no requests yet",
-		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", holdMost))
-	c.publish(now)
+		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", maxHold))
+	c.updatePlans(now)
 	c.signal()
 }
 
 // releaseHeld ends holds that have lasted long enough; the lock is held.
-func (c *Controller) releaseHeld(now time.Time) {
-	for service, held := range c.unheard {
-		for version, since := range held {
-			if now.Sub(since) >= holdMost {
+func (c *Controller) releaseWithheld(now time.Time) {
+	for service, versions := range c.withheld {
+		for version, since := range versions {
+			if now.Sub(since) >= maxHold {
 				c.options.Logger.Warn("software that no order names is used",
 					zap.String("service", service), zap.String("software", version))
-				c.use(service, version)
+				c.markInUse(service, version)
 			}
 		}
 	}
@@ -318,21 +318,21 @@
 // due in the store.
 func (c *Controller) tick(ctx context.Context, now time.Time) {
 	c.mu.Lock()
-	c.releaseHeld(now)
-	news := false
-	for _, held := range c.moves {
-		tally := c.tally(held.Service, held.Version)
-		judged, changed := held.Evaluate(tally, now)
+	c.releaseWithheld(now)
+	anyChanged := false
+	for _, active := range c.rollouts {
+		tally := c.tally(active.Service, active.Version)
+		evaluated, changed := active.Evaluate(tally, now)
 		if changed {
-			held.State = judged
-			c.entered(held, now)
-			news = true
+			active.State = evaluated
+			c.enterPhase(active, now)
+			anyChanged = true
 		}
-		c.act(ctx, held, tally, now)
+		c.writeDue(ctx, active, tally, now)
 	}
-	c.publish(now)
+	c.updatePlans(now)
 	c.mu.Unlock()
-	if news {
+	if anyChanged {
 		c.options.Broadcast()
 	}
 }
@@ -350,8 +350,8 @@
 		case record.AcceptsWork():
 			tally.Present++
 		}
-		if judgement := record.Assessment(); judgement != nil {
-			tally.Add(judgement.Answers, judgement.Faulty, judgement.LogOdds)
+		if assessment := record.Assessment(); assessment != nil {
+			tally.Add(assessment.Answers, assessment.Faulty, assessment.LogOdds)
 		}
 	}
 	return tally
@@ -359,72 +359,72 @@
 
 // candidates returns the nodes whose back ends may be on trial, in an order on which
 // all nodes agree, and how many back ends of other versions there are.
-func (c *Controller) candidates(held *carried) (nodes []string, others int) {
-	for _, record := range c.options.Members.View().Service(held.Service) {
-		judgement := record.Assessment()
+func (c *Controller) candidates(active *activeRollout) (nodes []string, others int) {
+	for _, record := range c.options.Members.View().Service(active.Service) {
+		assessment := record.Assessment()
 		switch {
 		case !record.AcceptsWork():
-		case record.Endpoint.Version != held.Version:
+		case record.Endpoint.Version != active.Version:
 			others++
-		case judgement == nil || !judgement.Faulty:
+		case assessment == nil || !assessment.Faulty:
 			nodes = append(nodes, record.Node)
 		}
 	}
 	slices.SortFunc(nodes, func(a, b string) int {
-		return compareHashes(held.Version, a, b)
+		return compareHashes(active.Version, a, b)
 	})
 	return nodes, others
 }
 
 func compareHashes(salt, a, b string) int {
-	first, second := xxhash.Sum64String(salt+"\x00"+a), xxhash.Sum64String(salt+"\x00"+b)
+	hashA, hashB := xxhash.Sum64String(salt+"\x00"+a), xxhash.Sum64String(salt+"\x00"+b)
 	switch {
-	case first < second:
+	case hashA < hashB:
 		return -1
-	case first > second:
+	case hashA > hashB:
 		return 1
 	}
 	return 0
 }
 
 // publish makes the plans anew; the lock is held.
-func (c *Controller) publish(now time.Time) {
-	made := make(map[string]*rollout.Plan, len(c.moves)+len(c.unheard))
-	for service, held := range c.moves {
-		candidates, others := c.candidates(held)
-		stint := held.TrialAssignment(candidates, others, c.options.Limits(), c.pace(held, now), now)
-		alone := c.options.Settled() && others == 0 && len(candidates) > 0
-		plan := rollout.NewPlan(held.State, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
-		plan.PromotedAt = held.moved
-		made[service] = plan
-	}
-	for service, versions := range c.unheard {
-		if made[service] == nil {
-			made[service] = rollout.NewPlan(rollout.State{}, rollout.TrialAssignment{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
+func (c *Controller) updatePlans(now time.Time) {
+	updated := make(map[string]*rollout.Plan, len(c.rollouts)+len(c.withheld))
+	for service, active := range c.rollouts {
+		candidates, others := c.candidates(active)
+		assignment := active.TrialAssignment(candidates, others, c.options.Limits(), c.requestRate(active, now), now)
+		onlyVersion := c.options.Settled() && others == 0 && len(candidates) > 0
+		plan := rollout.NewPlan(active.State, assignment, slices.Sorted(maps.Keys(c.withheld[service])), onlyVersion, c.splitter(service))
+		plan.PromotedAt = active.promotedAt
+		updated[service] = plan
+	}
+	for service, versions := range c.withheld {
+		if updated[service] == nil {
+			updated[service] = rollout.NewPlan(rollout.State{}, rollout.TrialAssignment{}, slices.Sorted(maps.Keys(versions)), false, c.splitter(service))
 		}
 	}
-	if len(made) == 0 {
+	if len(updated) == 0 {
 		c.plans.Store(nil)
 		return
 	}
-	c.plans.Store(&made)
+	c.plans.Store(&updated)
 }
 
 // paceKnown is how long requests are counted before their rate is used.
-const paceKnown = time.Second
+const minRateWindow = time.Second
 
 // pace is how often requests of a move's service come to this node; the lock is held.
-func (c *Controller) pace(held *carried, now time.Time) rollout.RequestRate {
-	pace := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
-	if elapsed := now.Sub(held.began); elapsed >= paceKnown {
-		pace.PerSecond = float64(c.split(held.Service).Requests()-held.asked) / elapsed.Seconds()
+func (c *Controller) requestRate(active *activeRollout, now time.Time) rollout.RequestRate {
+	requestRate := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
+	if elapsed := now.Sub(active.startedAt); elapsed >= minRateWindow {
+		requestRate.PerSecond = float64(c.splitter(active.Service).Requests()-active.requestsAtStart) / elapsed.Seconds()
 	}
-	return pace
+	return requestRate
 }
 
-func (c *Controller) split(service string) *rollout.Splitter {
-	if c.splits[service] == nil {
-		c.splits[service] = rollout.NewSplitter()
+func (c *Controller) splitter(service string) *rollout.Splitter {
+	if c.splitters[service] == nil {
+		c.splitters[service] = rollout.NewSplitter()
 	}
-	return c.splits[service]
+	return c.splitters[service]
 }
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	service  = "s"
-	fresh    = "v2"
-	duration = 14 * time.Second
+	service    = "s"
+	newVersion = "v2"
+	duration   = 14 * time.Second
 )
 
 // statuses is a store of one key. It is safe for concurrent use.
-type statuses struct {
+type fakeStore struct {
 	mu       sync.Mutex // guards all below
 	value    []byte
 	revision uint64
@@ -36,7 +36,7 @@
 	// written are the phases in the order in which they were written.
 	written []rollout.Phase
 	// fails says what becomes of the next call.
-	fails func() fault
+	nextFault func() fault
 }
 
 // fault is what becomes of a call.
@@ -51,18 +51,18 @@
 	late
 )
 
-const lateBy = 2 * time.Second
+const lateWriteDelay = 2 * time.Second
 
-func (s *statuses) next() fault {
+func (s *fakeStore) next() fault {
 	s.calls++
-	if s.fails == nil {
+	if s.nextFault == nil {
 		return none
 	}
-	return s.fails()
+	return s.nextFault()
 }
 
 // Get implements controller.Store.
-func (s *statuses) Get(context.Context, string) (store.KeyValue, error) {
+func (s *fakeStore) Get(context.Context, string) (store.KeyValue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -75,7 +75,7 @@
 }
 
 // CompareAndSwap implements controller.Store.
-func (s *statuses) CompareAndSwap(_ context.Context, swap store.Swap) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, swap store.Swap) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.next() {
@@ -85,7 +85,7 @@
 		_, _ = s.swap(swap)
 		return 0, store.ErrUnknownOutcome
 	case late:
-		time.AfterFunc(lateBy, func() {
+		time.AfterFunc(lateWriteDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			_, _ = s.swap(swap)
@@ -95,7 +95,7 @@
 	return s.swap(swap)
 }
 
-func (s *statuses) swap(swap store.Swap) (uint64, error) {
+func (s *fakeStore) swap(swap store.Swap) (uint64, error) {
 	if swap.ExpectedRevision != s.revision {
 		return 0, store.ErrConflict
 	}
@@ -109,7 +109,7 @@
 	return s.revision, nil
 }
 
-func (s *statuses) phase() rollout.Phase {
+func (s *fakeStore) phase() rollout.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.written) == 0 {
@@ -131,30 +131,30 @@
 // fleet is a service whose back ends are of two versions, with a node beside each.
 // Everybody reads the store. It is used by one goroutine.
 type fleet struct {
-	store  *statuses
+	store  *fakeStore
 	nodes  []*node
 	random *rand.Rand
 }
 
-const olds, news = 4, 4
+const oldNodes, newNodes = 4, 4
 
 func newFleet(seed uint64) *fleet {
-	made := &fleet{store: &statuses{}, random: rand.New(rand.NewPCG(seed, 1))}
-	for i := range olds + news {
-		made.nodes = append(made.nodes, &node{name: fmt.Sprint("node-", i)})
+	f := &fleet{store: &fakeStore{}, random: rand.New(rand.NewPCG(seed, 1))}
+	for i := range oldNodes + newNodes {
+		f.nodes = append(f.nodes, &node{name: fmt.Sprint("node-", i)})
 	}
-	for i := range made.nodes {
-		made.startAt(i, time.Now().Add(-settleTime))
+	for i := range f.nodes {
+		f.startAt(i, time.Now().Add(-settleTime))
 	}
-	made.share()
-	return made
+	f.gossip()
+	return f
 }
 
 func versionOf(index int) string {
-	if index < olds {
+	if index < oldNodes {
 		return "v1"
 	}
-	return fresh
+	return newVersion
 }
 
 // settleTime is how long a node is new.
@@ -165,15 +165,15 @@
 
 // startAt starts a process that counts as started at that moment. What it runs with is its
 // own: the process before may be in its last step still.
-func (f *fleet) startAt(index int, moment time.Time) {
-	started := f.nodes[index]
+func (f *fleet) startAt(index int, startedAt time.Time) {
+	n := f.nodes[index]
 	epoch := uint64(1)
-	if started.members != nil {
-		epoch = started.members.Own().Epoch + 1
+	if n.members != nil {
+		epoch = n.members.Own().Epoch + 1
 	}
 	members := roster.New(roster.Record{
-		Node: started.name, Epoch: epoch, Counter: 1, Address: started.name,
-		Endpoint: &roster.Endpoint{ID: "i-" + started.name, Service: service, Version: versionOf(index), Slots: 4, State: roster.Ready},
+		Node: n.name, Epoch: epoch, Counter: 1, Address: n.name,
+		Endpoint: &roster.Endpoint{ID: "i-" + n.name, Service: service, Version: versionOf(index), Slots: 4, State: roster.Ready},
 	})
 	control := controller.New(controller.Options{
 		Store: f.store, Members: members,
@@ -190,13 +190,13 @@
 		Readers: func() []*roster.Record {
 			return slices.DeleteFunc(members.View().Records(), func(record *roster.Record) bool { return record.Gone() })
 		},
-		Settled:   func() bool { return time.Since(moment) >= settleTime },
+		Settled:   func() bool { return time.Since(startedAt) >= settleTime },
 		Broadcast: func() {}, BroadcastRecord: func() {},
 		Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	members.Observe(control.Follow)
 	ctx, stop := context.WithCancel(context.Background())
-	started.members, started.control, started.stop, started.alive = members, control, stop, true
+	n.members, n.control, n.stop, n.alive = members, control, stop, true
 	go control.Run(ctx)
 }
 
@@ -206,31 +206,31 @@
 }
 
 func (f *fleet) end() {
-	for _, held := range f.nodes {
-		held.stop()
+	for _, n := range f.nodes {
+		n.stop()
 	}
 }
 
 // share tells every node what all others know.
-func (f *fleet) share() {
-	for _, teller := range f.nodes {
-		if !teller.alive {
+func (f *fleet) gossip() {
+	for _, sender := range f.nodes {
+		if !sender.alive {
 			continue
 		}
-		own, told := teller.members.Own(), teller.control.Tell()
-		for _, listener := range f.nodes {
-			if listener != teller && listener.alive {
-				listener.control.Hear(told)
-				listener.members.Merge([]*roster.Record{own})
+		own, states := sender.members.Own(), sender.control.Tell()
+		for _, receiver := range f.nodes {
+			if receiver != sender && receiver.alive {
+				receiver.control.Hear(states)
+				receiver.members.Merge([]*roster.Record{own})
 			}
 		}
 	}
 }
 
 func (f *fleet) order(revision uint64) {
-	for _, held := range f.nodes {
-		if held.alive {
-			held.control.Ordered(rollout.Order{Service: service, Version: fresh, Revision: revision, Duration: duration})
+	for _, n := range f.nodes {
+		if n.alive {
+			n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: revision, Duration: duration})
 		}
 	}
 }
@@ -256,27 +256,27 @@
 		return ""
 	}
 	index := candidates[f.random.IntN(len(candidates))]
-	taker := f.nodes[index]
-	if !taker.alive || taker.control.Refuses() {
+	target := f.nodes[index]
+	if !target.alive || target.control.Refuses() {
 		return ""
 	}
-	if taker.control.Judges() {
-		taker.control.Answered(rollout.Answer{Route: "r", Failed: bad(taker), BaselineRates: rollout.BaselineRates{Failing: 0.01, Slow: 0.01}})
+	if target.control.Judges() {
+		target.control.Answered(rollout.Answer{Route: "r", Failed: bad(target), BaselineRates: rollout.BaselineRates{Failing: 0.01, Slow: 0.01}})
 	}
-	return taker.members.Own().Endpoint.Version
+	return target.members.Own().Endpoint.Version
 }
 
-func never(*node) bool { return false }
+func neverBad(*node) bool { return false }
 
 // play sends requests for a time and shares what nodes know ten times a second.
-func (f *fleet) play(length time.Duration, bad func(*node) bool) (counts map[string]int) {
+func (f *fleet) run(length time.Duration, bad func(*node) bool) (counts map[string]int) {
 	const perSecond = 400
 	counts = map[string]int{}
 	until := time.Now().Add(length)
 	for number := 0; time.Now().Before(until); number++ {
 		counts[f.request(bad)]++
 		if number%(perSecond/10) == 0 {
-			f.share()
+			f.gossip()
 		}
 		time.Sleep(time.Second / perSecond)
 	}
@@ -285,18 +285,18 @@
 
 // TestAGoodVersion: it is on trial, then everything goes there, then it is done, by the
 // deadline, and few calls are made for it.
-func TestAGoodVersion(t *testing.T) {
+func TestGoodVersionIsPromoted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(1)
 		defer f.end()
 		f.order(7)
-		counts := f.play(12*time.Second, never)
+		counts := f.run(12*time.Second, neverBad)
 		g.Expect(f.store.phase()).To(Equal(rollout.Trial))
-		g.Expect(counts[fresh]).To(And(BeNumerically(">", 60), BeNumerically("<", 12*400/20)), "some 3 in 100 and the slack")
-		f.play(2*time.Second, never)
+		g.Expect(counts[newVersion]).To(And(BeNumerically(">", 60), BeNumerically("<", 12*400/20)), "some 3 in 100 and the slack")
+		f.run(2*time.Second, neverBad)
 		g.Expect(f.store.written).To(Equal([]rollout.Phase{rollout.Trial, rollout.Promoting, rollout.Completed}))
-		counts = f.play(time.Second, never)
+		counts = f.run(time.Second, neverBad)
 		g.Expect(counts["v1"]).To(BeZero())
 		g.Expect(f.store.calls).To(BeNumerically("<=", 2*3+len(f.nodes)), "a read and a write each, and one read of each that has its turn")
 	})
@@ -304,49 +304,49 @@
 
 // TestABadVersion: it gets nothing after a few bad answers, whoever hears of it, and the
 // store learns that it was taken back.
-func TestABadVersion(t *testing.T) {
+func TestBadVersionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(2)
 		defer f.end()
 		f.order(7)
-		shown := 0
-		counts := f.play(6*time.Second, func(*node) bool {
-			shown++
-			return shown%3 == 0
+		answers := 0
+		counts := f.run(6*time.Second, func(*node) bool {
+			answers++
+			return answers%3 == 0
 		})
 		g.Expect(f.store.phase()).To(Equal(rollout.RolledBack))
-		g.Expect(shown).To(BeNumerically("<", 100))
-		g.Expect(counts[fresh]).To(Equal(shown))
-		counts = f.play(10*time.Second, never)
-		g.Expect(counts[fresh]).To(BeZero())
+		g.Expect(answers).To(BeNumerically("<", 100))
+		g.Expect(counts[newVersion]).To(Equal(answers))
+		counts = f.run(10*time.Second, neverBad)
+		g.Expect(counts[newVersion]).To(BeZero())
 		g.Expect(f.store.phase()).To(Equal(rollout.RolledBack))
 	})
 }
 
 // TestWithoutTheStore: a bad version gets nothing all the same, and a good one is not
 // promoted.
-func TestWithoutTheStore(t *testing.T) {
-	for name, bad := range map[string]func(*node) bool{"good": never, "bad": func(*node) bool { return true }} {
+func TestStoreUnavailable(t *testing.T) {
+	for name, bad := range map[string]func(*node) bool{"good": neverBad, "bad": func(*node) bool { return true }} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(3)
 				defer f.end()
 				f.order(7)
-				f.play(3*time.Second, never)
+				f.run(3*time.Second, neverBad)
 				f.store.mu.Lock()
-				f.store.fails = func() fault { return refused }
+				f.store.nextFault = func() fault { return refused }
 				f.store.mu.Unlock()
-				f.play(3*time.Second, bad)
-				counts := f.play(13*time.Second, bad)
+				f.run(3*time.Second, bad)
+				counts := f.run(13*time.Second, bad)
 				g.Expect(f.store.written).To(Equal([]rollout.Phase{rollout.Trial}))
 				g.Expect(counts["v1"]).To(BeNumerically(">", 4500))
-				g.Expect(f.play(time.Second, bad)[fresh]).To(BeZero(), "without an end it is taken back after the deadline")
+				g.Expect(f.run(time.Second, bad)[newVersion]).To(BeZero(), "without an end it is taken back after the deadline")
 				f.store.mu.Lock()
-				f.store.fails = nil
+				f.store.nextFault = nil
 				f.store.mu.Unlock()
-				f.play(3*time.Second, bad)
+				f.run(3*time.Second, bad)
 				g.Expect(f.store.phase()).To(Equal(rollout.RolledBack))
 			})
 		})
@@ -355,98 +355,98 @@
 
 // TestAnUnheardVersion: software that no order names gets nothing until one does, or until
 // it is taken for what operators brought in another way.
-func TestAnUnheardVersion(t *testing.T) {
+func TestVersionWithoutOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(4)
 		defer f.end()
-		counts := f.play(9*time.Second, never)
+		counts := f.run(9*time.Second, neverBad)
 		g.Expect(counts["v1"]).To(BeNumerically(">", 1500))
-		for _, held := range f.nodes[:olds] {
-			plan := held.control.Plan(service)
-			g.Expect(plan).NotTo(BeNil(), held.name)
-			g.Expect(plan.Select(false).Admits(f.nodes[olds].members.Own())).To(BeFalse(), held.name)
+		for _, n := range f.nodes[:oldNodes] {
+			plan := n.control.Plan(service)
+			g.Expect(plan).NotTo(BeNil(), n.name)
+			g.Expect(plan.Select(false).Admits(f.nodes[oldNodes].members.Own())).To(BeFalse(), n.name)
 		}
-		f.play(2*time.Second, never)
-		for _, held := range f.nodes {
-			g.Expect(held.control.Plan(service)).To(BeNil(), held.name)
+		f.run(2*time.Second, neverBad)
+		for _, n := range f.nodes {
+			g.Expect(n.control.Plan(service)).To(BeNil(), n.name)
 		}
 	})
 }
 
 // TestAFreshNode: a node that has just started takes every version that it meets for one in
 // use, whichever it hears of first.
-func TestAFreshNode(t *testing.T) {
+func TestRestartedNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(5)
 		defer f.end()
 		f.order(7)
-		f.play(2*time.Second, never)
-		started := f.nodes[olds]
-		f.kill(olds)
-		f.start(olds)
+		f.run(2*time.Second, neverBad)
+		started := f.nodes[oldNodes]
+		f.kill(oldNodes)
+		f.start(oldNodes)
 		started.control.Hear(f.nodes[0].control.Tell())
-		started.members.Merge([]*roster.Record{f.nodes[olds+1].members.Own()})
+		started.members.Merge([]*roster.Record{f.nodes[oldNodes+1].members.Own()})
 		started.members.Merge([]*roster.Record{f.nodes[0].members.Own()})
 		g.Expect(started.control.Plan(service).Select(true).Admits(f.nodes[0].members.Own())).To(BeTrue())
 	})
 }
 
 // rest lets time pass without a request.
-func (f *fleet) rest(length time.Duration) {
+func (f *fleet) runIdle(length time.Duration) {
 	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		f.share()
+		f.gossip()
 	}
 }
 
 // lose has all back ends of the version before end, with their nodes.
-func (f *fleet) lose() {
-	for index := range olds {
+func (f *fleet) endOldVersion() {
+	for index := range oldNodes {
 		f.kill(index)
 		gone, _ := f.nodes[index].members.Own().MarkEnded(roster.Incarnation{ID: "i-" + f.nodes[index].name})
 		gone.Counter++
-		for _, held := range f.nodes[olds:] {
-			held.members.Merge([]*roster.Record{&gone})
+		for _, n := range f.nodes[oldNodes:] {
+			n.members.Merge([]*roster.Record{&gone})
 		}
 	}
-	f.nodes = f.nodes[olds:]
+	f.nodes = f.nodes[oldNodes:]
 }
 
 // TestTheLastVersionLeft: a version beside which no other one is left is not taken back for
 // want of evidence.
-func TestTheLastVersionLeft(t *testing.T) {
+func TestOnlyVersionLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(7)
 		defer f.end()
 		f.order(7)
-		f.rest(3 * time.Second)
-		f.lose()
-		f.rest(duration)
+		f.runIdle(3 * time.Second)
+		f.endOldVersion()
+		f.runIdle(duration)
 		g.Expect(f.store.phase()).To(Equal(rollout.Completed))
-		g.Expect(f.play(time.Second, never)[""]).To(BeZero())
+		g.Expect(f.run(time.Second, neverBad)[""]).To(BeZero())
 	})
 }
 
 // TestARepeatedOrder: an order for the version that is in use leaves nobody without back
 // ends, with requests and without, and whatever these show.
-func TestARepeatedOrder(t *testing.T) {
+func TestOrderForVersionInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newFleet(6)
 		defer f.end()
 		f.order(7)
-		f.play(duration, never)
+		f.run(duration, neverBad)
 		g.Expect(f.store.phase()).To(Equal(rollout.Completed))
-		f.lose()
+		f.endOldVersion()
 		f.order(8)
-		g.Expect(f.play(duration+time.Second, never)[""]).To(BeZero())
+		g.Expect(f.run(duration+time.Second, neverBad)[""]).To(BeZero())
 		f.order(9)
-		f.rest(duration + time.Second)
-		g.Expect(f.play(time.Second, never)[""]).To(BeZero())
+		f.runIdle(duration + time.Second)
+		g.Expect(f.run(time.Second, neverBad)[""]).To(BeZero())
 		f.order(10)
-		g.Expect(f.play(duration+time.Second, func(*node) bool { return f.random.Float64() < 0.5 })[""]).To(BeZero())
+		g.Expect(f.run(duration+time.Second, func(*node) bool { return f.random.Float64() < 0.5 })[""]).To(BeZero())
 		g.Expect(f.store.phase()).To(Equal(rollout.Completed))
 		g.Expect(f.store.revision).To(BeEquivalentTo(3+3), "each order gets its status")
 	})
@@ -455,55 +455,55 @@
 // TestPromises plays moves with random evidence, faults of the store, and nodes that end
 // and start at any moment. Nothing is written after an end, there is an end soon after the
 // deadline when the store serves again, and after an end all nodes do as it says.
-func TestPromises(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(seed)
 				defer f.end()
-				badShare := []float64{0, 0, 0.1, 0.4, 1}[f.random.IntN(5)]
-				bad := func(*node) bool { return f.random.Float64() < badShare }
-				faulty := f.random.Float64() * 0.6
+				badFraction := []float64{0, 0, 0.1, 0.4, 1}[f.random.IntN(5)]
+				bad := func(*node) bool { return f.random.Float64() < badFraction }
+				faultProbability := f.random.Float64() * 0.6
 				faults := rand.New(rand.NewPCG(seed, 2)) // used under the store's lock
-				f.store.fails = func() fault {
-					if faults.Float64() >= faulty {
+				f.store.nextFault = func() fault {
+					if faults.Float64() >= faultProbability {
 						return none
 					}
 					return []fault{refused, unanswered, late}[faults.IntN(3)]
 				}
 				f.order(7)
 				for range 16 {
-					f.play(time.Second, bad)
-					for i, held := range f.nodes {
+					f.run(time.Second, bad)
+					for i, n := range f.nodes {
 						switch {
-						case !held.alive:
+						case !n.alive:
 							f.start(i)
-							held.control.Ordered(rollout.Order{Service: service, Version: fresh, Revision: 7, Duration: duration})
+							n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 						case f.random.Float64() < 0.08:
 							f.kill(i)
 						}
 					}
 				}
 				f.store.mu.Lock()
-				f.store.fails = nil
+				f.store.nextFault = nil
 				f.store.mu.Unlock()
-				for i, held := range f.nodes {
-					if !held.alive {
+				for i, n := range f.nodes {
+					if !n.alive {
 						f.start(i)
-						held.control.Ordered(rollout.Order{Service: service, Version: fresh, Revision: 7, Duration: duration})
+						n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 					}
 				}
-				f.play(12*time.Second, bad)
+				f.run(12*time.Second, bad)
 				last := f.store.phase()
 				g.Expect(last.Final()).To(BeTrue(), "%v", f.store.written)
 				for i, phase := range f.store.written[:len(f.store.written)-1] {
 					g.Expect(phase.Final()).To(BeFalse(), "something follows on %s at %d: %v", phase, i, f.store.written)
 				}
-				counts := f.play(time.Second, bad)
+				counts := f.run(time.Second, bad)
 				other := "v1"
 				if last == rollout.RolledBack {
-					other = fresh
+					other = newVersion
 				}
 				g.Expect(counts[other]).To(BeZero(), "%v", f.store.written)
 			})
@@ -520,9 +520,9 @@
 		f.store.revision = 0
 	}
 	f.store.mu.Unlock()
-	for _, held := range f.nodes {
-		if held.alive {
-			held.control.Restored()
+	for _, n := range f.nodes {
+		if n.alive {
+			n.control.Restored()
 		}
 	}
 	f.order(store.RevisionIn(era, 3))
@@ -530,29 +530,29 @@
 
 // TestTheStoreComesBackOlder at any step of a move, up to three times, from a copy of any age: what
 // was decided stays decided, is written again, and the move ends as it would have.
-func TestTheStoreComesBackOlder(t *testing.T) {
-	for seed := range uint64(rewindSeeds) {
+func TestStoreRestoredFromCopy(t *testing.T) {
+	for seed := range uint64(restoreSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(seed)
 				defer f.end()
-				bad := never
+				bad := neverBad
 				if seed%3 == 0 {
 					bad = func(*node) bool { return f.random.Float64() < 0.4 }
 				}
 				f.order(store.RevisionIn(1, 500))
-				type copied struct {
+				type storeCopy struct {
 					value   []byte
 					counter uint64
 				}
-				copies := []copied{{}}
+				copies := []storeCopy{{}}
 				decided := rollout.Trial
 				restores := 1 + f.random.IntN(3)
 				for second := range 18 {
-					f.play(time.Second, bad)
+					f.run(time.Second, bad)
 					f.store.mu.Lock()
-					copies = append(copies, copied{value: f.store.value, counter: store.CounterOf(f.store.revision)})
+					copies = append(copies, storeCopy{value: f.store.value, counter: store.CounterOf(f.store.revision)})
 					f.store.mu.Unlock()
 					if phase := f.store.phase(); phase.Final() && !decided.Final() {
 						decided = phase
@@ -563,26 +563,26 @@
 						restores--
 					}
 				}
-				f.play(3*time.Second, bad)
+				f.run(3*time.Second, bad)
 				last := f.store.phase()
 				g.Expect(last.Final()).To(BeTrue(), "%v", f.store.written)
 				if decided.Final() {
 					g.Expect(last).To(Equal(decided), "%v", f.store.written)
 				}
 				f.store.mu.Lock()
-				held := controller.Status{}
-				g.Expect(json.Unmarshal(f.store.value, &held)).To(Succeed())
+				stored := controller.Status{}
+				g.Expect(json.Unmarshal(f.store.value, &stored)).To(Succeed())
 				f.store.mu.Unlock()
-				g.Expect(held.Phase).To(Equal(last), "the store has the end")
+				g.Expect(stored.Phase).To(Equal(last), "the store has the end")
 				other := "v1"
 				if last == rollout.RolledBack {
-					other = fresh
+					other = newVersion
 				}
-				g.Expect(f.play(time.Second, bad)[other]).To(BeZero())
+				g.Expect(f.run(time.Second, bad)[other]).To(BeZero())
 			})
 		})
 	}
 }
 
 // rewindSeeds is how many moves are played; 1,000 were by hand.
-const rewindSeeds = 30
+const restoreSeeds = 30
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -13,9 +13,9 @@
 )
 
 // judging is the judge of one back end.
-type judging struct {
+type evaluation struct {
 	incarnation roster.Incarnation
-	judge       *rollout.Detector
+	detector    *rollout.Detector
 
 	mu sync.Mutex // guards all below
 	// faulty is what others were last told, published when.
@@ -26,13 +26,13 @@
 // Judges reports whether answers of the own back end are evidence: its version is on
 // trial, or all requests have just moved to it.
 func (c *Controller) Judges() bool {
-	endpoint, plan := c.own()
+	endpoint, plan := c.ownPlan()
 	return plan != nil && plan.ComparesVersions() && endpoint.Version == plan.Version
 }
 
 // own returns the own back end and the plan of its service; the plan is nil when nothing
 // divides the service's requests.
-func (c *Controller) own() (*roster.Endpoint, *rollout.Plan) {
+func (c *Controller) ownPlan() (*roster.Endpoint, *rollout.Plan) {
 	if c.plans.Load() == nil {
 		return nil, nil
 	}
@@ -47,34 +47,34 @@
 // the back end itself was found faulty in the trial, or all requests have moved away from
 // its version.
 func (c *Controller) Refuses() bool {
-	endpoint, plan := c.own()
+	endpoint, plan := c.ownPlan()
 	if plan == nil || plan.Version == "" {
 		return false
 	}
 	if endpoint.Version != plan.Version {
-		return plan.Promoted() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= settle
+		return plan.Promoted() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= propagationGrace
 	}
 	switch plan.Phase {
 	case rollout.Condemned, rollout.RolledBack:
 		return true
 	case rollout.Trial:
-		judged := c.judging.Load()
-		return judged != nil && judged.incarnation == endpoint.Incarnation() && judged.judge.Evidence(clock.Now()).Faulty
+		current := c.evaluation.Load()
+		return current != nil && current.incarnation == endpoint.Incarnation() && current.detector.Evidence(clock.Now()).Faulty
 	}
 	return false
 }
 
 // Answered takes in what a request showed of the own back end, while Judges holds.
 func (c *Controller) Answered(answer rollout.Answer) {
-	endpoint, plan := c.own()
+	endpoint, plan := c.ownPlan()
 	if plan == nil || !plan.ComparesVersions() || endpoint.Version != plan.Version {
 		return
 	}
-	judged := c.judgeOf(endpoint)
+	current := c.evaluationOf(endpoint)
 	c.metrics.observe(endpoint.Version, answer)
 	now := clock.Now()
-	evidence := judged.judge.Observe(answer, now)
-	if !judged.isDue(evidence, now) {
+	evidence := current.detector.Observe(answer, now)
+	if !current.shouldPublish(evidence, now) {
 		return
 	}
 	c.options.Logger.Info("back end judged", zap.String("endpoint", endpoint.ID), zap.String("service", endpoint.Service),
@@ -83,7 +83,7 @@
 		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.BaselineRates.Failing), zap.Float64("usualSlow", answer.BaselineRates.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.LastAssessment = &roster.Assessment{
-			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, LogOdds: math.Round(evidence.LogOdds*leanUnits) / leanUnits,
+			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, LogOdds: math.Round(evidence.LogOdds*logOddsUnits) / logOddsUnits,
 		}
 		return record, true
 	})
@@ -96,32 +96,32 @@
 	// others are told, but for the one that it is faulty.
 	publishInterval = 500 * time.Millisecond
 	// leanUnits is how exactly a lean is told: in parts of one.
-	leanUnits = 10
+	logOddsUnits = 10
 )
 
 // isDue reports whether others are to be told of the evidence now.
-func (j *judging) isDue(evidence rollout.Evidence, now time.Time) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if evidence.Faulty == j.faulty && now.Sub(j.published) < publishInterval {
+func (e *evaluation) shouldPublish(evidence rollout.Evidence, now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if evidence.Faulty == e.faulty && now.Sub(e.published) < publishInterval {
 		return false
 	}
-	j.faulty, j.published = evidence.Faulty, now
+	e.faulty, e.published = evidence.Faulty, now
 	return true
 }
 
 // judgeOf returns the judge of the back end, a new one for another back end. A back end is
 // of one version all its life, and each version is moved to once.
-func (c *Controller) judgeOf(endpoint *roster.Endpoint) *judging {
-	held := c.judging.Load()
-	if held != nil && held.incarnation == endpoint.Incarnation() {
-		return held
+func (c *Controller) evaluationOf(endpoint *roster.Endpoint) *evaluation {
+	current := c.evaluation.Load()
+	if current != nil && current.incarnation == endpoint.Incarnation() {
+		return current
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held = c.judging.Load(); held == nil || held.incarnation != endpoint.Incarnation() {
-		held = &judging{incarnation: endpoint.Incarnation(), judge: &rollout.Detector{}}
-		c.judging.Store(held)
+	if current = c.evaluation.Load(); current == nil || current.incarnation != endpoint.Incarnation() {
+		current = &evaluation{incarnation: endpoint.Incarnation(), detector: &rollout.Detector{}}
+		c.evaluation.Store(current)
 	}
-	return held
+	return current
 }
--- a/internal/sidecar/rollout/controller/metrics.go
+++ b/internal/sidecar/rollout/controller/metrics.go
@@ -14,7 +14,7 @@
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	created := &metrics{
+	m := &metrics{
 		phase: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kestrel_sidecar_rollout_phase",
 			Help: "Phase of a service's move: 0 trial, 1 promoting, 2 condemned, 3 completed, 4 rolled back.",
@@ -23,8 +23,8 @@
 			Name: "kestrel_sidecar_rollout_answers_total", Help: "Answers of the back end beside this node while its version was judged.",
 		}, []string{"version", "result"}),
 	}
-	registry.MustRegister(created.phase, created.answers)
-	return created
+	registry.MustRegister(m.phase, m.answers)
+	return m
 }
 
 func (m *metrics) observe(version string, answer rollout.Answer) {
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -49,39 +49,39 @@
 	// deadline from the status; a smaller difference may be one of clocks.
 	clockTolerance = 4 * time.Second
 	// retryBase and retryMost bound the pause after a failed write.
-	retryBase = 100 * time.Millisecond
-	retryMost = time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // act begins to write the phase that is due, when it is this node's turn; the lock is
 // held.
-func (c *Controller) act(ctx context.Context, held *carried, tally rollout.Tally, now time.Time) {
-	phase, due := held.DuePhase(tally, c.options.Limits(), now)
+func (c *Controller) writeDue(ctx context.Context, active *activeRollout, tally rollout.Tally, now time.Time) {
+	phase, due := active.DuePhase(tally, c.options.Limits(), now)
 	if !due {
-		held.dueSince = time.Time{}
+		active.dueSince = time.Time{}
 		return
 	}
-	if held.dueSince.IsZero() || held.due != phase {
-		held.due, held.dueSince = phase, now
+	if active.dueSince.IsZero() || active.due != phase {
+		active.due, active.dueSince = phase, now
 	}
-	if held.writing || now.Before(held.notBefore) || !c.turn(held, phase, now) {
+	if active.writing || now.Before(active.notBefore) || !c.isTurn(active, phase, now) {
 		return
 	}
-	held.writing, held.notBefore = true, now.Add(retryBase)
-	next := held.WithRecordedPhase(phase)
+	active.writing, active.notBefore = true, now.Add(minRetryDelay)
+	next := active.WithRecordedPhase(phase)
 	go c.write(ctx, next)
 }
 
 // turn reports whether this node is to write what has been due since then: the readers
 // act one after the other, each when those before have not.
-func (c *Controller) turn(held *carried, phase rollout.Phase, now time.Time) bool {
+func (c *Controller) isTurn(active *activeRollout, phase rollout.Phase, now time.Time) bool {
 	own := c.options.Members.Own().Node
 	readers := c.options.Readers()
 	names := make([]string, len(readers))
 	for i, record := range readers {
 		names[i] = record.Node
 	}
-	slices.SortFunc(names, func(a, b string) int { return compareHashes(held.Service, a, b) })
+	slices.SortFunc(names, func(a, b string) int { return compareHashes(active.Service, a, b) })
 	rank := slices.Index(names, own)
 	if rank < 0 {
 		return false
@@ -90,48 +90,48 @@
 	if phase == rollout.Promoting || phase == rollout.Completed {
 		delay = urgentDelay
 	}
-	return now.Sub(held.dueSince) >= time.Duration(rank)*delay
+	return now.Sub(active.dueSince) >= time.Duration(rank)*delay
 }
 
 // write brings the store to a phase of a move. The key is read first: a condition on its
 // revision keeps apart what two nodes decide, and keeps a write whose answer was lost from
 // taking effect after a later one.
 func (c *Controller) write(ctx context.Context, next rollout.State) {
-	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	stored, revision, err := c.stored(bounded, next.Service)
-	if err == nil && stored.Revision == next.Revision && (stored.Phase.Final() || stored.Phase >= next.Phase) {
-		c.wrote(next.WithRecordedPhase(stored.Phase), clock.FromWallTime(stored.Deadline))
+	storedStatus, revision, err := c.storedStatus(writeCtx, next.Service)
+	if err == nil && storedStatus.Revision == next.Revision && (storedStatus.Phase.Final() || storedStatus.Phase >= next.Phase) {
+		c.writeSucceeded(next.WithRecordedPhase(storedStatus.Phase), clock.FromWallTime(storedStatus.Deadline))
 		return
 	}
 	if err == nil {
-		err = c.swap(bounded, next, revision)
+		err = c.swapStatus(writeCtx, next, revision)
 	}
 	if err != nil {
-		c.notWritten(next, err)
+		c.writeFailed(next, err)
 		return
 	}
-	c.wrote(next, time.Time{})
+	c.writeSucceeded(next, time.Time{})
 }
 
 // stored reads the status of a service's move, an empty one when there is none.
-func (c *Controller) stored(ctx context.Context, service string) (Status, uint64, error) {
-	found, err := c.options.Store.Get(ctx, c.options.Codec.StatusKey(service))
+func (c *Controller) storedStatus(ctx context.Context, service string) (Status, uint64, error) {
+	item, err := c.options.Store.Get(ctx, c.options.Codec.StatusKey(service))
 	if errors.Is(err, store.ErrNotFound) {
 		return Status{}, 0, nil
 	}
 	if err != nil {
 		return Status{}, 0, err
 	}
-	status, err := c.options.Codec.DecodeStatus(found.Value)
+	status, err := c.options.Codec.DecodeStatus(item.Value)
 	if err != nil {
 		c.options.Logger.Warn("status of a roll-out cannot be read, it will be replaced",
 			zap.String("service", service), zap.Error(err))
 	}
-	return status, found.Revision, nil
+	return status, item.Revision, nil
 }
 
-func (c *Controller) swap(ctx context.Context, next rollout.State, revision uint64) error {
+func (c *Controller) swapStatus(ctx context.Context, next rollout.State, revision uint64) error {
 	value, err := c.options.Codec.EncodeStatus(Status{
 		Service: next.Service, Version: next.Version, Revision: next.Order.Revision, Phase: next.Phase, Deadline: clock.WallTime(next.Deadline),
 	})
@@ -146,47 +146,47 @@
 
 // wrote takes in that the store has the phase. deadline is the one that the store had,
 // zero when this node has just written its own.
-func (c *Controller) wrote(move rollout.State, deadline time.Time) {
+func (c *Controller) writeSucceeded(state rollout.State, deadline time.Time) {
 	now := clock.Now()
 	c.mu.Lock()
-	held := c.moves[move.Service]
-	if held == nil || held.Revision != move.Revision {
+	active := c.rollouts[state.Service]
+	if active == nil || active.Revision != state.Revision {
 		c.mu.Unlock()
 		return
 	}
-	held.writing, held.failures = false, 0
-	if !deadline.IsZero() && held.Deadline.Sub(deadline) > clockTolerance {
-		held.Deadline = deadline
+	active.writing, active.failures = false, 0
+	if !deadline.IsZero() && active.Deadline.Sub(deadline) > clockTolerance {
+		active.Deadline = deadline
 	}
-	merged, news := held.Merge(move)
-	if move.Phase.Final() {
+	merged, changed := active.Merge(state)
+	if state.Phase.Final() {
 		// What the store has is the end, whatever this node took for it.
-		news = held.Phase != move.Phase
-		merged.Phase, merged.Cause, merged.Recorded = move.Phase, move.Cause, true
+		changed = active.Phase != state.Phase
+		merged.Phase, merged.Cause, merged.Recorded = state.Phase, state.Cause, true
 	}
-	held.State = merged
-	if news {
-		c.entered(held, now)
-		c.publish(now)
+	active.State = merged
+	if changed {
+		c.enterPhase(active, now)
+		c.updatePlans(now)
 	}
 	c.mu.Unlock()
-	if news {
+	if changed {
 		c.options.Broadcast()
 	}
 	c.signal()
 }
 
 // notWritten logs a failed write and has the next one wait.
-func (c *Controller) notWritten(move rollout.State, err error) {
-	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", move.Service),
-		zap.Stringer("phase", move.Phase), zap.Error(err))
+func (c *Controller) writeFailed(state rollout.State, err error) {
+	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", state.Service),
+		zap.Stringer("phase", state.Phase), zap.Error(err))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.moves[move.Service]
-	if held == nil || held.Revision != move.Revision {
+	active := c.rollouts[state.Service]
+	if active == nil || active.Revision != state.Revision {
 		return
 	}
-	held.writing = false
-	held.notBefore = clock.Now().Add(min(retryBase<<min(held.failures, 4), retryMost))
-	held.failures++
+	active.writing = false
+	active.notBefore = clock.Now().Add(min(minRetryDelay<<min(active.failures, 4), maxRetryDelay))
+	active.failures++
 }
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -38,40 +38,40 @@
 // the same ratio without the floor, Wald's sequential test, as a lean that fades.
 const (
 	// usualFactor and usualMargin make the share that is still taken for usual.
-	usualFactor, usualMargin, usualMost = 1.5, 0.03, 0.6
+	baselineFactor, baselineMargin, maxExpected = 1.5, 0.03, 0.6
 	// badMargin is how much greater the share is that the test looks for: a version of
 	// which a third of the answers is eight times as slow shows 0.3 of them as slow.
 	badMargin = 0.2
 	// alarm is the sum at which a back end is called faulty: four bad answers in a row.
-	alarm = 4.5
+	alarmThreshold = 4.5
 	// waryPart is the part of the alarm at which a back end no longer speaks for its version:
 	// one route of several may be bad while all together look well. Of 1,000 versions of which
 	// half of one route of three is slow, 72 are promoted with 8 requests a second on trial in
 	// place of 109, and as many good ones (TestFewRequests).
-	waryPart = 0.5
+	suspectFraction = 0.5
 	// leanMost bounds the lean of one back end: it is to be outweighed by others.
-	leanMost = 4.0
+	maxLogOdds = 4.0
 	// leanHalfLife is the time in which half of a lean is forgotten: what a version did
 	// before it turned bad is not to vouch for it.
-	leanHalfLife = 4 * time.Second
+	logOddsHalfLife = 4 * time.Second
 	// routesMost bounds the routes that are told apart.
-	routesMost = 64
+	maxRoutes = 64
 )
 
 // Detector gathers the evidence of one back end. It is safe for concurrent use; the zero
 // value has seen nothing.
 type Detector struct {
 	mu     sync.Mutex // guards all below
-	all    sums
-	routes map[string]*sums
-	seen   Evidence
+	all    cusum
+	routes map[string]*cusum
+	totals Evidence
 	// lean is above zero while answers speak against the back end.
-	lean float64
-	last time.Time
+	logOdds   float64
+	updatedAt time.Time
 }
 
 // sums are those of some routes.
-type sums struct{ failing, slow float64 }
+type cusum struct{ failing, slow float64 }
 
 // Evidence is what a judge has seen and thinks.
 type Evidence struct {
@@ -84,30 +84,30 @@
 }
 
 // Evidence returns what was seen so far.
-func (j *Detector) Evidence(now time.Time) Evidence {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.evidence(now)
+func (d *Detector) Evidence(now time.Time) Evidence {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.evidence(now)
 }
 
-func (j *Detector) evidence(now time.Time) Evidence {
-	j.fade(now)
-	found := j.seen
-	found.LogOdds = j.lean
-	if j.wary() {
-		found.LogOdds = max(j.lean, 0)
+func (d *Detector) evidence(now time.Time) Evidence {
+	d.decay(now)
+	result := d.totals
+	result.LogOdds = d.logOdds
+	if d.suspect() {
+		result.LogOdds = max(d.logOdds, 0)
 	}
-	return found
+	return result
 }
 
 // wary reports whether a sum is on its way to the alarm: the back end does not speak for its
 // version then.
-func (j *Detector) wary() bool {
-	if j.all.highest() >= waryPart*alarm {
+func (d *Detector) suspect() bool {
+	if d.all.peak() >= suspectFraction*alarmThreshold {
 		return true
 	}
-	for _, held := range j.routes {
-		if held.highest() >= waryPart*alarm {
+	for _, route := range d.routes {
+		if route.peak() >= suspectFraction*alarmThreshold {
 			return true
 		}
 	}
@@ -115,78 +115,78 @@
 }
 
 // Observe takes in one answer and returns what the judge thinks then.
-func (j *Detector) Observe(answer Answer, now time.Time) Evidence {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.count(answer)
-	failing, slow := weight(answer.Failed, answer.BaselineRates.Failing), weight(answer.Slow, answer.BaselineRates.Slow)
-	loud := j.all.add(failing, slow)
-	loud = j.sumsOf(answer.Route).add(failing, slow) || loud
-	j.seen.Faulty = j.seen.Faulty || loud
-	j.fade(now)
-	j.lean = min(max(j.lean+strongest(failing, slow), -leanMost), leanMost)
-	return j.evidence(now)
+func (d *Detector) Observe(answer Answer, now time.Time) Evidence {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.count(answer)
+	failing, slow := logLikelihoodRatio(answer.Failed, answer.BaselineRates.Failing), logLikelihoodRatio(answer.Slow, answer.BaselineRates.Slow)
+	alarmed := d.all.add(failing, slow)
+	alarmed = d.cusumOf(answer.Route).add(failing, slow) || alarmed
+	d.totals.Faulty = d.totals.Faulty || alarmed
+	d.decay(now)
+	d.logOdds = min(max(d.logOdds+combinedRatio(failing, slow), -maxLogOdds), maxLogOdds)
+	return d.evidence(now)
 }
 
-func (j *Detector) count(answer Answer) {
-	j.seen.Answers++
+func (d *Detector) count(answer Answer) {
+	d.totals.Answers++
 	if answer.Failed {
-		j.seen.Failed++
+		d.totals.Failed++
 	}
 	if answer.Slow {
-		j.seen.Slow++
+		d.totals.Slow++
 	}
 }
 
 // strongest returns what an answer says in all: bad in one way is bad, and good in two
 // ways is not twice as good.
-func strongest(failing, slow float64) float64 {
+func combinedRatio(failing, slow float64) float64 {
 	if failing > 0 || slow > 0 {
 		return max(failing, slow)
 	}
 	return (failing + slow) / 2
 }
 
-func (j *Detector) fade(now time.Time) {
-	if passed := now.Sub(j.last); !j.last.IsZero() && passed > 0 {
-		j.lean *= math.Exp2(-float64(passed) / float64(leanHalfLife))
+func (d *Detector) decay(now time.Time) {
+	if elapsed := now.Sub(d.updatedAt); !d.updatedAt.IsZero() && elapsed > 0 {
+		d.logOdds *= math.Exp2(-float64(elapsed) / float64(logOddsHalfLife))
 	}
-	j.last = now
+	d.updatedAt = now
 }
 
-func (j *Detector) sumsOf(route string) *sums {
-	if j.routes == nil {
-		j.routes = map[string]*sums{}
+func (d *Detector) cusumOf(route string) *cusum {
+	if d.routes == nil {
+		d.routes = map[string]*cusum{}
 	}
-	held := j.routes[route]
-	if held == nil && len(j.routes) >= routesMost {
-		return &j.all
+	routeCUSUM := d.routes[route]
+	if routeCUSUM == nil && len(d.routes) >= maxRoutes {
+		return &d.all
 	}
-	if held == nil {
-		held = &sums{}
-		j.routes[route] = held
+	if routeCUSUM == nil {
+		routeCUSUM = &cusum{}
+		d.routes[route] = routeCUSUM
 	}
-	return held
+	return routeCUSUM
 }
 
-func (s *sums) highest() float64 { return max(s.failing, s.slow) }
+func (c *cusum) peak() float64 { return max(c.failing, c.slow) }
 
 // add takes in one answer and reports whether the alarm is raised.
-func (s *sums) add(failing, slow float64) bool {
-	s.failing = max(s.failing+failing, 0)
-	s.slow = max(s.slow+slow, 0)
-	return s.failing >= alarm || s.slow >= alarm
+func (c *cusum) add(failing, slow float64) bool {
+	c.failing = max(c.failing+failing, 0)
+	c.slow = max(c.slow+slow, 0)
+	return c.failing >= alarmThreshold || c.slow >= alarmThreshold
 }
 
 // weight is the log-likelihood ratio of one answer. usual is the share of bad answers
 // that the versions before give.
-func weight(bad bool, usual float64) float64 {
-	expected := min(max(usual, 0)*usualFactor+usualMargin, usualMost)
-	worse := expected + badMargin
+func logLikelihoodRatio(bad bool, baseline float64) float64 {
+	expected := min(max(baseline, 0)*baselineFactor+baselineMargin, maxExpected)
+	shifted := expected + badMargin
 	if bad {
-		return math.Log(worse / expected)
+		return math.Log(shifted / expected)
 	}
-	return math.Log((1 - worse) / (1 - expected))
+	return math.Log((1 - shifted) / (1 - expected))
 }
 
 // Tally sums up what the back ends of a version show.
@@ -204,79 +204,79 @@
 }
 
 // last reports whether no other version is left to go back to.
-func (t Tally) last() bool { return t.Present > 0 && t.Others == 0 }
+func (t Tally) onlyVersion() bool { return t.Present > 0 && t.Others == 0 }
 
 // clearLean is how far one back end leans clearly.
-const clearLean = 1.0
+const clearLogOdds = 1.0
 
 // Add takes in what one back end shows.
-func (t *Tally) Add(answers int, faulty bool, lean float64) {
+func (t *Tally) Add(answers int, faulty bool, logOdds float64) {
 	if answers == 0 {
 		return
 	}
 	t.Answered++
-	lean = min(max(lean, -leanMost), leanMost)
-	t.LogOdds += lean
+	logOdds = min(max(logOdds, -maxLogOdds), maxLogOdds)
+	t.LogOdds += logOdds
 	switch {
 	case faulty:
 		t.Faulty++
-	case lean >= clearLean:
+	case logOdds >= clearLogOdds:
 		t.Against++
-	case lean <= -clearLean:
+	case logOdds <= -clearLogOdds:
 		t.For++
 	}
 }
 
 const (
 	// severalBackEnds is how many back ends must agree: one may be bad by itself.
-	severalBackEnds = 2
+	quorumSize = 2
 	// condemningLean and promotingLean are the sums of leans at which a version is
 	// condemned and promoted: odds of 55 and 148 to 1. Of 1,000 simulated versions of which a
 	// third of the answers is eight times as slow from 10 s of 14 s on, 0, 19 and 4 are
 	// promoted with 25, 8 and 4 requests a second on trial, of good ones 1,000, 996 and 708. With
 	// requests spread evenly over the trial and a lean of -4 it were 43, 190 and 12, and 1,000,
 	// 997 and 645 (TestBadVersions, TestFewRequests).
-	condemningLean = 4.0
-	promotingLean  = -5.0
+	condemnThreshold = 4.0
+	promoteThreshold = -5.0
 	// loneLean is the lean at which a version of one back end is promoted: more than leanMost
 	// that one cannot say, and it fades between two answers.
-	loneLean = -3.5
+	singlePromoteThreshold = -3.5
 	// headroom is how much more than the load of the others the version must have room
 	// for. Of as many back ends as others leastRoom must be there at any load, and no more
 	// than mostRoom need be. A version that had lost 8 of its 22 back ends to a scale-in
 	// and was promoted at full load left a third of the callers refused for the rest of
 	// the day.
-	headroom            = 1.2
-	leastRoom, mostRoom = 0.5, 0.9
+	headroomFactor           = 1.2
+	minCapacity, maxCapacity = 0.5, 0.9
 )
 
 // several is how many back ends must agree, of a version with fewer all of them.
-func (t Tally) several() int { return min(severalBackEnds, max(t.Present, 1)) }
+func (t Tally) quorum() int { return min(quorumSize, max(t.Present, 1)) }
 
 // Condemns reports whether the version is bad: several back ends are faulty, and no fewer
 // than speak for it; or several speak against it, and all together do so clearly.
 func (t Tally) Condemns() bool {
-	if t.Faulty >= t.several() && t.Faulty >= t.For {
+	if t.Faulty >= t.quorum() && t.Faulty >= t.For {
 		return true
 	}
-	return t.Faulty+t.Against >= t.several() && t.LogOdds >= condemningLean
+	return t.Faulty+t.Against >= t.quorum() && t.LogOdds >= condemnThreshold
 }
 
 // Promotes reports whether all requests may move: several back ends have answered, all
 // together they speak for the version, and there are enough of them.
 func (t Tally) Promotes() bool {
-	return !t.Condemns() && t.Present > 0 && t.Answered >= t.several() && t.LogOdds <= t.promotingLean() && t.hasRoom()
+	return !t.Condemns() && t.Present > 0 && t.Answered >= t.quorum() && t.LogOdds <= t.promoteThreshold() && t.hasCapacity()
 }
 
-func (t Tally) promotingLean() float64 {
+func (t Tally) promoteThreshold() float64 {
 	if t.Present == 1 {
-		return loneLean
+		return singlePromoteThreshold
 	}
-	return promotingLean
+	return promoteThreshold
 }
 
 // hasRoom reports whether the version's back ends can take what the others do now.
-func (t Tally) hasRoom() bool {
-	needed := min(max(t.Load*headroom, leastRoom), mostRoom)
+func (t Tally) hasCapacity() bool {
+	needed := min(max(t.Load*headroomFactor, minCapacity), maxCapacity)
 	return float64(t.Present) >= needed*float64(t.Others)
 }
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -22,25 +22,25 @@
 	OnlyVersion bool
 	// PromotedAt is since when all requests go to the version, zero while they do not.
 	PromotedAt time.Time
-	split      *Splitter
+	splitter   *Splitter
 }
 
 // Splitter divides the requests of one service and outlives its plans.
 type Splitter struct {
 	sequence *evenly.Sequence
 	// asked counts the requests that were divided.
-	asked atomic.Int64
+	requests atomic.Int64
 }
 
 // Requests returns how many requests were divided.
-func (s *Splitter) Requests() int64 { return s.asked.Load() }
+func (s *Splitter) Requests() int64 { return s.requests.Load() }
 
 // NewSplitter returns a split.
 func NewSplitter() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
 // NewPlan returns a plan that goes on with a split.
-func NewPlan(move State, stint TrialAssignment, held []string, alone bool, split *Splitter) *Plan {
-	return &Plan{Version: move.Version, Phase: move.Phase, TrialAssignment: stint, HeldVersions: held, OnlyVersion: alone, split: split}
+func NewPlan(state State, assignment TrialAssignment, heldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
+	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, HeldVersions: heldVersions, OnlyVersion: onlyVersion, splitter: splitter}
 }
 
 // Promoted reports whether all requests go to the version.
@@ -54,24 +54,26 @@
 }
 
 // Select returns who may take a request. One that was sent before is not for a trial.
-func (p *Plan) Select(sentBefore bool) Selection {
-	if !sentBefore {
-		p.split.asked.Add(1)
+func (p *Plan) Select(retry bool) Selection {
+	if !retry {
+		p.splitter.requests.Add(1)
 	}
 	switch {
 	case p.Promoted():
 		return Only(p.Version)
-	case !sentBefore && len(p.TrialAssignment.BackEnds) > 0:
-		if place := p.split.sequence.NextFraction(); place < p.TrialAssignment.Share {
-			index := int(place / p.TrialAssignment.Share * float64(len(p.TrialAssignment.BackEnds)))
+	case !retry && len(p.TrialAssignment.BackEnds) > 0:
+		if position := p.splitter.sequence.NextFraction(); position < p.TrialAssignment.Share {
+			index := int(position / p.TrialAssignment.Share * float64(len(p.TrialAssignment.BackEnds)))
 			return Node(p.TrialAssignment.BackEnds[min(index, len(p.TrialAssignment.BackEnds)-1)], p.Version)
 		}
 	}
-	return p.others()
+	return p.otherVersions()
 }
 
 // others are the back ends that the move leaves alone.
-func (p *Plan) others() Selection { return Without(append(slices.Clone(p.HeldVersions), p.Version)...) }
+func (p *Plan) otherVersions() Selection {
+	return Without(append(slices.Clone(p.HeldVersions), p.Version)...)
+}
 
 // Fallback returns who takes a request when none of those selected is there. While a
 // version is on trial, or was judged bad, its back ends do not stand in for others: right
@@ -80,5 +82,5 @@
 	if p.Promoted() {
 		return All()
 	}
-	return p.others()
+	return p.otherVersions()
 }
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -75,47 +75,47 @@
 // Merge returns what is known after another node's account of the service's move, and
 // whether that is news. The later order holds; of one order the later phase, and the
 // earlier deadline, since whoever heard late counts from then.
-func (m State) Merge(other State) (merged State, news bool) {
-	switch order := cmp.Compare(other.Revision, m.Revision); {
-	case order > 0 && m.ReissuedBy(other):
-		return m.adopted(other), true
+func (s State) Merge(other State) (merged State, changed bool) {
+	switch order := cmp.Compare(other.Revision, s.Revision); {
+	case order > 0 && s.ReissuedBy(other):
+		return s.withReissuedOrder(other), true
 	case order > 0:
 		return other, true
 	case order < 0:
-		return m, false
+		return s, false
 	}
-	if other.Deadline.Before(m.Deadline) {
-		m.Deadline = other.Deadline
+	if other.Deadline.Before(s.Deadline) {
+		s.Deadline = other.Deadline
 	}
-	if other.Phase == m.Phase {
-		m.Recorded = m.Recorded || other.Recorded
+	if other.Phase == s.Phase {
+		s.Recorded = s.Recorded || other.Recorded
 	}
-	if other.Phase <= m.Phase || m.Phase.Final() {
-		return m, false
+	if other.Phase <= s.Phase || s.Phase.Final() {
+		return s, false
 	}
-	m.Phase, m.Cause, m.Recorded = other.Phase, other.Cause, other.Recorded
-	return m, true
+	s.Phase, s.Cause, s.Recorded = other.Phase, other.Cause, other.Recorded
+	return s, true
 }
 
 // ReissuedBy reports whether the other move is of the same order, which operators have written again
 // since the store came back from an older copy. Within one era the same words are another order.
-func (m State) ReissuedBy(other State) bool {
-	return store.EraOf(other.Revision) > store.EraOf(m.Revision) &&
-		other.Service == m.Service && other.Version == m.Version && other.Duration == m.Duration
+func (s State) ReissuedBy(other State) bool {
+	return store.EraOf(other.Revision) > store.EraOf(s.Revision) &&
+		other.Service == s.Service && other.Version == s.Version && other.Duration == s.Duration
 }
 
 // adopted returns the move under the revision of its order that was written again. What was decided
 // stays decided, whatever the store has lost; of two ends the one that this node knows stays.
-func (m State) adopted(other State) State {
-	m.Revision = other.Revision
-	if other.Deadline.Before(m.Deadline) {
-		m.Deadline = other.Deadline
+func (s State) withReissuedOrder(other State) State {
+	s.Revision = other.Revision
+	if other.Deadline.Before(s.Deadline) {
+		s.Deadline = other.Deadline
 	}
-	m.Recorded = false
-	if other.Phase > m.Phase && !m.Phase.Final() {
-		m.Phase, m.Cause, m.Recorded = other.Phase, other.Cause, other.Recorded
+	s.Recorded = false
+	if other.Phase > s.Phase && !s.Phase.Final() {
+		s.Phase, s.Cause, s.Recorded = other.Phase, other.Cause, other.Recorded
 	}
-	return m
+	return s
 }
 
 // WireState is a move as one node tells it to another. Clocks differ, so that what is left
@@ -132,27 +132,27 @@
 }
 
 // Tell returns the move as it is told at that moment.
-func (m State) Tell(now time.Time) WireState {
+func (s State) Tell(now time.Time) WireState {
 	return WireState{
-		Service: m.Service, Version: m.Version, Revision: m.Revision, DurationMS: m.Duration.Milliseconds(),
-		LeftMS: m.Deadline.Sub(now).Milliseconds(), Phase: m.Phase, Recorded: m.Recorded, Cause: m.Cause,
+		Service: s.Service, Version: s.Version, Revision: s.Revision, DurationMS: s.Duration.Milliseconds(),
+		LeftMS: s.Deadline.Sub(now).Milliseconds(), Phase: s.Phase, Recorded: s.Recorded, Cause: s.Cause,
 	}
 }
 
 // longestMS bounds the times that a peer may tell, in milliseconds.
-const longestMS = int64(24 * time.Hour / time.Millisecond)
+const maxDurationMS = int64(24 * time.Hour / time.Millisecond)
 
 // Hear returns the move that was told, and whether it is one.
-func (t WireState) Hear(now time.Time) (State, bool) {
-	if t.Service == "" || t.Version == "" || t.Revision == 0 || t.Phase < Trial || t.Phase > RolledBack ||
-		t.DurationMS <= 0 || t.DurationMS > longestMS || t.LeftMS > t.DurationMS || t.LeftMS < -longestMS {
+func (w WireState) Hear(now time.Time) (State, bool) {
+	if w.Service == "" || w.Version == "" || w.Revision == 0 || w.Phase < Trial || w.Phase > RolledBack ||
+		w.DurationMS <= 0 || w.DurationMS > maxDurationMS || w.LeftMS > w.DurationMS || w.LeftMS < -maxDurationMS {
 		return State{}, false
 	}
 	return State{
 		Order: Order{
-			Service: t.Service, Version: t.Version, Revision: t.Revision,
-			Duration: time.Duration(t.DurationMS) * time.Millisecond,
+			Service: w.Service, Version: w.Version, Revision: w.Revision,
+			Duration: time.Duration(w.DurationMS) * time.Millisecond,
 		},
-		Phase: t.Phase, Recorded: t.Recorded, Deadline: now.Add(time.Duration(t.LeftMS) * time.Millisecond), Cause: t.Cause,
+		Phase: w.Phase, Recorded: w.Recorded, Deadline: now.Add(time.Duration(w.LeftMS) * time.Millisecond), Cause: w.Cause,
 	}, true
 }
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -13,125 +13,125 @@
 
 var start = time.Unix(1000, 0)
 
-func order(revision uint64) rollout.Order {
+func newOrder(revision uint64) rollout.Order {
 	return rollout.Order{Service: "s", Version: "v2", Revision: revision, Duration: 14 * time.Second}
 }
 
-func inPhase(phase rollout.Phase) rollout.State {
-	move := rollout.NewState(order(5), start)
-	move.Phase = phase
-	return move
+func stateInPhase(phase rollout.Phase) rollout.State {
+	state := rollout.NewState(newOrder(5), start)
+	state.Phase = phase
+	return state
 }
 
 // TestMerge: the later order holds, of one order the later phase, and a move that is
 // over stays as it is.
 func TestMerge(t *testing.T) {
-	later := rollout.NewState(order(6), start)
+	later := rollout.NewState(newOrder(6), start)
 	cases := []struct {
-		name        string
-		held, other rollout.State
-		want        rollout.Phase
-		revision    uint64
-		news        bool
+		name          string
+		local, remote rollout.State
+		want          rollout.Phase
+		revision      uint64
+		changed       bool
 	}{
-		{"nothing was known", rollout.State{}, inPhase(rollout.Trial), rollout.Trial, 5, true},
-		{"the same", inPhase(rollout.Trial), inPhase(rollout.Trial), rollout.Trial, 5, false},
-		{"a later phase", inPhase(rollout.Trial), inPhase(rollout.Promoting), rollout.Promoting, 5, true},
-		{"an earlier phase", inPhase(rollout.Promoting), inPhase(rollout.Trial), rollout.Promoting, 5, false},
-		{"condemned while it is promoted", inPhase(rollout.Promoting), inPhase(rollout.Condemned), rollout.Condemned, 5, true},
-		{"done, whoever condemned it", inPhase(rollout.Condemned), inPhase(rollout.Completed), rollout.Completed, 5, true},
-		{"nothing follows on done", inPhase(rollout.Completed), inPhase(rollout.RolledBack), rollout.Completed, 5, false},
-		{"nothing follows on taken back", inPhase(rollout.RolledBack), inPhase(rollout.Completed), rollout.RolledBack, 5, false},
-		{"a later order", inPhase(rollout.Completed), later, rollout.Trial, 6, true},
-		{"an earlier order", later, inPhase(rollout.Completed), rollout.Trial, 6, false},
+		{"nothing was known", rollout.State{}, stateInPhase(rollout.Trial), rollout.Trial, 5, true},
+		{"the same", stateInPhase(rollout.Trial), stateInPhase(rollout.Trial), rollout.Trial, 5, false},
+		{"a later phase", stateInPhase(rollout.Trial), stateInPhase(rollout.Promoting), rollout.Promoting, 5, true},
+		{"an earlier phase", stateInPhase(rollout.Promoting), stateInPhase(rollout.Trial), rollout.Promoting, 5, false},
+		{"condemned while it is promoted", stateInPhase(rollout.Promoting), stateInPhase(rollout.Condemned), rollout.Condemned, 5, true},
+		{"done, whoever condemned it", stateInPhase(rollout.Condemned), stateInPhase(rollout.Completed), rollout.Completed, 5, true},
+		{"nothing follows on done", stateInPhase(rollout.Completed), stateInPhase(rollout.RolledBack), rollout.Completed, 5, false},
+		{"nothing follows on taken back", stateInPhase(rollout.RolledBack), stateInPhase(rollout.Completed), rollout.RolledBack, 5, false},
+		{"a later order", stateInPhase(rollout.Completed), later, rollout.Trial, 6, true},
+		{"an earlier order", later, stateInPhase(rollout.Completed), rollout.Trial, 6, false},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			merged, news := met.held.Merge(met.other)
-			g.Expect(merged.Phase).To(Equal(met.want))
-			g.Expect(merged.Revision).To(Equal(met.revision))
-			g.Expect(news).To(Equal(met.news))
+			merged, changed := tc.local.Merge(tc.remote)
+			g.Expect(merged.Phase).To(Equal(tc.want))
+			g.Expect(merged.Revision).To(Equal(tc.revision))
+			g.Expect(changed).To(Equal(tc.changed))
 		})
 	}
 }
 
 // TestTheEarlierDeadlineHolds: who heard late counts from then, who heard early is right.
-func TestTheEarlierDeadlineHolds(t *testing.T) {
+func TestMergeKeepsEarlierDeadline(t *testing.T) {
 	g := NewWithT(t)
-	heardLate := rollout.NewState(order(5), start.Add(time.Second))
-	merged, news := heardLate.Merge(rollout.NewState(order(5), start))
-	g.Expect(news).To(BeFalse())
+	receivedLate := rollout.NewState(newOrder(5), start.Add(time.Second))
+	merged, changed := receivedLate.Merge(rollout.NewState(newOrder(5), start))
+	g.Expect(changed).To(BeFalse())
 	g.Expect(merged.Deadline).To(Equal(start.Add(14 * time.Second)))
 }
 
 // TestWhatTheStoreHas: that a phase was written is known from any node that knows, and
 // holds for that phase only.
-func TestWhatTheStoreHas(t *testing.T) {
+func TestMergeRecorded(t *testing.T) {
 	g := NewWithT(t)
-	written := inPhase(rollout.Trial)
-	written.Recorded = true
-	merged, news := inPhase(rollout.Trial).Merge(written)
-	g.Expect(news).To(BeFalse())
+	recorded := stateInPhase(rollout.Trial)
+	recorded.Recorded = true
+	merged, changed := stateInPhase(rollout.Trial).Merge(recorded)
+	g.Expect(changed).To(BeFalse())
 	g.Expect(merged.Recorded).To(BeTrue())
-	merged, _ = merged.Merge(inPhase(rollout.Condemned))
+	merged, _ = merged.Merge(stateInPhase(rollout.Condemned))
 	g.Expect(merged.Recorded).To(BeFalse())
-	merged, _ = merged.Merge(written)
+	merged, _ = merged.Merge(recorded)
 	g.Expect(merged.Recorded).To(BeFalse())
 }
 
 // TestTold: a move is the same after it was told, by a clock that is elsewhere.
-func TestTold(t *testing.T) {
+func TestWireStateRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	move := inPhase(rollout.Condemned)
-	move.Cause, move.Recorded = rollout.CauseFaulty, true
-	there := time.Unix(90000, 0)
-	heard, valid := move.Tell(start.Add(4 * time.Second)).Hear(there)
+	state := stateInPhase(rollout.Condemned)
+	state.Cause, state.Recorded = rollout.CauseFaulty, true
+	remoteNow := time.Unix(90000, 0)
+	decoded, valid := state.Tell(start.Add(4 * time.Second)).Hear(remoteNow)
 	g.Expect(valid).To(BeTrue())
-	g.Expect(heard.Deadline).To(Equal(there.Add(10 * time.Second)))
-	heard.Deadline = move.Deadline
-	g.Expect(heard).To(Equal(move))
+	g.Expect(decoded.Deadline).To(Equal(remoteNow.Add(10 * time.Second)))
+	decoded.Deadline = state.Deadline
+	g.Expect(decoded).To(Equal(state))
 }
 
-func TestToldThatCannotBe(t *testing.T) {
-	spoil := map[string]func(*rollout.WireState){
-		"no service":               func(told *rollout.WireState) { told.Service = "" },
-		"no version":               func(told *rollout.WireState) { told.Version = "" },
-		"no order":                 func(told *rollout.WireState) { told.Revision = 0 },
-		"a phase after the last":   func(told *rollout.WireState) { told.Phase = rollout.RolledBack + 1 },
-		"a phase before the first": func(told *rollout.WireState) { told.Phase = -1 },
-		"no time":                  func(told *rollout.WireState) { told.DurationMS = 0 },
-		"more left than there was": func(told *rollout.WireState) { told.LeftMS = told.DurationMS + 1 },
-		"a time that overflows":    func(told *rollout.WireState) { told.DurationMS, told.LeftMS = 1<<62, 1<<61 },
-		"over for ever":            func(told *rollout.WireState) { told.LeftMS = -1 << 62 },
+func TestInvalidWireState(t *testing.T) {
+	invalid := map[string]func(*rollout.WireState){
+		"no service":               func(wire *rollout.WireState) { wire.Service = "" },
+		"no version":               func(wire *rollout.WireState) { wire.Version = "" },
+		"no order":                 func(wire *rollout.WireState) { wire.Revision = 0 },
+		"a phase after the last":   func(wire *rollout.WireState) { wire.Phase = rollout.RolledBack + 1 },
+		"a phase before the first": func(wire *rollout.WireState) { wire.Phase = -1 },
+		"no time":                  func(wire *rollout.WireState) { wire.DurationMS = 0 },
+		"more left than there was": func(wire *rollout.WireState) { wire.LeftMS = wire.DurationMS + 1 },
+		"a time that overflows":    func(wire *rollout.WireState) { wire.DurationMS, wire.LeftMS = 1<<62, 1<<61 },
+		"over for ever":            func(wire *rollout.WireState) { wire.LeftMS = -1 << 62 },
 	}
-	for name, change := range spoil {
+	for name, change := range invalid {
 		t.Run(name, func(t *testing.T) {
-			told := inPhase(rollout.Trial).Tell(start)
-			change(&told)
-			_, valid := told.Hear(start)
+			wire := stateInPhase(rollout.Trial).Tell(start)
+			change(&wire)
+			_, valid := wire.Hear(start)
 			NewWithT(t).Expect(valid).To(BeFalse())
 		})
 	}
 }
 
-var several = []string{"a", "b", "c", "d", "e"}
+var candidates = []string{"a", "b", "c", "d", "e"}
 
 // exposure adds up what part of all requests a version gets between order and deadline,
 // in units of the whole, when it turns bad after the last moment at which that could be
 // noticed.
-func exposure(limits rollout.Limits, duration time.Duration, others int, pace rollout.RequestRate) float64 {
-	given := order(5)
-	given.Duration = duration
-	move := rollout.NewState(given, start)
+func exposure(limits rollout.Limits, duration time.Duration, others int, rate rollout.RequestRate) float64 {
+	order := newOrder(5)
+	order.Duration = duration
+	state := rollout.NewState(order, start)
 	const step = time.Millisecond
 	total := 0.0
-	for now := start; now.Before(move.Deadline); now = now.Add(step) {
-		if !now.Before(move.PromoteAt(limits)) {
+	for now := start; now.Before(state.Deadline); now = now.Add(step) {
+		if !now.Before(state.PromoteAt(limits)) {
 			total += step.Seconds()
 			continue
 		}
-		total += move.TrialAssignment(several, others, limits, pace, now).Share * step.Seconds()
+		total += state.TrialAssignment(candidates, others, limits, rate, now).Share * step.Seconds()
 	}
 	return total / duration.Seconds()
 }
@@ -155,55 +155,55 @@
 
 // TestTimeToEnd: between the promotion and the end of the back ends before there is time for
 // what they work on, and from there to the deadline for the operator to see the end.
-func TestTimeToEnd(t *testing.T) {
+func TestCompletionTiming(t *testing.T) {
 	g := NewWithT(t)
 	limits := rollout.DefaultLimits()
-	for duration, least := range map[time.Duration]time.Duration{
+	for duration, minTransition := range map[time.Duration]time.Duration{
 		8 * time.Second: 280 * time.Millisecond, 14 * time.Second: 340 * time.Millisecond, time.Minute: 700 * time.Millisecond,
 	} {
-		given := order(5)
-		given.Duration = duration
-		move := rollout.NewState(given, start)
-		g.Expect(move.CompleteAt(limits).Sub(move.PromoteAt(limits))).To(BeNumerically(">=", least))
-		g.Expect(move.Deadline.Sub(move.CompleteAt(limits))).To(BeNumerically(">=", 280*time.Millisecond))
+		order := newOrder(5)
+		order.Duration = duration
+		state := rollout.NewState(order, start)
+		g.Expect(state.CompleteAt(limits).Sub(state.PromoteAt(limits))).To(BeNumerically(">=", minTransition))
+		g.Expect(state.Deadline.Sub(state.CompleteAt(limits))).To(BeNumerically(">=", 280*time.Millisecond))
 	}
 }
 
 // TestTheSlackBringsEvidence: where requests are few, the slack is used as well, but not
 // all of it.
-func TestTheSlackBringsEvidence(t *testing.T) {
+func TestSlackAtLowRequestRate(t *testing.T) {
 	g := NewWithT(t)
-	const members, perSecond, seconds = 48, 80.0, 14.0
+	const nodes, requestsPerSecond, seconds = 48, 80.0, 14.0
 	limits := rollout.DefaultLimits()
-	got := exposure(limits, seconds*time.Second, 8, rollout.RequestRate{PerSecond: perSecond / members, Members: members})
-	allowed := limits.Share + limits.Slack/(perSecond*seconds)
+	got := exposure(limits, seconds*time.Second, 8, rollout.RequestRate{PerSecond: requestsPerSecond / nodes, Members: nodes})
+	allowed := limits.Share + limits.Slack/(requestsPerSecond*seconds)
 	g.Expect(got).To(BeNumerically("<=", allowed))
 	g.Expect(got).To(BeNumerically(">=", limits.Share+0.02), "some 25 requests more than by the share")
 }
 
 // TestStint: few back ends at a time are on trial, with the load that the others have,
 // and in turn.
-func TestStint(t *testing.T) {
+func TestTrialAssignment(t *testing.T) {
 	g := NewWithT(t)
 	limits := rollout.Limits{Share: 0.1}
-	move := rollout.NewState(order(5), start)
+	state := rollout.NewState(newOrder(5), start)
 	seen := map[string]bool{}
-	for number := range 6 {
-		stint := move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, start.Add(time.Duration(number)*time.Second))
-		g.Expect(stint.BackEnds).To(HaveLen(1))
-		g.Expect(stint.Share).To(BeNumerically("~", 1.0/34, 1e-9))
-		seen[stint.BackEnds[0]] = true
+	for turn := range 6 {
+		assignment := state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, start.Add(time.Duration(turn)*time.Second))
+		g.Expect(assignment.BackEnds).To(HaveLen(1))
+		g.Expect(assignment.Share).To(BeNumerically("~", 1.0/34, 1e-9))
+		seen[assignment.BackEnds[0]] = true
 	}
 	g.Expect(seen).To(HaveLen(3), "evidence gathers on few")
-	g.Expect(move.TrialAssignment(several, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
-	last := move.PromoteAt(limits).Add(-2 * time.Second)
-	g.Expect(move.TrialAssignment(several, 100, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(3), "most go there at the end")
-	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, last).BackEnds).To(HaveLen(2))
-	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, last).Share).To(BeNumerically("~", 2.0/34, 1e-9))
-	g.Expect(move.TrialAssignment(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(move.TrialAssignment(several, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(move.TrialAssignment(several, 34, limits, rollout.RequestRate{}, move.PromoteAt(limits))).To(Equal(rollout.TrialAssignment{}))
-	g.Expect(inPhase(rollout.Condemned).TrialAssignment(several, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(state.TrialAssignment(candidates, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
+	finalPart := state.PromoteAt(limits).Add(-2 * time.Second)
+	g.Expect(state.TrialAssignment(candidates, 100, limits, rollout.RequestRate{}, finalPart).BackEnds).To(HaveLen(3), "most go there at the end")
+	g.Expect(state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, finalPart).BackEnds).To(HaveLen(2))
+	g.Expect(state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, finalPart).Share).To(BeNumerically("~", 2.0/34, 1e-9))
+	g.Expect(state.TrialAssignment(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(state.TrialAssignment(candidates, 0, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, state.PromoteAt(limits))).To(Equal(rollout.TrialAssignment{}))
+	g.Expect(stateInPhase(rollout.Condemned).TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
 }
 
 // good and bad are tallies of a version that is to be promoted and of one that is not.
@@ -214,10 +214,10 @@
 )
 
 // TestDue: what is to be written when.
-func TestDue(t *testing.T) {
+func TestDuePhase(t *testing.T) {
 	limits := rollout.Limits{Share: 0.1}
-	move := rollout.NewState(order(5), start)
-	promote, complete := move.PromoteAt(limits), move.CompleteAt(limits)
+	state := rollout.NewState(newOrder(5), start)
+	promote, complete := state.PromoteAt(limits), state.CompleteAt(limits)
 	cases := []struct {
 		name     string
 		phase    rollout.Phase
@@ -235,23 +235,23 @@
 		{"too late to begin", rollout.Trial, good, true, complete, rollout.RolledBack, true},
 		{"others still work", rollout.Promoting, good, true, complete.Add(-time.Millisecond), rollout.Completed, false},
 		{"done", rollout.Promoting, good, true, complete, rollout.Completed, true},
-		{"the deadline has passed", rollout.Promoting, good, true, move.Deadline, rollout.RolledBack, true},
+		{"the deadline has passed", rollout.Promoting, good, true, state.Deadline, rollout.RolledBack, true},
 		{"judged bad", rollout.Condemned, bad, false, start, rollout.RolledBack, true},
 		{"done, and the store does not know", rollout.Completed, bad, false, start, rollout.Completed, true},
 		{"no other version is left", rollout.Trial, rollout.Tally{Present: 8}, true, complete, rollout.Completed, true},
 		{"no other version is left, and it is bad", rollout.Condemned, rollout.Tally{Present: 8}, false, complete, rollout.RolledBack, true},
-		{"nothing follows on done", rollout.Completed, bad, true, move.Deadline, rollout.Completed, false},
-		{"nothing follows on taken back", rollout.RolledBack, good, true, move.Deadline, rollout.RolledBack, false},
+		{"nothing follows on done", rollout.Completed, bad, true, state.Deadline, rollout.Completed, false},
+		{"nothing follows on taken back", rollout.RolledBack, good, true, state.Deadline, rollout.RolledBack, false},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			held := inPhase(met.phase)
-			held.Recorded = met.recorded
-			phase, due := held.DuePhase(met.tally, limits, met.at)
-			g.Expect(due).To(Equal(met.due))
+			current := stateInPhase(tc.phase)
+			current.Recorded = tc.recorded
+			phase, due := current.DuePhase(tc.tally, limits, tc.at)
+			g.Expect(due).To(Equal(tc.due))
 			if due {
-				g.Expect(phase).To(Equal(met.want))
+				g.Expect(phase).To(Equal(tc.want))
 			}
 		})
 	}
@@ -259,7 +259,7 @@
 
 // TestJudged: a version is condemned by several back ends, without the store, and when no
 // end of the move was heard of.
-func TestJudged(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	cases := []struct {
 		name  string
 		phase rollout.Phase
@@ -278,13 +278,13 @@
 		{"no end was heard of", rollout.Promoting, good, 16 * time.Second, rollout.Condemned},
 		{"done stays done", rollout.Completed, bad, 16 * time.Second, rollout.Completed},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			judged, changed := inPhase(met.phase).Evaluate(met.tally, start.Add(met.at))
-			g.Expect(judged.Phase).To(Equal(met.want))
-			g.Expect(changed).To(Equal(met.want != met.phase))
-			g.Expect(judged.Cause != "").To(Equal(changed))
+			evaluated, changed := stateInPhase(tc.phase).Evaluate(tc.tally, start.Add(tc.at))
+			g.Expect(evaluated.Phase).To(Equal(tc.want))
+			g.Expect(changed).To(Equal(tc.want != tc.phase))
+			g.Expect(evaluated.Cause != "").To(Equal(changed))
 		})
 	}
 }
@@ -307,11 +307,11 @@
 		"two, and one has spoken":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered, tally.LogOdds = 2, 2, 2, -4 }, false},
 		"the only one, where one is it": {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered = 1, 1, 1 }, true},
 	}
-	for name, met := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			tally := good
-			met.change(&tally)
-			NewWithT(t).Expect(tally.Promotes()).To(Equal(met.want))
+			tc.change(&tally)
+			NewWithT(t).Expect(tally.Promotes()).To(Equal(tc.want))
 		})
 	}
 }
@@ -321,13 +321,13 @@
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
 	idle := &roster.Record{Node: "b", Endpoint: &roster.Endpoint{Version: "v2"}}
 	old := &roster.Record{Node: "c", Endpoint: &roster.Endpoint{Version: "v1"}}
-	nameless := &roster.Record{Node: "d", Endpoint: &roster.Endpoint{}}
-	stint := rollout.TrialAssignment{BackEnds: []string{"a"}, Share: 0.05}
+	unversioned := &roster.Record{Node: "d", Endpoint: &roster.Endpoint{}}
+	assignment := rollout.TrialAssignment{BackEnds: []string{"a"}, Share: 0.05}
 	const requests = 10000
 	cases := []struct {
 		name                  string
 		phase                 rollout.Phase
-		sentBefore            bool
+		retry                 bool
 		fresh, idle, old, all int
 	}{
 		{"on trial", rollout.Trial, false, 500, 0, 9500, 0},
@@ -337,27 +337,27 @@
 		{"judged bad", rollout.Condemned, false, 0, 0, 10000, 0},
 		{"taken back", rollout.RolledBack, false, 0, 0, 10000, 0},
 	}
-	for _, met := range cases {
-		t.Run(met.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			given := rollout.TrialAssignment{}
-			if met.phase == rollout.Trial {
-				given = stint
+			assigned := rollout.TrialAssignment{}
+			if tc.phase == rollout.Trial {
+				assigned = assignment
 			}
-			plan := rollout.NewPlan(inPhase(met.phase), given, nil, false, rollout.NewSplitter())
+			plan := rollout.NewPlan(stateInPhase(tc.phase), assigned, nil, false, rollout.NewSplitter())
 			counts := map[*roster.Record]int{}
 			for range requests {
-				selected := plan.Select(met.sentBefore)
-				for _, record := range []*roster.Record{fresh, idle, old, nameless} {
+				selected := plan.Select(tc.retry)
+				for _, record := range []*roster.Record{fresh, idle, old, unversioned} {
 					if selected.Admits(record) {
 						counts[record]++
 					}
 				}
 			}
-			g.Expect(counts[fresh]).To(BeNumerically("~", met.fresh, 10))
-			g.Expect(counts[idle]).To(BeNumerically("~", met.idle, 10))
-			g.Expect(counts[old]).To(BeNumerically("~", met.old, 10))
-			g.Expect(counts[nameless]).To(Equal(counts[old]), "who tells no version is none of the new ones")
+			g.Expect(counts[fresh]).To(BeNumerically("~", tc.fresh, 10))
+			g.Expect(counts[idle]).To(BeNumerically("~", tc.idle, 10))
+			g.Expect(counts[old]).To(BeNumerically("~", tc.old, 10))
+			g.Expect(counts[unversioned]).To(Equal(counts[old]), "who tells no version is none of the new ones")
 		})
 	}
 }
@@ -368,42 +368,42 @@
 	record := func(version string) *roster.Record {
 		return &roster.Record{Endpoint: &roster.Endpoint{Version: version}}
 	}
-	for _, move := range []rollout.State{{}, inPhase(rollout.RolledBack)} {
-		plan := rollout.NewPlan(move, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplitter())
+	for _, state := range []rollout.State{{}, stateInPhase(rollout.RolledBack)} {
+		plan := rollout.NewPlan(state, rollout.TrialAssignment{}, []string{"v3"}, false, rollout.NewSplitter())
 		g.Expect(plan.Promoted()).To(BeFalse())
 		for _, selected := range []rollout.Selection{plan.Select(false), plan.Fallback()} {
 			g.Expect(selected.Admits(record("v1"))).To(BeTrue())
 			g.Expect(selected.Admits(record("v3"))).To(BeFalse())
-			g.Expect(selected.Admits(record("v2"))).To(Equal(move.Version == ""))
+			g.Expect(selected.Admits(record("v2"))).To(Equal(state.Version == ""))
 		}
 	}
 }
 
 // TestAVersionThatIsAlone: while no other back end is there the version on trial takes
 // everything; one that was judged bad does not.
-func TestAVersionThatIsAlone(t *testing.T) {
+func TestOnlyVersionAvailable(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
-	for phase, takes := range map[rollout.Phase]bool{rollout.Trial: true, rollout.Condemned: false, rollout.RolledBack: false} {
-		plan := rollout.NewPlan(inPhase(phase), rollout.TrialAssignment{}, nil, true, rollout.NewSplitter())
-		g.Expect(plan.Select(false).Admits(fresh)).To(Equal(takes), phase.String())
+	for phase, receives := range map[rollout.Phase]bool{rollout.Trial: true, rollout.Condemned: false, rollout.RolledBack: false} {
+		plan := rollout.NewPlan(stateInPhase(phase), rollout.TrialAssignment{}, nil, true, rollout.NewSplitter())
+		g.Expect(plan.Select(false).Admits(fresh)).To(Equal(receives), phase.String())
 	}
 }
 
 // TestAnOrderThatIsWrittenAgain since the store came back from an older copy is the same order: what
 // was decided stays. Within one era the same words are another order.
-func TestAnOrderThatIsWrittenAgain(t *testing.T) {
+func TestMergeReissuedOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	order := func(era, counter uint64) rollout.Order {
 		return rollout.Order{Service: "s", Version: "v2", Revision: store.RevisionIn(era, counter), Duration: time.Minute}
 	}
 	cases := []struct {
-		name   string
-		held   rollout.State
-		other  rollout.Order
-		phase  rollout.Phase
-		news   bool
-		stored bool
+		name    string
+		local   rollout.State
+		remote  rollout.Order
+		phase   rollout.Phase
+		changed bool
+		stored  bool
 	}{
 		{"of a later era", rollout.State{Order: order(1, 500), Phase: rollout.Completed, Recorded: true}, order(2, 3), rollout.Completed, true, false},
 		{"under way", rollout.State{Order: order(1, 500), Phase: rollout.Promoting, Recorded: true}, order(2, 3), rollout.Promoting, true, false},
@@ -411,19 +411,19 @@
 		{"of the same era", rollout.State{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(2, 9), rollout.Trial, true, false},
 		{"for another version", rollout.State{Order: rollout.Order{Service: "s", Version: "v1", Revision: store.RevisionIn(1, 500), Duration: time.Minute}, Phase: rollout.Completed}, order(2, 3), rollout.Trial, true, false},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			played.held.Deadline = now.Add(time.Second)
-			merged, news := played.held.Merge(rollout.NewState(played.other, now))
-			g.Expect(news).To(Equal(played.news))
-			g.Expect(merged.Phase).To(Equal(played.phase))
-			g.Expect(merged.Recorded).To(Equal(played.stored))
-			if played.news {
-				g.Expect(merged.Revision).To(Equal(played.other.Revision))
+			tc.local.Deadline = now.Add(time.Second)
+			merged, changed := tc.local.Merge(rollout.NewState(tc.remote, now))
+			g.Expect(changed).To(Equal(tc.changed))
+			g.Expect(merged.Phase).To(Equal(tc.phase))
+			g.Expect(merged.Recorded).To(Equal(tc.stored))
+			if tc.changed {
+				g.Expect(merged.Revision).To(Equal(tc.remote.Revision))
 			}
-			again, news := merged.Merge(rollout.NewState(played.other, now))
-			g.Expect(news).To(BeFalse())
+			again, changed := merged.Merge(rollout.NewState(tc.remote, now))
+			g.Expect(changed).To(BeFalse())
 			g.Expect(again).To(Equal(merged))
 		})
 	}
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -16,68 +16,68 @@
 const (
 	// The load: tenants by a skew, in TestSharesOfAService asking for one and a half times the room of
 	// the back ends.
-	fleetTenants = 77
-	fleetSkew    = 1.2
-	fleetDemand  = 1.5
-	fleetWork    = 100 * time.Millisecond
-	fleetSlots   = 12
-	fleetStep    = 50 * time.Millisecond
-	fleetTries   = 4
-	fleetWait    = 150 * time.Millisecond
+	fleetTenants  = 77
+	fleetSkew     = 1.2
+	fleetDemand   = 1.5
+	fleetWork     = 100 * time.Millisecond
+	fleetSlots    = 12
+	fleetStep     = 50 * time.Millisecond
+	fleetAttempts = 4
+	fleetMaxWait  = 150 * time.Millisecond
 	// fleetChange is when a third of the nodes is cut off, fleetBound when the bound holds after it.
-	fleetChange = 4 * time.Second
-	fleetBound  = 2 * time.Second
-	fleetLast   = 8 * time.Second
+	fleetCutAt  = 4 * time.Second
+	fleetSettle = 2 * time.Second
+	fleetEnd    = 8 * time.Second
 	// fleetSees is how many back ends a node considers.
-	fleetSees = 40
+	fleetSubset = 40
 )
 
 // fleet is a service whose every node has callers and a back end beside it.
 type fleet struct {
 	random *rand.Rand
-	way    way
+	policy policy
 	nodes  []*node
 	now    time.Time
 	// tenants by the room they want, in back ends' worth of the whole fleet.
-	wants []float64
+	demands []float64
 }
 
 type node struct {
-	number int
-	sees   []int
-	cut    bool
+	number      int
+	subset      []int
+	partitioned bool
 	// room is what the back end can still serve in this step, had what each tenant's requests got there.
-	room float64
-	had  [fleetTenants]float64
+	capacity       float64
+	servedByTenant [fleetTenants]float64
 	// due are the requests of each tenant that are not yet a whole one, offered and got what is counted.
-	due          [fleetTenants]float64
+	pending      [fleetTenants]float64
 	offered, got [fleetTenants]float64
-	waiting      []*asked
-	clock        float64
+	queue        []*call
+	virtualTime  float64
 }
 
 // asked is one request on its way.
-type asked struct {
+type call struct {
 	from, tenant int
-	over         bool
-	part         float64
+	marked       bool
+	fraction     float64
 	tried        []int
 	// refused is when it is refused where it waits, unless it has a slot by then.
-	refused time.Time
+	deadline time.Time
 }
 
 // way is how a node knows which part of its requests is within a tenant's share.
-type way interface {
-	part(f *fleet, from *node, tenant int) float64
-	came(f *fleet, at *node, request *asked)
-	answered(f *fleet, at *node, request *asked, served bool)
+type policy interface {
+	fraction(f *fleet, from *node, tenant int) float64
+	arrived(f *fleet, at *node, request *call)
+	answered(f *fleet, at *node, request *call, served bool)
 	step(f *fleet)
 }
 
 // told is the package's: what meters tell with replies.
-type told struct {
-	meters []shares.Meter
-	heard  []shares.Tracker
+type replyPolicy struct {
+	meters   []shares.Meter
+	trackers []shares.Tracker
 }
 
 // tenantNames are by number.
@@ -88,64 +88,64 @@
 	return names
 }()
 
-func newTold(size int) *told {
-	return &told{meters: make([]shares.Meter, size), heard: make([]shares.Tracker, size)}
+func newReplyPolicy(size int) *replyPolicy {
+	return &replyPolicy{meters: make([]shares.Meter, size), trackers: make([]shares.Tracker, size)}
 }
 
-func subject(tenant int) shares.Flow {
+func flow(tenant int) shares.Flow {
 	return shares.Flow{Service: "one", Tenant: tenantNames[tenant]}
 }
 
-func (w *told) part(f *fleet, from *node, tenant int) float64 {
-	return w.heard[from.number].Fraction(subject(tenant), f.now)
+func (w *replyPolicy) fraction(f *fleet, from *node, tenant int) float64 {
+	return w.trackers[from.number].Fraction(flow(tenant), f.now)
 }
 
-func (w *told) came(f *fleet, at *node, request *asked) {
-	if !request.over {
-		w.meters[at.number].RecordArrival(0, tenantNames[request.tenant], fleetWork, request.part, f.now)
+func (w *replyPolicy) arrived(f *fleet, at *node, request *call) {
+	if !request.marked {
+		w.meters[at.number].RecordArrival(0, tenantNames[request.tenant], fleetWork, request.fraction, f.now)
 	}
 }
 
-func (w *told) answered(f *fleet, at *node, request *asked, served bool) {
+func (w *replyPolicy) answered(f *fleet, at *node, request *call, served bool) {
 	if served {
 		w.meters[at.number].RecordServed(0, fleetWork, f.now)
 	}
-	w.heard[request.from].Observe(subject(request.tenant), w.meters[at.number].Allocation(0, tenantNames[request.tenant], f.now), f.now)
+	w.trackers[request.from].Observe(flow(request.tenant), w.meters[at.number].Allocation(0, tenantNames[request.tenant], f.now), f.now)
 }
-func (w *told) step(*fleet) {}
+func (w *replyPolicy) step(*fleet) {}
 
 // alone marks nothing: each queue by itself.
-type alone struct{}
+type independentPolicy struct{}
 
-func (alone) part(*fleet, *node, int) float64      { return shares.FullFraction }
-func (alone) came(*fleet, *node, *asked)           {}
-func (alone) answered(*fleet, *node, *asked, bool) {}
-func (alone) step(*fleet)                          {}
+func (independentPolicy) fraction(*fleet, *node, int) float64 { return shares.FullFraction }
+func (independentPolicy) arrived(*fleet, *node, *call)        {}
+func (independentPolicy) answered(*fleet, *node, *call, bool) {}
+func (independentPolicy) step(*fleet)                         {}
 
 // summed is the way that was weighed against it: each node tells what it knows of all nodes' demand
 // in an exchange with one other every 800 ms, and adds up what is not older than three of them.
-type summed struct {
+type gossipPolicy struct {
 	next  time.Time
-	known [][]account // by who knows, and of whom
+	views [][]demandReport // by who knows, and of whom
 }
 
-type account struct {
+type demandReport struct {
 	demand [fleetTenants]float64
 	at     time.Time
 }
 
-func newSummed(size int) *summed {
-	known := make([][]account, size)
-	for i := range known {
-		known[i] = make([]account, size)
+func newGossipPolicy(size int) *gossipPolicy {
+	views := make([][]demandReport, size)
+	for i := range views {
+		views[i] = make([]demandReport, size)
 	}
-	return &summed{known: known}
+	return &gossipPolicy{views: views}
 }
 
-func (w *summed) part(f *fleet, from *node, tenant int) float64 {
+func (w *gossipPolicy) fraction(f *fleet, from *node, tenant int) float64 {
 	var demands [fleetTenants]float64
 	members := 0.0
-	for _, one := range w.known[from.number] {
+	for _, one := range w.views[from.number] {
 		if f.now.Sub(one.at) > 2400*time.Millisecond {
 			continue
 		}
@@ -158,27 +158,27 @@
 	sorted := slices.Sorted(slices.Values(demands[:]))
 	return min(shares.MaxMin(sorted, members*fleetSlots)/max(wanted, 1e-9), shares.FullFraction)
 }
-func (w *summed) came(*fleet, *node, *asked)           {}
-func (w *summed) answered(*fleet, *node, *asked, bool) {}
+func (w *gossipPolicy) arrived(*fleet, *node, *call)        {}
+func (w *gossipPolicy) answered(*fleet, *node, *call, bool) {}
 
-func (w *summed) step(f *fleet) {
+func (w *gossipPolicy) step(f *fleet) {
 	if f.now.Before(w.next) {
 		return
 	}
 	w.next = f.now.Add(800 * time.Millisecond)
 	for _, one := range f.nodes {
-		own := &w.known[one.number][one.number]
+		own := &w.views[one.number][one.number]
 		own.at = f.now
 		for tenant := range own.demand {
-			own.demand[tenant] = f.wants[tenant] * f.callersAt(tenant, one.number)
+			own.demand[tenant] = f.demands[tenant] * f.callerFraction(tenant, one.number)
 		}
 	}
 	for _, one := range f.nodes {
 		other := f.nodes[f.random.IntN(len(f.nodes))]
-		if one.cut || other.cut {
+		if one.partitioned || other.partitioned {
 			continue
 		}
-		mine, theirs := w.known[one.number], w.known[other.number]
+		mine, theirs := w.views[one.number], w.views[other.number]
 		for i := range mine {
 			if mine[i].at.After(theirs[i].at) {
 				theirs[i] = mine[i]
@@ -191,7 +191,7 @@
 
 // callersAt is which part of a tenant's callers is at a node: every other of the smaller tenants has
 // all of them at three nodes.
-func (f *fleet) callersAt(tenant, number int) float64 {
+func (f *fleet) callerFraction(tenant, number int) float64 {
 	if tenant%2 == 0 || tenant < 10 {
 		return 1 / float64(len(f.nodes))
 	}
@@ -204,20 +204,20 @@
 }
 
 // newFleet has tenants ask for the given part of the room.
-func newFleet(size int, by way, demand float64, seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), way: by, now: time.Unix(1, 0), wants: make([]float64, fleetTenants)}
+func newFleet(size int, p policy, demand float64, seed uint64) *fleet {
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), policy: p, now: time.Unix(1, 0), demands: make([]float64, fleetTenants)}
 	total := 0.0
-	for tenant := range f.wants {
-		f.wants[tenant] = math.Pow(float64(tenant+1), -fleetSkew)
-		total += f.wants[tenant]
+	for tenant := range f.demands {
+		f.demands[tenant] = math.Pow(float64(tenant+1), -fleetSkew)
+		total += f.demands[tenant]
 	}
-	for tenant := range f.wants {
-		f.wants[tenant] *= demand * float64(size*fleetSlots) / total
+	for tenant := range f.demands {
+		f.demands[tenant] *= demand * float64(size*fleetSlots) / total
 	}
 	for number := range size {
-		created := &node{number: number, sees: f.random.Perm(size)[:min(size, fleetSees)]}
-		for tenant := range created.due {
-			created.due[tenant] = f.random.Float64()
+		created := &node{number: number, subset: f.random.Perm(size)[:min(size, fleetSubset)]}
+		for tenant := range created.pending {
+			created.pending[tenant] = f.random.Float64()
 		}
 		f.nodes = append(f.nodes, created)
 	}
@@ -228,14 +228,14 @@
 // back end when they are refused.
 func (f *fleet) step() {
 	f.now = f.now.Add(fleetStep)
-	f.way.step(f)
+	f.policy.step(f)
 	for _, one := range f.nodes {
-		for _, request := range f.begin(one) {
+		for _, request := range f.arrivals(one) {
 			f.send(request)
 		}
 	}
 	for _, one := range f.nodes {
-		one.room = min(one.room, 1) + fleetSlots*fleetStep.Seconds()/fleetWork.Seconds()
+		one.capacity = min(one.capacity, 1) + fleetSlots*fleetStep.Seconds()/fleetWork.Seconds()
 		f.serve(one)
 	}
 	for _, one := range f.nodes {
@@ -244,33 +244,33 @@
 }
 
 // begin returns the requests that callers make at a node.
-func (f *fleet) begin(one *node) (begun []*asked) {
+func (f *fleet) arrivals(one *node) (requests []*call) {
 	for tenant := range fleetTenants {
-		one.due[tenant] += f.wants[tenant] * f.callersAt(tenant, one.number) * fleetStep.Seconds() / fleetWork.Seconds()
-		for ; one.due[tenant] >= 1; one.due[tenant]-- {
-			part := f.way.part(f, one, tenant)
-			begun = append(begun, &asked{from: one.number, tenant: tenant, part: part, over: f.random.Float64() >= part})
+		one.pending[tenant] += f.demands[tenant] * f.callerFraction(tenant, one.number) * fleetStep.Seconds() / fleetWork.Seconds()
+		for ; one.pending[tenant] >= 1; one.pending[tenant]-- {
+			fraction := f.policy.fraction(f, one, tenant)
+			requests = append(requests, &call{from: one.number, tenant: tenant, fraction: fraction, marked: f.random.Float64() >= fraction})
 			one.offered[tenant]++
 		}
 	}
-	return begun
+	return requests
 }
 
 // send passes a request to a back end that its node considers and can reach.
-func (f *fleet) send(request *asked) {
+func (f *fleet) send(request *call) {
 	from := f.nodes[request.from]
-	for range 2 * fleetSees {
-		to := f.nodes[from.sees[f.random.IntN(len(from.sees))]]
-		if to != from && (to.cut || from.cut) || slices.Contains(request.tried, to.number) {
+	for range 2 * fleetSubset {
+		to := f.nodes[from.subset[f.random.IntN(len(from.subset))]]
+		if to != from && (to.partitioned || from.partitioned) || slices.Contains(request.tried, to.number) {
 			continue
 		}
-		if !slices.ContainsFunc(to.waiting, func(other *asked) bool { return other.tenant == request.tenant }) {
-			to.had[request.tenant] = max(to.had[request.tenant], to.clock)
+		if !slices.ContainsFunc(to.queue, func(other *call) bool { return other.tenant == request.tenant }) {
+			to.servedByTenant[request.tenant] = max(to.servedByTenant[request.tenant], to.virtualTime)
 		}
 		request.tried = append(request.tried, to.number)
-		request.refused = f.now.Add(fleetWait)
-		to.waiting = append(to.waiting, request)
-		f.way.came(f, to, request)
+		request.deadline = f.now.Add(fleetMaxWait)
+		to.queue = append(to.queue, request)
+		f.policy.arrived(f, to, request)
 		return
 	}
 }
@@ -278,60 +278,60 @@
 // serve gives what room the back end has: to those that are not marked first, then to the tenant that has
 // had the least.
 func (f *fleet) serve(one *node) {
-	for ; one.room >= 1 && len(one.waiting) > 0; one.room-- {
+	for ; one.capacity >= 1 && len(one.queue) > 0; one.capacity-- {
 		best := 0
-		for i, request := range one.waiting {
-			first := one.waiting[best]
-			if !request.over && first.over || request.over == first.over && one.had[request.tenant] <= one.had[first.tenant] {
+		for i, request := range one.queue {
+			first := one.queue[best]
+			if !request.marked && first.marked || request.marked == first.marked && one.servedByTenant[request.tenant] <= one.servedByTenant[first.tenant] {
 				best = i
 			}
 		}
-		request := one.waiting[best]
-		one.waiting = slices.Delete(one.waiting, best, best+1)
-		one.clock = max(one.clock, one.had[request.tenant])
-		one.had[request.tenant]++
+		request := one.queue[best]
+		one.queue = slices.Delete(one.queue, best, best+1)
+		one.virtualTime = max(one.virtualTime, one.servedByTenant[request.tenant])
+		one.servedByTenant[request.tenant]++
 		f.nodes[request.from].got[request.tenant]++
-		f.way.answered(f, one, request, true)
+		f.policy.answered(f, one, request, true)
 	}
 }
 
 // refuse sends those on that have waited for too long.
 func (f *fleet) refuse(one *node) {
-	var left []*asked
-	for _, request := range one.waiting {
-		if f.now.Before(request.refused) {
+	var left []*call
+	for _, request := range one.queue {
+		if f.now.Before(request.deadline) {
 			left = append(left, request)
 			continue
 		}
-		f.way.answered(f, one, request, false)
-		if len(request.tried) < fleetTries {
+		f.policy.answered(f, one, request, false)
+		if len(request.tried) < fleetAttempts {
 			defer f.send(request)
 		}
 	}
-	one.waiting = left
+	one.queue = left
 }
 
 // play returns, for the time since the last change, the least part that a tenant got of its max-min share
 // of the back ends that its callers reach, over tenants with enough requests to say so.
-func play(size int, by way) (before, after float64) {
-	f := newFleet(size, by, fleetDemand, 1)
-	began := f.now
-	until := func(at time.Duration) {
-		for f.now.Sub(began) < at {
+func simulate(size int, p policy) (before, after float64) {
+	f := newFleet(size, p, fleetDemand, 1)
+	start := f.now
+	runUntil := func(at time.Duration) {
+		for f.now.Sub(start) < at {
 			f.step()
 		}
 	}
-	until(fleetBound)
+	runUntil(fleetSettle)
 	f.reset()
-	until(fleetChange)
-	before = f.least()
+	runUntil(fleetCutAt)
+	before = f.minServedShare()
 	for i := range size / 3 {
-		f.nodes[i].cut = true
+		f.nodes[i].partitioned = true
 	}
-	until(fleetChange + fleetBound)
+	runUntil(fleetCutAt + fleetSettle)
 	f.reset()
-	until(fleetLast)
-	return before, f.least()
+	runUntil(fleetEnd)
+	return before, f.minServedShare()
 }
 
 func (f *fleet) reset() {
@@ -342,11 +342,11 @@
 }
 
 // least looks at the nodes that are not cut off.
-func (f *fleet) least() float64 {
+func (f *fleet) minServedShare() float64 {
 	var offered, got [fleetTenants]float64
 	served := 0.0
 	for _, one := range f.nodes {
-		if one.cut {
+		if one.partitioned {
 			continue
 		}
 		for tenant := range fleetTenants {
@@ -356,33 +356,33 @@
 		}
 	}
 	share := shares.MaxMin(slices.Sorted(slices.Values(offered[:])), served)
-	least := math.Inf(1)
+	minServedShare := math.Inf(1)
 	const enough = 40
 	for tenant := range fleetTenants {
 		if offered[tenant] >= enough {
-			least = min(least, got[tenant]/min(share, offered[tenant]))
+			minServedShare = min(minServedShare, got[tenant]/min(share, offered[tenant]))
 		}
 	}
-	return least
+	return minServedShare
 }
 
 // TestSharesOfAService: no tenant is below half of its max-min share of a service, whether its callers
 // are at all nodes or at three, from two seconds on after a third of the nodes is cut off. The two other
 // ways are played beside it, as far as they take little time.
-func TestSharesOfAService(t *testing.T) {
+func TestMaxMinSharing(t *testing.T) {
 	for _, size := range []int{13, 37, 88, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			g := NewWithT(t)
-			before, after := play(size, newTold(size))
+			before, after := simulate(size, newReplyPolicy(size))
 			t.Logf("told: least %.3f, with a third cut off %.3f", before, after)
 			g.Expect(before).To(BeNumerically(">=", 0.85))
 			g.Expect(after).To(BeNumerically(">=", 0.7))
 			if size > 88 {
 				return
 			}
-			before, after = play(size, alone{})
+			before, after = simulate(size, independentPolicy{})
 			t.Logf("each queue alone: least %.3f, with a third cut off %.3f", before, after)
-			before, after = play(size, newSummed(size))
+			before, after = simulate(size, newGossipPolicy(size))
 			t.Logf("summed: least %.3f, with a third cut off %.3f", before, after)
 		})
 	}
@@ -390,15 +390,15 @@
 
 // TestATenantAtTenTimesItsUsual: with the room for all but a fifth used, one of the largest tenants sends
 // ten times as much. The others lose less than three in a hundred.
-func TestATenantAtTenTimesItsUsual(t *testing.T) {
+func TestTenantOverload(t *testing.T) {
 	const (
-		size   = 37
-		demand = 0.8
-		hot    = 1
+		size        = 37
+		demand      = 0.8
+		heavyTenant = 1
 	)
 	othersGot := func(times float64) (got, offered float64) {
-		f := newFleet(size, newTold(size), demand, 1)
-		f.wants[hot] *= times
+		f := newFleet(size, newReplyPolicy(size), demand, 1)
+		f.demands[heavyTenant] *= times
 		for second := range 5 {
 			for range int(time.Second / fleetStep) {
 				f.step()
@@ -409,7 +409,7 @@
 		}
 		for _, one := range f.nodes {
 			for tenant := range fleetTenants {
-				if tenant != hot {
+				if tenant != heavyTenant {
 					got += one.got[tenant]
 					offered += one.offered[tenant]
 				}
@@ -418,8 +418,8 @@
 		return got, offered
 	}
 	g := NewWithT(t)
-	usual, _ := othersGot(1)
-	beside, offered := othersGot(10)
-	t.Logf("the others: %.0f before, %.0f beside it, of %.0f", usual, beside, offered)
-	g.Expect(beside).To(BeNumerically(">", usual*0.97))
+	normal, _ := othersGot(1)
+	overloaded, offered := othersGot(10)
+	t.Logf("the others: %.0f before, %.0f beside it, of %.0f", normal, overloaded, offered)
+	g.Expect(overloaded).To(BeNumerically(">", normal*0.97))
 }
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -12,14 +12,14 @@
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	var meter Meter
-	var heard Tracker
+	var tracker Tracker
 	now := time.Unix(1, 0)
-	for number := range 3 * mostTenants {
+	for number := range 3 * maxTenants {
 		meter.RecordArrival(number, "t", time.Millisecond, FullFraction, now)
 		meter.RecordArrival(0, fmt.Sprint(number), time.Millisecond, FullFraction, now)
-		heard.Observe(Flow{Tenant: fmt.Sprint(number)}, Allocation{Share: 1, Demand: 9}, now)
+		tracker.Observe(Flow{Tenant: fmt.Sprint(number)}, Allocation{Share: 1, Demand: 9}, now)
 	}
-	g.Expect(len(meter.classes)).To(BeNumerically("<=", mostClasses))
-	g.Expect(len(meter.classes[0].demands)).To(BeNumerically("<=", mostTenants))
-	g.Expect(len(heard.parts)).To(BeNumerically("<=", mostHeard))
+	g.Expect(len(meter.classes)).To(BeNumerically("<=", maxClasses))
+	g.Expect(len(meter.classes[0].demands)).To(BeNumerically("<=", maxTenants))
+	g.Expect(len(tracker.flows)).To(BeNumerically("<=", maxFlows))
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -21,14 +21,14 @@
 
 const (
 	// leastPart is the smallest part: some requests always tell what is offered.
-	leastPart = 0.02
+	minFraction = 0.02
 	// partUnits make a whole number of a part.
-	partUnits = 1000
+	fractionUnits = 1000
 )
 
 // FormatFraction writes a part as the value of a header, empty for Whole.
-func FormatFraction(part float64) string {
-	if units := int64(part * partUnits); units < partUnits {
+func FormatFraction(fraction float64) string {
+	if units := int64(fraction * fractionUnits); units < fractionUnits {
 		return strconv.FormatInt(units, 10)
 	}
 	return ""
@@ -41,22 +41,22 @@
 	if err != nil {
 		return FullFraction
 	}
-	return clamp(float64(units) / partUnits)
+	return clampFraction(float64(units) / fractionUnits)
 }
 
-func clamp(part float64) float64 { return min(max(part, leastPart), FullFraction) }
+func clampFraction(fraction float64) float64 { return min(max(fraction, minFraction), FullFraction) }
 
 // Allocation is what a back end's node tells of a tenant: the most that one tenant may have of what gets
 // room there, and what this one asks for. The zero value says that there is room for all.
 type Allocation struct{ Share, Demand time.Duration }
 
 // roomForAll is the zero value as a header.
-const roomForAll = "0"
+const unlimitedHeader = "0"
 
 // Format writes the standing as the value of a header.
 func (s Allocation) Format() string {
 	if s == (Allocation{}) {
-		return roomForAll
+		return unlimitedHeader
 	}
 	line := strconv.AppendInt(make([]byte, 0, 32), s.Share.Microseconds(), 10)
 	return string(strconv.AppendInt(append(line, ' '), s.Demand.Microseconds(), 10))
@@ -66,12 +66,12 @@
 func ParseAllocation(text string) Allocation {
 	share, demand, found := strings.Cut(text, " ")
 	const bits = 40 // of microseconds: some days
-	allowed, shareErr := strconv.ParseUint(share, 10, bits)
-	asked, demandErr := strconv.ParseUint(demand, 10, bits)
+	shareMicros, shareErr := strconv.ParseUint(share, 10, bits)
+	demandMicros, demandErr := strconv.ParseUint(demand, 10, bits)
 	if !found || shareErr != nil || demandErr != nil {
 		return Allocation{}
 	}
-	return Allocation{Share: time.Duration(allowed) * time.Microsecond, Demand: time.Duration(asked) * time.Microsecond}
+	return Allocation{Share: time.Duration(shareMicros) * time.Microsecond, Demand: time.Duration(demandMicros) * time.Microsecond}
 }
 
 const (
@@ -79,17 +79,17 @@
 	window = 250 * time.Millisecond
 	// kept is which part of what was counted is kept from one window to the next: a back end gets a few
 	// requests of a tenant in each.
-	kept = 0.75
+	retained = 0.75
 	// forgottenBelow is what a tenant's demand has faded to when it is forgotten.
-	forgottenBelow = time.Millisecond
+	minDemand = time.Millisecond
 	// fullFrom is which part of the demand has to get room for nobody to be above its share.
-	fullFrom = 0.97
+	sufficientFraction = 0.97
 	// silentAfter is after what time without requests all is forgotten.
-	silentAfter = 2 * time.Second
+	idleTimeout = 2 * time.Second
 	// mostTenants bounds the tenants of a class; others are taken for within their shares.
-	mostTenants = 4096
+	maxTenants = 4096
 	// mostClasses bounds the priorities: from then on those that are silent are forgotten.
-	mostClasses = 64
+	maxClasses = 64
 )
 
 // Meter works out the shares at one back end. The zero value is ready. It is safe for concurrent use.
@@ -106,29 +106,29 @@
 	// share is the most that a tenant may have of what gets room, infinite while there is enough.
 	share float64
 	// folded is when shares were worked out last.
-	folded time.Time
+	updatedAt time.Time
 	// sorted is used again.
-	sorted []float64
+	scratch []float64
 }
 
 // demand is what a tenant offers: work in nanoseconds, in the present window and faded from those before.
-type demand struct{ now, faded float64 }
+type demand struct{ now, decayed float64 }
 
 // RecordArrival takes in that a request of a tenant came that was not marked. part is that of the tenant's
 // requests which its node does not mark.
-func (m *Meter) RecordArrival(priority int, tenant string, work time.Duration, part float64, now time.Time) {
+func (m *Meter) RecordArrival(priority int, tenant string, work time.Duration, fraction float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := m.class(priority, now)
-	offered := held.demands[tenant]
-	if offered == nil {
-		if len(held.demands) >= mostTenants {
+	requests := m.class(priority, now)
+	tenantDemand := requests.demands[tenant]
+	if tenantDemand == nil {
+		if len(requests.demands) >= maxTenants {
 			return
 		}
-		offered = &demand{}
-		held.demands[tenant] = offered
+		tenantDemand = &demand{}
+		requests.demands[tenant] = tenantDemand
 	}
-	offered.now += float64(work) / clamp(part)
+	tenantDemand.now += float64(work) / clampFraction(fraction)
 }
 
 // RecordServed takes in that a request of some tenant got a slot.
@@ -142,71 +142,71 @@
 func (m *Meter) Allocation(priority int, tenant string, now time.Time) Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := m.class(priority, now)
-	if math.IsInf(held.share, 1) {
+	requests := m.class(priority, now)
+	if math.IsInf(requests.share, 1) {
 		return Allocation{}
 	}
-	told := Allocation{Share: time.Duration(held.share)}
-	if offered := held.demands[tenant]; offered != nil {
-		told.Demand = time.Duration(offered.faded)
+	allocation := Allocation{Share: time.Duration(requests.share)}
+	if tenantDemand := requests.demands[tenant]; tenantDemand != nil {
+		allocation.Demand = time.Duration(tenantDemand.decayed)
 	}
-	return told
+	return allocation
 }
 
 // class returns that of the priority, with the shares of now.
 func (m *Meter) class(priority int, now time.Time) *class {
-	held := m.classes[priority]
-	if held == nil {
+	found := m.classes[priority]
+	if found == nil {
 		if m.classes == nil {
 			m.classes = map[int]*class{}
 		}
-		if len(m.classes) >= mostClasses {
-			m.makeRoom(now)
+		if len(m.classes) >= maxClasses {
+			m.evictClasses(now)
 		}
-		held = &class{demands: map[string]*demand{}, share: math.Inf(1), folded: now}
-		m.classes[priority] = held
+		found = &class{demands: map[string]*demand{}, share: math.Inf(1), updatedAt: now}
+		m.classes[priority] = found
 	}
-	if passed := now.Sub(held.folded); passed >= window {
-		held.fold(passed)
-		held.folded = now
+	if elapsed := now.Sub(found.updatedAt); elapsed >= window {
+		found.update(elapsed)
+		found.updatedAt = now
 	}
-	return held
+	return found
 }
 
 // makeRoom forgets the classes that are silent, or all when none is: what they knew is worked out anew.
-func (m *Meter) makeRoom(now time.Time) {
-	maps.DeleteFunc(m.classes, func(_ int, held *class) bool { return now.Sub(held.folded) >= silentAfter })
-	if len(m.classes) >= mostClasses {
+func (m *Meter) evictClasses(now time.Time) {
+	maps.DeleteFunc(m.classes, func(_ int, requests *class) bool { return now.Sub(requests.updatedAt) >= idleTimeout })
+	if len(m.classes) >= maxClasses {
 		clear(m.classes)
 	}
 }
 
 // fold ends a window.
-func (c *class) fold(passed time.Duration) {
-	if passed >= silentAfter {
+func (c *class) update(elapsed time.Duration) {
+	if elapsed >= idleTimeout {
 		clear(c.demands)
 		c.served, c.share = 0, math.Inf(1)
 		return
 	}
-	keep := math.Pow(kept, float64(passed)/float64(window))
+	retainedFraction := math.Pow(retained, float64(elapsed)/float64(window))
 	total := 0.0
-	c.sorted = c.sorted[:0]
-	for tenant, offered := range c.demands {
-		offered.faded = offered.faded*keep + offered.now
-		offered.now = 0
-		if offered.faded < float64(forgottenBelow) {
+	c.scratch = c.scratch[:0]
+	for tenant, tenantDemand := range c.demands {
+		tenantDemand.decayed = tenantDemand.decayed*retainedFraction + tenantDemand.now
+		tenantDemand.now = 0
+		if tenantDemand.decayed < float64(minDemand) {
 			delete(c.demands, tenant)
 			continue
 		}
-		total += offered.faded
-		c.sorted = append(c.sorted, offered.faded)
+		total += tenantDemand.decayed
+		c.scratch = append(c.scratch, tenantDemand.decayed)
 	}
 	c.share = math.Inf(1)
-	if c.served < total*fullFrom {
-		slices.Sort(c.sorted)
-		c.share = MaxMin(c.sorted, c.served)
+	if c.served < total*sufficientFraction {
+		slices.Sort(c.scratch)
+		c.share = MaxMin(c.scratch, c.served)
 	}
-	c.served *= keep
+	c.served *= retainedFraction
 }
 
 // MaxMin returns the largest share of the room that nobody exceeds when demands in ascending order
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -28,8 +28,8 @@
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
 		g.Expect(shares.ParseFraction(text)).To(Equal(shares.FullFraction), text)
 	}
-	told := shares.Allocation{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
-	g.Expect(shares.ParseAllocation(told.Format())).To(Equal(told))
+	allocation := shares.Allocation{Share: 3 * time.Second, Demand: 4500 * time.Millisecond}
+	g.Expect(shares.ParseAllocation(allocation.Format())).To(Equal(allocation))
 	g.Expect(shares.ParseAllocation(shares.Allocation{}.Format())).To(Equal(shares.Allocation{}))
 	for _, text := range []string{"", "1", "-1 2", "1 2 3", "1 99999999999999999999"} {
 		g.Expect(shares.ParseAllocation(text)).To(Equal(shares.Allocation{}), text)
@@ -38,8 +38,8 @@
 
 // flood has a meter see two tenants for a second, of which the larger asks for nine times as much,
 // with room for half of it.
-func flood(meter *shares.Meter, from time.Time) (now time.Time) {
-	now = from
+func overload(meter *shares.Meter, start time.Time) (now time.Time) {
+	now = start
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		meter.RecordArrival(1, "small", time.Millisecond, shares.FullFraction, now)
@@ -51,12 +51,12 @@
 
 // TestTheStandingOfTenants: the large one may have what the small one leaves. Nothing is told while there is
 // room for all, in another class, and when nothing has come for a while.
-func TestTheStandingOfTenants(t *testing.T) {
+func TestAllocation(t *testing.T) {
 	g := NewWithT(t)
 	var meter shares.Meter
 	now := time.Unix(1, 0)
 	g.Expect(meter.Allocation(1, "large", now)).To(Equal(shares.Allocation{}))
-	now = flood(&meter, now)
+	now = overload(&meter, now)
 	large, small := meter.Allocation(1, "large", now), meter.Allocation(1, "small", now)
 	g.Expect(large.Demand.Seconds() / large.Share.Seconds()).To(BeNumerically("~", 9.0/4, 0.01))
 	g.Expect(small.Demand).To(BeNumerically("<", small.Share))
@@ -65,35 +65,35 @@
 }
 
 // TestMarkedRequestsAreOffered: a request that is not marked counts for those that are.
-func TestMarkedRequestsAreOffered(t *testing.T) {
+func TestDemandIncludesMarkedRequests(t *testing.T) {
 	g := NewWithT(t)
-	var all, part shares.Meter
+	var all, sampled shares.Meter
 	now := time.Unix(1, 0)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		all.RecordArrival(0, "t", 8*time.Millisecond, shares.FullFraction, now)
-		part.RecordArrival(0, "t", 2*time.Millisecond, 0.25, now)
+		sampled.RecordArrival(0, "t", 2*time.Millisecond, 0.25, now)
 	}
 	now = now.Add(250 * time.Millisecond)
-	g.Expect(part.Allocation(0, "t", now)).To(Equal(all.Allocation(0, "t", now)))
+	g.Expect(sampled.Allocation(0, "t", now)).To(Equal(all.Allocation(0, "t", now)))
 }
 
 // TestWhatWasHeardHasAnAge: without a reply a tenant is within its share again.
-func TestWhatWasHeardHasAnAge(t *testing.T) {
+func TestTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
-	var heard shares.Tracker
-	of := shares.Flow{Service: "one", Tenant: "large"}
+	var tracker shares.Tracker
+	flow := shares.Flow{Service: "one", Tenant: "large"}
 	now := time.Unix(1, 0)
-	heard.Observe(of, shares.Allocation{}, now)
-	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction))
-	heard.Observe(of, shares.Allocation{Share: time.Second, Demand: 8 * time.Second}, now)
-	g.Expect(heard.Fraction(of, now)).To(Equal(0.25), "twice the share is left to the queues")
-	g.Expect(heard.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.FullFraction))
-	g.Expect(heard.Fraction(of, now.Add(2*time.Second))).To(Equal(shares.FullFraction))
+	tracker.Observe(flow, shares.Allocation{}, now)
+	g.Expect(tracker.Fraction(flow, now)).To(Equal(shares.FullFraction))
+	tracker.Observe(flow, shares.Allocation{Share: time.Second, Demand: 8 * time.Second}, now)
+	g.Expect(tracker.Fraction(flow, now)).To(Equal(0.25), "twice the share is left to the queues")
+	g.Expect(tracker.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.FullFraction))
+	g.Expect(tracker.Fraction(flow, now.Add(2*time.Second))).To(Equal(shares.FullFraction))
 	for range 100 {
-		heard.Observe(of, shares.Allocation{}, now)
+		tracker.Observe(flow, shares.Allocation{}, now)
 	}
-	g.Expect(heard.Fraction(of, now)).To(Equal(shares.FullFraction), "there is room again")
+	g.Expect(tracker.Fraction(flow, now)).To(Equal(shares.FullFraction), "there is room again")
 }
 
 // BenchmarkMeter is one request of 2,000 tenants.
