--- a/internal/sidecar/rollout/baseline.go
+++ b/internal/sidecar/rollout/baseline.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// usualHalfLife is the time in which half of what was seen of the versions before is
-	// forgotten: what is compared are the same seconds.
+	// baselineHalfLife is the half-life of the baseline counts. It is short so that the new
+	// version is compared with answers of the same seconds.
 	baselineHalfLife = 3 * time.Second
-	// priorAnswers count as if they had been seen before, priorShare of them bad.
+	// priorAnswers is the weight of the prior, in answers; priorShare is the share of them that
+	// is bad.
 	priorAnswers, priorShare = 10.0, 0.02
 )
 
-// Baseline remembers how often answers of the versions in use are bad, by route. It is
-// safe for concurrent use; the zero value has seen none.
+// Baseline tracks the rates of bad answers of the versions in use, by route. It is safe for
+// concurrent use. The zero value is ready to use.
 type Baseline struct {
 	mu     sync.Mutex // guards routes
 	routes map[string]*decayedCounts
 }
 
-// shares are counts that fade with time.
+// decayedCounts are counts that decay exponentially with time.
 type decayedCounts struct {
 	answers, failed, slow float64
 	last                  time.Time
 }
 
-// Observe takes in one answer.
+// Observe records one answer.
 func (b *Baseline) Observe(route string, failed, slow bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// BaselineRates returns the shares of a route.
+// BaselineRates returns the current baseline rates of a route.
 func (b *Baseline) BaselineRates(route string, now time.Time) BaselineRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Causes of a move that is taken back.
+// Causes of a rollback.
 const (
 	CauseFaulty               = "several back ends of the version are faulty"
 	CauseDeadlineMissed       = "not done by the deadline"
 	CauseInsufficientEvidence = "too little was seen of the version, or it has too few back ends"
 )
 
-// expiry is how long after its deadline a move of which no end was heard is taken for
-// taken back: news of an end takes that long to reach a node that hears it from its peers
-// alone.
+// expiryGrace is how long after its deadline a rollout without a known result counts as rolled
+// back. A node that receives the result from its peers alone may learn of it that much later.
 const expiryGrace = 1500 * time.Millisecond
 
-// Evaluate returns the move after a look at what its back ends are called, and whether it
-// changed. Every node does this by itself; nobody waits for the store to stop sending.
+// Evaluate returns the state after an evaluation of the evidence, and whether it changed. Every
+// node evaluates by itself, so that traffic to a bad version stops without a round trip to the
+// store.
 func (s State) Evaluate(tally Tally, now time.Time) (State, bool) {
 	if s.Phase >= Condemned {
 		return s, false
@@ -31,8 +31,8 @@
 	return s, true
 }
 
-// Start returns the move of an order that was heard at that moment. A version that is the
-// only one in use has nothing to be tried against: its move is over at once.
+// Start returns the initial state for an order received at the given time. If no other version
+// is in use, there is nothing to compare with and the rollout is completed at once.
 func Start(order Order, tally Tally, now time.Time) State {
 	state := NewState(order, now)
 	if tally.onlyVersion() {
@@ -41,7 +41,7 @@
 	return state
 }
 
-// DuePhase returns the phase that is to be written to the store now, and whether one is.
+// DuePhase returns the phase to write to the store now, and whether a write is due.
 func (s State) DuePhase(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
 	switch {
 	case s.Phase.Final():
@@ -55,7 +55,7 @@
 	case s.Phase == Promoting:
 		return Completed, !now.Before(s.CompleteAt(limits))
 	case !now.Before(s.CompleteAt(limits)):
-		// Too late to begin: what others work on would be broken off.
+		// Too late to promote: requests in progress on other versions would be interrupted.
 		return RolledBack, true
 	case !now.Before(s.PromoteAt(limits)) && tally.Promotes():
 		return Promoting, true
@@ -63,7 +63,7 @@
 	return Trial, !s.Recorded
 }
 
-// WithRecordedPhase returns the move in a phase that the store has.
+// WithRecordedPhase returns the state with a phase that the store has recorded.
 func (s State) WithRecordedPhase(phase Phase) State {
 	switch {
 	case phase != RolledBack || s.Cause != "":
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -6,84 +6,90 @@
 	"time"
 )
 
-// BaselineRates is how often answers of the versions before are bad: the trouble that strikes
-// every version is not held against the new one.
+// BaselineRates are the rates of bad answers of the versions in use before the rollout. A fault
+// that affects every version does not count against the new one.
 type BaselineRates struct {
-	// Failing is the share of failures, Slow that of answers that took SlowFactor times
-	// as long as usual; both between zero and one.
+	// Failing is the rate of failures, Slow the rate of answers that took SlowFactor times as
+	// long as expected. Both are between 0 and 1.
 	Failing, Slow float64
 }
 
-// SlowFactor is how many times as long as usual an answer takes that counts as slow.
-// Times scatter: of good ones one of fifty takes four times the mean, of those on the
-// slowest back ends one of ten.
+// SlowFactor is the multiple of the expected duration from which an answer counts as slow.
+// Durations vary: one in fifty good answers takes four times the mean, and one in ten on the
+// slowest back ends.
 const SlowFactor = 4
 
-// Answer is what one request showed of a back end.
+// Answer is the result of one request to a back end, as evidence about its version.
 type Answer struct {
-	// Route names the request's route: a version may be bad on one alone.
+	// Route is the name of the request's route. A version may be bad on a single route.
 	Route string
-	// Failed: the answer is a failure, or none came. Slow: it took SlowFactor times as
-	// long as usual. A back end that warms up is not to be called slow.
+	// Failed means that the answer is a failure or that none arrived. Slow means that it took
+	// SlowFactor times as long as expected; a back end that is warming up must not be reported
+	// as slow.
 	Failed, Slow  bool
 	BaselineRates BaselineRates
 }
 
-// A judge runs Page's cumulative sum test (E. S. Page, "Continuous Inspection Schemes",
-// Biometrika 41, 1954) on the log-likelihood ratio of two shares of bad answers, for each
-// route and for all together, failures and slowness apart. It may be looked at after each
-// answer, and a version that turns bad late is found as fast as one that is bad at once.
+// The detector runs Page's cumulative sum test (E. S. Page, "Continuous Inspection Schemes",
+// Biometrika 41, 1954) on the log-likelihood ratio of two rates of bad answers, for each route
+// and for all routes together, with failures and slow answers apart. The test may be evaluated
+// after each answer, and a version that turns bad late is found as fast as one that is bad at
+// once.
 //
-// The sum raises the alarm and never says that a back end is good. For that the judge keeps
-// the same ratio without the floor, Wald's sequential test, as a lean that fades.
+// The sum raises the alarm but never indicates that a back end is good. For that the detector
+// keeps the same ratio without the floor at zero, as in Wald's sequential test, as log odds
+// that decay.
 const (
-	// usualFactor and usualMargin make the share that is still taken for usual.
+	// The expected rate of bad answers is the baseline times baselineFactor plus
+	// baselineMargin, and at most maxExpected.
 	baselineFactor, baselineMargin, maxExpected = 1.5, 0.03, 0.6
-	// badMargin is how much greater the share is that the test looks for: a version of
-	// which a third of the answers is eight times as slow shows 0.3 of them as slow.
+	// badMargin is how far above the expected rate the rate to detect is. If a third of a
+	// version's answers takes eight times as long, 0.3 of them count as slow.
 	badMargin = 0.2
-	// alarm is the sum at which a back end is called faulty: four bad answers in a row.
+	// alarmThreshold is the sum at which a back end is faulty: four bad answers in a row.
 	alarmThreshold = 4.5
-	// waryPart is the part of the alarm at which a back end no longer speaks for its version:
-	// one route of several may be bad while all together look well. Of 1,000 versions of which
-	// half of one route of three is slow, 72 are promoted with 8 requests a second on trial in
-	// place of 109, and as many good ones (TestFewRequests).
+	// suspectFraction is the fraction of the alarm threshold from which a back end no longer
+	// counts in favor of its version: one of several routes may be bad while all together look
+	// good. Of 1,000 versions with half of the answers of one route of three slow, 72 instead
+	// of 109 are promoted with 8 trial requests per second, and as many good ones
+	// (TestLowRequestRate).
 	suspectFraction = 0.5
-	// leanMost bounds the lean of one back end: it is to be outweighed by others.
+	// maxLogOdds bounds the log odds of one back end, so that others can outweigh it.
 	maxLogOdds = 4.0
-	// leanHalfLife is the time in which half of a lean is forgotten: what a version did
-	// before it turned bad is not to vouch for it.
+	// logOddsHalfLife is the half-life of the log odds. Answers from before a version turned
+	// bad must not count in its favor for long.
 	logOddsHalfLife = 4 * time.Second
-	// routesMost bounds the routes that are told apart.
+	// maxRoutes bounds the number of routes with separate state.
 	maxRoutes = 64
 )
 
-// Detector gathers the evidence of one back end. It is safe for concurrent use; the zero
-// value has seen nothing.
+// Detector collects the evidence about one back end. It is safe for concurrent use. The zero
+// value has no evidence.
 type Detector struct {
 	mu     sync.Mutex // guards all below
 	all    cusum
 	routes map[string]*cusum
 	totals Evidence
-	// lean is above zero while answers speak against the back end.
+	// logOdds is positive while the evidence is against the back end.
 	logOdds   float64
 	updatedAt time.Time
 }
 
-// sums are those of some routes.
+// cusum holds the cumulative sums of one route or of all routes.
 type cusum struct{ failing, slow float64 }
 
-// Evidence is what a judge has seen and thinks.
+// Evidence summarizes the answers of one back end and the result of the test.
 type Evidence struct {
 	Answers, Failed, Slow int
-	// Faulty: the back end fails, or is slow, more often than others are. It stays so.
+	// Faulty means that the back end fails or is slow more often than others. Once set it stays
+	// set.
 	Faulty bool
-	// LogOdds is how far the answers of late speak against the back end, or below zero for
-	// it, as the logarithm of odds.
+	// LogOdds are the log odds, from recent answers, that the back end is bad; negative values
+	// are in its favor.
 	LogOdds float64
 }
 
-// Evidence returns what was seen so far.
+// Evidence returns the evidence so far.
 func (d *Detector) Evidence(now time.Time) Evidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,8 +106,8 @@
 	return result
 }
 
-// wary reports whether a sum is on its way to the alarm: the back end does not speak for its
-// version then.
+// suspect reports whether a sum has reached suspectFraction of the alarm threshold. The back
+// end then does not count in favor of its version.
 func (d *Detector) suspect() bool {
 	if d.all.peak() >= suspectFraction*alarmThreshold {
 		return true
@@ -114,7 +120,7 @@
 	return false
 }
 
-// Observe takes in one answer and returns what the judge thinks then.
+// Observe records one answer and returns the evidence after it.
 func (d *Detector) Observe(answer Answer, now time.Time) Evidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,8 +144,8 @@
 	}
 }
 
-// strongest returns what an answer says in all: bad in one way is bad, and good in two
-// ways is not twice as good.
+// combinedRatio combines the two log-likelihood ratios of an answer. An answer that is bad in
+// one respect is bad; one that is good in both is not counted twice.
 func combinedRatio(failing, slow float64) float64 {
 	if failing > 0 || slow > 0 {
 		return max(failing, slow)
@@ -171,15 +177,15 @@
 
 func (c *cusum) peak() float64 { return max(c.failing, c.slow) }
 
-// add takes in one answer and reports whether the alarm is raised.
+// add adds the ratios of one answer and reports whether the alarm is raised.
 func (c *cusum) add(failing, slow float64) bool {
 	c.failing = max(c.failing+failing, 0)
 	c.slow = max(c.slow+slow, 0)
 	return c.failing >= alarmThreshold || c.slow >= alarmThreshold
 }
 
-// weight is the log-likelihood ratio of one answer. usual is the share of bad answers
-// that the versions before give.
+// logLikelihoodRatio returns the ratio of one answer. baseline is the rate of bad answers of
+// the other versions.
 func logLikelihoodRatio(bad bool, baseline float64) float64 {
 	expected := min(max(baseline, 0)*baselineFactor+baselineMargin, maxExpected)
 	shifted := expected + badMargin
@@ -189,27 +195,29 @@
 	return math.Log((1 - shifted) / (1 - expected))
 }
 
-// Tally sums up what the back ends of a version show.
+// Tally aggregates the evidence about the back ends of a version.
 type Tally struct {
-	// Present is how many back ends of the version take work, Others how many of other
-	// versions do.
+	// Present is the number of back ends of the version that accept requests, Others that of
+	// the other versions.
 	Present, Others int
-	// Load is what part of the slots of the others is taken, above one where requests wait.
+	// Load is the fraction of the slots of the other back ends in use; above 1 while requests
+	// wait.
 	Load float64
-	// Answered is how many have answered requests, Faulty how many of these are faulty,
-	// Against and For how many lean clearly that way.
+	// Answered is the number of back ends that have answered requests and Faulty how many of
+	// them are faulty. Against and For count those with clear log odds against and for the
+	// version.
 	Answered, Faulty, Against, For int
-	// LogOdds is the sum of theirs.
+	// LogOdds is the sum of the log odds of all back ends.
 	LogOdds float64
 }
 
-// last reports whether no other version is left to go back to.
+// onlyVersion reports whether no back end of another version is left.
 func (t Tally) onlyVersion() bool { return t.Present > 0 && t.Others == 0 }
 
-// clearLean is how far one back end leans clearly.
+// clearLogOdds is the absolute value from which the log odds of one back end are clear.
 const clearLogOdds = 1.0
 
-// Add takes in what one back end shows.
+// Add adds the evidence of one back end.
 func (t *Tally) Add(answers int, faulty bool, logOdds float64) {
 	if answers == 0 {
 		return
@@ -228,33 +236,35 @@
 }
 
 const (
-	// severalBackEnds is how many back ends must agree: one may be bad by itself.
+	// quorumSize is the number of back ends that must agree, since a single one may be bad by
+	// itself.
 	quorumSize = 2
-	// condemningLean and promotingLean are the sums of leans at which a version is
+	// condemnThreshold and promoteThreshold are the sums of log odds at which a version is
 	// condemned and promoted: odds of 55 and 148 to 1. Of 1,000 simulated versions of which a
 	// third of the answers is eight times as slow from 10 s of 14 s on, 0, 19 and 4 are
-	// promoted with 25, 8 and 4 requests a second on trial, of good ones 1,000, 996 and 708. With
-	// requests spread evenly over the trial and a lean of -4 it were 43, 190 and 12, and 1,000,
-	// 997 and 645 (TestBadVersions, TestFewRequests).
+	// promoted with 25, 8 and 4 trial requests per second; of good ones 1,000, 996 and 708.
+	// With requests spread evenly over the trial and a threshold of -4 it was 43, 190 and 12,
+	// and 1,000, 997 and 645 (TestBadVersions, TestLowRequestRate).
 	condemnThreshold = 4.0
 	promoteThreshold = -5.0
-	// loneLean is the lean at which a version of one back end is promoted: more than leanMost
-	// that one cannot say, and it fades between two answers.
+	// singlePromoteThreshold applies to a version with one back end, whose log odds cannot
+	// exceed maxLogOdds and decay between two answers.
 	singlePromoteThreshold = -3.5
-	// headroom is how much more than the load of the others the version must have room
-	// for. Of as many back ends as others leastRoom must be there at any load, and no more
-	// than mostRoom need be. A version that had lost 8 of its 22 back ends to a scale-in
-	// and was promoted at full load left a third of the callers refused for the rest of
-	// the day.
+	// headroomFactor is the capacity that the version must have relative to the load of the
+	// others. At any load it must have at least minCapacity times as many back ends as the
+	// others, and never needs more than maxCapacity times as many. A version that had lost 8 of
+	// its 22 back ends to a scale-in and was promoted at full load left a third of the callers
+	// refused for the rest of the day.
 	headroomFactor           = 1.2
 	minCapacity, maxCapacity = 0.5, 0.9
 )
 
-// several is how many back ends must agree, of a version with fewer all of them.
+// quorum returns the number of back ends that must agree: all of them if there are few.
 func (t Tally) quorum() int { return min(quorumSize, max(t.Present, 1)) }
 
-// Condemns reports whether the version is bad: several back ends are faulty, and no fewer
-// than speak for it; or several speak against it, and all together do so clearly.
+// Condemns reports whether the version is bad: enough back ends are faulty, and at least as
+// many as are in its favor; or enough are faulty or against it and the sum of the log odds is
+// clear.
 func (t Tally) Condemns() bool {
 	if t.Faulty >= t.quorum() && t.Faulty >= t.For {
 		return true
@@ -262,8 +272,8 @@
 	return t.Faulty+t.Against >= t.quorum() && t.LogOdds >= condemnThreshold
 }
 
-// Promotes reports whether all requests may move: several back ends have answered, all
-// together they speak for the version, and there are enough of them.
+// Promotes reports whether all requests may go to the version: enough back ends have answered,
+// their evidence is in its favor, and the version has enough capacity.
 func (t Tally) Promotes() bool {
 	return !t.Condemns() && t.Present > 0 && t.Answered >= t.quorum() && t.LogOdds <= t.promoteThreshold() && t.hasCapacity()
 }
@@ -275,7 +285,7 @@
 	return promoteThreshold
 }
 
-// hasRoom reports whether the version's back ends can take what the others do now.
+// hasCapacity reports whether the version's back ends can take the present load of the others.
 func (t Tally) hasCapacity() bool {
 	needed := min(max(t.Load*headroomFactor, minCapacity), maxCapacity)
 	return float64(t.Present) >= needed*float64(t.Others)
--- a/internal/sidecar/rollout/judge_test.go
+++ b/internal/sidecar/rollout/judge_test.go
@@ -13,35 +13,33 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// software is how the answers of one version are, for a simulated trial.
+// versionBehavior describes the answers of a version in a simulated trial.
 type versionBehavior struct {
-	// failing is the share of failures, slow that of answers that take slowness times as
-	// long, from onset on.
+	// failing is the rate of failures and slow the rate of answers that take slowFactor times
+	// as long, from onset on.
 	failing, slow, slowFactor float64
 	onset                     time.Duration
-	// route is the only one that is bad; empty for all.
+	// route is the only affected route; empty for all.
 	route string
 }
 
-// trial plays the evidence of a move: back ends of different pace, one on trial in each
-// second, at a rate of requests that the schedule weighs, with times that scatter as in a
-// log-normal distribution.
+// simulation generates the evidence of a rollout: back ends of different speed, one on trial in
+// each second, at the request rate of the schedule, with log-normally distributed durations.
 type simulation struct {
 	random *rand.Rand
-	// perSecond is the rate of the one on trial in the mean over the trial.
+	// requestsPerSecond is the mean rate at the back end on trial.
 	requestsPerSecond float64
 	version           versionBehavior
-	// trouble strikes a share of the back ends of all versions for a time: they are
-	// slow or fail as those of trouble do.
+	// disturbance makes a fraction of the back ends of all versions slow or failing for a time.
 	disturbance                   versionBehavior
 	affected                      float64
 	disturbedFrom, disturbedUntil time.Duration
 }
 
-// outcome is how a trial went.
+// outcome is the result of one simulated trial.
 type outcome struct {
 	condemned, promoted bool
-	// bad is how many bad answers were given before.
+	// bad is the number of bad answers until then.
 	bad int
 }
 
@@ -78,12 +76,12 @@
 	return result
 }
 
-// pause is the time between two requests that go to the version.
+// requestInterval returns the time between two requests to the version.
 func (p *simulation) requestInterval(state *rollout.State, at time.Duration) time.Duration {
 	return time.Duration(float64(time.Second) / (p.requestsPerSecond * state.TrialWeight(rollout.DefaultLimits(), start.Add(at))))
 }
 
-// onTrial returns the back end that is on trial: in turn, those that are faulty aside.
+// onTrial returns the back end on trial: those that are not faulty take turns.
 func (p *simulation) onTrial(at time.Duration, detectors []rollout.Detector) int {
 	var candidates []int
 	for i := range detectors {
@@ -106,7 +104,7 @@
 	return tally
 }
 
-// answer draws one answer, and whether the version made it bad.
+// answer draws one answer, and reports whether the version made it bad.
 func (p *simulation) answer(at time.Duration, slowdown float64, affected bool) (rollout.Answer, bool) {
 	const scatter, baselineFailing, baselineSlow = 0.7, 0.005, 0.03
 	result := rollout.Answer{Route: routes[p.random.IntN(len(routes))], BaselineRates: rollout.BaselineRates{Failing: baselineFailing, Slow: baselineSlow}}
@@ -140,7 +138,7 @@
 
 const seeds = 1000
 
-// play plays a trial with each seed.
+// run runs one simulation for each seed.
 func run(make func(random *rand.Rand) *simulation) (condemned, promoted int, bad []int) {
 	for seed := range uint64(seeds) {
 		result := make(rand.New(rand.NewPCG(seed, 7))).run()
@@ -155,8 +153,8 @@
 	return condemned, promoted, bad
 }
 
-// TestGoodVersions: of a thousand good versions at most ten are taken back, also while a
-// tenth of the back ends of all versions fail or are slow for six seconds.
+// TestGoodVersions checks that at most ten of 1,000 good versions are rolled back, and at most
+// 40 while a tenth of the back ends of all versions fail or are slow for six seconds.
 func TestGoodVersions(t *testing.T) {
 	cases := map[string]versionBehavior{
 		"calm":                {},
@@ -172,7 +170,7 @@
 			t.Logf("%d condemned, %d promoted", condemned, promoted)
 			maxCondemned := 10
 			if disturbance != (versionBehavior{}) {
-				maxCondemned = 40 // two of three back ends are struck in 2.8 of 100 cases
+				maxCondemned = 40 // two of three back ends are affected in 2.8 of 100 cases
 			}
 			g.Expect(condemned).To(BeNumerically("<=", maxCondemned))
 			g.Expect(promoted).To(BeNumerically(">=", seeds-2*maxCondemned))
@@ -180,8 +178,8 @@
 	}
 }
 
-// TestBadVersions: how often a bad version is found, and after how many bad answers. The
-// last column bounds how many of a thousand are promoted all the same.
+// TestBadVersions checks how often a bad version is found and after how many bad answers. The
+// last column bounds how many of 1,000 are promoted nevertheless.
 func TestBadVersions(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -213,8 +211,8 @@
 	}
 }
 
-// TestALoneBackEnd: a good version of a single back end is promoted, though no single one can
-// say as much as several.
+// TestSingleBackEnd checks that a good version with one back end is promoted, although its log
+// odds are bounded below the threshold for several back ends.
 func TestSingleBackEnd(t *testing.T) {
 	const requestsPerSecond, answers = 8, 80
 	detector := &rollout.Detector{}
@@ -226,17 +224,17 @@
 	evidence := detector.Evidence(now)
 	tally := rollout.Tally{Present: 1, Others: 1}
 	tally.Add(evidence.Answers, evidence.Faulty, evidence.LogOdds)
-	NewWithT(t).Expect(tally.Promotes()).To(BeTrue(), "lean %v", evidence.LogOdds)
+	NewWithT(t).Expect(tally.Promotes()).To(BeTrue(), "log odds %v", evidence.LogOdds)
 }
 
-// TestFewRequests: how many of a thousand versions are promoted where few requests are on
-// trial. Bad ones go first: of the good ones some are taken back for want of evidence.
+// TestLowRequestRate checks how many of 1,000 versions are promoted with few trial requests.
+// Detecting bad versions has priority: some good ones are rolled back for lack of evidence.
 func TestLowRequestRate(t *testing.T) {
 	cases := []struct {
 		name              string
 		version           versionBehavior
 		requestsPerSecond float64
-		// least and most bound how many are promoted.
+		// minPromoted and maxPromoted bound the number of promoted versions.
 		minPromoted, maxPromoted int
 	}{
 		{"good", versionBehavior{}, 8, 990, seeds},
@@ -246,7 +244,7 @@
 		{"a third is slow from the middle on", versionBehavior{slow: 0.33, slowFactor: 8, onset: 7 * time.Second}, 8, 0, 5},
 		{"a third is slow from late on", versionBehavior{slow: 0.33, slowFactor: 8, onset: 10 * time.Second}, 8, 0, 20},
 		{"a third is slow from late on", versionBehavior{slow: 0.33, slowFactor: 8, onset: 10 * time.Second}, 4, 0, 5},
-		// One answer of six is bad there: 8 a second for 14 s do not show it.
+		// One answer in six is bad, which 8 requests per second for 14 s do not reveal.
 		{"half of one route is slow", versionBehavior{slow: 0.5, slowFactor: 8, route: "second"}, 8, 0, 75},
 		{"half of one route is slow", versionBehavior{slow: 0.5, slowFactor: 8, route: "second"}, 4, 0, 10},
 	}
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -8,37 +8,37 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/evenly"
 )
 
-// Plan says, for a short time, how the requests of one service are divided. It is
-// immutable but for its place in the sequence of requests.
+// Plan determines how the requests of one service are divided between versions. Plans are
+// replaced often. A Plan is immutable except for its position in the sequence of requests.
 type Plan struct {
-	// Version is the one that a move concerns; empty while there is none and versions are
-	// held all the same.
+	// Version is the version being rolled out; empty if there is no rollout and only
+	// HeldVersions apply.
 	Version         string
 	Phase           Phase
 	TrialAssignment TrialAssignment
-	// HeldVersions are versions besides that get no requests.
+	// HeldVersions are other versions that get no requests.
 	HeldVersions []string
-	// OnlyVersion: no back end of another version is there, so that the version is in use.
+	// OnlyVersion means that no other version has back ends, so that this one must be used.
 	OnlyVersion bool
-	// PromotedAt is since when all requests go to the version, zero while they do not.
+	// PromotedAt is the time since which all requests go to the version; zero before.
 	PromotedAt time.Time
 	splitter   *Splitter
 }
 
-// Splitter divides the requests of one service and outlives its plans.
+// Splitter divides the requests of one service. It outlives the plans of the service.
 type Splitter struct {
 	sequence *evenly.Sequence
-	// asked counts the requests that were divided.
+	// requests counts the requests that were divided.
 	requests atomic.Int64
 }
 
-// Requests returns how many requests were divided.
+// Requests returns the number of requests divided so far.
 func (s *Splitter) Requests() int64 { return s.requests.Load() }
 
-// NewSplitter returns a split.
+// NewSplitter returns a Splitter at the start of its sequence.
 func NewSplitter() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
-// NewPlan returns a plan that goes on with a split.
+// NewPlan returns a plan that continues the sequence of the given splitter.
 func NewPlan(state State, assignment TrialAssignment, heldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
 	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, HeldVersions: heldVersions, OnlyVersion: onlyVersion, splitter: splitter}
 }
@@ -48,12 +48,12 @@
 	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.OnlyVersion))
 }
 
-// ComparesVersions reports whether answers are compared by version.
+// ComparesVersions reports whether the answers of versions are compared.
 func (p *Plan) ComparesVersions() bool {
 	return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting)
 }
 
-// Select returns who may take a request. One that was sent before is not for a trial.
+// Select returns the back ends that may take a request. Retries are not used for the trial.
 func (p *Plan) Select(retry bool) Selection {
 	if !retry {
 		p.splitter.requests.Add(1)
@@ -70,14 +70,14 @@
 	return p.otherVersions()
 }
 
-// others are the back ends that the move leaves alone.
+// otherVersions selects the back ends that are neither of the version on trial nor held.
 func (p *Plan) otherVersions() Selection {
 	return Without(append(slices.Clone(p.HeldVersions), p.Version)...)
 }
 
-// Fallback returns who takes a request when none of those selected is there. While a
-// version is on trial, or was judged bad, its back ends do not stand in for others: right
-// after a restart a node may know of no other ones for a moment.
+// Fallback returns the back ends that may take a request if none of those selected is
+// available. The back ends of a version on trial, or of a condemned one, are never a fallback:
+// right after a restart a node may not know of others yet.
 func (p *Plan) Fallback() Selection {
 	if p.Promoted() {
 		return All()
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout decides how the requests of a service move to back ends of another
-// software version: how many go there for a trial (a canary), whether what they show
-// condemns the version, when all others follow, and when the move is over. The package is pure:
-// it sees orders, evidence and the time, and does no I/O.
+// Package rollout decides how the requests of a service are shifted to back ends of another
+// software version: how many go there in a trial (a canary), whether the evidence condemns the
+// version, when it is promoted to all requests, and when the rollout ends. The package is pure:
+// orders, evidence and the time are inputs, and it does no I/O.
 package rollout
 
 import (
@@ -11,40 +11,42 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Order asks that the requests of a service move to back ends of a version.
+// Order requests the rollout of a version of a service.
 type Order struct {
 	Service string
-	// Version is the one that requests are to move to.
+	// Version is the version to roll out.
 	Version string
-	// Revision is that of the store; of two orders for a service the higher one holds.
+	// Revision is the store revision of the order. Of two orders for a service the one with the
+	// higher revision applies.
 	Revision uint64
-	// Duration is the time in which the move is to be done.
+	// Duration is the time within which the rollout must end.
 	Duration time.Duration
 }
 
-// Phase is how far a move has come. Phases only follow on each other in the order in
-// which they are declared.
+// Phase is the progress of a rollout. Phases follow each other only in the order of
+// declaration.
 type Phase int
 
-// The phases of a move.
+// The phases of a rollout.
 const (
-	// Trial: a part of the requests goes to the version.
+	// Trial: a fraction of the requests goes to the version.
 	Trial Phase = iota
-	// Promoting: all requests go there; what others work on is to end.
+	// Promoting: all requests go to the version; requests in progress elsewhere may still
+	// finish.
 	Promoting
-	// Condemned: the version was judged bad and gets no requests; the store may not
-	// know yet.
+	// Condemned: the version was found bad and gets no requests. The store may not have
+	// recorded it yet.
 	Condemned
-	// Completed: the store says that the move is done. Final.
+	// Completed: the store has recorded that the rollout succeeded. Final.
 	Completed
-	// RolledBack: the store says that the move was taken back. Final.
+	// RolledBack: the store has recorded that the rollout was rolled back. Final.
 	RolledBack
 )
 
-// phaseNames are for logs and metrics.
+// phaseNames are the names for logs and metrics.
 var phaseNames = [...]string{"trial", "promoting", "condemned", "completed", "rolled back"}
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	if p < Trial || p > RolledBack {
 		return "unknown"
@@ -52,29 +54,29 @@
 	return phaseNames[p]
 }
 
-// Final reports whether nothing follows on the phase.
+// Final reports whether the phase is the last of a rollout.
 func (p Phase) Final() bool { return p >= Completed }
 
-// State is what a node knows of an order that is carried out. It is a value.
+// State is a node's view of one rollout. It is a value.
 type State struct {
 	Order
 	Phase Phase
-	// Recorded: the store is known to have the phase.
+	// Recorded means that the store is known to have recorded the phase.
 	Recorded bool
-	// Deadline is when the move is to be over, by the node's own clock.
+	// Deadline is the end of the rollout by the local clock.
 	Deadline time.Time
-	// Cause says why the version was condemned or taken back; empty otherwise.
+	// Cause is the reason why the version was condemned or rolled back; empty otherwise.
 	Cause string
 }
 
-// NewState returns the move of an order that was heard at that moment.
+// NewState returns the initial state for an order received at the given time.
 func NewState(order Order, now time.Time) State {
 	return State{Order: order, Deadline: now.Add(order.Duration)}
 }
 
-// Merge returns what is known after another node's account of the service's move, and
-// whether that is news. The later order holds; of one order the later phase, and the
-// earlier deadline, since whoever heard late counts from then.
+// Merge returns the state merged with that of another node, and whether the result is new. The
+// order with the higher revision applies. For the same order the later phase wins, and the
+// earlier deadline: a node computes the deadline from the time at which it received the order.
 func (s State) Merge(other State) (merged State, changed bool) {
 	switch order := cmp.Compare(other.Revision, s.Revision); {
 	case order > 0 && s.ReissuedBy(other):
@@ -97,15 +99,16 @@
 	return s, true
 }
 
-// ReissuedBy reports whether the other move is of the same order, which operators have written again
-// since the store came back from an older copy. Within one era the same words are another order.
+// ReissuedBy reports whether the other state is for the same order, written again by an
+// operator after the store was restored from an older copy. Within one era an identical order
+// is a new one.
 func (s State) ReissuedBy(other State) bool {
 	return store.EraOf(other.Revision) > store.EraOf(s.Revision) &&
 		other.Service == s.Service && other.Version == s.Version && other.Duration == s.Duration
 }
 
-// adopted returns the move under the revision of its order that was written again. What was decided
-// stays decided, whatever the store has lost; of two ends the one that this node knows stays.
+// withReissuedOrder returns the state with the revision of the reissued order. A decision is
+// kept although the store may have lost it. Of two final phases the local one is kept.
 func (s State) withReissuedOrder(other State) State {
 	s.Revision = other.Revision
 	if other.Deadline.Before(s.Deadline) {
@@ -118,8 +121,8 @@
 	return s
 }
 
-// WireState is a move as one node tells it to another. Clocks differ, so that what is left
-// of the time is told and not when it ends.
+// WireState is the form in which nodes exchange a State. It carries the remaining time in place
+// of the deadline, since clocks differ between nodes.
 type WireState struct {
 	Service    string `json:"service"`
 	Version    string `json:"version"`
@@ -131,7 +134,7 @@
 	Cause      string `json:"cause,omitempty"`
 }
 
-// Tell returns the move as it is told at that moment.
+// Tell returns the state as sent to peers at the given time.
 func (s State) Tell(now time.Time) WireState {
 	return WireState{
 		Service: s.Service, Version: s.Version, Revision: s.Revision, DurationMS: s.Duration.Milliseconds(),
@@ -139,10 +142,10 @@
 	}
 }
 
-// longestMS bounds the times that a peer may tell, in milliseconds.
+// maxDurationMS bounds the times accepted from a peer, in milliseconds.
 const maxDurationMS = int64(24 * time.Hour / time.Millisecond)
 
-// Hear returns the move that was told, and whether it is one.
+// Hear returns the state received from a peer at the given time, and whether it is valid.
 func (w WireState) Hear(now time.Time) (State, bool) {
 	if w.Service == "" || w.Version == "" || w.Revision == 0 || w.Phase < Trial || w.Phase > RolledBack ||
 		w.DurationMS <= 0 || w.DurationMS > maxDurationMS || w.LeftMS > w.DurationMS || w.LeftMS < -maxDurationMS {
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -23,8 +23,8 @@
 	return state
 }
 
-// TestMerge: the later order holds, of one order the later phase, and a move that is
-// over stays as it is.
+// TestMerge checks that the later order wins, that the later phase of one order wins, and that
+// a final phase does not change.
 func TestMerge(t *testing.T) {
 	later := rollout.NewState(newOrder(6), start)
 	cases := []struct {
@@ -34,14 +34,14 @@
 		revision      uint64
 		changed       bool
 	}{
-		{"nothing was known", rollout.State{}, stateInPhase(rollout.Trial), rollout.Trial, 5, true},
+		{"no local state", rollout.State{}, stateInPhase(rollout.Trial), rollout.Trial, 5, true},
 		{"the same", stateInPhase(rollout.Trial), stateInPhase(rollout.Trial), rollout.Trial, 5, false},
 		{"a later phase", stateInPhase(rollout.Trial), stateInPhase(rollout.Promoting), rollout.Promoting, 5, true},
 		{"an earlier phase", stateInPhase(rollout.Promoting), stateInPhase(rollout.Trial), rollout.Promoting, 5, false},
-		{"condemned while it is promoted", stateInPhase(rollout.Promoting), stateInPhase(rollout.Condemned), rollout.Condemned, 5, true},
-		{"done, whoever condemned it", stateInPhase(rollout.Condemned), stateInPhase(rollout.Completed), rollout.Completed, 5, true},
-		{"nothing follows on done", stateInPhase(rollout.Completed), stateInPhase(rollout.RolledBack), rollout.Completed, 5, false},
-		{"nothing follows on taken back", stateInPhase(rollout.RolledBack), stateInPhase(rollout.Completed), rollout.RolledBack, 5, false},
+		{"condemned while promoting", stateInPhase(rollout.Promoting), stateInPhase(rollout.Condemned), rollout.Condemned, 5, true},
+		{"completed overrides condemned", stateInPhase(rollout.Condemned), stateInPhase(rollout.Completed), rollout.Completed, 5, true},
+		{"completed is final", stateInPhase(rollout.Completed), stateInPhase(rollout.RolledBack), rollout.Completed, 5, false},
+		{"rolled back is final", stateInPhase(rollout.RolledBack), stateInPhase(rollout.Completed), rollout.RolledBack, 5, false},
 		{"a later order", stateInPhase(rollout.Completed), later, rollout.Trial, 6, true},
 		{"an earlier order", later, stateInPhase(rollout.Completed), rollout.Trial, 6, false},
 	}
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestTheEarlierDeadlineHolds: who heard late counts from then, who heard early is right.
+// TestMergeKeepsEarlierDeadline guards against a deadline that is too late: a node that
+// receives an order late computes the deadline from that time.
 func TestMergeKeepsEarlierDeadline(t *testing.T) {
 	g := NewWithT(t)
 	receivedLate := rollout.NewState(newOrder(5), start.Add(time.Second))
@@ -65,8 +66,8 @@
 	g.Expect(merged.Deadline).To(Equal(start.Add(14 * time.Second)))
 }
 
-// TestWhatTheStoreHas: that a phase was written is known from any node that knows, and
-// holds for that phase only.
+// TestMergeRecorded checks that Recorded is merged from any node that has it, for the same
+// phase only.
 func TestMergeRecorded(t *testing.T) {
 	g := NewWithT(t)
 	recorded := stateInPhase(rollout.Trial)
@@ -80,7 +81,8 @@
 	g.Expect(merged.Recorded).To(BeFalse())
 }
 
-// TestTold: a move is the same after it was told, by a clock that is elsewhere.
+// TestWireStateRoundTrip checks that a state is unchanged after an exchange between nodes whose
+// clocks differ.
 func TestWireStateRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	state := stateInPhase(rollout.Condemned)
@@ -95,15 +97,15 @@
 
 func TestInvalidWireState(t *testing.T) {
 	invalid := map[string]func(*rollout.WireState){
-		"no service":               func(wire *rollout.WireState) { wire.Service = "" },
-		"no version":               func(wire *rollout.WireState) { wire.Version = "" },
-		"no order":                 func(wire *rollout.WireState) { wire.Revision = 0 },
-		"a phase after the last":   func(wire *rollout.WireState) { wire.Phase = rollout.RolledBack + 1 },
-		"a phase before the first": func(wire *rollout.WireState) { wire.Phase = -1 },
-		"no time":                  func(wire *rollout.WireState) { wire.DurationMS = 0 },
-		"more left than there was": func(wire *rollout.WireState) { wire.LeftMS = wire.DurationMS + 1 },
-		"a time that overflows":    func(wire *rollout.WireState) { wire.DurationMS, wire.LeftMS = 1<<62, 1<<61 },
-		"over for ever":            func(wire *rollout.WireState) { wire.LeftMS = -1 << 62 },
+		"no service":                        func(wire *rollout.WireState) { wire.Service = "" },
+		"no version":                        func(wire *rollout.WireState) { wire.Version = "" },
+		"no order":                          func(wire *rollout.WireState) { wire.Revision = 0 },
+		"a phase after the last":            func(wire *rollout.WireState) { wire.Phase = rollout.RolledBack + 1 },
+		"a phase before the first":          func(wire *rollout.WireState) { wire.Phase = -1 },
+		"no duration":                       func(wire *rollout.WireState) { wire.DurationMS = 0 },
+		"remaining time above the duration": func(wire *rollout.WireState) { wire.LeftMS = wire.DurationMS + 1 },
+		"durations that overflow":           func(wire *rollout.WireState) { wire.DurationMS, wire.LeftMS = 1<<62, 1<<61 },
+		"deadline too far in the past":      func(wire *rollout.WireState) { wire.LeftMS = -1 << 62 },
 	}
 	for name, change := range invalid {
 		t.Run(name, func(t *testing.T) {
@@ -117,9 +119,8 @@
 
 var candidates = []string{"a", "b", "c", "d", "e"}
 
-// exposure adds up what part of all requests a version gets between order and deadline,
-// in units of the whole, when it turns bad after the last moment at which that could be
-// noticed.
+// exposure returns the fraction of all requests between order and deadline that a version gets
+// if it turns bad too late to be detected.
 func exposure(limits rollout.Limits, duration time.Duration, others int, rate rollout.RequestRate) float64 {
 	order := newOrder(5)
 	order.Duration = duration
@@ -136,9 +137,9 @@
 	return total / duration.Seconds()
 }
 
-// TestExposure: a version that shows nothing until the end gets less than is allowed,
-// however long the move takes and however many back ends there are, and more than half of
-// it, so that there is time for what others work on to end.
+// TestExposure checks that a version without bad answers until the end gets less than the
+// allowed share, for any duration and number of back ends, and more than half of it, so that
+// requests in progress elsewhere have time to end.
 func TestExposure(t *testing.T) {
 	for _, duration := range []time.Duration{5 * time.Second, 14 * time.Second, 16 * time.Second, 10 * time.Minute} {
 		for _, others := range []int{1, 4, 22, 34, 76, 500} {
@@ -153,8 +154,9 @@
 	}
 }
 
-// TestTimeToEnd: between the promotion and the end of the back ends before there is time for
-// what they work on, and from there to the deadline for the operator to see the end.
+// TestCompletionTiming checks that there is time between promotion and completion for the
+// requests in progress on other versions, and between completion and deadline for the
+// operator's tool to see the result.
 func TestCompletionTiming(t *testing.T) {
 	g := NewWithT(t)
 	limits := rollout.DefaultLimits()
@@ -169,8 +171,8 @@
 	}
 }
 
-// TestTheSlackBringsEvidence: where requests are few, the slack is used as well, but not
-// all of it.
+// TestSlackAtLowRequestRate checks that the slack is used at low request rates, but not all of
+// it.
 func TestSlackAtLowRequestRate(t *testing.T) {
 	g := NewWithT(t)
 	const nodes, requestsPerSecond, seconds = 48, 80.0, 14.0
@@ -178,11 +180,11 @@
 	got := exposure(limits, seconds*time.Second, 8, rollout.RequestRate{PerSecond: requestsPerSecond / nodes, Members: nodes})
 	allowed := limits.Share + limits.Slack/(requestsPerSecond*seconds)
 	g.Expect(got).To(BeNumerically("<=", allowed))
-	g.Expect(got).To(BeNumerically(">=", limits.Share+0.02), "some 25 requests more than by the share")
+	g.Expect(got).To(BeNumerically(">=", limits.Share+0.02), "some 25 requests more than the share alone gives")
 }
 
-// TestStint: few back ends at a time are on trial, with the load that the others have,
-// and in turn.
+// TestTrialAssignment checks that few back ends are on trial at a time, in turn and with the
+// load of the others.
 func TestTrialAssignment(t *testing.T) {
 	g := NewWithT(t)
 	limits := rollout.Limits{Share: 0.1}
@@ -194,10 +196,10 @@
 		g.Expect(assignment.Share).To(BeNumerically("~", 1.0/34, 1e-9))
 		seen[assignment.BackEnds[0]] = true
 	}
-	g.Expect(seen).To(HaveLen(3), "evidence gathers on few")
+	g.Expect(seen).To(HaveLen(3), "evidence accumulates on few back ends")
 	g.Expect(state.TrialAssignment(candidates, 100, limits, rollout.RequestRate{}, start).BackEnds).To(HaveLen(2))
 	finalPart := state.PromoteAt(limits).Add(-2 * time.Second)
-	g.Expect(state.TrialAssignment(candidates, 100, limits, rollout.RequestRate{}, finalPart).BackEnds).To(HaveLen(3), "most go there at the end")
+	g.Expect(state.TrialAssignment(candidates, 100, limits, rollout.RequestRate{}, finalPart).BackEnds).To(HaveLen(3), "higher weight at the end of the trial")
 	g.Expect(state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, finalPart).BackEnds).To(HaveLen(2))
 	g.Expect(state.TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, finalPart).Share).To(BeNumerically("~", 2.0/34, 1e-9))
 	g.Expect(state.TrialAssignment(nil, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
@@ -206,14 +208,14 @@
 	g.Expect(stateInPhase(rollout.Condemned).TrialAssignment(candidates, 34, limits, rollout.RequestRate{}, start)).To(Equal(rollout.TrialAssignment{}))
 }
 
-// good and bad are tallies of a version that is to be promoted and of one that is not.
+// good and bad are tallies of a version to promote and of one to condemn.
 var (
 	good    = rollout.Tally{Present: 8, Others: 8, Answered: 3, For: 3, LogOdds: -9}
 	bad     = rollout.Tally{Present: 8, Others: 8, Answered: 2, Faulty: 2, LogOdds: 8}
 	unknown = rollout.Tally{Present: 8, Others: 8}
 )
 
-// TestDue: what is to be written when.
+// TestDuePhase checks which phase is to be written at which time.
 func TestDuePhase(t *testing.T) {
 	limits := rollout.Limits{Share: 0.1}
 	state := rollout.NewState(newOrder(5), start)
@@ -227,21 +229,21 @@
 		want     rollout.Phase
 		due      bool
 	}{
-		{"an order that was just heard", rollout.Trial, unknown, false, start, rollout.Trial, true},
+		{"new order", rollout.Trial, unknown, false, start, rollout.Trial, true},
 		{"on trial", rollout.Trial, good, true, start.Add(9 * time.Second), rollout.Trial, false},
 		{"time to promote", rollout.Trial, good, true, promote, rollout.Promoting, true},
-		{"nothing was seen", rollout.Trial, unknown, true, promote, rollout.Trial, false},
-		{"nothing was seen for too long", rollout.Trial, unknown, true, complete, rollout.RolledBack, true},
-		{"too late to begin", rollout.Trial, good, true, complete, rollout.RolledBack, true},
-		{"others still work", rollout.Promoting, good, true, complete.Add(-time.Millisecond), rollout.Completed, false},
+		{"no evidence", rollout.Trial, unknown, true, promote, rollout.Trial, false},
+		{"no evidence until completion is due", rollout.Trial, unknown, true, complete, rollout.RolledBack, true},
+		{"too late to promote", rollout.Trial, good, true, complete, rollout.RolledBack, true},
+		{"before completion is due", rollout.Promoting, good, true, complete.Add(-time.Millisecond), rollout.Completed, false},
 		{"done", rollout.Promoting, good, true, complete, rollout.Completed, true},
 		{"the deadline has passed", rollout.Promoting, good, true, state.Deadline, rollout.RolledBack, true},
-		{"judged bad", rollout.Condemned, bad, false, start, rollout.RolledBack, true},
-		{"done, and the store does not know", rollout.Completed, bad, false, start, rollout.Completed, true},
-		{"no other version is left", rollout.Trial, rollout.Tally{Present: 8}, true, complete, rollout.Completed, true},
-		{"no other version is left, and it is bad", rollout.Condemned, rollout.Tally{Present: 8}, false, complete, rollout.RolledBack, true},
-		{"nothing follows on done", rollout.Completed, bad, true, state.Deadline, rollout.Completed, false},
-		{"nothing follows on taken back", rollout.RolledBack, good, true, state.Deadline, rollout.RolledBack, false},
+		{"found bad", rollout.Condemned, bad, false, start, rollout.RolledBack, true},
+		{"completed, not recorded", rollout.Completed, bad, false, start, rollout.Completed, true},
+		{"only version left", rollout.Trial, rollout.Tally{Present: 8}, true, complete, rollout.Completed, true},
+		{"only version left, and condemned", rollout.Condemned, rollout.Tally{Present: 8}, false, complete, rollout.RolledBack, true},
+		{"completed is final", rollout.Completed, bad, true, state.Deadline, rollout.Completed, false},
+		{"rolled back is final", rollout.RolledBack, good, true, state.Deadline, rollout.RolledBack, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -257,8 +259,8 @@
 	}
 }
 
-// TestJudged: a version is condemned by several back ends, without the store, and when no
-// end of the move was heard of.
+// TestEvaluate checks that a version is condemned by several back ends without the store, and
+// when the deadline has passed without a known result.
 func TestEvaluate(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -267,16 +269,16 @@
 		at    time.Duration
 		want  rollout.Phase
 	}{
-		{"nothing was seen", rollout.Trial, unknown, time.Second, rollout.Trial},
+		{"no evidence", rollout.Trial, unknown, time.Second, rollout.Trial},
 		{"two are faulty", rollout.Trial, bad, time.Second, rollout.Condemned},
-		{"while it is promoted", rollout.Promoting, bad, 13500 * time.Millisecond, rollout.Condemned},
+		{"two are faulty while promoting", rollout.Promoting, bad, 13500 * time.Millisecond, rollout.Condemned},
 		{"one of several is faulty", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Faulty: 1, For: 1}, time.Second, rollout.Trial},
 		{"the only one is faulty", rollout.Trial, rollout.Tally{Present: 1, Others: 8, Answered: 1, Faulty: 1, LogOdds: 4}, time.Second, rollout.Condemned},
-		{"two are faulty, and more are not", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 5, Faulty: 2, For: 3, LogOdds: -4}, time.Second, rollout.Trial},
-		{"two lean against it", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Against: 2, LogOdds: 4}, time.Second, rollout.Condemned},
+		{"two are faulty and three are good", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 5, Faulty: 2, For: 3, LogOdds: -4}, time.Second, rollout.Trial},
+		{"two have log odds against it", rollout.Trial, rollout.Tally{Present: 8, Others: 8, Answered: 2, Against: 2, LogOdds: 4}, time.Second, rollout.Condemned},
 		{"the deadline has just passed", rollout.Promoting, good, 14500 * time.Millisecond, rollout.Promoting},
-		{"no end was heard of", rollout.Promoting, good, 16 * time.Second, rollout.Condemned},
-		{"done stays done", rollout.Completed, bad, 16 * time.Second, rollout.Completed},
+		{"no result long after the deadline", rollout.Promoting, good, 16 * time.Second, rollout.Condemned},
+		{"completed is final", rollout.Completed, bad, 16 * time.Second, rollout.Completed},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -294,18 +296,18 @@
 		change func(*rollout.Tally)
 		want   bool
 	}{
-		"good":                          {func(*rollout.Tally) {}, true},
-		"one of several is faulty":      {func(tally *rollout.Tally) { tally.Faulty, tally.For = 1, 2 }, true},
-		"bad":                           {func(tally *rollout.Tally) { *tally = bad }, false},
-		"too little was seen":           {func(tally *rollout.Tally) { tally.LogOdds = -1 }, false},
-		"one alone has answered":        {func(tally *rollout.Tally) { tally.Answered = 1 }, false},
-		"too few back ends":             {func(tally *rollout.Tally) { tally.Present = 3 }, false},
-		"two thirds at a low load":      {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.5 }, true},
-		"two thirds at full load":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.95 }, false},
-		"nearly all at full load":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 20, 22, 1.3 }, true},
-		"no back end":                   {func(tally *rollout.Tally) { tally.Present = 0 }, false},
-		"two, and one has spoken":       {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered, tally.LogOdds = 2, 2, 2, -4 }, false},
-		"the only one, where one is it": {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered = 1, 1, 1 }, true},
+		"good":                              {func(*rollout.Tally) {}, true},
+		"one of several is faulty":          {func(tally *rollout.Tally) { tally.Faulty, tally.For = 1, 2 }, true},
+		"bad":                               {func(tally *rollout.Tally) { *tally = bad }, false},
+		"not enough evidence":               {func(tally *rollout.Tally) { tally.LogOdds = -1 }, false},
+		"only one has answered":             {func(tally *rollout.Tally) { tally.Answered = 1 }, false},
+		"too few back ends":                 {func(tally *rollout.Tally) { tally.Present = 3 }, false},
+		"two thirds at a low load":          {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.5 }, true},
+		"two thirds at full load":           {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 14, 21, 0.95 }, false},
+		"nearly all at full load":           {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Load = 20, 22, 1.3 }, true},
+		"no back end":                       {func(tally *rollout.Tally) { tally.Present = 0 }, false},
+		"two back ends, one with evidence":  {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered, tally.LogOdds = 2, 2, 2, -4 }, false},
+		"the only back end of each version": {func(tally *rollout.Tally) { tally.Present, tally.Others, tally.Answered = 1, 1, 1 }, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -316,7 +318,7 @@
 	}
 }
 
-// TestSelect: how many requests of many go where in each phase.
+// TestSelect checks the distribution of requests in each phase.
 func TestSelect(t *testing.T) {
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
 	idle := &roster.Record{Node: "b", Endpoint: &roster.Endpoint{Version: "v2"}}
@@ -331,11 +333,11 @@
 		fresh, idle, old, all int
 	}{
 		{"on trial", rollout.Trial, false, 500, 0, 9500, 0},
-		{"sent before", rollout.Trial, true, 0, 0, 10000, 0},
+		{"a retry", rollout.Trial, true, 0, 0, 10000, 0},
 		{"promoted", rollout.Promoting, false, 10000, 10000, 0, 0},
 		{"done", rollout.Completed, false, 10000, 10000, 0, 0},
-		{"judged bad", rollout.Condemned, false, 0, 0, 10000, 0},
-		{"taken back", rollout.RolledBack, false, 0, 0, 10000, 0},
+		{"found bad", rollout.Condemned, false, 0, 0, 10000, 0},
+		{"rolled back", rollout.RolledBack, false, 0, 0, 10000, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -357,12 +359,12 @@
 			g.Expect(counts[fresh]).To(BeNumerically("~", tc.fresh, 10))
 			g.Expect(counts[idle]).To(BeNumerically("~", tc.idle, 10))
 			g.Expect(counts[old]).To(BeNumerically("~", tc.old, 10))
-			g.Expect(counts[unversioned]).To(Equal(counts[old]), "who tells no version is none of the new ones")
+			g.Expect(counts[unversioned]).To(Equal(counts[old]), "a back end without a version is not of the new version")
 		})
 	}
 }
 
-// TestHeldVersions: versions whose order was not heard get nothing, also beside a move.
+// TestHeldVersions checks that held versions get nothing, with and without a rollout.
 func TestHeldVersions(t *testing.T) {
 	g := NewWithT(t)
 	record := func(version string) *roster.Record {
@@ -379,8 +381,8 @@
 	}
 }
 
-// TestAVersionThatIsAlone: while no other back end is there the version on trial takes
-// everything; one that was judged bad does not.
+// TestOnlyVersionAvailable checks that a version on trial takes everything if no other back end
+// is available, and that a condemned one does not.
 func TestOnlyVersionAvailable(t *testing.T) {
 	g := NewWithT(t)
 	fresh := &roster.Record{Node: "a", Endpoint: &roster.Endpoint{Version: "v2"}}
@@ -390,8 +392,9 @@
 	}
 }
 
-// TestAnOrderThatIsWrittenAgain since the store came back from an older copy is the same order: what
-// was decided stays. Within one era the same words are another order.
+// TestMergeReissuedOrder checks that an order written again after the store was restored from
+// an older copy is the same order and keeps its decision. Within one era an identical order is
+// a new one.
 func TestMergeReissuedOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	order := func(era, counter uint64) rollout.Order {
@@ -406,7 +409,7 @@
 		stored  bool
 	}{
 		{"of a later era", rollout.State{Order: order(1, 500), Phase: rollout.Completed, Recorded: true}, order(2, 3), rollout.Completed, true, false},
-		{"under way", rollout.State{Order: order(1, 500), Phase: rollout.Promoting, Recorded: true}, order(2, 3), rollout.Promoting, true, false},
+		{"in progress", rollout.State{Order: order(1, 500), Phase: rollout.Promoting, Recorded: true}, order(2, 3), rollout.Promoting, true, false},
 		{"of an earlier era", rollout.State{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(1, 500), rollout.Completed, false, true},
 		{"of the same era", rollout.State{Order: order(2, 3), Phase: rollout.Completed, Recorded: true}, order(2, 9), rollout.Trial, true, false},
 		{"for another version", rollout.State{Order: rollout.Order{Service: "s", Version: "v1", Revision: store.RevisionIn(1, 500), Duration: time.Minute}, Phase: rollout.Completed}, order(2, 3), rollout.Trial, true, false},
