--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller carries out roll-outs on one node: it hears orders, divides the
-// requests of each service as the node's plan says, judges the own back end, and, on the
-// nodes that read the store, writes how far a move has come. Decisions are those of
-// package rollout.
+// Package controller runs rollouts on one node: it receives orders, maintains the plan that
+// divides the requests of each service, evaluates the local back end and, on nodes that read
+// the store, records the progress of a rollout there. The decisions are made by package
+// rollout.
 package controller
 
 import (
@@ -22,79 +22,81 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Options configure a controller.
+// Options configures a Controller.
 type Options struct {
 	Store   Store
 	Codec   Codec
 	Members *roster.Roster
 	Limits  func() rollout.Limits
-	// Load returns what part of the slots of a service's back ends of other versions than
-	// the given one is taken, above one where requests wait.
+	// Load returns the fraction of the slots in use at a service's back ends of versions other
+	// than the given one; above 1 while requests wait.
 	Load func(service, version string) float64
 	// Readers returns the nodes that read the store, in any order. They act one after the
-	// other, in an order on which all nodes agree.
+	// other, in an order that is the same on all nodes.
 	Readers func() []*roster.Record
-	// Settled reports whether the node has served for some time: it knows the orders given
-	// before, and the versions that are in use.
+	// Settled reports whether the node has run long enough to know earlier orders and the
+	// versions in use.
 	Settled func() bool
-	// Broadcast tells the peers of the moves, BroadcastRecord of the node's own record.
+	// Broadcast sends the rollout states to all peers, BroadcastRecord the node's own record.
 	Broadcast, BroadcastRecord func()
 	Logger                     *zap.Logger
 	Registry                   prometheus.Registerer
 }
 
 const (
-	// tickInterval is the time between two looks at the moves that are under way.
+	// tickInterval is the interval at which rollouts in progress are evaluated.
 	tickInterval = 50 * time.Millisecond
-	// holdMost is how long a version that no order names gets nothing: its order may not
-	// have been heard. Software that comes without an order is used after that time.
+	// maxHold is how long a version without an order gets no requests, since its order may not
+	// have arrived yet. After that the version is taken as deployed without an order and is
+	// used.
 	maxHold = 10 * time.Second
-	// settle is how long after all requests have moved the back ends of other versions
-	// still take what other nodes send that have not heard yet.
+	// propagationGrace is how long after promotion the back ends of other versions still accept
+	// requests from nodes that have not learned of it.
 	propagationGrace = 200 * time.Millisecond
 )
 
-// Controller carries out roll-outs. It is safe for concurrent use; what a request needs
-// takes no lock.
+// Controller runs the rollouts of a node. It is safe for concurrent use. The request path takes
+// no lock.
 type Controller struct {
 	options Options
 	metrics *metrics
 	wake    chan struct{}
 	plans   atomic.Pointer[map[string]*rollout.Plan]
-	// judging is of the back end that is judged now; nil while none is.
+	// evaluation is that of the local back end; nil while none is evaluated.
 	evaluation atomic.Pointer[evaluation]
 
-	mu       sync.Mutex // guards all below and the replacement of plans and judging
+	mu       sync.Mutex // guards all below and the replacement of plans and evaluation
 	rollouts map[string]*activeRollout
-	// versions holds the versions of each service that are in use, unheard those that
-	// no order names, with when they were first seen.
+	// versions holds the versions in use by service. withheld holds the versions without an
+	// order, with the time at which each was first seen.
 	versions  map[string]map[string]bool
 	withheld  map[string]map[string]time.Time
 	splitters map[string]*rollout.Splitter
 }
 
-// carried is a move with what the node has done for it. The controller's lock guards it.
+// activeRollout is the state of a rollout and the node's progress with it. The controller's
+// lock guards it.
 type activeRollout struct {
 	rollout.State
-	// order is the revision of the order that all below concerns.
+	// orderRevision is the revision of the order that all fields below refer to.
 	orderRevision uint64
-	// began is when the node heard of the order, asked how many requests of the service
-	// it had divided then.
+	// startedAt is when the node received the order, requestsAtStart the number of requests of
+	// the service that it had divided by then.
 	startedAt       time.Time
 	requestsAtStart int64
-	// moved is when all requests went to the version, by this node; zero before.
+	// promotedAt is when this node sent all requests to the version; zero before.
 	promotedAt time.Time
-	// due is the phase that waits to be written, dueSince since when.
+	// due is the phase to be written, dueSince the time since which it is due.
 	due      rollout.Phase
 	dueSince time.Time
-	// writing: a write is under way. failures counts those that failed in a row, and
-	// notBefore is when the next may follow.
+	// writing means that a write is in progress. failures counts consecutive failed writes, and
+	// notBefore is the earliest time of the next one.
 	writing   bool
 	failures  int
 	notBefore time.Time
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Run starts it.
 func New(options Options) *Controller {
 	return &Controller{
 		options: options, metrics: newMetrics(options.Registry), wake: make(chan struct{}, 1),
@@ -103,7 +105,7 @@
 	}
 }
 
-// Run carries out moves until the context ends.
+// Run processes rollouts until the context is done.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -122,7 +124,7 @@
 	}
 }
 
-// Active reports whether a move is under way or a version is held.
+// Active reports whether a rollout is in progress or a version is withheld.
 func (c *Controller) Active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +146,7 @@
 	}
 }
 
-// Plan returns how the service's requests are divided, nil when nothing divides them.
+// Plan returns the plan of a service; nil if its requests are not divided.
 func (c *Controller) Plan(service string) *rollout.Plan {
 	current := c.plans.Load()
 	if current == nil {
@@ -153,7 +155,7 @@
 	return (*current)[service]
 }
 
-// Ordered takes in an order that the store has.
+// Ordered handles an order read from the store.
 func (c *Controller) Ordered(order rollout.Order) {
 	now := clock.Now()
 	if c.merge(c.initialState(order, now), now) {
@@ -163,8 +165,8 @@
 	}
 }
 
-// begin returns the move of an order. A node that has just started does not know yet whether
-// other versions are in use.
+// initialState returns the initial state for an order. A node that has just started does not
+// know yet whether other versions are in use.
 func (c *Controller) initialState(order rollout.Order, now time.Time) rollout.State {
 	if !c.options.Settled() {
 		return rollout.NewState(order, now)
@@ -172,8 +174,8 @@
 	return rollout.Start(order, c.tally(order.Service, order.Version), now)
 }
 
-// Restored takes in that the store has come back from an older copy: no status is known to be there.
-// The end of a move that was told stays its end, and is written again.
+// Restored handles a store that was restored from an older copy: no status is known to be
+// recorded there. A known result of a rollout is kept and written again.
 func (c *Controller) Restored() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +186,7 @@
 	c.signal()
 }
 
-// Hear takes in what a peer tells of moves and reports whether some of it is news.
+// Hear merges rollout states received from a peer and reports whether any of it was new.
 func (c *Controller) Hear(received []rollout.WireState) (changed bool) {
 	now := clock.Now()
 	for _, wire := range received {
@@ -198,7 +200,7 @@
 	return changed
 }
 
-// Tell returns the moves as peers are told of them; nil when there are none.
+// Tell returns the rollout states to send to peers; nil if there are none.
 func (c *Controller) Tell() []rollout.WireState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +215,7 @@
 	return states
 }
 
-// learn merges a move and reports whether it is news.
+// merge merges a state and reports whether it changed anything.
 func (c *Controller) merge(state rollout.State, now time.Time) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,7 +243,7 @@
 	return true
 }
 
-// use notes that a version is in use, or is known by an order.
+// markInUse marks a version as in use or as named by an order.
 func (c *Controller) markInUse(service, version string) {
 	if c.versions[service] == nil {
 		c.versions[service] = map[string]bool{}
@@ -253,7 +255,7 @@
 	}
 }
 
-// entered logs a move's phase and notes when the requests moved; the lock is held.
+// enterPhase logs the new phase and sets the time of promotion. The lock must be held.
 func (c *Controller) enterPhase(active *activeRollout, now time.Time) {
 	if (active.Phase == rollout.Promoting || active.Phase == rollout.Completed) && active.promotedAt.IsZero() {
 		active.promotedAt = now
@@ -266,8 +268,8 @@
 		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.LogOdds), zap.Float64("load", tally.Load))
 }
 
-// Follow takes in changed records: a version that no order names is held, since its
-// order may not have been heard yet.
+// Follow handles changed records. A version without an order is withheld, since its order may
+// not have arrived yet.
 func (c *Controller) Follow(changed []*roster.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,7 +287,7 @@
 	}
 }
 
-// hold has a version get nothing for a time; the lock is held.
+// withhold keeps requests from a version for a time. The lock must be held.
 func (c *Controller) withhold(service, version string) {
 	if c.withheld[service] == nil {
 		c.withheld[service] = map[string]time.Time{}
@@ -301,7 +303,7 @@
 	c.signal()
 }
 
-// releaseHeld ends holds that have lasted long enough; the lock is held.
+// releaseWithheld releases versions that have been withheld for maxHold. The lock must be held.
 func (c *Controller) releaseWithheld(now time.Time) {
 	for service, versions := range c.withheld {
 		for version, since := range versions {
@@ -314,8 +316,8 @@
 	}
 }
 
-// tick looks at every move: what its back ends are called, who is on trial, and what is
-// due in the store.
+// tick processes every rollout: it evaluates the evidence, updates the trial assignment and
+// starts writes that are due.
 func (c *Controller) tick(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	c.releaseWithheld(now)
@@ -337,7 +339,7 @@
 	}
 }
 
-// tally counts the back ends of a service, and what those of a version show.
+// tally returns the number of back ends of a service and the evidence about those of a version.
 func (c *Controller) tally(service, version string) rollout.Tally {
 	tally := rollout.Tally{Load: c.options.Load(service, version)}
 	for _, record := range c.options.Members.View().Service(service) {
@@ -357,8 +359,8 @@
 	return tally
 }
 
-// candidates returns the nodes whose back ends may be on trial, in an order on which
-// all nodes agree, and how many back ends of other versions there are.
+// candidates returns the nodes whose back ends may be on trial, in an order that is the same on
+// all nodes, and the number of back ends of other versions.
 func (c *Controller) candidates(active *activeRollout) (nodes []string, others int) {
 	for _, record := range c.options.Members.View().Service(active.Service) {
 		assessment := record.Assessment()
@@ -387,7 +389,7 @@
 	return 0
 }
 
-// publish makes the plans anew; the lock is held.
+// updatePlans rebuilds the plans. The lock must be held.
 func (c *Controller) updatePlans(now time.Time) {
 	updated := make(map[string]*rollout.Plan, len(c.rollouts)+len(c.withheld))
 	for service, active := range c.rollouts {
@@ -410,10 +412,10 @@
 	c.plans.Store(&updated)
 }
 
-// paceKnown is how long requests are counted before their rate is used.
+// minRateWindow is how long requests are counted before their rate is used.
 const minRateWindow = time.Second
 
-// pace is how often requests of a move's service come to this node; the lock is held.
+// requestRate returns the rate of a rollout's requests at this node. The lock must be held.
 func (c *Controller) requestRate(active *activeRollout, now time.Time) rollout.RequestRate {
 	requestRate := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
 	if elapsed := now.Sub(active.startedAt); elapsed >= minRateWindow {
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -27,26 +27,26 @@
 	duration   = 14 * time.Second
 )
 
-// statuses is a store of one key. It is safe for concurrent use.
+// fakeStore is a store with one key. It is safe for concurrent use.
 type fakeStore struct {
 	mu       sync.Mutex // guards all below
 	value    []byte
 	revision uint64
 	calls    int
-	// written are the phases in the order in which they were written.
+	// written holds the written phases in order.
 	written []rollout.Phase
-	// fails says what becomes of the next call.
+	// nextFault returns the fault of the next call.
 	nextFault func() fault
 }
 
-// fault is what becomes of a call.
+// fault is a fault of a store call.
 type fault int
 
 const (
 	none fault = iota
-	// refused: nothing is done.
+	// refused: the call has no effect.
 	refused
-	// unanswered: it is done and not answered; late: it is done seconds later.
+	// unanswered: the call takes effect without an answer. late: it takes effect seconds later.
 	unanswered
 	late
 )
@@ -118,18 +118,18 @@
 	return s.written[len(s.written)-1]
 }
 
-// node is one node of the fleet.
+// node is a node of the fleet.
 type node struct {
 	name    string
 	members *roster.Roster
-	// control is replaced at a restart.
+	// control is replaced when the node restarts.
 	control *controller.Controller
 	stop    context.CancelFunc
 	alive   bool
 }
 
-// fleet is a service whose back ends are of two versions, with a node beside each.
-// Everybody reads the store. It is used by one goroutine.
+// fleet is a service with back ends of two versions, each with a node. All nodes read the
+// store. It is used by one goroutine.
 type fleet struct {
 	store  *fakeStore
 	nodes  []*node
@@ -157,14 +157,14 @@
 	return newVersion
 }
 
-// settleTime is how long a node is new.
+// settleTime is the time until a node counts as settled.
 const settleTime = 5 * time.Second
 
-// start starts a node's process, which remembers nothing.
+// start starts the process of a node, without any state.
 func (f *fleet) start(index int) { f.startAt(index, time.Now()) }
 
-// startAt starts a process that counts as started at that moment. What it runs with is its
-// own: the process before may be in its last step still.
+// startAt starts a process that counts as started at the given time. It shares nothing with the
+// previous process, which may still be finishing its last step.
 func (f *fleet) startAt(index int, startedAt time.Time) {
 	n := f.nodes[index]
 	epoch := uint64(1)
@@ -211,7 +211,7 @@
 	}
 }
 
-// share tells every node what all others know.
+// gossip sends the state of every node to all others.
 func (f *fleet) gossip() {
 	for _, sender := range f.nodes {
 		if !sender.alive {
@@ -235,8 +235,8 @@
 	}
 }
 
-// request sends one request through a node and returns which version took it; empty when
-// nobody did.
+// request sends one request through a random node and returns the version that took it; empty
+// if none did.
 func (f *fleet) request(bad func(*node) bool) string {
 	from := f.nodes[f.random.IntN(len(f.nodes))]
 	if !from.alive {
@@ -268,7 +268,7 @@
 
 func neverBad(*node) bool { return false }
 
-// play sends requests for a time and shares what nodes know ten times a second.
+// run sends requests for the given time and exchanges the nodes' states ten times a second.
 func (f *fleet) run(length time.Duration, bad func(*node) bool) (counts map[string]int) {
 	const perSecond = 400
 	counts = map[string]int{}
@@ -283,8 +283,8 @@
 	return counts
 }
 
-// TestAGoodVersion: it is on trial, then everything goes there, then it is done, by the
-// deadline, and few calls are made for it.
+// TestGoodVersionIsPromoted checks that a good version is on trial, then promoted, then
+// completed by the deadline, with few calls to the store.
 func TestGoodVersionIsPromoted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -293,17 +293,17 @@
 		f.order(7)
 		counts := f.run(12*time.Second, neverBad)
 		g.Expect(f.store.phase()).To(Equal(rollout.Trial))
-		g.Expect(counts[newVersion]).To(And(BeNumerically(">", 60), BeNumerically("<", 12*400/20)), "some 3 in 100 and the slack")
+		g.Expect(counts[newVersion]).To(And(BeNumerically(">", 60), BeNumerically("<", 12*400/20)), "some 3 in 100 requests and the slack")
 		f.run(2*time.Second, neverBad)
 		g.Expect(f.store.written).To(Equal([]rollout.Phase{rollout.Trial, rollout.Promoting, rollout.Completed}))
 		counts = f.run(time.Second, neverBad)
 		g.Expect(counts["v1"]).To(BeZero())
-		g.Expect(f.store.calls).To(BeNumerically("<=", 2*3+len(f.nodes)), "a read and a write each, and one read of each that has its turn")
+		g.Expect(f.store.calls).To(BeNumerically("<=", 2*3+len(f.nodes)), "a read and a write per phase, and one read by each node whose turn comes")
 	})
 }
 
-// TestABadVersion: it gets nothing after a few bad answers, whoever hears of it, and the
-// store learns that it was taken back.
+// TestBadVersionIsRolledBack checks that a bad version gets nothing from any node after a few
+// bad answers and that the rollback is recorded in the store.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -324,8 +324,8 @@
 	})
 }
 
-// TestWithoutTheStore: a bad version gets nothing all the same, and a good one is not
-// promoted.
+// TestStoreUnavailable checks that without the store a bad version still gets nothing and a
+// good one is not promoted.
 func TestStoreUnavailable(t *testing.T) {
 	for name, bad := range map[string]func(*node) bool{"good": neverBad, "bad": func(*node) bool { return true }} {
 		t.Run(name, func(t *testing.T) {
@@ -342,7 +342,7 @@
 				counts := f.run(13*time.Second, bad)
 				g.Expect(f.store.written).To(Equal([]rollout.Phase{rollout.Trial}))
 				g.Expect(counts["v1"]).To(BeNumerically(">", 4500))
-				g.Expect(f.run(time.Second, bad)[newVersion]).To(BeZero(), "without an end it is taken back after the deadline")
+				g.Expect(f.run(time.Second, bad)[newVersion]).To(BeZero(), "without a result it is rolled back after the deadline")
 				f.store.mu.Lock()
 				f.store.nextFault = nil
 				f.store.mu.Unlock()
@@ -353,8 +353,8 @@
 	}
 }
 
-// TestAnUnheardVersion: software that no order names gets nothing until one does, or until
-// it is taken for what operators brought in another way.
+// TestVersionWithoutOrder checks that a version without an order gets nothing until an order
+// arrives, or until maxHold has passed and it counts as deployed in another way.
 func TestVersionWithoutOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -374,8 +374,8 @@
 	})
 }
 
-// TestAFreshNode: a node that has just started takes every version that it meets for one in
-// use, whichever it hears of first.
+// TestRestartedNode checks that a node that has just started takes all versions for versions in
+// use, in whichever order their records arrive.
 func TestRestartedNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -393,14 +393,14 @@
 	})
 }
 
-// rest lets time pass without a request.
+// runIdle exchanges states for the given time without requests.
 func (f *fleet) runIdle(length time.Duration) {
 	for until := time.Now().Add(length); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 		f.gossip()
 	}
 }
 
-// lose has all back ends of the version before end, with their nodes.
+// endOldVersion ends all back ends of the old version, with their nodes.
 func (f *fleet) endOldVersion() {
 	for index := range oldNodes {
 		f.kill(index)
@@ -413,8 +413,8 @@
 	f.nodes = f.nodes[oldNodes:]
 }
 
-// TestTheLastVersionLeft: a version beside which no other one is left is not taken back for
-// want of evidence.
+// TestOnlyVersionLeft checks that a version is not rolled back for lack of evidence if no other
+// version is left.
 func TestOnlyVersionLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -429,8 +429,8 @@
 	})
 }
 
-// TestARepeatedOrder: an order for the version that is in use leaves nobody without back
-// ends, with requests and without, and whatever these show.
+// TestOrderForVersionInUse checks that an order for the version in use never leaves requests
+// without back ends, with and without traffic, and with bad answers.
 func TestOrderForVersionInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -448,13 +448,13 @@
 		f.order(10)
 		g.Expect(f.run(duration+time.Second, func(*node) bool { return f.random.Float64() < 0.5 })[""]).To(BeZero())
 		g.Expect(f.store.phase()).To(Equal(rollout.Completed))
-		g.Expect(f.store.revision).To(BeEquivalentTo(3+3), "each order gets its status")
+		g.Expect(f.store.revision).To(BeEquivalentTo(3+3), "three phases of the first order and one of each repeated order")
 	})
 }
 
-// TestPromises plays moves with random evidence, faults of the store, and nodes that end
-// and start at any moment. Nothing is written after an end, there is an end soon after the
-// deadline when the store serves again, and after an end all nodes do as it says.
+// TestRandomFaults runs rollouts with random evidence, store faults and node restarts. No write
+// follows a final phase, a final phase is reached soon after the deadline once the store works
+// again, and then all nodes act on it.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -465,7 +465,7 @@
 				badFraction := []float64{0, 0, 0.1, 0.4, 1}[f.random.IntN(5)]
 				bad := func(*node) bool { return f.random.Float64() < badFraction }
 				faultProbability := f.random.Float64() * 0.6
-				faults := rand.New(rand.NewPCG(seed, 2)) // used under the store's lock
+				faults := rand.New(rand.NewPCG(seed, 2)) // accessed with the store's lock held
 				f.store.nextFault = func() fault {
 					if faults.Float64() >= faultProbability {
 						return none
@@ -498,7 +498,7 @@
 				last := f.store.phase()
 				g.Expect(last.Final()).To(BeTrue(), "%v", f.store.written)
 				for i, phase := range f.store.written[:len(f.store.written)-1] {
-					g.Expect(phase.Final()).To(BeFalse(), "something follows on %s at %d: %v", phase, i, f.store.written)
+					g.Expect(phase.Final()).To(BeFalse(), "a write follows %s at %d: %v", phase, i, f.store.written)
 				}
 				counts := f.run(time.Second, bad)
 				other := "v1"
@@ -511,8 +511,8 @@
 	}
 }
 
-// restore has the store come back from an older copy, with what it held when it had written so many
-// statuses, and operators write the order again.
+// restore restores the store from a copy with the given value and revision counter in a new
+// era, and the operator writes the order again.
 func (f *fleet) restore(era uint64, value []byte, counter uint64) {
 	f.store.mu.Lock()
 	f.store.value, f.store.revision = value, store.RevisionIn(era, counter)
@@ -528,8 +528,9 @@
 	f.order(store.RevisionIn(era, 3))
 }
 
-// TestTheStoreComesBackOlder at any step of a move, up to three times, from a copy of any age: what
-// was decided stays decided, is written again, and the move ends as it would have.
+// TestStoreRestoredFromCopy restores the store from older copies up to three times at any step
+// of a rollout. A decision must be kept and written again, and the rollout must end as it would
+// have.
 func TestStoreRestoredFromCopy(t *testing.T) {
 	for seed := range uint64(restoreSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -573,7 +574,7 @@
 				stored := controller.Status{}
 				g.Expect(json.Unmarshal(f.store.value, &stored)).To(Succeed())
 				f.store.mu.Unlock()
-				g.Expect(stored.Phase).To(Equal(last), "the store has the end")
+				g.Expect(stored.Phase).To(Equal(last), "the store has recorded the final phase")
 				other := "v1"
 				if last == rollout.RolledBack {
 					other = newVersion
@@ -584,5 +585,5 @@
 	}
 }
 
-// rewindSeeds is how many moves are played; 1,000 were by hand.
+// restoreSeeds is the number of simulated rollouts; 1,000 were run manually.
 const restoreSeeds = 30
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -12,26 +12,26 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// judging is the judge of one back end.
+// evaluation is the detector of one back end with what was last published.
 type evaluation struct {
 	incarnation roster.Incarnation
 	detector    *rollout.Detector
 
 	mu sync.Mutex // guards all below
-	// faulty is what others were last told, published when.
+	// faulty is what was last published, published is when.
 	faulty    bool
 	published time.Time
 }
 
-// Judges reports whether answers of the own back end are evidence: its version is on
-// trial, or all requests have just moved to it.
+// Judges reports whether answers of the local back end are evidence: its version is on trial or
+// has just been promoted.
 func (c *Controller) Judges() bool {
 	endpoint, plan := c.ownPlan()
 	return plan != nil && plan.ComparesVersions() && endpoint.Version == plan.Version
 }
 
-// own returns the own back end and the plan of its service; the plan is nil when nothing
-// divides the service's requests.
+// ownPlan returns the local back end and the plan of its service. The plan is nil if the
+// requests of the service are not divided.
 func (c *Controller) ownPlan() (*roster.Endpoint, *rollout.Plan) {
 	if c.plans.Load() == nil {
 		return nil, nil
@@ -43,9 +43,8 @@
 	return endpoint, c.Plan(endpoint.Service)
 }
 
-// Refuses reports whether the own back end is to get nothing: its version was judged bad,
-// the back end itself was found faulty in the trial, or all requests have moved away from
-// its version.
+// Refuses reports whether the local back end must not get requests: its version was condemned,
+// the back end was found faulty in the trial, or another version was promoted.
 func (c *Controller) Refuses() bool {
 	endpoint, plan := c.ownPlan()
 	if plan == nil || plan.Version == "" {
@@ -64,7 +63,8 @@
 	return false
 }
 
-// Answered takes in what a request showed of the own back end, while Judges holds.
+// Answered records an answer of the local back end as evidence. It has no effect unless Judges
+// is true.
 func (c *Controller) Answered(answer rollout.Answer) {
 	endpoint, plan := c.ownPlan()
 	if plan == nil || !plan.ComparesVersions() || endpoint.Version != plan.Version {
@@ -92,14 +92,14 @@
 }
 
 const (
-	// publishInterval is the least time between two accounts of the same back end that
-	// others are told, but for the one that it is faulty.
+	// publishInterval is the minimum interval between two published assessments of a back end,
+	// unless its being faulty changes.
 	publishInterval = 500 * time.Millisecond
-	// leanUnits is how exactly a lean is told: in parts of one.
+	// logOddsUnits is the precision of published log odds, in units per 1.
 	logOddsUnits = 10
 )
 
-// isDue reports whether others are to be told of the evidence now.
+// shouldPublish reports whether the evidence is to be published now.
 func (e *evaluation) shouldPublish(evidence rollout.Evidence, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,8 +110,8 @@
 	return true
 }
 
-// judgeOf returns the judge of the back end, a new one for another back end. A back end is
-// of one version all its life, and each version is moved to once.
+// evaluationOf returns the evaluation of the back end, and starts a new one for a new back end.
+// A back end has one version all its life, and each version is rolled out once.
 func (c *Controller) evaluationOf(endpoint *roster.Endpoint) *evaluation {
 	current := c.evaluation.Load()
 	if current != nil && current.incarnation == endpoint.Incarnation() {
--- a/internal/sidecar/rollout/controller/metrics.go
+++ b/internal/sidecar/rollout/controller/metrics.go
@@ -6,8 +6,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// metrics tell of roll-outs. Services are those of the configuration that had an order;
-// versions are those that were on trial beside this node.
+// metrics are the metrics of rollouts. The service label is limited to services of the
+// configuration that had an order, the version label to versions that were on trial beside this
+// node.
 type metrics struct {
 	phase   *prometheus.GaugeVec
 	answers *prometheus.CounterVec
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -13,47 +13,47 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Store is what a controller needs of the store.
+// Store is the part of the store that a controller uses.
 type Store interface {
 	Get(ctx context.Context, key string) (store.KeyValue, error)
 	store.Writer
 }
 
-// Status is how far a move has come, as the store has it.
+// Status is the progress of a rollout as recorded in the store.
 type Status struct {
 	Service, Version string
-	// Revision is that of the order.
+	// Revision is the revision of the order.
 	Revision uint64
 	Phase    rollout.Phase
-	// Deadline is the end of the move by the time of day of the node that wrote it.
+	// Deadline is the end of the rollout by the wall clock of the node that wrote it.
 	Deadline time.Time
 }
 
-// Codec turns orders and statuses into what the store holds. The assembly provides it.
+// Codec defines the representation of statuses in the store. The caller of New provides it.
 type Codec struct {
-	// StatusKey is where the status of a service's move lies.
+	// StatusKey returns the key of the status of a service's rollout.
 	StatusKey    func(service string) string
 	EncodeStatus func(Status) ([]byte, error)
-	// DecodeStatus reads one. A status that was not written by a node has no revision.
+	// DecodeStatus decodes a status. One that was not written by a node has no revision.
 	DecodeStatus func([]byte) (Status, error)
 }
 
 const (
 	writeTimeout = 500 * time.Millisecond
-	// rankDelay is how much later each further reader acts on what is due, urgentDelay
-	// where the deadline is near. All but the first mostly find the work done.
+	// rankDelay is the delay by which each further reader acts later on a due write,
+	// urgentDelay that near the deadline. All but the first usually find the write done.
 	rankDelay   = 400 * time.Millisecond
 	urgentDelay = 120 * time.Millisecond
-	// clockTolerance is how far the times of day of two nodes may be apart. A node that
-	// has read an order long after it was given, as after a restart of all, takes the
-	// deadline from the status; a smaller difference may be one of clocks.
+	// clockTolerance is the maximum clock skew between two nodes. A node that reads an order
+	// long after it was given, as after a restart of all nodes, takes the deadline from the
+	// status; a smaller difference may be clock skew.
 	clockTolerance = 4 * time.Second
-	// retryBase and retryMost bound the pause after a failed write.
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed write.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// act begins to write the phase that is due, when it is this node's turn; the lock is
+// writeDue starts writing the phase that is due if it is this node's turn. The lock must be
 // held.
 func (c *Controller) writeDue(ctx context.Context, active *activeRollout, tally rollout.Tally, now time.Time) {
 	phase, due := active.DuePhase(tally, c.options.Limits(), now)
@@ -72,8 +72,8 @@
 	go c.write(ctx, next)
 }
 
-// turn reports whether this node is to write what has been due since then: the readers
-// act one after the other, each when those before have not.
+// isTurn reports whether this node is to write the due phase: the readers act one after the
+// other, each if those before it have not.
 func (c *Controller) isTurn(active *activeRollout, phase rollout.Phase, now time.Time) bool {
 	own := c.options.Members.Own().Node
 	readers := c.options.Readers()
@@ -93,9 +93,9 @@
 	return now.Sub(active.dueSince) >= time.Duration(rank)*delay
 }
 
-// write brings the store to a phase of a move. The key is read first: a condition on its
-// revision keeps apart what two nodes decide, and keeps a write whose answer was lost from
-// taking effect after a later one.
+// write records a phase in the store. It reads the key first: the compare-and-swap on its
+// revision prevents conflicting decisions of two nodes, and prevents a write whose answer was
+// lost from taking effect after a later one.
 func (c *Controller) write(ctx context.Context, next rollout.State) {
 	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -114,7 +114,8 @@
 	c.writeSucceeded(next, time.Time{})
 }
 
-// stored reads the status of a service's move, an empty one when there is none.
+// storedStatus reads the status of a service's rollout, and returns an empty one if there is
+// none.
 func (c *Controller) storedStatus(ctx context.Context, service string) (Status, uint64, error) {
 	item, err := c.options.Store.Get(ctx, c.options.Codec.StatusKey(service))
 	if errors.Is(err, store.ErrNotFound) {
@@ -144,8 +145,8 @@
 	return err
 }
 
-// wrote takes in that the store has the phase. deadline is the one that the store had,
-// zero when this node has just written its own.
+// writeSucceeded records that the store has the phase. deadline is the one read from the store;
+// zero if this node wrote the status.
 func (c *Controller) writeSucceeded(state rollout.State, deadline time.Time) {
 	now := clock.Now()
 	c.mu.Lock()
@@ -160,7 +161,7 @@
 	}
 	merged, changed := active.Merge(state)
 	if state.Phase.Final() {
-		// What the store has is the end, whatever this node took for it.
+		// A final phase in the store overrides the local one.
 		changed = active.Phase != state.Phase
 		merged.Phase, merged.Cause, merged.Recorded = state.Phase, state.Cause, true
 	}
@@ -176,7 +177,7 @@
 	c.signal()
 }
 
-// notWritten logs a failed write and has the next one wait.
+// writeFailed logs a failed write and delays the next one.
 func (c *Controller) writeFailed(state rollout.State, err error) {
 	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", state.Service),
 		zap.Stringer("phase", state.Phase), zap.Error(err))
