--- a/internal/sidecar/hop/hop.go
+++ b/internal/sidecar/hop/hop.go
@@ -21,7 +21,7 @@
 	// HeaderProof is set on replies to the time in milliseconds since the node last confirmed that
 	// its configuration is the newest. It is sent only while that time is short.
 	HeaderProof = "Kestrel-Proof"
-	// HeaderShare carries a shares.Standing on replies and, on requests, the part of its tenant's
+	// HeaderShare carries a shares.Allocation on replies and, on requests, the part of its tenant's
 	// requests that the request represents. It is sent only with the handlers' option for tenants'
 	// shares.
 	HeaderShare = "Kestrel-Share"
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// The load: tenants by a skew, in TestSharesOfAService asking for one and a half times the room of
-	// the back ends.
+	// The load: tenants with a skewed demand, in TestMaxMinSharing of 1.5 times the capacity of
+	// the back ends in total.
 	fleetTenants  = 77
 	fleetSkew     = 1.2
 	fleetDemand   = 1.5
@@ -24,21 +24,22 @@
 	fleetStep     = 50 * time.Millisecond
 	fleetAttempts = 4
 	fleetMaxWait  = 150 * time.Millisecond
-	// fleetChange is when a third of the nodes is cut off, fleetBound when the bound holds after it.
+	// fleetCutAt is when a third of the nodes is partitioned off; fleetSettle is the time after
+	// it from which the bound applies.
 	fleetCutAt  = 4 * time.Second
 	fleetSettle = 2 * time.Second
 	fleetEnd    = 8 * time.Second
-	// fleetSees is how many back ends a node considers.
+	// fleetSubset is the number of back ends in the subset of a node.
 	fleetSubset = 40
 )
 
-// fleet is a service whose every node has callers and a back end beside it.
+// fleet is a service in which every node has callers and a back end.
 type fleet struct {
 	random *rand.Rand
 	policy policy
 	nodes  []*node
 	now    time.Time
-	// tenants by the room they want, in back ends' worth of the whole fleet.
+	// demands is the demand by tenant, in slots of the whole fleet.
 	demands []float64
 }
 
@@ -46,27 +47,29 @@
 	number      int
 	subset      []int
 	partitioned bool
-	// room is what the back end can still serve in this step, had what each tenant's requests got there.
+	// capacity is the remaining capacity of the back end in this step. servedByTenant counts
+	// the requests served by tenant.
 	capacity       float64
 	servedByTenant [fleetTenants]float64
-	// due are the requests of each tenant that are not yet a whole one, offered and got what is counted.
+	// pending are the fractional requests of each tenant; offered and got count its requests.
 	pending      [fleetTenants]float64
 	offered, got [fleetTenants]float64
 	queue        []*call
 	virtualTime  float64
 }
 
-// asked is one request on its way.
+// call is a request in progress.
 type call struct {
 	from, tenant int
 	marked       bool
 	fraction     float64
 	tried        []int
-	// refused is when it is refused where it waits, unless it has a slot by then.
+	// deadline is when it is refused unless it has got a slot.
 	deadline time.Time
 }
 
-// way is how a node knows which part of its requests is within a tenant's share.
+// policy determines how a node learns which fraction of its requests is within a tenant's
+// share.
 type policy interface {
 	fraction(f *fleet, from *node, tenant int) float64
 	arrived(f *fleet, at *node, request *call)
@@ -74,13 +77,13 @@
 	step(f *fleet)
 }
 
-// told is the package's: what meters tell with replies.
+// replyPolicy is that of the package: meters report with replies.
 type replyPolicy struct {
 	meters   []shares.Meter
 	trackers []shares.Tracker
 }
 
-// tenantNames are by number.
+// tenantNames are the names by number.
 var tenantNames = func() (names [fleetTenants]string) {
 	for tenant := range names {
 		names[tenant] = fmt.Sprint(tenant)
@@ -114,7 +117,7 @@
 }
 func (w *replyPolicy) step(*fleet) {}
 
-// alone marks nothing: each queue by itself.
+// independentPolicy marks nothing: each queue shares by itself.
 type independentPolicy struct{}
 
 func (independentPolicy) fraction(*fleet, *node, int) float64 { return shares.FullFraction }
@@ -122,11 +125,11 @@
 func (independentPolicy) answered(*fleet, *node, *call, bool) {}
 func (independentPolicy) step(*fleet)                         {}
 
-// summed is the way that was weighed against it: each node tells what it knows of all nodes' demand
-// in an exchange with one other every 800 ms, and adds up what is not older than three of them.
+// gossipPolicy is the alternative: each node gossips the demand that it knows of all nodes with
+// one other node every 800 ms, and adds up reports that are at most three intervals old.
 type gossipPolicy struct {
 	next  time.Time
-	views [][]demandReport // by who knows, and of whom
+	views [][]demandReport // by node and by reported node
 }
 
 type demandReport struct {
@@ -189,8 +192,8 @@
 	}
 }
 
-// callersAt is which part of a tenant's callers is at a node: every other of the smaller tenants has
-// all of them at three nodes.
+// callerFraction returns the fraction of a tenant's callers at a node. Every other of the
+// smaller tenants has all its callers at three nodes.
 func (f *fleet) callerFraction(tenant, number int) float64 {
 	if tenant%2 == 0 || tenant < 10 {
 		return 1 / float64(len(f.nodes))
@@ -203,7 +206,7 @@
 	return 0
 }
 
-// newFleet has tenants ask for the given part of the room.
+// newFleet creates a fleet in which the tenants demand the given fraction of the capacity.
 func newFleet(size int, p policy, demand float64, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), policy: p, now: time.Unix(1, 0), demands: make([]float64, fleetTenants)}
 	total := 0.0
@@ -224,8 +227,8 @@
 	return f
 }
 
-// step plays a moment: requests come, wait at back ends, get what room there is, and go to another
-// back end when they are refused.
+// step simulates one interval: requests arrive, wait at back ends, are served as capacity
+// permits, and go to another back end when they are refused.
 func (f *fleet) step() {
 	f.now = f.now.Add(fleetStep)
 	f.policy.step(f)
@@ -243,7 +246,7 @@
 	}
 }
 
-// begin returns the requests that callers make at a node.
+// arrivals returns the requests that callers make at a node.
 func (f *fleet) arrivals(one *node) (requests []*call) {
 	for tenant := range fleetTenants {
 		one.pending[tenant] += f.demands[tenant] * f.callerFraction(tenant, one.number) * fleetStep.Seconds() / fleetWork.Seconds()
@@ -256,7 +259,7 @@
 	return requests
 }
 
-// send passes a request to a back end that its node considers and can reach.
+// send sends a request to a back end that is in its node's subset and reachable.
 func (f *fleet) send(request *call) {
 	from := f.nodes[request.from]
 	for range 2 * fleetSubset {
@@ -275,8 +278,8 @@
 	}
 }
 
-// serve gives what room the back end has: to those that are not marked first, then to the tenant that has
-// had the least.
+// serve uses the capacity of the back end: for unmarked requests first, then for the tenant
+// that was served least.
 func (f *fleet) serve(one *node) {
 	for ; one.capacity >= 1 && len(one.queue) > 0; one.capacity-- {
 		best := 0
@@ -295,7 +298,7 @@
 	}
 }
 
-// refuse sends those on that have waited for too long.
+// refuse refuses the requests that have waited too long, which then go to another back end.
 func (f *fleet) refuse(one *node) {
 	var left []*call
 	for _, request := range one.queue {
@@ -311,8 +314,9 @@
 	one.queue = left
 }
 
-// play returns, for the time since the last change, the least part that a tenant got of its max-min share
-// of the back ends that its callers reach, over tenants with enough requests to say so.
+// simulate returns, before and after the partition, the smallest ratio of what a tenant was
+// served to its max-min share of the back ends that its callers reach, over tenants with enough
+// requests.
 func simulate(size int, p policy) (before, after float64) {
 	f := newFleet(size, p, fleetDemand, 1)
 	start := f.now
@@ -341,7 +345,7 @@
 	}
 }
 
-// least looks at the nodes that are not cut off.
+// minServedShare considers the nodes that are not partitioned off.
 func (f *fleet) minServedShare() float64 {
 	var offered, got [fleetTenants]float64
 	served := 0.0
@@ -366,30 +370,31 @@
 	return minServedShare
 }
 
-// TestSharesOfAService: no tenant is below half of its max-min share of a service, whether its callers
-// are at all nodes or at three, from two seconds on after a third of the nodes is cut off. The two other
-// ways are played beside it, as far as they take little time.
+// TestMaxMinSharing checks that no tenant falls below half of its max-min share of a service,
+// whether its callers are at all nodes or at three, from two seconds after a third of the nodes
+// is partitioned off; the asserted limits are stricter. The two alternatives are run for
+// comparison at sizes where they take little time.
 func TestMaxMinSharing(t *testing.T) {
 	for _, size := range []int{13, 37, 88, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			g := NewWithT(t)
 			before, after := simulate(size, newReplyPolicy(size))
-			t.Logf("told: least %.3f, with a third cut off %.3f", before, after)
+			t.Logf("with replies: minimum %.3f, with a third partitioned off %.3f", before, after)
 			g.Expect(before).To(BeNumerically(">=", 0.85))
 			g.Expect(after).To(BeNumerically(">=", 0.7))
 			if size > 88 {
 				return
 			}
 			before, after = simulate(size, independentPolicy{})
-			t.Logf("each queue alone: least %.3f, with a third cut off %.3f", before, after)
+			t.Logf("independent queues: minimum %.3f, with a third partitioned off %.3f", before, after)
 			before, after = simulate(size, newGossipPolicy(size))
-			t.Logf("summed: least %.3f, with a third cut off %.3f", before, after)
+			t.Logf("with gossip: minimum %.3f, with a third partitioned off %.3f", before, after)
 		})
 	}
 }
 
-// TestATenantAtTenTimesItsUsual: with the room for all but a fifth used, one of the largest tenants sends
-// ten times as much. The others lose less than three in a hundred.
+// TestTenantOverload checks that at 80% utilization the others lose less than 3% when one of
+// the largest tenants sends ten times as much.
 func TestTenantOverload(t *testing.T) {
 	const (
 		size        = 37
@@ -420,6 +425,6 @@
 	g := NewWithT(t)
 	normal, _ := othersGot(1)
 	overloaded, offered := othersGot(10)
-	t.Logf("the others: %.0f before, %.0f beside it, of %.0f", normal, overloaded, offered)
+	t.Logf("the others: %.0f before, %.0f during the overload, of %.0f", normal, overloaded, offered)
 	g.Expect(overloaded).To(BeNumerically(">", normal*0.97))
 }
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -6,45 +6,50 @@
 )
 
 const (
-	// hearWeight is the weight of one reply, as 1/n: back ends see different parts of the demand.
+	// replyWeight is the inverse weight of one reply in the mean: back ends see different parts
+	// of the demand.
 	replyWeight = 16
-	// margin is how much more than its share a tenant has unmarked. Back ends see a share by chance:
-	// the queues there share exactly, and what is marked gives way to all.
+	// unmarkedMargin is the multiple of its share up to which a tenant's requests are left
+	// unmarked. Shares computed at back ends vary randomly; the queues there share exactly,
+	// while marked requests yield to all others.
 	unmarkedMargin = 2
-	// roomy is how many times what a tenant asks for a back end with room for all counts as its share.
+	// spareFactor is the share assumed at a back end with sufficient capacity, as a multiple of
+	// the tenant's demand.
 	spareFactor = 2
-	// hearAge is after what time without a reply nothing is known of a tenant.
+	// maxReplyAge is the time without a reply after which the state of a flow is stale.
 	maxReplyAge = 2 * time.Second
-	// mostHeard is from how many tenants on those are looked for of which nothing is known any more.
+	// maxFlows bounds the number of flows; when it is reached, stale ones are removed.
 	maxFlows = 4096
 )
 
-// Flow is a tenant's requests of one priority to a service.
+// Flow identifies a tenant's requests of one priority to a service.
 type Flow struct {
 	Service, Tenant string
 	Priority        int
 }
 
-// Tracker is what the node of callers knows of tenants' shares, by what replies told. The zero value
-// is ready and knows nothing. It is safe for concurrent use.
+// Tracker tracks, at the callers' node, the shares of tenants as reported with replies. The
+// zero value is ready to use. It is safe for concurrent use.
 type Tracker struct {
 	mu    sync.RWMutex // guards all below
 	flows map[Flow]*flowEstimate
-	// swept is when subjects were last looked for of which nothing is known any more.
+	// sweptAt is when stale flows were last removed.
 	sweptAt time.Time
 }
 
-// part is what replies told of one subject.
+// flowEstimate is the estimate for one flow.
 type flowEstimate struct {
 	mu sync.Mutex // guards all below
-	// share and demand are means that fade by replies. Demand differs between back ends by chance: the mean of
-	// the parts would be below the part of the means.
+	// share and demand are exponentially weighted means over replies. They are averaged
+	// separately, since demand varies randomly between back ends: the mean of the ratios would
+	// be below the ratio of the means.
 	share, demand float64
-	// at is when the last reply came; zero before the first.
+	// lastReply is when the last reply arrived; zero before the first.
 	lastReply time.Time
 }
 
-// Observe takes in what a reply told. Of subjects for which there has always been room nothing is kept.
+// Observe records the allocation reported with a reply. No state is kept for flows that have
+// always had sufficient capacity.
 func (t *Tracker) Observe(flow Flow, reported Allocation, now time.Time) {
 	t.mu.RLock()
 	estimate := t.flows[flow]
@@ -58,7 +63,7 @@
 	estimate.observe(reported, now)
 }
 
-// add returns the part of a subject, which it makes where there is none.
+// add returns the estimate of a flow and creates it if there is none.
 func (t *Tracker) add(flow Flow, now time.Time) *flowEstimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,8 +88,8 @@
 	return added
 }
 
-// Fraction returns which part of the subject's requests is within its share; Whole when nothing recent
-// is known.
+// Fraction returns the fraction of the flow's requests that is within its share; FullFraction
+// if there is no recent report.
 func (t *Tracker) Fraction(flow Flow, now time.Time) float64 {
 	t.mu.RLock()
 	estimate := t.flows[flow]
--- a/internal/sidecar/shares/memory_test.go
+++ b/internal/sidecar/shares/memory_test.go
@@ -8,7 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestMemoryIsBounded whatever priorities and tenants nodes tell.
+// TestMemoryIsBounded checks that memory is bounded for any number of reported priorities and
+// tenants.
 func TestMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	var meter Meter
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -1,9 +1,10 @@
-// Package shares answers the load of tenants that ask for more than their share of a service's room
-// while it is not enough for all. The node beside each back end works out the max-min share from what is offered
-// and what gets room there, and tells with its replies to a tenant's requests which part of them is
-// within the share. Callers' nodes mark the rest as above it, so that those give way at every back end
-// and need not be sent. A request that is not marked tells of which part it is, so that what is marked, or
-// not sent at all, is known to be offered too. The package is pure: the caller brings the time.
+// Package shares limits tenants that demand more than their max-min fair share of a service
+// while capacity is short. The node beside each back end computes the max-min share from the
+// demand and the capacity used there, and reports with its replies what fraction of a tenant's
+// requests is within the share. Callers' nodes mark the rest as above the share; marked
+// requests yield at every back end and need not be sent. A request that is not marked carries
+// that fraction, so that the demand of requests that are marked or not sent is known too. The
+// package is pure: the caller supplies the time.
 package shares
 
 import (
@@ -16,17 +17,19 @@
 	"time"
 )
 
-// FullFraction is the part of a tenant's requests that is within its share where nothing else is known.
+// FullFraction is the fraction of a tenant's requests that is within its share if nothing is
+// known.
 const FullFraction = 1.0
 
 const (
-	// leastPart is the smallest part: some requests always tell what is offered.
+	// minFraction is the smallest fraction: some requests are always sent unmarked, to report
+	// the demand.
 	minFraction = 0.02
-	// partUnits make a whole number of a part.
+	// fractionUnits is the number of units per 1 in which a fraction is written as an integer.
 	fractionUnits = 1000
 )
 
-// FormatFraction writes a part as the value of a header, empty for Whole.
+// FormatFraction formats a fraction as a header value, empty for FullFraction.
 func FormatFraction(fraction float64) string {
 	if units := int64(fraction * fractionUnits); units < fractionUnits {
 		return strconv.FormatInt(units, 10)
@@ -34,8 +37,8 @@
 	return ""
 }
 
-// ParseFraction reads the value of a header. What no node writes is Whole: nodes of the version before
-// tell nothing.
+// ParseFraction parses a header value. A missing or invalid value is FullFraction, since nodes
+// of the previous version send none.
 func ParseFraction(text string) float64 {
 	units, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
@@ -46,14 +49,15 @@
 
 func clampFraction(fraction float64) float64 { return min(max(fraction, minFraction), FullFraction) }
 
-// Allocation is what a back end's node tells of a tenant: the most that one tenant may have of what gets
-// room there, and what this one asks for. The zero value says that there is room for all.
+// Allocation is what a back end's node reports about a tenant: the maximum that one tenant may
+// use of the capacity there, and the tenant's demand. The zero value means that capacity is
+// sufficient for all.
 type Allocation struct{ Share, Demand time.Duration }
 
-// roomForAll is the zero value as a header.
+// unlimitedHeader is the header value of the zero Allocation.
 const unlimitedHeader = "0"
 
-// Format writes the standing as the value of a header.
+// Format formats the allocation as a header value.
 func (s Allocation) Format() string {
 	if s == (Allocation{}) {
 		return unlimitedHeader
@@ -62,10 +66,10 @@
 	return string(strconv.AppendInt(append(line, ' '), s.Demand.Microseconds(), 10))
 }
 
-// ParseAllocation reads the value of a header. What no node writes is the zero value.
+// ParseAllocation parses a header value. An invalid value yields the zero Allocation.
 func ParseAllocation(text string) Allocation {
 	share, demand, found := strings.Cut(text, " ")
-	const bits = 40 // of microseconds: some days
+	const bits = 40 // of microseconds: about 12.7 days
 	shareMicros, shareErr := strconv.ParseUint(share, 10, bits)
 	demandMicros, demandErr := strconv.ParseUint(demand, 10, bits)
 	if !found || shareErr != nil || demandErr != nil {
@@ -75,47 +79,52 @@
 }
 
 const (
-	// window is how often shares are worked out, and for how long at least demand is counted.
+	// window is the interval at which shares are computed, and the minimum time over which
+	// demand is counted.
 	window = 250 * time.Millisecond
-	// kept is which part of what was counted is kept from one window to the next: a back end gets a few
-	// requests of a tenant in each.
+	// retained is the fraction of the counts that is kept from one window to the next, since a
+	// back end gets only a few requests of a tenant in each.
 	retained = 0.75
-	// forgottenBelow is what a tenant's demand has faded to when it is forgotten.
+	// minDemand is the decayed demand below which a tenant is removed.
 	minDemand = time.Millisecond
-	// fullFrom is which part of the demand has to get room for nobody to be above its share.
+	// sufficientFraction is the fraction of the demand that must be served for no tenant to be
+	// above its share.
 	sufficientFraction = 0.97
-	// silentAfter is after what time without requests all is forgotten.
+	// idleTimeout is the time without requests after which all counts are reset.
 	idleTimeout = 2 * time.Second
-	// mostTenants bounds the tenants of a class; others are taken for within their shares.
+	// maxTenants bounds the tenants of a class; further ones count as within their shares.
 	maxTenants = 4096
-	// mostClasses bounds the priorities: from then on those that are silent are forgotten.
+	// maxClasses bounds the number of priorities; when it is reached, idle ones are evicted.
 	maxClasses = 64
 )
 
-// Meter works out the shares at one back end. The zero value is ready. It is safe for concurrent use.
+// Meter computes the shares at one back end. The zero value is ready to use. It is safe for
+// concurrent use.
 type Meter struct {
 	mu      sync.Mutex // guards all below
 	classes map[int]*class
 }
 
-// class are requests of one priority.
+// class holds the requests of one priority.
 type class struct {
-	// demands are by tenant, served what got room of all together.
+	// demands holds the demand by tenant. served is the work of all tenants that got a slot.
 	demands map[string]*demand
 	served  float64
-	// share is the most that a tenant may have of what gets room, infinite while there is enough.
+	// share is the maximum work that a tenant may have served; infinite while capacity is
+	// sufficient.
 	share float64
-	// folded is when shares were worked out last.
+	// updatedAt is when the shares were last computed.
 	updatedAt time.Time
-	// sorted is used again.
+	// scratch is a buffer that is reused.
 	scratch []float64
 }
 
-// demand is what a tenant offers: work in nanoseconds, in the present window and faded from those before.
+// demand is the work that a tenant demands, in nanoseconds: in the current window, and the
+// decayed sum of those before.
 type demand struct{ now, decayed float64 }
 
-// RecordArrival takes in that a request of a tenant came that was not marked. part is that of the tenant's
-// requests which its node does not mark.
+// RecordArrival records the arrival of an unmarked request. fraction is the fraction of the
+// tenant's requests that its node leaves unmarked.
 func (m *Meter) RecordArrival(priority int, tenant string, work time.Duration, fraction float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,14 +140,15 @@
 	tenantDemand.now += float64(work) / clampFraction(fraction)
 }
 
-// RecordServed takes in that a request of some tenant got a slot.
+// RecordServed records that a request of any tenant got a slot.
 func (m *Meter) RecordServed(priority int, work time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.class(priority, now).served += float64(work)
 }
 
-// Allocation returns that of a tenant, the zero value while there is room for all.
+// Allocation returns the allocation of a tenant; the zero value while capacity is sufficient
+// for all.
 func (m *Meter) Allocation(priority int, tenant string, now time.Time) Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,7 +163,7 @@
 	return allocation
 }
 
-// class returns that of the priority, with the shares of now.
+// class returns the class of the priority, with its shares up to date.
 func (m *Meter) class(priority int, now time.Time) *class {
 	found := m.classes[priority]
 	if found == nil {
@@ -173,7 +183,7 @@
 	return found
 }
 
-// makeRoom forgets the classes that are silent, or all when none is: what they knew is worked out anew.
+// evictClasses removes idle classes, or all if none is idle; their state is then rebuilt.
 func (m *Meter) evictClasses(now time.Time) {
 	maps.DeleteFunc(m.classes, func(_ int, requests *class) bool { return now.Sub(requests.updatedAt) >= idleTimeout })
 	if len(m.classes) >= maxClasses {
@@ -181,7 +191,7 @@
 	}
 }
 
-// fold ends a window.
+// update ends a window and computes the share.
 func (c *class) update(elapsed time.Duration) {
 	if elapsed >= idleTimeout {
 		clear(c.demands)
@@ -209,8 +219,9 @@
 	c.served *= retainedFraction
 }
 
-// MaxMin returns the largest share of the room that nobody exceeds when demands in ascending order
-// are served up to it, infinite when there is room for all.
+// MaxMin returns the max-min fair share of a capacity: the largest limit at which all demands,
+// in ascending order, can be served up to it. It is infinite if the capacity is sufficient for
+// all.
 func MaxMin(demands []float64, room float64) float64 {
 	for i, demand := range demands {
 		share := room / float64(len(demands)-i)
--- a/internal/sidecar/shares/shares_test.go
+++ b/internal/sidecar/shares/shares_test.go
@@ -19,12 +19,13 @@
 	g.Expect(shares.MaxMin(nil, 1)).To(Equal(math.Inf(1)))
 }
 
-// TestHeaders: what is written is read again; what no node writes says nothing.
+// TestHeaders checks that header values are parsed as they were formatted, and that invalid
+// ones are ignored.
 func TestHeaders(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(shares.FormatFraction(shares.FullFraction)).To(BeEmpty())
 	g.Expect(shares.ParseFraction(shares.FormatFraction(0.25))).To(Equal(0.25))
-	g.Expect(shares.ParseFraction("0")).To(BeNumerically(">", 0), "some requests tell what is offered")
+	g.Expect(shares.ParseFraction("0")).To(BeNumerically(">", 0), "some requests always report the demand")
 	for _, text := range []string{"", "-1", "1001", "70000", "x"} {
 		g.Expect(shares.ParseFraction(text)).To(Equal(shares.FullFraction), text)
 	}
@@ -36,8 +37,8 @@
 	}
 }
 
-// flood has a meter see two tenants for a second, of which the larger asks for nine times as much,
-// with room for half of it.
+// overload records two tenants for a second, of which the larger demands nine times as much as
+// the smaller, with capacity for half of the total.
 func overload(meter *shares.Meter, start time.Time) (now time.Time) {
 	now = start
 	for range 100 {
@@ -49,8 +50,8 @@
 	return now.Add(250 * time.Millisecond)
 }
 
-// TestTheStandingOfTenants: the large one may have what the small one leaves. Nothing is told while there is
-// room for all, in another class, and when nothing has come for a while.
+// TestAllocation checks that the large tenant may use what the small one leaves. The allocation
+// is zero while capacity is sufficient, in another class, and after a while without requests.
 func TestAllocation(t *testing.T) {
 	g := NewWithT(t)
 	var meter shares.Meter
@@ -64,7 +65,8 @@
 	g.Expect(meter.Allocation(1, "large", now.Add(3*time.Second))).To(Equal(shares.Allocation{}))
 }
 
-// TestMarkedRequestsAreOffered: a request that is not marked counts for those that are.
+// TestDemandIncludesMarkedRequests checks that unmarked requests are scaled up to include the
+// marked ones.
 func TestDemandIncludesMarkedRequests(t *testing.T) {
 	g := NewWithT(t)
 	var all, sampled shares.Meter
@@ -78,7 +80,8 @@
 	g.Expect(sampled.Allocation(0, "t", now)).To(Equal(all.Allocation(0, "t", now)))
 }
 
-// TestWhatWasHeardHasAnAge: without a reply a tenant is within its share again.
+// TestTrackerExpiry checks that a tenant is within its share again after a while without
+// replies.
 func TestTrackerExpiry(t *testing.T) {
 	g := NewWithT(t)
 	var tracker shares.Tracker
@@ -87,16 +90,16 @@
 	tracker.Observe(flow, shares.Allocation{}, now)
 	g.Expect(tracker.Fraction(flow, now)).To(Equal(shares.FullFraction))
 	tracker.Observe(flow, shares.Allocation{Share: time.Second, Demand: 8 * time.Second}, now)
-	g.Expect(tracker.Fraction(flow, now)).To(Equal(0.25), "twice the share is left to the queues")
+	g.Expect(tracker.Fraction(flow, now)).To(Equal(0.25), "up to twice the share is left unmarked")
 	g.Expect(tracker.Fraction(shares.Flow{Service: "two", Tenant: "large"}, now)).To(Equal(shares.FullFraction))
 	g.Expect(tracker.Fraction(flow, now.Add(2*time.Second))).To(Equal(shares.FullFraction))
 	for range 100 {
 		tracker.Observe(flow, shares.Allocation{}, now)
 	}
-	g.Expect(tracker.Fraction(flow, now)).To(Equal(shares.FullFraction), "there is room again")
+	g.Expect(tracker.Fraction(flow, now)).To(Equal(shares.FullFraction), "capacity is sufficient again")
 }
 
-// BenchmarkMeter is one request of 2,000 tenants.
+// BenchmarkMeter measures one request with 2,000 tenants.
 func BenchmarkMeter(b *testing.B) {
 	var meter shares.Meter
 	now := time.Unix(1, 0)
