--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -16,66 +16,69 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/occupancy"
 )
 
-// policy is how nodes estimate and choose.
+// policy determines how nodes estimate load and select back ends.
 type policy struct {
 	name string
-	// newBelief returns what one node knows of one back end at first.
+	// newEstimator returns the initial estimator of one node for one back end.
 	newEstimator func() estimator
-	// choose returns the index of the back end that takes a request.
+	// selectBackEnd returns the index of the back end for a request.
 	selectBackEnd func(pool choice.Pool, targetLatency time.Duration, random *rand.Rand) int
-	// pace returns how much longer work is believed to take beside other work on a machine; nil
-	// for no longer.
-	slowdown func(f *fleet, s *server, told lastReport) float64
-	// knows: how many requests are at a back end is known at once.
+	// slowdown returns the factor by which work is assumed to take longer due to other work on
+	// the machine; nil for 1.
+	slowdown func(f *fleet, s *server, report lastReport) float64
+	// exactLoad means that the number of requests at each back end is known immediately.
 	exactLoad bool
-	// average: where a report has faded, a back end is taken for an average one of its zone.
+	// useAverage means that a decayed report is complemented by the average of the back end's
+	// zone.
 	useAverage bool
 }
 
-// belief is what one node holds of one back end.
+// estimator is one node's estimate for one back end.
 type estimator interface {
-	// observe takes in how many requests of others are there, at a back end of that many slots.
+	// observe records a report of that many requests from other nodes at a back end with that
+	// many slots.
 	observe(others float64, slots int, holdTime time.Duration, now time.Time)
-	// others returns how many are believed to be there.
+	// others returns the estimated number of requests from other nodes.
 	others(now time.Time) float64
 }
 
-// fleet plays the back ends of one service in one zone, and the nodes that send
-// them requests, on a virtual clock. Each node knows its own requests and what
-// replies to them told it. A fleet plays once.
+// fleet simulates the back ends of one service and the nodes that send them requests, on a
+// virtual clock. Each node knows its own requests and the load reported with replies to it. A
+// fleet is used for one run.
 type fleet struct {
 	backEnds, nodes int
-	// utilization is the share of all slots that requests would take.
+	// utilization is the fraction of all slots that the requests use.
 	utilization float64
-	// paces are how much longer back ends work than usual, taken in turn.
+	// slowdowns are the factors by which back ends are slower than normal, used in turn.
 	slowdowns []float64
 	length    time.Duration
 	policy    policy
-	// service is what is played; zero for usualService.
+	// service is the simulated service; the zero value stands for usualService.
 	service service
-	// zones divide nodes and back ends, taken in turn; zero for one. demand is the part of all
-	// requests that begin in each, nil for equal ones.
+	// zones is the number of zones, to which nodes and back ends are assigned in turn; zero for
+	// one. demand is the fraction of all requests that start in each zone; nil for equal
+	// fractions.
 	zones  int
 	demand []float64
-	// clump is how many requests a node begins at once; zero for one.
+	// burstSize is the number of requests that a node starts at once; zero for one.
 	burstSize int
-	// joins is when the first back end begins to take work; zero for the beginning.
+	// joinsAt is when the first back end starts to accept requests; zero for the start.
 	joinsAt time.Duration
-	// shared is how much other work there is on the back ends' machines.
+	// shared is the other work on the back ends' machines.
 	shared shared
 
 	random *rand.Rand
 	now    time.Duration
 	events events
-	// made counts the events.
+	// eventCount numbers the events.
 	eventCount int
 	servers    []*server
 	callers    []*caller
 	outcome    outcome
 }
 
-// service is how many requests a back end works on at once, for how long, and in what time they
-// are to be answered.
+// service is the number of slots of a back end, the time that its work takes, and the latency
+// target.
 type service struct {
 	slots               int
 	work, targetLatency time.Duration
@@ -83,42 +86,42 @@
 
 var usualService = service{slots: 8, work: 300 * time.Millisecond, targetLatency: 800 * time.Millisecond}
 
-// shared is other work on the back ends' machines: for that share of the time, in periods of that
-// mean length, work takes that much longer. A zero share is none.
+// shared is other work on the back ends' machines. For the given fraction of the time, in
+// periods of the given mean length, work takes longer by factor. A zero share means none.
 type shared struct {
 	share, factor float64
 	period        time.Duration
 }
 
 const (
-	// workSpread is the standard deviation of the logarithm of the work.
+	// workSpread is the standard deviation of the logarithm of the work's duration.
 	workSpread = 0.3
-	// crowding is how much longer a full back end works.
+	// contention is the fraction by which work takes longer at a full back end.
 	contention = 0.3
 	roundTrip  = 400 * time.Microsecond
-	// sends is how many back ends may refuse one request.
+	// maxAttempts is how many back ends may refuse a request before it fails.
 	maxAttempts = 3
-	// zoneTrip is what the way to another zone and back takes longer.
+	// crossZoneTrip is the additional round trip time to another zone.
 	crossZoneTrip = 3 * time.Millisecond
 )
 
-// outcome counts requests, refusals on the way, requests that failed in the end,
-// and late answers.
+// outcome counts requests, refusals by back ends, failed requests, late answers and sends to
+// other zones.
 type outcome struct {
 	requests, refusals, failed, late, crossZone int
-	// busiest is the most that a back end had of its room, compared to the mean.
+	// busiest is the highest utilization of a back end relative to the mean.
 	busiest float64
 }
 
 func (o outcome) refusalRate() float64 { return float64(o.refusals) / float64(o.requests) }
 func (o outcome) badRate() float64     { return float64(o.failed+o.late) / float64(o.requests) }
 
-// left is the part of all sends that left the zone.
+// crossZoneRate returns the fraction of all sends that went to another zone.
 func (o outcome) crossZoneRate() float64 {
 	return float64(o.crossZone) / float64(o.requests+o.refusals)
 }
 
-// and adds the outcome of one of several plays.
+// add adds the outcome of one of several runs.
 func (o outcome) add(other outcome, runs int) outcome {
 	o.requests += other.requests
 	o.refusals += other.refusals
@@ -129,21 +132,22 @@
 	return o
 }
 
-// server is a back end with the queue before it.
+// server is a back end with its queue.
 type server struct {
 	zone     int
 	slowdown float64
 	running  int
 	queue    []*request
-	// beside is how much longer work takes at the moment than usually on this machine.
+	// interference is the factor by which other work on the machine slows this back end at
+	// present.
 	interference float64
-	// worked is how long its slots were held, corrected by what the machine bears, begun how many
-	// requests have begun.
+	// busyTime is how long its slots were held, without interference. startedRequests counts
+	// the requests that were started.
 	busyTime        float64
 	startedRequests int
 }
 
-// takes is how much longer work takes at the moment.
+// currentSlowdown returns the factor by which work takes longer at present.
 func (s *server) currentSlowdown() float64 { return s.slowdown * s.interference }
 
 // caller is a node that sends requests.
@@ -151,15 +155,15 @@
 	zone       int
 	inFlight   []int
 	estimators []estimator
-	// heard is what each back end told of its machine, and when.
+	// lastReport holds the last report of each back end about its machine.
 	lastReport []lastReport
-	// averages are what back ends of each zone have by what was heard of late.
+	// averages hold the average load of each zone by recent reports.
 	averages []occupancy.Average
-	// near and far are the back ends that it considers.
+	// local and remote are the back ends in the node's subset.
 	local, remote []int
 }
 
-// heard is a told figure and its time.
+// lastReport is a reported interference and the time of its arrival.
 type lastReport struct {
 	interference float64
 	at           time.Duration
@@ -173,15 +177,15 @@
 	work      time.Duration
 }
 
-// event is something that happens at a moment; of two at the same one the earlier
-// made goes first.
+// event is an action at a virtual time. Of two events at the same time the one created first
+// runs first.
 type event struct {
 	at     time.Duration
 	number int
 	do     func()
 }
 
-// events is a heap.
+// events is a priority queue for container/heap.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -202,7 +206,7 @@
 	heap.Push(&f.events, event{at: f.now + delay, number: f.eventCount, do: do})
 }
 
-// clock is the virtual moment.
+// clock returns the virtual time.
 func (f *fleet) clock() time.Time { return time.Unix(1, 0).Add(f.now) }
 
 func (f *fleet) run(seed uint64) outcome {
@@ -212,7 +216,7 @@
 	return f.outcome
 }
 
-// begin makes the back ends and nodes, and the first request.
+// setUp creates the back ends, the nodes and the first requests.
 func (f *fleet) setUp(seed uint64) {
 	f.random = rand.New(rand.NewPCG(seed, 0))
 	if f.service == (service{}) {
@@ -241,7 +245,7 @@
 	}
 }
 
-// newCaller returns a node that considers all back ends of its zone and some of the others.
+// newCaller returns a node whose subset has all back ends of its zone and some of the others.
 func (f *fleet) newCaller(zone int) *caller {
 	c := &caller{zone: zone, averages: make([]occupancy.Average, f.zones), inFlight: make([]int, f.backEnds), lastReport: make([]lastReport, f.backEnds)}
 	for i, s := range f.servers {
@@ -260,7 +264,7 @@
 	return c
 }
 
-// share has the other work on a back end's machine begin and end.
+// share starts or ends the other work on a back end's machine and schedules the next change.
 func (f *fleet) share(s *server, begins bool) {
 	length := float64(f.shared.period)
 	s.interference = f.shared.factor
@@ -270,7 +274,7 @@
 	f.schedule(time.Duration(f.random.ExpFloat64()*length), func() { f.share(s, !begins) })
 }
 
-// busiest compares the back ends by the part of their room that was used.
+// busiest returns the highest busy time of a back end relative to the mean.
 func (f *fleet) busiest() float64 {
 	most, sum := 0.0, 0.0
 	for _, s := range f.servers {
@@ -279,7 +283,7 @@
 	return most * float64(len(f.servers)) / sum
 }
 
-// rate is how many requests come a second.
+// rate returns the number of requests per second.
 func (f *fleet) rate() float64 {
 	capacity := 0.0
 	for _, s := range f.servers {
@@ -288,7 +292,7 @@
 	return capacity * f.utilization / (1 + f.shared.share*max(f.shared.factor-1, 0))
 }
 
-// arrive begins the next requests and plans those after them.
+// arrive starts the next burst of requests and schedules the one after it.
 func (f *fleet) arrive() {
 	burstSize := max(f.burstSize, 1)
 	f.schedule(time.Duration(f.random.ExpFloat64()/f.rate()*float64(burstSize)*float64(time.Second)), f.arrive)
@@ -303,7 +307,7 @@
 	}
 }
 
-// begins returns the node where the next requests begin.
+// nextCaller returns the node at which the next requests start.
 func (f *fleet) nextCaller() *caller {
 	index := f.random.IntN(len(f.callers))
 	if f.demand == nil {
@@ -316,7 +320,7 @@
 	return f.callers[index/f.zones*f.zones+zone]
 }
 
-// send chooses a back end and sends the request there.
+// send selects a back end and sends the request there.
 func (f *fleet) send(r *request) {
 	local, remote := r.from.local, r.from.remote
 	index := func(i int) int {
@@ -335,7 +339,7 @@
 	f.schedule(f.trip(r)/2, func() { f.admit(r) })
 }
 
-// trip is how long the way to the back end of a request and back takes.
+// trip returns the round trip time of a request.
 func (f *fleet) trip(r *request) time.Duration {
 	if f.servers[r.to].zone != r.from.zone {
 		return roundTrip + crossZoneTrip
@@ -368,7 +372,7 @@
 	return candidate
 }
 
-// enter has the request take a slot, wait for one or be refused.
+// admit gives the request a slot, queues it or refuses it.
 func (f *fleet) admit(r *request) {
 	s := f.servers[r.to]
 	work := float64(f.service.work) * s.slowdown
@@ -414,7 +418,7 @@
 	})
 }
 
-// reply brings the load at the back end to the node that sent the request.
+// reply reports the load at the back end to the node that sent the request.
 func (f *fleet) reply(r *request, then func()) {
 	s := f.servers[r.to]
 	load, reported := s.running+len(s.queue), s.interference
@@ -428,7 +432,7 @@
 	})
 }
 
-// estimated is the belief of the product.
+// occupancyEstimator is the estimator under test.
 type occupancyEstimator struct{ occupancy.Estimate }
 
 func (e *occupancyEstimator) observe(others float64, slots int, holdTime time.Duration, now time.Time) {
@@ -436,7 +440,7 @@
 }
 func (e *occupancyEstimator) others(now time.Time) float64 { return e.OtherRequests(now) }
 
-// fixed forgets half of a report in a fixed time.
+// fixedHalfLifeEstimator decays reports with a fixed half-life.
 type fixedHalfLifeEstimator struct {
 	halfLife   time.Duration
 	reported   float64
@@ -450,7 +454,7 @@
 	return f.reported * math.Exp2(-float64(now.Sub(f.reportedAt))/float64(f.halfLife))
 }
 
-// cheapestOfAll is the choice before back ends were drawn.
+// selectCheapest is the selection used before candidates were sampled.
 func selectCheapest(pool choice.Pool, targetLatency time.Duration, random *rand.Rand) int {
 	best, lowest, start := -1, 0.0, random.IntN(pool.Local)
 	for offset := range pool.Local {
@@ -469,40 +473,40 @@
 }
 
 var (
-	// drawnByGaps is the policy of the product.
-	sampledByGaps = policy{name: "drawn, half-life by observed gaps", newEstimator: func() estimator { return &occupancyEstimator{} }, selectBackEnd: selectSampled}
-	// cheapestFixed is the one before it, which was fitted to 13 nodes.
+	// sampledByGaps is the policy under test.
+	sampledByGaps = policy{name: "sampled, half-life by observed gaps", newEstimator: func() estimator { return &occupancyEstimator{} }, selectBackEnd: selectSampled}
+	// cheapestFixed is the previous policy, which was tuned for 13 nodes.
 	cheapestFixed = policy{name: "cheapest of all, half-life 0.4 s", newEstimator: func() estimator { return &fixedHalfLifeEstimator{halfLife: 400 * time.Millisecond} }, selectBackEnd: selectCheapest}
-	// The other two change one of the two alone.
+	// The other two combine one part of each.
 	cheapestByGaps = policy{name: "cheapest of all, half-life by observed gaps", newEstimator: func() estimator { return &occupancyEstimator{} }, selectBackEnd: selectCheapest}
-	sampledFixed   = policy{name: "drawn, half-life 0.4 s", newEstimator: func() estimator { return &fixedHalfLifeEstimator{halfLife: 400 * time.Millisecond} }, selectBackEnd: selectSampled}
+	sampledFixed   = policy{name: "sampled, half-life 0.4 s", newEstimator: func() estimator { return &fixedHalfLifeEstimator{halfLife: 400 * time.Millisecond} }, selectBackEnd: selectSampled}
 )
 
-// mixed are paces as on an ordinary day, slow those of a service two fifths of
-// which are twelve times slower.
+// mixedSlowdowns are those of an ordinary day, severeSlowdowns those of a service with two
+// fifths of the back ends twelve times slower.
 var (
 	mixedSlowdowns  = []float64{0.6, 1, 1.4}
 	severeSlowdowns = []float64{1, 12, 1, 12, 1, 1, 12, 1, 1, 12}
 )
 
-// TestFleet plays fleets of several sizes. The policy before fails in those that
-// are larger than the one it was fitted to.
+// TestFleet simulates fleets of several sizes. The previous policy fails for those larger than
+// the one for which it was tuned.
 func TestFleet(t *testing.T) {
 	sizes := []struct {
 		nodes, backEnds int
-		// beforeRefused: the policy before has more than one refusal on the way for
-		// ten requests.
+		// cheapestRefuses means that the previous policy has more than one refusal per ten
+		// requests.
 		cheapestRefuses bool
 	}{{4, 4, false}, {13, 4, false}, {33, 13, true}, {74, 24, true}, {200, 24, true}, {1000, 24, true}}
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.nodes, " nodes, ", size.backEnds, " back ends"), func(t *testing.T) {
 			g := NewWithT(t)
-			run := func(of policy, utilization float64, slowdowns []float64) outcome {
-				played := &fleet{
-					backEnds: size.backEnds, nodes: size.nodes, utilization: utilization, slowdowns: slowdowns, length: 30 * time.Second, policy: of,
+			run := func(p policy, utilization float64, slowdowns []float64) outcome {
+				f := &fleet{
+					backEnds: size.backEnds, nodes: size.nodes, utilization: utilization, slowdowns: slowdowns, length: 30 * time.Second, policy: p,
 				}
-				result := played.run(3)
-				t.Logf("%-45s utilization %.2f: refused on the way %.4f, late or failed %.4f", of.name, utilization, result.refusalRate(), result.badRate())
+				result := f.run(3)
+				t.Logf("%-45s utilization %.2f: refusals per request %.4f, late or failed %.4f", p.name, utilization, result.refusalRate(), result.badRate())
 				return result
 			}
 			moderateLoad := run(sampledByGaps, 0.55, mixedSlowdowns)
--- a/internal/sidecar/occupancy/occupancy.go
+++ b/internal/sidecar/occupancy/occupancy.go
@@ -1,6 +1,5 @@
-// Package occupancy estimates how many requests of other nodes are at a back end,
-// from what its replies to this node said. The package is pure: the caller brings
-// the time.
+// Package occupancy estimates how many requests of other nodes are at a back end, from the load
+// that its replies to this node report. The package is pure: the caller supplies the time.
 package occupancy
 
 import (
@@ -8,40 +7,40 @@
 	"time"
 )
 
-// Estimate is what a node believes of one back end after a report. It is
-// immutable; the zero value knows of no report.
+// Estimate is a node's estimate for one back end. It is immutable; the zero value has no
+// report.
 type Estimate struct {
-	// others is how many requests of others the last report told of.
+	// others is the number of requests from other nodes in the last report.
 	others float64
-	// taken is when it came; zero before the first.
+	// reportedAt is when the last report arrived; zero before the first.
 	reportedAt time.Time
-	// gap is the smoothed time between two reports, zero before the second.
+	// gap is the smoothed interval between reports; zero before the second.
 	gap time.Duration
-	// halfLife is the time in which half of others is forgotten.
+	// halfLife is the half-life of others.
 	halfLife time.Duration
 }
 
 const (
-	// gapSmoothing is the weight of one gap in the smoothed one, as 1/n.
+	// gapSmoothing is the inverse weight of one gap in the smoothed gap.
 	gapSmoothing = 8
-	// gapsRemembered is the half-life of a report in gaps. A report that has faded
-	// before the next one comes makes the back end look idle to everybody; at four
-	// gaps it has lost a sixth when the next one comes. In TestFleet half or twice as
-	// many change nothing at 0.55 of the capacity, and late answers by a fifth at 0.7.
+	// halfLifeGaps is the half-life of a report in gaps. A report that has decayed before the
+	// next one arrives makes the back end look idle to all nodes; with four gaps it has lost a
+	// sixth by then. In TestFleet half or twice the value changes nothing at a utilization of
+	// 0.55, and late answers by a fifth at 0.7.
 	halfLifeGaps = 4
-	// leastHalfLife and mostHalfLife bound the half-life: whatever is told, a back
-	// end that was full is tried again. The first report has the longest: a node
-	// that asks rarely may not hear a second one for long.
+	// minHalfLife and maxHalfLife bound the half-life. Whatever is reported, a back end that
+	// was full is eventually tried again. The first report gets maxHalfLife, since a node that
+	// sends few requests may not receive a second one for long.
 	minHalfLife = 100 * time.Millisecond
 	maxHalfLife = 30 * time.Second
-	// fullTimes bounds what a report may tell, in units of the slots. A queue that
-	// is longer serves nobody in time either.
+	// maxQueueFactor bounds a report, in multiples of the slots. A longer queue would not be
+	// served in time anyway.
 	maxQueueFactor = 8
 )
 
-// After returns the estimate after a report of that many requests of others, at a
-// back end of that many slots each of which is held for that time. A slot that is
-// held for long is still taken when a report is old.
+// After returns the estimate after a report of that many requests from other nodes, at a back
+// end with that many slots, each of which is held for holdTime. A slot that is held for long is
+// still in use when the report is old.
 func (e Estimate) After(others float64, slots int, holdTime time.Duration, now time.Time) Estimate {
 	next := Estimate{others: min(max(others, 0), float64(maxQueueFactor*max(slots, 1))), reportedAt: now, gap: e.gap}
 	switch {
@@ -57,7 +56,7 @@
 	return next
 }
 
-// OtherRequests returns how many requests of others are believed to be there.
+// OtherRequests returns the estimated number of requests from other nodes.
 func (e Estimate) OtherRequests(now time.Time) float64 {
 	if e.others == 0 {
 		return 0
@@ -65,7 +64,7 @@
 	return e.others * math.Exp2(-float64(now.Sub(e.reportedAt))/float64(e.halfLife))
 }
 
-// Weight returns the part of the last report that still counts, zero before the first.
+// Weight returns the remaining weight of the last report; zero before the first.
 func (e Estimate) Weight(now time.Time) float64 {
 	if e.reportedAt.IsZero() {
 		return 0
@@ -73,5 +72,5 @@
 	return math.Exp2(-float64(max(now.Sub(e.reportedAt), 0)) / float64(e.halfLife))
 }
 
-// HalfLife returns the time in which half of the report is forgotten.
+// HalfLife returns the half-life of the report.
 func (e Estimate) HalfLife() time.Duration { return e.halfLife }
--- a/internal/sidecar/occupancy/occupancy_test.go
+++ b/internal/sidecar/occupancy/occupancy_test.go
@@ -15,8 +15,8 @@
 	slotCount = 8
 )
 
-// after returns the estimate after reports of that many others, a gap apart, and
-// the moment of the last.
+// estimateAfter returns the estimate after that many reports of others, a gap apart, and the
+// time of the last one.
 func estimateAfter(reports int, others float64, gap, holdTime time.Duration) (occupancy.Estimate, time.Time) {
 	now := time.Unix(100, 0)
 	estimate := occupancy.Estimate{}.After(others, slotCount, holdTime, now)
@@ -37,16 +37,16 @@
 		want          float64
 	}{
 		{"fresh", 1, 5, 0, 300 * ms, 0, 5},
-		{"the first one is kept", 1, 6, 0, 300 * ms, 30 * time.Second, 3},
-		{"after four gaps half is left", 50, 6, 200 * ms, 50 * ms, 800 * ms, 3},
-		{"heard rarely: still known after a gap", 50, 6, 2 * time.Second, 50 * ms, 2 * time.Second, 6 * math.Exp2(-0.25)},
-		{"slots that are held for long are still taken", 50, 6, 10 * ms, 2 * time.Second, 2 * time.Second, 3},
-		{"heard all the time, short work", 50, 6, ms, 10 * ms, 100 * ms, 3},
-		{"heard every hour", 3, 6, time.Hour, 50 * ms, 30 * time.Second, 3},
-		{"held for ever, it is said", 3, 6, 200 * ms, time.Hour, 30 * time.Second, 3},
-		{"more than can be", 1, 1e12, 0, 300 * ms, 0, 64},
-		{"less than none", 1, -4, 0, 300 * ms, 0, 0},
-		{"no number", 1, math.Inf(1), 0, 300 * ms, 0, 64},
+		{"first report has the longest half-life", 1, 6, 0, 300 * ms, 30 * time.Second, 3},
+		{"half is left after four gaps", 50, 6, 200 * ms, 50 * ms, 800 * ms, 3},
+		{"rare reports: most is left after a gap", 50, 6, 2 * time.Second, 50 * ms, 2 * time.Second, 6 * math.Exp2(-0.25)},
+		{"half-life of at least the hold time", 50, 6, 10 * ms, 2 * time.Second, 2 * time.Second, 3},
+		{"frequent reports: minimum half-life", 50, 6, ms, 10 * ms, 100 * ms, 3},
+		{"hourly reports: maximum half-life", 3, 6, time.Hour, 50 * ms, 30 * time.Second, 3},
+		{"implausible hold time: maximum half-life", 3, 6, 200 * ms, time.Hour, 30 * time.Second, 3},
+		{"more requests than possible", 1, 1e12, 0, 300 * ms, 0, 64},
+		{"a negative count", 1, -4, 0, 300 * ms, 0, 0},
+		{"an infinite count", 1, math.Inf(1), 0, 300 * ms, 0, 64},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -57,13 +57,13 @@
 	}
 }
 
-// TestNothingHeard: who was never heard of is taken for idle, so that it is tried.
+// TestNoReport checks that a back end without a report counts as idle, so that it is tried.
 func TestNoReport(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(occupancy.Estimate{}.OtherRequests(time.Unix(100, 0))).To(BeZero())
 }
 
-// TestOneWrongReport: the next report replaces it.
+// TestOutlierReport checks that the next report replaces an outlier.
 func TestOutlierReport(t *testing.T) {
 	g := NewWithT(t)
 	estimate, last := estimateAfter(10, 3, 200*ms, 50*ms)
--- a/internal/sidecar/occupancy/uneven_test.go
+++ b/internal/sidecar/occupancy/uneven_test.go
@@ -12,21 +12,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/choice"
 )
 
-// paces that differ 2.4 times.
+// unevenSlowdowns differ by a factor of 2.4.
 var unevenSlowdowns = []float64{0.6, 0.8, 1, 1.2, 1.44, 0.7, 0.9, 1.1, 1.3, 0.6, 1.44}
 
-// brief and long are services of few and of many slots.
+// shortService and longService have few and many slots.
 var (
 	shortService = service{slots: 6, work: 110 * time.Millisecond, targetLatency: 500 * time.Millisecond}
 	longService  = service{slots: 18, work: 290 * time.Millisecond, targetLatency: 800 * time.Millisecond}
 )
 
-// averagePace knows no more of a machine than how much its other work costs on average.
+// averageSlowdown knows only the average cost of the other work on a machine.
 func averageSlowdown(f *fleet, _ *server, _ lastReport) float64 {
 	return 1 + f.shared.share*(f.shared.factor-1)
 }
 
-// toldPace is what the back end last told, forgotten as choice.Faded does.
+// reportedSlowdown is the last reported value, which decays as in choice.Faded.
 func reportedSlowdown(f *fleet, s *server, report lastReport) float64 {
 	average := averageSlowdown(f, s, report)
 	if report.interference == 0 {
@@ -41,7 +41,8 @@
 	return index
 }
 
-// least returns a choice among three of each kind by another price.
+// selectLeastCost returns a selection by another cost function, among three local and three
+// remote back ends.
 func selectLeastCost(costOf func(c choice.Candidate, targetLatency time.Duration) float64) func(choice.Pool, time.Duration, *rand.Rand) int {
 	return func(pool choice.Pool, targetLatency time.Duration, random *rand.Rand) int {
 		const samplesOfEach = 3
@@ -60,7 +61,7 @@
 	}
 }
 
-// hotAndCold goes by the work among back ends with room, and by what is there among the others.
+// hotColdCost ranks back ends with spare capacity by service time and the others by load.
 func hotColdCost(c choice.Candidate, targetLatency time.Duration) float64 {
 	const hot, hotPenalty = 0.8, 10
 	if used := c.Outstanding / float64(c.Slots); used > hot {
@@ -69,7 +70,7 @@
 	return float64(c.ServiceTime)/float64(targetLatency) + fixedCosts(c)
 }
 
-// cubic goes by the third power of what is there.
+// cubicCost grows with the third power of the load per slot.
 func cubicCost(c choice.Candidate, targetLatency time.Duration) float64 {
 	perSlot := (1 + c.Outstanding) / float64(c.Slots)
 	return 0.18*perSlot*perSlot*perSlot*float64(c.ServiceTime)/float64(targetLatency) + fixedCosts(c)
@@ -88,64 +89,64 @@
 
 func newOccupancyEstimator() estimator { return &occupancyEstimator{} }
 
-// The choices that are compared where requests compete for room.
+// The selection policies that are compared under contention.
 var (
-	defaultPolicy   = policy{name: "the usual choice", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: averageSlowdown}
-	defaultReported = policy{name: "the usual choice, told pace", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: reportedSlowdown}
+	defaultPolicy   = policy{name: "default selection", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: averageSlowdown}
+	defaultReported = policy{name: "default, reported slowdown", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: reportedSlowdown}
 	balancedPolicy  = policy{name: "balanced", newEstimator: newOccupancyEstimator, selectBackEnd: selectBalanced, slowdown: reportedSlowdown, useAverage: true}
 	otherPolicies   = []policy{
 		{name: "hot and cold", newEstimator: newOccupancyEstimator, selectBackEnd: selectLeastCost(hotColdCost), slowdown: reportedSlowdown, useAverage: true},
 		{name: "cubic", newEstimator: newOccupancyEstimator, selectBackEnd: selectLeastCost(cubicCost), slowdown: reportedSlowdown, useAverage: true},
 		{name: "balanced, no average", newEstimator: newOccupancyEstimator, selectBackEnd: selectBalanced, slowdown: reportedSlowdown},
-		{name: "the usual choice, all known", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: reportedSlowdown, exactLoad: true},
+		{name: "default, exact load", newEstimator: newOccupancyEstimator, selectBackEnd: selectSampled, slowdown: reportedSlowdown, exactLoad: true},
 	}
 )
 
-// playUneven plays 44 back ends that differ in speed and share their machines with other work, and
-// 88 nodes whose requests come in clumps, in four zones with unequal demand.
-func runUneven(of policy, svc service, utilization float64, slowdowns []float64, seeds int) outcome {
+// runUneven simulates 44 back ends that differ in speed and share their machines with other
+// work, and 88 nodes whose requests arrive in bursts, in four zones with unequal demand.
+func runUneven(p policy, svc service, utilization float64, slowdowns []float64, seeds int) outcome {
 	var sum outcome
 	for seed := range seeds {
 		result := (&fleet{
 			backEnds: 44, nodes: 88, zones: 4, demand: []float64{0.33, 0.27, 0.22, 0.18}, burstSize: 4,
 			service: svc, utilization: utilization, slowdowns: slowdowns,
 			shared: shared{share: 0.15, factor: 2.5, period: 300 * time.Millisecond},
-			length: 6 * time.Second, policy: of,
+			length: 6 * time.Second, policy: p,
 		}).run(uint64(seed))
 		sum = sum.add(result, seeds)
 	}
 	return sum
 }
 
-// TestUneven: where requests compete for room, the balanced choice has fewer late answers, at
-// every load and without more requests out of their zone than the load makes necessary.
+// TestUneven checks that under contention the balanced selection has fewer late answers at
+// every load, without more cross-zone requests than the load requires.
 func TestUneven(t *testing.T) {
-	play := func(of policy, played service, utilization float64, slowdowns []float64) outcome {
-		sum := runUneven(of, played, utilization, slowdowns, 3)
-		t.Logf("%-28s %2d slots, utilization %.2f: late or failed %.4f, refused on the way %.3f, out of the zone %.3f, busiest %.2f",
-			of.name, played.slots, utilization, sum.badRate(), sum.refusalRate(), sum.crossZoneRate(), sum.busiest)
+	play := func(p policy, svc service, utilization float64, slowdowns []float64) outcome {
+		sum := runUneven(p, svc, utilization, slowdowns, 3)
+		t.Logf("%-28s %2d slots, utilization %.2f: late or failed %.4f, refusals per request %.3f, cross-zone %.3f, busiest %.2f",
+			p.name, svc.slots, utilization, sum.badRate(), sum.refusalRate(), sum.crossZoneRate(), sum.busiest)
 		return sum
 	}
 	g := NewWithT(t)
 	defaultBad, balancedBad := 0.0, 0.0
-	for _, played := range []service{shortService, longService} {
+	for _, svc := range []service{shortService, longService} {
 		for _, utilization := range []float64{0.6, 0.75} {
-			defaultOutcome, reportedOutcome := play(defaultPolicy, played, utilization, unevenSlowdowns), play(defaultReported, played, utilization, unevenSlowdowns)
-			balancedOutcome := play(balancedPolicy, played, utilization, unevenSlowdowns)
+			defaultOutcome, reportedOutcome := play(defaultPolicy, svc, utilization, unevenSlowdowns), play(defaultReported, svc, utilization, unevenSlowdowns)
+			balancedOutcome := play(balancedPolicy, svc, utilization, unevenSlowdowns)
 			g.Expect(reportedOutcome.badRate()).To(BeNumerically("<", defaultOutcome.badRate()))
 			g.Expect(balancedOutcome.badRate()).To(BeNumerically("<", reportedOutcome.badRate()))
 			g.Expect(balancedOutcome.busiest).To(BeNumerically("<", defaultOutcome.busiest))
 			g.Expect(balancedOutcome.crossZoneRate()).To(BeNumerically("<", defaultOutcome.crossZoneRate()+0.03))
 			defaultBad, balancedBad = defaultBad+defaultOutcome.badRate(), balancedBad+balancedOutcome.badRate()
 		}
-		// Back ends that are twelve times slower.
-		g.Expect(play(balancedPolicy, played, 0.5, severeSlowdowns).badRate()).To(BeNumerically("<", 0.08))
+		// Two fifths of the back ends are twelve times slower.
+		g.Expect(play(balancedPolicy, svc, 0.5, severeSlowdowns).badRate()).To(BeNumerically("<", 0.08))
 	}
 	g.Expect(balancedBad).To(BeNumerically("<", 0.7*defaultBad))
 }
 
-// TestNewcomer: a back end that begins to take work among busy ones gets its part within a second,
-// and no flood.
+// TestJoiningBackEnd checks that a back end that joins a busy service gets its share of
+// requests within a second and is not flooded.
 func TestJoiningBackEnd(t *testing.T) {
 	for _, utilization := range []float64{0.6, 0.9} {
 		g := NewWithT(t)
@@ -172,22 +173,22 @@
 			all += s.startedRequests
 		}
 		relativeShare := float64(f.servers[0].startedRequests) * float64(f.backEnds) / float64(all)
-		t.Logf("utilization %.2f: %.2f of its part in the first second, at most %d waited, %d elsewhere", utilization, relativeShare, maxQueue, maxQueueElsewhere)
+		t.Logf("utilization %.2f: %.2f of its share in the first second, maximum queue %d, %d elsewhere", utilization, relativeShare, maxQueue, maxQueueElsewhere)
 		g.Expect(relativeShare).To(BeNumerically(">", 0.8))
 		g.Expect(relativeShare).To(BeNumerically("<", 2))
 		g.Expect(maxQueue).To(BeNumerically("<=", maxQueueElsewhere))
 	}
 }
 
-// BenchmarkUneven has the figures of all choices, also near and above the room.
+// BenchmarkUneven reports the results of all policies, also near and above capacity.
 func BenchmarkUneven(b *testing.B) {
-	for _, played := range []service{shortService, longService} {
+	for _, svc := range []service{shortService, longService} {
 		for _, utilization := range []float64{0.6, 0.75, 0.85, 0.95, 1.05} {
-			for _, of := range append([]policy{defaultPolicy, defaultReported, balancedPolicy}, otherPolicies...) {
-				b.Run(fmt.Sprintf("%d slots/%.2f/%s", played.slots, utilization, of.name), func(b *testing.B) {
+			for _, p := range append([]policy{defaultPolicy, defaultReported, balancedPolicy}, otherPolicies...) {
+				b.Run(fmt.Sprintf("%d slots/%.2f/%s", svc.slots, utilization, p.name), func(b *testing.B) {
 					var sum outcome
 					for b.Loop() {
-						sum = runUneven(of, played, utilization, unevenSlowdowns, 3)
+						sum = runUneven(p, svc, utilization, unevenSlowdowns, 3)
 					}
 					b.ReportMetric(sum.badRate(), "bad/op")
 					b.ReportMetric(sum.refusalRate(), "refused/op")
