--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -32,8 +32,8 @@
 	Nested, OverShare bool
 	// Repeated: the request reached a back end before, so the nested calls of its run are repeats.
 	Repeated bool
-	// BaselineRates is sent with requests to a version under comparison: the usual rate of bad answers to
-	// such requests. It is nil otherwise.
+	// BaselineRates is sent with requests to a version under comparison: the usual rate of bad
+	// answers to such requests. It is nil otherwise.
 	BaselineRates *rollout.BaselineRates
 }
 
