--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -16,8 +16,8 @@
 	Version         string
 	Phase           Phase
 	TrialAssignment TrialAssignment
-	// HeldVersions are other versions that get no requests.
-	HeldVersions []string
+	// WithheldVersions are other versions that get no requests.
+	WithheldVersions []string
 	// OnlyVersion means that no other version has back ends, so that this one must be used.
 	OnlyVersion bool
 	// PromotedAt is the time since which all requests go to the version; zero before.
@@ -40,7 +40,7 @@
 
 // NewPlan returns a plan that continues the sequence of the given splitter.
 func NewPlan(state State, assignment TrialAssignment, heldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
-	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, HeldVersions: heldVersions, OnlyVersion: onlyVersion, splitter: splitter}
+	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, WithheldVersions: heldVersions, OnlyVersion: onlyVersion, splitter: splitter}
 }
 
 // Promoted reports whether all requests go to the version.
@@ -72,7 +72,7 @@
 
 // otherVersions selects the back ends that are neither of the version on trial nor held.
 func (p *Plan) otherVersions() Selection {
-	return Without(append(slices.Clone(p.HeldVersions), p.Version)...)
+	return Without(append(slices.Clone(p.WithheldVersions), p.Version)...)
 }
 
 // Fallback returns the back ends that may take a request if none of those selected is
