--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -46,10 +46,10 @@
 const (
 	// tickInterval is the interval at which rollouts in progress are evaluated.
 	tickInterval = 50 * time.Millisecond
-	// maxHold is how long a version without an order gets no requests, since its order may not
+	// maxWithhold is how long a version without an order gets no requests, since its order may not
 	// have arrived yet. After that the version is taken as deployed without an order and is
 	// used.
-	maxHold = 10 * time.Second
+	maxWithhold = 10 * time.Second
 	// propagationGrace is how long after promotion the back ends of other versions still accept
 	// requests from nodes that have not learned of it.
 	propagationGrace = 200 * time.Millisecond
@@ -298,16 +298,16 @@
 	now := clock.Now()
 	c.withheld[service][version] = now
 	c.options.Logger.Warn("software that no order names gets no requests yet",
-		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", maxHold))
+		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", maxWithhold))
 	c.updatePlans(now)
 	c.signal()
 }
 
-// releaseWithheld releases versions that have been withheld for maxHold. The lock must be held.
+// releaseWithheld releases versions that have been withheld for maxWithhold. The lock must be held.
 func (c *Controller) releaseWithheld(now time.Time) {
 	for service, versions := range c.withheld {
 		for version, since := range versions {
-			if now.Sub(since) >= maxHold {
+			if now.Sub(since) >= maxWithhold {
 				c.options.Logger.Warn("software that no order names is used",
 					zap.String("service", service), zap.String("software", version))
 				c.markInUse(service, version)
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -354,7 +354,7 @@
 }
 
 // TestVersionWithoutOrder checks that a version without an order gets nothing until an order
-// arrives, or until maxHold has passed and it counts as deployed in another way.
+// arrives, or until maxWithhold has passed and it counts as deployed in another way.
 func TestVersionWithoutOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -12,7 +12,7 @@
 // replaced often. A Plan is immutable except for its position in the sequence of requests.
 type Plan struct {
 	// Version is the version being rolled out; empty if there is no rollout and only
-	// HeldVersions apply.
+	// WithheldVersions apply.
 	Version         string
 	Phase           Phase
 	TrialAssignment TrialAssignment
@@ -39,8 +39,8 @@
 func NewSplitter() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
 // NewPlan returns a plan that continues the sequence of the given splitter.
-func NewPlan(state State, assignment TrialAssignment, heldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
-	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, WithheldVersions: heldVersions, OnlyVersion: onlyVersion, splitter: splitter}
+func NewPlan(state State, assignment TrialAssignment, withheldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
+	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, WithheldVersions: withheldVersions, OnlyVersion: onlyVersion, splitter: splitter}
 }
 
 // Promoted reports whether all requests go to the version.
@@ -70,7 +70,7 @@
 	return p.otherVersions()
 }
 
-// otherVersions selects the back ends that are neither of the version on trial nor held.
+// otherVersions selects the back ends that are neither of the version on trial nor withheld.
 func (p *Plan) otherVersions() Selection {
 	return Without(append(slices.Clone(p.WithheldVersions), p.Version)...)
 }
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestHeldVersions checks that held versions get nothing, with and without a rollout.
-func TestHeldVersions(t *testing.T) {
+// TestWithheldVersions checks that withheld versions get nothing, with and without a rollout.
+func TestWithheldVersions(t *testing.T) {
 	g := NewWithT(t)
 	record := func(version string) *roster.Record {
 		return &roster.Record{Endpoint: &roster.Endpoint{Version: version}}
