--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -148,12 +148,12 @@
 func (w *gossipPolicy) fraction(f *fleet, from *node, tenant int) float64 {
 	var demands [fleetTenants]float64
 	members := 0.0
-	for _, one := range w.views[from.number] {
-		if f.now.Sub(one.at) > 2400*time.Millisecond {
+	for _, report := range w.views[from.number] {
+		if f.now.Sub(report.at) > 2400*time.Millisecond {
 			continue
 		}
 		members++
-		for i, demand := range one.demand {
+		for i, demand := range report.demand {
 			demands[i] += demand
 		}
 	}
@@ -169,24 +169,24 @@
 		return
 	}
 	w.next = f.now.Add(800 * time.Millisecond)
-	for _, one := range f.nodes {
-		own := &w.views[one.number][one.number]
+	for _, n := range f.nodes {
+		own := &w.views[n.number][n.number]
 		own.at = f.now
 		for tenant := range own.demand {
-			own.demand[tenant] = f.demands[tenant] * f.callerFraction(tenant, one.number)
+			own.demand[tenant] = f.demands[tenant] * f.callerFraction(tenant, n.number)
 		}
 	}
-	for _, one := range f.nodes {
+	for _, n := range f.nodes {
 		other := f.nodes[f.random.IntN(len(f.nodes))]
-		if one.partitioned || other.partitioned {
+		if n.partitioned || other.partitioned {
 			continue
 		}
-		mine, theirs := w.views[one.number], w.views[other.number]
-		for i := range mine {
-			if mine[i].at.After(theirs[i].at) {
-				theirs[i] = mine[i]
+		local, remote := w.views[n.number], w.views[other.number]
+		for i := range local {
+			if local[i].at.After(remote[i].at) {
+				remote[i] = local[i]
 			} else {
-				mine[i] = theirs[i]
+				local[i] = remote[i]
 			}
 		}
 	}
@@ -232,28 +232,28 @@
 func (f *fleet) step() {
 	f.now = f.now.Add(fleetStep)
 	f.policy.step(f)
-	for _, one := range f.nodes {
-		for _, request := range f.arrivals(one) {
+	for _, n := range f.nodes {
+		for _, request := range f.arrivals(n) {
 			f.send(request)
 		}
 	}
-	for _, one := range f.nodes {
-		one.capacity = min(one.capacity, 1) + fleetSlots*fleetStep.Seconds()/fleetWork.Seconds()
-		f.serve(one)
+	for _, n := range f.nodes {
+		n.capacity = min(n.capacity, 1) + fleetSlots*fleetStep.Seconds()/fleetWork.Seconds()
+		f.serve(n)
 	}
-	for _, one := range f.nodes {
-		f.refuse(one)
+	for _, n := range f.nodes {
+		f.refuse(n)
 	}
 }
 
 // arrivals returns the requests that callers make at a node.
-func (f *fleet) arrivals(one *node) (requests []*call) {
+func (f *fleet) arrivals(n *node) (requests []*call) {
 	for tenant := range fleetTenants {
-		one.pending[tenant] += f.demands[tenant] * f.callerFraction(tenant, one.number) * fleetStep.Seconds() / fleetWork.Seconds()
-		for ; one.pending[tenant] >= 1; one.pending[tenant]-- {
-			fraction := f.policy.fraction(f, one, tenant)
-			requests = append(requests, &call{from: one.number, tenant: tenant, fraction: fraction, marked: f.random.Float64() >= fraction})
-			one.offered[tenant]++
+		n.pending[tenant] += f.demands[tenant] * f.callerFraction(tenant, n.number) * fleetStep.Seconds() / fleetWork.Seconds()
+		for ; n.pending[tenant] >= 1; n.pending[tenant]-- {
+			fraction := f.policy.fraction(f, n, tenant)
+			requests = append(requests, &call{from: n.number, tenant: tenant, fraction: fraction, marked: f.random.Float64() >= fraction})
+			n.offered[tenant]++
 		}
 	}
 	return requests
@@ -280,38 +280,38 @@
 
 // serve uses the capacity of the back end: for unmarked requests first, then for the tenant
 // that was served least.
-func (f *fleet) serve(one *node) {
-	for ; one.capacity >= 1 && len(one.queue) > 0; one.capacity-- {
+func (f *fleet) serve(n *node) {
+	for ; n.capacity >= 1 && len(n.queue) > 0; n.capacity-- {
 		best := 0
-		for i, request := range one.queue {
-			first := one.queue[best]
-			if !request.marked && first.marked || request.marked == first.marked && one.servedByTenant[request.tenant] <= one.servedByTenant[first.tenant] {
+		for i, request := range n.queue {
+			first := n.queue[best]
+			if !request.marked && first.marked || request.marked == first.marked && n.servedByTenant[request.tenant] <= n.servedByTenant[first.tenant] {
 				best = i
 			}
 		}
-		request := one.queue[best]
-		one.queue = slices.Delete(one.queue, best, best+1)
-		one.virtualTime = max(one.virtualTime, one.servedByTenant[request.tenant])
-		one.servedByTenant[request.tenant]++
+		request := n.queue[best]
+		n.queue = slices.Delete(n.queue, best, best+1)
+		n.virtualTime = max(n.virtualTime, n.servedByTenant[request.tenant])
+		n.servedByTenant[request.tenant]++
 		f.nodes[request.from].got[request.tenant]++
-		f.policy.answered(f, one, request, true)
+		f.policy.answered(f, n, request, true)
 	}
 }
 
 // refuse refuses the requests that have waited too long, which then go to another back end.
-func (f *fleet) refuse(one *node) {
+func (f *fleet) refuse(n *node) {
 	var left []*call
-	for _, request := range one.queue {
+	for _, request := range n.queue {
 		if f.now.Before(request.deadline) {
 			left = append(left, request)
 			continue
 		}
-		f.policy.answered(f, one, request, false)
+		f.policy.answered(f, n, request, false)
 		if len(request.tried) < fleetAttempts {
 			defer f.send(request)
 		}
 	}
-	one.queue = left
+	n.queue = left
 }
 
 // simulate returns, before and after the partition, the smallest ratio of what a tenant was
@@ -339,9 +339,9 @@
 }
 
 func (f *fleet) reset() {
-	for _, one := range f.nodes {
-		clear(one.offered[:])
-		clear(one.got[:])
+	for _, n := range f.nodes {
+		clear(n.offered[:])
+		clear(n.got[:])
 	}
 }
 
@@ -349,14 +349,14 @@
 func (f *fleet) minServedShare() float64 {
 	var offered, got [fleetTenants]float64
 	served := 0.0
-	for _, one := range f.nodes {
-		if one.partitioned {
+	for _, n := range f.nodes {
+		if n.partitioned {
 			continue
 		}
 		for tenant := range fleetTenants {
-			offered[tenant] += one.offered[tenant]
-			got[tenant] += one.got[tenant]
-			served += one.got[tenant]
+			offered[tenant] += n.offered[tenant]
+			got[tenant] += n.got[tenant]
+			served += n.got[tenant]
 		}
 	}
 	share := shares.MaxMin(slices.Sorted(slices.Values(offered[:])), served)
@@ -412,11 +412,11 @@
 				f.reset()
 			}
 		}
-		for _, one := range f.nodes {
+		for _, n := range f.nodes {
 			for tenant := range fleetTenants {
 				if tenant != heavyTenant {
-					got += one.got[tenant]
-					offered += one.offered[tenant]
+					got += n.got[tenant]
+					offered += n.offered[tenant]
 				}
 			}
 		}
