--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -18,10 +18,10 @@
 func (c *call) choose() (*attempt, *outcome.Failure) {
 	candidateSet := c.candidateSet(clock.Now(), c.selection())
 	index, seen := candidateSet.draw()
-	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Moves() {
+	if plan := c.handler.plan(c.service); seen.Excluded && plan != nil && !plan.Promoted() {
 		// The canary back ends have no capacity. That is no reason to refuse the request: fall back
 		// to the versions in use.
-		candidateSet = c.candidateSet(candidateSet.now, plan.Otherwise())
+		candidateSet = c.candidateSet(candidateSet.now, plan.Fallback())
 		index, seen = candidateSet.draw()
 	}
 	if candidateSet.limitExceeded {
@@ -78,11 +78,11 @@
 func (c *call) selection() rollout.Selection {
 	plan := c.handler.plan(c.service)
 	if plan == nil {
-		return rollout.Every()
+		return rollout.All()
 	}
 	selection := plan.Select(len(c.attempts) > 0)
 	if !c.handler.hasAvailable(c.service, selection, c.regions()) {
-		return plan.Otherwise()
+		return plan.Fallback()
 	}
 	return selection
 }
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -20,19 +20,19 @@
 }
 
 // subject returns the service, tenant and priority whose share the request counts against.
-func (c *call) subject() shares.Subject {
-	return shares.Subject{Service: c.service, Tenant: c.tenant.Name, Priority: c.priority()}
+func (c *call) subject() shares.Flow {
+	return shares.Flow{Service: c.service, Tenant: c.tenant.Name, Priority: c.priority()}
 }
 
 // sampleOverShare decides whether the request is above its tenant's share, once for all attempts at
 // a service.
 func (c *call) sampleOverShare() {
-	c.shareFraction, c.overShare = shares.Whole, false
+	c.shareFraction, c.overShare = shares.FullFraction, false
 	if !c.countsAgainstShare() {
 		return
 	}
-	c.shareFraction = c.handler.tenantShares.Part(c.subject(), clock.Now())
-	c.overShare = c.shareFraction < shares.Whole && c.handler.randomFloat() >= c.shareFraction
+	c.shareFraction = c.handler.tenantShares.Fraction(c.subject(), clock.Now())
+	c.overShare = c.shareFraction < shares.FullFraction && c.handler.randomFloat() >= c.shareFraction
 }
 
 // setShareHeader tells the sidecar of the back end for which fraction of the tenant's requests this
@@ -41,7 +41,7 @@
 	if c.overShare {
 		return
 	}
-	if shareFraction := shares.FormatPart(c.shareFraction); shareFraction != "" {
+	if shareFraction := shares.FormatFraction(c.shareFraction); shareFraction != "" {
 		header[hop.HeaderShare] = []string{shareFraction}
 	}
 }
@@ -50,6 +50,6 @@
 // reached a queue report none.
 func (c *call) observeShare(header http.Header) {
 	if reported := header.Get(hop.HeaderShare); reported != "" && c.countsAgainstShare() {
-		c.handler.tenantShares.Take(c.subject(), shares.ParseStanding(reported), clock.Now())
+		c.handler.tenantShares.Observe(c.subject(), shares.ParseAllocation(reported), clock.Now())
 	}
 }
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -35,11 +35,11 @@
 			handler.options.MarkOverShare = true
 			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
 			handler.options.Contended = func() bool { return test.contended }
-			of := shares.Subject{Service: "s", Tenant: "acme", Priority: 5}
+			of := shares.Flow{Service: "s", Tenant: "acme", Priority: 5}
 			marked, told := 0, 0
 			for range 100 {
 				// The simulated node reports no shares itself.
-				handler.tenantShares.Take(of, shares.Standing{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
+				handler.tenantShares.Observe(of, shares.Allocation{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
 				answer := request(t, handler, "/closed/", http.Header{"Deadline-Ms": {"3000"}, keyHeader: {test.key}})
 				g.Expect(answer.Code).To(Equal(http.StatusOK))
 			}
--- a/internal/sidecar/ingress/share.go
+++ b/internal/sidecar/ingress/share.go
@@ -37,15 +37,15 @@
 	tenant := a.shareTenant()
 	a.countedInShare = tenant != ""
 	if a.countedInShare && !a.reported.OverShare {
-		part := shares.ParsePart(a.request.Header.Get(hop.HeaderShare))
-		a.handler.meter.Came(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
+		part := shares.ParseFraction(a.request.Header.Get(hop.HeaderShare))
+		a.handler.meter.RecordArrival(a.reported.Priority, tenant, a.reported.ExpectedServiceTime, part, clock.Now())
 	}
 }
 
 // countAdmitted counts in the meter that the request got a slot.
 func (a *arrival) countAdmitted() {
 	if a.countedInShare {
-		a.handler.meter.Served(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
+		a.handler.meter.RecordServed(a.reported.Priority, a.reported.ExpectedServiceTime, clock.Now())
 	}
 }
 
@@ -53,7 +53,7 @@
 // that was refused for another reason says nothing about the capacity.
 func (a *arrival) setShareHeader(header http.Header) {
 	if a.countedInShare {
-		reported := a.handler.meter.Standing(a.reported.Priority, a.shareTenant(), clock.Now())
+		reported := a.handler.meter.Allocation(a.reported.Priority, a.shareTenant(), clock.Now())
 		header[hop.HeaderShare] = []string{reported.Format()}
 	}
 }
--- a/internal/sidecar/rollout/baseline.go
+++ b/internal/sidecar/rollout/baseline.go
@@ -7,69 +7,70 @@
 )
 
 const (
-	// usualHalfLife is the time in which half of what was seen of the versions before is
-	// forgotten: what is compared are the same seconds.
-	usualHalfLife = 3 * time.Second
-	// priorAnswers count as if they had been seen before, priorShare of them bad.
+	// baselineHalfLife is the half-life of the baseline counts. It is short so that the new
+	// version is compared with answers of the same seconds.
+	baselineHalfLife = 3 * time.Second
+	// priorAnswers is the weight of the prior, in answers; priorShare is the share of them that
+	// is bad.
 	priorAnswers, priorShare = 10.0, 0.02
 )
 
-// Baseline remembers how often answers of the versions in use are bad, by route. It is
-// safe for concurrent use; the zero value has seen none.
+// Baseline tracks the rates of bad answers of the versions in use, by route. It is safe for
+// concurrent use. The zero value is ready to use.
 type Baseline struct {
 	mu     sync.Mutex // guards routes
-	routes map[string]*shares
+	routes map[string]*decayedCounts
 }
 
-// shares are counts that fade with time.
-type shares struct {
+// decayedCounts are counts that decay exponentially with time.
+type decayedCounts struct {
 	answers, failed, slow float64
 	last                  time.Time
 }
 
-// Observe takes in one answer.
+// Observe records one answer.
 func (b *Baseline) Observe(route string, failed, slow bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.routes == nil {
-		b.routes = map[string]*shares{}
+		b.routes = map[string]*decayedCounts{}
 	}
-	held := b.routes[route]
-	if held == nil {
-		if len(b.routes) >= routesMost {
+	counts := b.routes[route]
+	if counts == nil {
+		if len(b.routes) >= maxRoutes {
 			return
 		}
-		held = &shares{last: now}
-		b.routes[route] = held
+		counts = &decayedCounts{last: now}
+		b.routes[route] = counts
 	}
-	held.fade(now)
-	held.answers++
+	counts.decay(now)
+	counts.answers++
 	if failed {
-		held.failed++
+		counts.failed++
 	}
 	if slow {
-		held.slow++
+		counts.slow++
 	}
 }
 
-// Usual returns the shares of a route.
-func (b *Baseline) Usual(route string, now time.Time) Usual {
+// BaselineRates returns the current baseline rates of a route.
+func (b *Baseline) BaselineRates(route string, now time.Time) BaselineRates {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	held := b.routes[route]
-	if held == nil {
-		return Usual{Failing: priorShare, Slow: priorShare}
+	counts := b.routes[route]
+	if counts == nil {
+		return BaselineRates{Failing: priorShare, Slow: priorShare}
 	}
-	held.fade(now)
-	all := held.answers + priorAnswers
-	return Usual{
-		Failing: (held.failed + priorAnswers*priorShare) / all,
-		Slow:    (held.slow + priorAnswers*priorShare) / all,
+	counts.decay(now)
+	total := counts.answers + priorAnswers
+	return BaselineRates{
+		Failing: (counts.failed + priorAnswers*priorShare) / total,
+		Slow:    (counts.slow + priorAnswers*priorShare) / total,
 	}
 }
 
-func (s *shares) fade(now time.Time) {
-	part := math.Exp2(-float64(max(now.Sub(s.last), 0)) / float64(usualHalfLife))
-	s.answers, s.failed, s.slow = s.answers*part, s.failed*part, s.slow*part
-	s.last = now
+func (c *decayedCounts) decay(now time.Time) {
+	factor := math.Exp2(-float64(max(now.Sub(c.last), 0)) / float64(baselineHalfLife))
+	c.answers, c.failed, c.slow = c.answers*factor, c.failed*factor, c.slow*factor
+	c.last = now
 }
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller carries out roll-outs on one node: it hears orders, divides the
-// requests of each service as the node's plan says, judges the own back end, and, on the
-// nodes that read the store, writes how far a move has come. Decisions are those of
-// package rollout.
+// Package controller runs rollouts on one node: it receives orders, maintains the plan that
+// divides the requests of each service, evaluates the local back end and, on nodes that read
+// the store, records the progress of a rollout there. The decisions are made by package
+// rollout.
 package controller
 
 import (
@@ -22,88 +22,90 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// Options configure a controller.
+// Options configures a Controller.
 type Options struct {
 	Store   Store
 	Codec   Codec
 	Members *roster.Roster
 	Limits  func() rollout.Limits
-	// Load returns what part of the slots of a service's back ends of other versions than
-	// the given one is taken, above one where requests wait.
+	// Load returns the fraction of the slots in use at a service's back ends of versions other
+	// than the given one; above 1 while requests wait.
 	Load func(service, version string) float64
 	// Readers returns the nodes that read the store, in any order. They act one after the
-	// other, in an order on which all nodes agree.
+	// other, in an order that is the same on all nodes.
 	Readers func() []*roster.Record
-	// Settled reports whether the node has served for some time: it knows the orders given
-	// before, and the versions that are in use.
+	// Settled reports whether the node has run long enough to know earlier orders and the
+	// versions in use.
 	Settled func() bool
-	// Spread tells the peers of the moves, SpreadRecord of the node's own record.
-	Spread, SpreadRecord func()
-	Logger               *zap.Logger
-	Registry             prometheus.Registerer
+	// Broadcast sends the rollout states to all peers, BroadcastRecord the node's own record.
+	Broadcast, BroadcastRecord func()
+	Logger                     *zap.Logger
+	Registry                   prometheus.Registerer
 }
 
 const (
-	// tickInterval is the time between two looks at the moves that are under way.
+	// tickInterval is the interval at which rollouts in progress are evaluated.
 	tickInterval = 50 * time.Millisecond
-	// holdMost is how long a version that no order names gets nothing: its order may not
-	// have been heard. Software that comes without an order is used after that time.
-	holdMost = 10 * time.Second
-	// settle is how long after all requests have moved the back ends of other versions
-	// still take what other nodes send that have not heard yet.
-	settle = 200 * time.Millisecond
+	// maxWithhold is how long a version without an order gets no requests, since its order may not
+	// have arrived yet. After that the version is taken as deployed without an order and is
+	// used.
+	maxWithhold = 10 * time.Second
+	// propagationGrace is how long after promotion the back ends of other versions still accept
+	// requests from nodes that have not learned of it.
+	propagationGrace = 200 * time.Millisecond
 )
 
-// Controller carries out roll-outs. It is safe for concurrent use; what a request needs
-// takes no lock.
+// Controller runs the rollouts of a node. It is safe for concurrent use. The request path takes
+// no lock.
 type Controller struct {
 	options Options
 	metrics *metrics
 	wake    chan struct{}
 	plans   atomic.Pointer[map[string]*rollout.Plan]
-	// judging is of the back end that is judged now; nil while none is.
-	judging atomic.Pointer[judging]
-
-	mu    sync.Mutex // guards all below and the replacement of plans and judging
-	moves map[string]*carried
-	// versions holds the versions of each service that are in use, unheard those that
-	// no order names, with when they were first seen.
-	versions map[string]map[string]bool
-	unheard  map[string]map[string]time.Time
-	splits   map[string]*rollout.Split
+	// evaluation is that of the local back end; nil while none is evaluated.
+	evaluation atomic.Pointer[evaluation]
+
+	mu       sync.Mutex // guards all below and the replacement of plans and evaluation
+	rollouts map[string]*activeRollout
+	// versions holds the versions in use by service. withheld holds the versions without an
+	// order, with the time at which each was first seen.
+	versions  map[string]map[string]bool
+	withheld  map[string]map[string]time.Time
+	splitters map[string]*rollout.Splitter
 }
 
-// carried is a move with what the node has done for it. The controller's lock guards it.
-type carried struct {
-	rollout.Move
-	// order is the revision of the order that all below concerns.
-	order uint64
-	// began is when the node heard of the order, asked how many requests of the service
-	// it had divided then.
-	began time.Time
-	asked int64
-	// moved is when all requests went to the version, by this node; zero before.
-	moved time.Time
-	// due is the phase that waits to be written, dueSince since when.
+// activeRollout is the state of a rollout and the node's progress with it. The controller's
+// lock guards it.
+type activeRollout struct {
+	rollout.State
+	// orderRevision is the revision of the order that all fields below refer to.
+	orderRevision uint64
+	// startedAt is when the node received the order, requestsAtStart the number of requests of
+	// the service that it had divided by then.
+	startedAt       time.Time
+	requestsAtStart int64
+	// promotedAt is when this node sent all requests to the version; zero before.
+	promotedAt time.Time
+	// due is the phase to be written, dueSince the time since which it is due.
 	due      rollout.Phase
 	dueSince time.Time
-	// writing: a write is under way. failures counts those that failed in a row, and
-	// notBefore is when the next may follow.
+	// writing means that a write is in progress. failures counts consecutive failed writes, and
+	// notBefore is the earliest time of the next one.
 	writing   bool
 	failures  int
 	notBefore time.Time
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Run starts it.
 func New(options Options) *Controller {
 	return &Controller{
 		options: options, metrics: newMetrics(options.Registry), wake: make(chan struct{}, 1),
-		moves: map[string]*carried{}, versions: map[string]map[string]bool{},
-		unheard: map[string]map[string]time.Time{}, splits: map[string]*rollout.Split{},
+		rollouts: map[string]*activeRollout{}, versions: map[string]map[string]bool{},
+		withheld: map[string]map[string]time.Time{}, splitters: map[string]*rollout.Splitter{},
 	}
 }
 
-// Run carries out moves until the context ends.
+// Run processes rollouts until the context is done.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -122,15 +124,15 @@
 	}
 }
 
-// Active reports whether a move is under way or a version is held.
+// Active reports whether a rollout is in progress or a version is withheld.
 func (c *Controller) Active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.unheard) > 0 {
+	if len(c.withheld) > 0 {
 		return true
 	}
-	for _, held := range c.moves {
-		if !held.Phase.Final() || !held.Recorded {
+	for _, active := range c.rollouts {
+		if !active.Phase.Final() || !active.Recorded {
 			return true
 		}
 	}
@@ -144,130 +146,130 @@
 	}
 }
 
-// Plan returns how the service's requests are divided, nil when nothing divides them.
+// Plan returns the plan of a service; nil if its requests are not divided.
 func (c *Controller) Plan(service string) *rollout.Plan {
-	held := c.plans.Load()
-	if held == nil {
+	current := c.plans.Load()
+	if current == nil {
 		return nil
 	}
-	return (*held)[service]
+	return (*current)[service]
 }
 
-// Ordered takes in an order that the store has.
+// Ordered handles an order read from the store.
 func (c *Controller) Ordered(order rollout.Order) {
 	now := clock.Now()
-	if c.learn(c.begin(order, now), now) {
+	if c.merge(c.initialState(order, now), now) {
 		c.options.Logger.Info("roll-out ordered", zap.String("service", order.Service), zap.String("software", order.Version),
 			zap.Uint64("revision", order.Revision), zap.Duration("duration", order.Duration))
-		c.options.Spread()
+		c.options.Broadcast()
 	}
 }
 
-// begin returns the move of an order. A node that has just started does not know yet whether
-// other versions are in use.
-func (c *Controller) begin(order rollout.Order, now time.Time) rollout.Move {
+// initialState returns the initial state for an order. A node that has just started does not
+// know yet whether other versions are in use.
+func (c *Controller) initialState(order rollout.Order, now time.Time) rollout.State {
 	if !c.options.Settled() {
-		return rollout.Begin(order, now)
+		return rollout.NewState(order, now)
 	}
-	return rollout.Ordered(order, c.tally(order.Service, order.Version), now)
+	return rollout.Start(order, c.tally(order.Service, order.Version), now)
 }
 
-// Restored takes in that the store has come back from an older copy: no status is known to be there.
-// The end of a move that was told stays its end, and is written again.
+// Restored handles a store that was restored from an older copy: no status is known to be
+// recorded there. A known result of a rollout is kept and written again.
 func (c *Controller) Restored() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, held := range c.moves {
-		held.Recorded = false
-		held.failures, held.notBefore = 0, time.Time{}
+	for _, active := range c.rollouts {
+		active.Recorded = false
+		active.failures, active.notBefore = 0, time.Time{}
 	}
 	c.signal()
 }
 
-// Hear takes in what a peer tells of moves and reports whether some of it is news.
-func (c *Controller) Hear(told []rollout.Told) (news bool) {
+// Hear merges rollout states received from a peer and reports whether any of it was new.
+func (c *Controller) Hear(received []rollout.WireState) (changed bool) {
 	now := clock.Now()
-	for _, one := range told {
-		move, valid := one.Hear(now)
+	for _, wire := range received {
+		state, valid := wire.Hear(now)
 		if !valid {
-			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", one))
+			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", wire))
 			continue
 		}
-		news = c.learn(move, now) || news
+		changed = c.merge(state, now) || changed
 	}
-	return news
+	return changed
 }
 
-// Tell returns the moves as peers are told of them; nil when there are none.
-func (c *Controller) Tell() []rollout.Told {
+// Tell returns the rollout states to send to peers; nil if there are none.
+func (c *Controller) Tell() []rollout.WireState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.moves) == 0 {
+	if len(c.rollouts) == 0 {
 		return nil
 	}
 	now := clock.Now()
-	told := make([]rollout.Told, 0, len(c.moves))
-	for _, service := range slices.Sorted(maps.Keys(c.moves)) {
-		told = append(told, c.moves[service].Tell(now))
+	states := make([]rollout.WireState, 0, len(c.rollouts))
+	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
+		states = append(states, c.rollouts[service].Tell(now))
 	}
-	return told
+	return states
 }
 
-// learn merges a move and reports whether it is news.
-func (c *Controller) learn(move rollout.Move, now time.Time) (news bool) {
+// merge merges a state and reports whether it changed anything.
+func (c *Controller) merge(state rollout.State, now time.Time) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.moves[move.Service]
-	if held == nil {
-		held = &carried{}
-		c.moves[move.Service] = held
-	}
-	rewritten := held.Rewritten(move)
-	merged, news := held.Merge(move)
-	held.Move = merged
-	if !news {
+	active := c.rollouts[state.Service]
+	if active == nil {
+		active = &activeRollout{}
+		c.rollouts[state.Service] = active
+	}
+	reissued := active.ReissuedBy(state)
+	merged, changed := active.Merge(state)
+	active.State = merged
+	if !changed {
 		return false
 	}
 	switch {
-	case rewritten:
-		held.order = merged.Revision
-	case merged.Revision != held.order:
-		*held = carried{Move: merged, order: merged.Revision, began: now, asked: c.split(move.Service).Asked()}
-	}
-	c.use(move.Service, move.Version)
-	c.entered(held, now)
-	c.publish(now)
+	case reissued:
+		active.orderRevision = merged.Revision
+	case merged.Revision != active.orderRevision:
+		*active = activeRollout{State: merged, orderRevision: merged.Revision, startedAt: now, requestsAtStart: c.splitter(state.Service).Requests()}
+	}
+	c.markInUse(state.Service, state.Version)
+	c.enterPhase(active, now)
+	c.updatePlans(now)
 	c.signal()
 	return true
 }
 
-// use notes that a version is in use, or is known by an order.
-func (c *Controller) use(service, version string) {
+// markInUse marks a version as in use or as named by an order.
+func (c *Controller) markInUse(service, version string) {
 	if c.versions[service] == nil {
 		c.versions[service] = map[string]bool{}
 	}
 	c.versions[service][version] = true
-	delete(c.unheard[service], version)
-	if len(c.unheard[service]) == 0 {
-		delete(c.unheard, service)
+	delete(c.withheld[service], version)
+	if len(c.withheld[service]) == 0 {
+		delete(c.withheld, service)
 	}
 }
 
-// entered logs a move's phase and notes when the requests moved; the lock is held.
-func (c *Controller) entered(held *carried, now time.Time) {
-	if (held.Phase == rollout.Promoting || held.Phase == rollout.Completed) && held.moved.IsZero() {
-		held.moved = now
+// enterPhase logs the new phase and sets the time of promotion. The lock must be held.
+func (c *Controller) enterPhase(active *activeRollout, now time.Time) {
+	if (active.Phase == rollout.Promoting || active.Phase == rollout.Completed) && active.promotedAt.IsZero() {
+		active.promotedAt = now
 	}
-	c.metrics.phase.WithLabelValues(held.Service).Set(float64(held.Phase))
-	tally := c.tally(held.Service, held.Version)
-	c.options.Logger.Info("roll-out phase", zap.String("service", held.Service), zap.String("software", held.Version),
-		zap.Stringer("phase", held.Phase), zap.String("cause", held.Cause), zap.Duration("left", held.Deadline.Sub(now)),
+	c.metrics.phase.WithLabelValues(active.Service).Set(float64(active.Phase))
+	tally := c.tally(active.Service, active.Version)
+	c.options.Logger.Info("roll-out phase", zap.String("service", active.Service), zap.String("software", active.Version),
+		zap.Stringer("phase", active.Phase), zap.String("cause", active.Cause), zap.Duration("left", active.Deadline.Sub(now)),
 		zap.Int("present", tally.Present), zap.Int("others", tally.Others),
-		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.Lean), zap.Float64("load", tally.Load))
+		zap.Int("answered", tally.Answered), zap.Int("faulty", tally.Faulty), zap.Float64("lean", tally.LogOdds), zap.Float64("load", tally.Load))
 }
 
-// Follow takes in changed records: a version that no order names is held, since its
-// order may not have been heard yet.
+// Follow handles changed records. A version without an order is withheld, since its order may
+// not have arrived yet.
 func (c *Controller) Follow(changed []*roster.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,66 +280,66 @@
 			continue
 		}
 		if !settled || len(c.versions[endpoint.Service]) == 0 {
-			c.use(endpoint.Service, endpoint.Version)
+			c.markInUse(endpoint.Service, endpoint.Version)
 			continue
 		}
-		c.hold(endpoint.Service, endpoint.Version)
+		c.withhold(endpoint.Service, endpoint.Version)
 	}
 }
 
-// hold has a version get nothing for a time; the lock is held.
-func (c *Controller) hold(service, version string) {
-	if c.unheard[service] == nil {
-		c.unheard[service] = map[string]time.Time{}
+// withhold keeps requests from a version for a time. The lock must be held.
+func (c *Controller) withhold(service, version string) {
+	if c.withheld[service] == nil {
+		c.withheld[service] = map[string]time.Time{}
 	}
-	if _, known := c.unheard[service][version]; known {
+	if _, known := c.withheld[service][version]; known {
 		return
 	}
 	now := clock.Now()
-	c.unheard[service][version] = now
+	c.withheld[service][version] = now
 	c.options.Logger.Warn("software that no order names gets no requests yet",
-		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", holdMost))
-	c.publish(now)
+		zap.String("service", service), zap.String("software", version), zap.Duration("atMost", maxWithhold))
+	c.updatePlans(now)
 	c.signal()
 }
 
-// releaseHeld ends holds that have lasted long enough; the lock is held.
-func (c *Controller) releaseHeld(now time.Time) {
-	for service, held := range c.unheard {
-		for version, since := range held {
-			if now.Sub(since) >= holdMost {
+// releaseWithheld releases versions that have been withheld for maxWithhold. The lock must be held.
+func (c *Controller) releaseWithheld(now time.Time) {
+	for service, versions := range c.withheld {
+		for version, since := range versions {
+			if now.Sub(since) >= maxWithhold {
 				c.options.Logger.Warn("software that no order names is used",
 					zap.String("service", service), zap.String("software", version))
-				c.use(service, version)
+				c.markInUse(service, version)
 			}
 		}
 	}
 }
 
-// tick looks at every move: what its back ends are called, who is on trial, and what is
-// due in the store.
+// tick processes every rollout: it evaluates the evidence, updates the trial assignment and
+// starts writes that are due.
 func (c *Controller) tick(ctx context.Context, now time.Time) {
 	c.mu.Lock()
-	c.releaseHeld(now)
-	news := false
-	for _, held := range c.moves {
-		tally := c.tally(held.Service, held.Version)
-		judged, changed := held.Judged(tally, now)
+	c.releaseWithheld(now)
+	anyChanged := false
+	for _, active := range c.rollouts {
+		tally := c.tally(active.Service, active.Version)
+		evaluated, changed := active.Evaluate(tally, now)
 		if changed {
-			held.Move = judged
-			c.entered(held, now)
-			news = true
+			active.State = evaluated
+			c.enterPhase(active, now)
+			anyChanged = true
 		}
-		c.act(ctx, held, tally, now)
+		c.writeDue(ctx, active, tally, now)
 	}
-	c.publish(now)
+	c.updatePlans(now)
 	c.mu.Unlock()
-	if news {
-		c.options.Spread()
+	if anyChanged {
+		c.options.Broadcast()
 	}
 }
 
-// tally counts the back ends of a service, and what those of a version show.
+// tally returns the number of back ends of a service and the evidence about those of a version.
 func (c *Controller) tally(service, version string) rollout.Tally {
 	tally := rollout.Tally{Load: c.options.Load(service, version)}
 	for _, record := range c.options.Members.View().Service(service) {
@@ -350,81 +352,81 @@
 		case record.AcceptsWork():
 			tally.Present++
 		}
-		if judgement := record.Assessment(); judgement != nil {
-			tally.Add(judgement.Answers, judgement.Faulty, judgement.Lean)
+		if assessment := record.Assessment(); assessment != nil {
+			tally.Add(assessment.Answers, assessment.Faulty, assessment.LogOdds)
 		}
 	}
 	return tally
 }
 
-// candidates returns the nodes whose back ends may be on trial, in an order on which
-// all nodes agree, and how many back ends of other versions there are.
-func (c *Controller) candidates(held *carried) (nodes []string, others int) {
-	for _, record := range c.options.Members.View().Service(held.Service) {
-		judgement := record.Assessment()
+// candidates returns the nodes whose back ends may be on trial, in an order that is the same on
+// all nodes, and the number of back ends of other versions.
+func (c *Controller) candidates(active *activeRollout) (nodes []string, others int) {
+	for _, record := range c.options.Members.View().Service(active.Service) {
+		assessment := record.Assessment()
 		switch {
 		case !record.AcceptsWork():
-		case record.Endpoint.Version != held.Version:
+		case record.Endpoint.Version != active.Version:
 			others++
-		case judgement == nil || !judgement.Faulty:
+		case assessment == nil || !assessment.Faulty:
 			nodes = append(nodes, record.Node)
 		}
 	}
 	slices.SortFunc(nodes, func(a, b string) int {
-		return compareHashes(held.Version, a, b)
+		return compareHashes(active.Version, a, b)
 	})
 	return nodes, others
 }
 
 func compareHashes(salt, a, b string) int {
-	first, second := xxhash.Sum64String(salt+"\x00"+a), xxhash.Sum64String(salt+"\x00"+b)
+	hashA, hashB := xxhash.Sum64String(salt+"\x00"+a), xxhash.Sum64String(salt+"\x00"+b)
 	switch {
-	case first < second:
+	case hashA < hashB:
 		return -1
-	case first > second:
+	case hashA > hashB:
 		return 1
 	}
 	return 0
 }
 
-// publish makes the plans anew; the lock is held.
-func (c *Controller) publish(now time.Time) {
-	made := make(map[string]*rollout.Plan, len(c.moves)+len(c.unheard))
-	for service, held := range c.moves {
-		candidates, others := c.candidates(held)
-		stint := held.Stint(candidates, others, c.options.Limits(), c.pace(held, now), now)
-		alone := c.options.Settled() && others == 0 && len(candidates) > 0
-		plan := rollout.NewPlan(held.Move, stint, slices.Sorted(maps.Keys(c.unheard[service])), alone, c.split(service))
-		plan.Moved = held.moved
-		made[service] = plan
-	}
-	for service, versions := range c.unheard {
-		if made[service] == nil {
-			made[service] = rollout.NewPlan(rollout.Move{}, rollout.Stint{}, slices.Sorted(maps.Keys(versions)), false, c.split(service))
+// updatePlans rebuilds the plans. The lock must be held.
+func (c *Controller) updatePlans(now time.Time) {
+	updated := make(map[string]*rollout.Plan, len(c.rollouts)+len(c.withheld))
+	for service, active := range c.rollouts {
+		candidates, others := c.candidates(active)
+		assignment := active.TrialAssignment(candidates, others, c.options.Limits(), c.requestRate(active, now), now)
+		onlyVersion := c.options.Settled() && others == 0 && len(candidates) > 0
+		plan := rollout.NewPlan(active.State, assignment, slices.Sorted(maps.Keys(c.withheld[service])), onlyVersion, c.splitter(service))
+		plan.PromotedAt = active.promotedAt
+		updated[service] = plan
+	}
+	for service, versions := range c.withheld {
+		if updated[service] == nil {
+			updated[service] = rollout.NewPlan(rollout.State{}, rollout.TrialAssignment{}, slices.Sorted(maps.Keys(versions)), false, c.splitter(service))
 		}
 	}
-	if len(made) == 0 {
+	if len(updated) == 0 {
 		c.plans.Store(nil)
 		return
 	}
-	c.plans.Store(&made)
+	c.plans.Store(&updated)
 }
 
-// paceKnown is how long requests are counted before their rate is used.
-const paceKnown = time.Second
+// minRateWindow is how long requests are counted before their rate is used.
+const minRateWindow = time.Second
 
-// pace is how often requests of a move's service come to this node; the lock is held.
-func (c *Controller) pace(held *carried, now time.Time) rollout.Pace {
-	pace := rollout.Pace{Members: c.options.Members.View().LiveCount()}
-	if elapsed := now.Sub(held.began); elapsed >= paceKnown {
-		pace.PerSecond = float64(c.split(held.Service).Asked()-held.asked) / elapsed.Seconds()
+// requestRate returns the rate of a rollout's requests at this node. The lock must be held.
+func (c *Controller) requestRate(active *activeRollout, now time.Time) rollout.RequestRate {
+	requestRate := rollout.RequestRate{Members: c.options.Members.View().LiveCount()}
+	if elapsed := now.Sub(active.startedAt); elapsed >= minRateWindow {
+		requestRate.PerSecond = float64(c.splitter(active.Service).Requests()-active.requestsAtStart) / elapsed.Seconds()
 	}
-	return pace
+	return requestRate
 }
 
-func (c *Controller) split(service string) *rollout.Split {
-	if c.splits[service] == nil {
-		c.splits[service] = rollout.NewSplit()
+func (c *Controller) splitter(service string) *rollout.Splitter {
+	if c.splitters[service] == nil {
+		c.splitters[service] = rollout.NewSplitter()
 	}
-	return c.splits[service]
+	return c.splitters[service]
 }
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -12,27 +12,27 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// judging is the judge of one back end.
-type judging struct {
+// evaluation is the detector of one back end with what was last published.
+type evaluation struct {
 	incarnation roster.Incarnation
-	judge       *rollout.Judge
+	detector    *rollout.Detector
 
 	mu sync.Mutex // guards all below
-	// faulty is what others were last told, published when.
+	// faulty is what was last published, published is when.
 	faulty    bool
 	published time.Time
 }
 
-// Judges reports whether answers of the own back end are evidence: its version is on
-// trial, or all requests have just moved to it.
+// Judges reports whether answers of the local back end are evidence: its version is on trial or
+// has just been promoted.
 func (c *Controller) Judges() bool {
-	endpoint, plan := c.own()
-	return plan != nil && plan.Compares() && endpoint.Version == plan.Version
+	endpoint, plan := c.ownPlan()
+	return plan != nil && plan.ComparesVersions() && endpoint.Version == plan.Version
 }
 
-// own returns the own back end and the plan of its service; the plan is nil when nothing
-// divides the service's requests.
-func (c *Controller) own() (*roster.Endpoint, *rollout.Plan) {
+// ownPlan returns the local back end and the plan of its service. The plan is nil if the
+// requests of the service are not divided.
+func (c *Controller) ownPlan() (*roster.Endpoint, *rollout.Plan) {
 	if c.plans.Load() == nil {
 		return nil, nil
 	}
@@ -43,85 +43,85 @@
 	return endpoint, c.Plan(endpoint.Service)
 }
 
-// Refuses reports whether the own back end is to get nothing: its version was judged bad,
-// the back end itself was found faulty in the trial, or all requests have moved away from
-// its version.
+// Refuses reports whether the local back end must not get requests: its version was condemned,
+// the back end was found faulty in the trial, or another version was promoted.
 func (c *Controller) Refuses() bool {
-	endpoint, plan := c.own()
+	endpoint, plan := c.ownPlan()
 	if plan == nil || plan.Version == "" {
 		return false
 	}
 	if endpoint.Version != plan.Version {
-		return plan.Moves() && !plan.Moved.IsZero() && clock.Since(plan.Moved) >= settle
+		return plan.Promoted() && !plan.PromotedAt.IsZero() && clock.Since(plan.PromotedAt) >= propagationGrace
 	}
 	switch plan.Phase {
 	case rollout.Condemned, rollout.RolledBack:
 		return true
 	case rollout.Trial:
-		judged := c.judging.Load()
-		return judged != nil && judged.incarnation == endpoint.Incarnation() && judged.judge.Evidence(clock.Now()).Faulty
+		current := c.evaluation.Load()
+		return current != nil && current.incarnation == endpoint.Incarnation() && current.detector.Evidence(clock.Now()).Faulty
 	}
 	return false
 }
 
-// Answered takes in what a request showed of the own back end, while Judges holds.
+// Answered records an answer of the local back end as evidence. It has no effect unless Judges
+// is true.
 func (c *Controller) Answered(answer rollout.Answer) {
-	endpoint, plan := c.own()
-	if plan == nil || !plan.Compares() || endpoint.Version != plan.Version {
+	endpoint, plan := c.ownPlan()
+	if plan == nil || !plan.ComparesVersions() || endpoint.Version != plan.Version {
 		return
 	}
-	judged := c.judgeOf(endpoint)
+	current := c.evaluationOf(endpoint)
 	c.metrics.observe(endpoint.Version, answer)
 	now := clock.Now()
-	evidence := judged.judge.Observe(answer, now)
-	if !judged.isDue(evidence, now) {
+	evidence := current.detector.Observe(answer, now)
+	if !current.shouldPublish(evidence, now) {
 		return
 	}
 	c.options.Logger.Info("back end judged", zap.String("endpoint", endpoint.ID), zap.String("service", endpoint.Service),
-		zap.String("software", endpoint.Version), zap.Bool("faulty", evidence.Faulty), zap.Float64("lean", evidence.Lean),
+		zap.String("software", endpoint.Version), zap.Bool("faulty", evidence.Faulty), zap.Float64("lean", evidence.LogOdds),
 		zap.Int("answers", evidence.Answers), zap.Int("failed", evidence.Failed), zap.Int("slow", evidence.Slow),
-		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.Usual.Failing), zap.Float64("usualSlow", answer.Usual.Slow))
+		zap.String("route", answer.Route), zap.Float64("usualFailing", answer.BaselineRates.Failing), zap.Float64("usualSlow", answer.BaselineRates.Slow))
 	c.options.Members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.LastAssessment = &roster.Assessment{
-			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, Lean: math.Round(evidence.Lean*leanUnits) / leanUnits,
+			ID: endpoint.Incarnation().String(), Answers: evidence.Answers, Faulty: evidence.Faulty, LogOdds: math.Round(evidence.LogOdds*logOddsUnits) / logOddsUnits,
 		}
 		return record, true
 	})
-	go c.options.SpreadRecord()
+	go c.options.BroadcastRecord()
 	c.signal()
 }
 
 const (
-	// publishInterval is the least time between two accounts of the same back end that
-	// others are told, but for the one that it is faulty.
+	// publishInterval is the minimum interval between two published assessments of a back end,
+	// unless its being faulty changes.
 	publishInterval = 500 * time.Millisecond
-	// leanUnits is how exactly a lean is told: in parts of one.
-	leanUnits = 10
+	// logOddsUnits is the precision of published log odds, in units per 1.
+	logOddsUnits = 10
 )
 
-// isDue reports whether others are to be told of the evidence now.
-func (j *judging) isDue(evidence rollout.Evidence, now time.Time) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if evidence.Faulty == j.faulty && now.Sub(j.published) < publishInterval {
+// shouldPublish reports whether the evidence is to be published now.
+func (e *evaluation) shouldPublish(evidence rollout.Evidence, now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if evidence.Faulty == e.faulty && now.Sub(e.published) < publishInterval {
 		return false
 	}
-	j.faulty, j.published = evidence.Faulty, now
+	e.faulty, e.published = evidence.Faulty, now
 	return true
 }
 
-// judgeOf returns the judge of the back end, a new one for another back end. A back end is
-// of one version all its life, and each version is moved to once.
-func (c *Controller) judgeOf(endpoint *roster.Endpoint) *judging {
-	held := c.judging.Load()
-	if held != nil && held.incarnation == endpoint.Incarnation() {
-		return held
+// evaluationOf returns the evaluation of the back end, and starts a new one for a new back end.
+// A back end has one version all its life, and each version is rolled out once.
+func (c *Controller) evaluationOf(endpoint *roster.Endpoint) *evaluation {
+	current := c.evaluation.Load()
+	if current != nil && current.incarnation == endpoint.Incarnation() {
+		return current
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if held = c.judging.Load(); held == nil || held.incarnation != endpoint.Incarnation() {
-		held = &judging{incarnation: endpoint.Incarnation(), judge: &rollout.Judge{}}
-		c.judging.Store(held)
+	if current = c.evaluation.Load(); current == nil || current.incarnation != endpoint.Incarnation() {
+		current = &evaluation{incarnation: endpoint.Incarnation(), detector: &rollout.Detector{}}
+		c.evaluation.Store(current)
 	}
-	return held
+	return current
 }
--- a/internal/sidecar/rollout/controller/metrics.go
+++ b/internal/sidecar/rollout/controller/metrics.go
@@ -6,15 +6,16 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// metrics tell of roll-outs. Services are those of the configuration that had an order;
-// versions are those that were on trial beside this node.
+// metrics are the metrics of rollouts. The service label is limited to services of the
+// configuration that had an order, the version label to versions that were on trial beside this
+// node.
 type metrics struct {
 	phase   *prometheus.GaugeVec
 	answers *prometheus.CounterVec
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	created := &metrics{
+	m := &metrics{
 		phase: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "kestrel_sidecar_rollout_phase",
 			Help: "Phase of a service's move: 0 trial, 1 promoting, 2 condemned, 3 completed, 4 rolled back.",
@@ -23,8 +24,8 @@
 			Name: "kestrel_sidecar_rollout_answers_total", Help: "Answers of the back end beside this node while its version was judged.",
 		}, []string{"version", "result"}),
 	}
-	registry.MustRegister(created.phase, created.answers)
-	return created
+	registry.MustRegister(m.phase, m.answers)
+	return m
 }
 
 func (m *metrics) observe(version string, answer rollout.Answer) {
--- a/internal/sidecar/rollout/controller/writes.go
+++ b/internal/sidecar/rollout/controller/writes.go
@@ -13,75 +13,75 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Store is what a controller needs of the store.
+// Store is the part of the store that a controller uses.
 type Store interface {
 	Get(ctx context.Context, key string) (store.KeyValue, error)
 	store.Writer
 }
 
-// Status is how far a move has come, as the store has it.
+// Status is the progress of a rollout as recorded in the store.
 type Status struct {
 	Service, Version string
-	// Revision is that of the order.
+	// Revision is the revision of the order.
 	Revision uint64
 	Phase    rollout.Phase
-	// Deadline is the end of the move by the time of day of the node that wrote it.
+	// Deadline is the end of the rollout by the wall clock of the node that wrote it.
 	Deadline time.Time
 }
 
-// Codec turns orders and statuses into what the store holds. The assembly provides it.
+// Codec defines the representation of statuses in the store. The caller of New provides it.
 type Codec struct {
-	// StatusKey is where the status of a service's move lies.
+	// StatusKey returns the key of the status of a service's rollout.
 	StatusKey    func(service string) string
 	EncodeStatus func(Status) ([]byte, error)
-	// DecodeStatus reads one. A status that was not written by a node has no revision.
+	// DecodeStatus decodes a status. One that was not written by a node has no revision.
 	DecodeStatus func([]byte) (Status, error)
 }
 
 const (
 	writeTimeout = 500 * time.Millisecond
-	// rankDelay is how much later each further reader acts on what is due, urgentDelay
-	// where the deadline is near. All but the first mostly find the work done.
+	// rankDelay is the delay by which each further reader acts later on a due write,
+	// urgentDelay that near the deadline. All but the first usually find the write done.
 	rankDelay   = 400 * time.Millisecond
 	urgentDelay = 120 * time.Millisecond
-	// clockTolerance is how far the times of day of two nodes may be apart. A node that
-	// has read an order long after it was given, as after a restart of all, takes the
-	// deadline from the status; a smaller difference may be one of clocks.
+	// clockTolerance is the maximum clock skew between two nodes. A node that reads an order
+	// long after it was given, as after a restart of all nodes, takes the deadline from the
+	// status; a smaller difference may be clock skew.
 	clockTolerance = 4 * time.Second
-	// retryBase and retryMost bound the pause after a failed write.
-	retryBase = 100 * time.Millisecond
-	retryMost = time.Second
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed write.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// act begins to write the phase that is due, when it is this node's turn; the lock is
+// writeDue starts writing the phase that is due if it is this node's turn. The lock must be
 // held.
-func (c *Controller) act(ctx context.Context, held *carried, tally rollout.Tally, now time.Time) {
-	phase, due := held.Due(tally, c.options.Limits(), now)
+func (c *Controller) writeDue(ctx context.Context, active *activeRollout, tally rollout.Tally, now time.Time) {
+	phase, due := active.DuePhase(tally, c.options.Limits(), now)
 	if !due {
-		held.dueSince = time.Time{}
+		active.dueSince = time.Time{}
 		return
 	}
-	if held.dueSince.IsZero() || held.due != phase {
-		held.due, held.dueSince = phase, now
+	if active.dueSince.IsZero() || active.due != phase {
+		active.due, active.dueSince = phase, now
 	}
-	if held.writing || now.Before(held.notBefore) || !c.turn(held, phase, now) {
+	if active.writing || now.Before(active.notBefore) || !c.isTurn(active, phase, now) {
 		return
 	}
-	held.writing, held.notBefore = true, now.Add(retryBase)
-	next := held.Reached(phase)
+	active.writing, active.notBefore = true, now.Add(minRetryDelay)
+	next := active.WithRecordedPhase(phase)
 	go c.write(ctx, next)
 }
 
-// turn reports whether this node is to write what has been due since then: the readers
-// act one after the other, each when those before have not.
-func (c *Controller) turn(held *carried, phase rollout.Phase, now time.Time) bool {
+// isTurn reports whether this node is to write the due phase: the readers act one after the
+// other, each if those before it have not.
+func (c *Controller) isTurn(active *activeRollout, phase rollout.Phase, now time.Time) bool {
 	own := c.options.Members.Own().Node
 	readers := c.options.Readers()
 	names := make([]string, len(readers))
 	for i, record := range readers {
 		names[i] = record.Node
 	}
-	slices.SortFunc(names, func(a, b string) int { return compareHashes(held.Service, a, b) })
+	slices.SortFunc(names, func(a, b string) int { return compareHashes(active.Service, a, b) })
 	rank := slices.Index(names, own)
 	if rank < 0 {
 		return false
@@ -90,48 +90,49 @@
 	if phase == rollout.Promoting || phase == rollout.Completed {
 		delay = urgentDelay
 	}
-	return now.Sub(held.dueSince) >= time.Duration(rank)*delay
+	return now.Sub(active.dueSince) >= time.Duration(rank)*delay
 }
 
-// write brings the store to a phase of a move. The key is read first: a condition on its
-// revision keeps apart what two nodes decide, and keeps a write whose answer was lost from
-// taking effect after a later one.
-func (c *Controller) write(ctx context.Context, next rollout.Move) {
-	bounded, cancel := context.WithTimeout(ctx, writeTimeout)
+// write records a phase in the store. It reads the key first: the compare-and-swap on its
+// revision prevents conflicting decisions of two nodes, and prevents a write whose answer was
+// lost from taking effect after a later one.
+func (c *Controller) write(ctx context.Context, next rollout.State) {
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	stored, revision, err := c.stored(bounded, next.Service)
-	if err == nil && stored.Revision == next.Revision && (stored.Phase.Final() || stored.Phase >= next.Phase) {
-		c.wrote(next.Reached(stored.Phase), clock.FromWallTime(stored.Deadline))
+	storedStatus, revision, err := c.storedStatus(writeCtx, next.Service)
+	if err == nil && storedStatus.Revision == next.Revision && (storedStatus.Phase.Final() || storedStatus.Phase >= next.Phase) {
+		c.writeSucceeded(next.WithRecordedPhase(storedStatus.Phase), clock.FromWallTime(storedStatus.Deadline))
 		return
 	}
 	if err == nil {
-		err = c.swap(bounded, next, revision)
+		err = c.swapStatus(writeCtx, next, revision)
 	}
 	if err != nil {
-		c.notWritten(next, err)
+		c.writeFailed(next, err)
 		return
 	}
-	c.wrote(next, time.Time{})
+	c.writeSucceeded(next, time.Time{})
 }
 
-// stored reads the status of a service's move, an empty one when there is none.
-func (c *Controller) stored(ctx context.Context, service string) (Status, uint64, error) {
-	found, err := c.options.Store.Get(ctx, c.options.Codec.StatusKey(service))
+// storedStatus reads the status of a service's rollout, and returns an empty one if there is
+// none.
+func (c *Controller) storedStatus(ctx context.Context, service string) (Status, uint64, error) {
+	item, err := c.options.Store.Get(ctx, c.options.Codec.StatusKey(service))
 	if errors.Is(err, store.ErrNotFound) {
 		return Status{}, 0, nil
 	}
 	if err != nil {
 		return Status{}, 0, err
 	}
-	status, err := c.options.Codec.DecodeStatus(found.Value)
+	status, err := c.options.Codec.DecodeStatus(item.Value)
 	if err != nil {
 		c.options.Logger.Warn("status of a roll-out cannot be read, it will be replaced",
 			zap.String("service", service), zap.Error(err))
 	}
-	return status, found.Revision, nil
+	return status, item.Revision, nil
 }
 
-func (c *Controller) swap(ctx context.Context, next rollout.Move, revision uint64) error {
+func (c *Controller) swapStatus(ctx context.Context, next rollout.State, revision uint64) error {
 	value, err := c.options.Codec.EncodeStatus(Status{
 		Service: next.Service, Version: next.Version, Revision: next.Order.Revision, Phase: next.Phase, Deadline: clock.WallTime(next.Deadline),
 	})
@@ -144,49 +145,49 @@
 	return err
 }
 
-// wrote takes in that the store has the phase. deadline is the one that the store had,
-// zero when this node has just written its own.
-func (c *Controller) wrote(move rollout.Move, deadline time.Time) {
+// writeSucceeded records that the store has the phase. deadline is the one read from the store;
+// zero if this node wrote the status.
+func (c *Controller) writeSucceeded(state rollout.State, deadline time.Time) {
 	now := clock.Now()
 	c.mu.Lock()
-	held := c.moves[move.Service]
-	if held == nil || held.Revision != move.Revision {
+	active := c.rollouts[state.Service]
+	if active == nil || active.Revision != state.Revision {
 		c.mu.Unlock()
 		return
 	}
-	held.writing, held.failures = false, 0
-	if !deadline.IsZero() && held.Deadline.Sub(deadline) > clockTolerance {
-		held.Deadline = deadline
+	active.writing, active.failures = false, 0
+	if !deadline.IsZero() && active.Deadline.Sub(deadline) > clockTolerance {
+		active.Deadline = deadline
 	}
-	merged, news := held.Merge(move)
-	if move.Phase.Final() {
-		// What the store has is the end, whatever this node took for it.
-		news = held.Phase != move.Phase
-		merged.Phase, merged.Cause, merged.Recorded = move.Phase, move.Cause, true
+	merged, changed := active.Merge(state)
+	if state.Phase.Final() {
+		// A final phase in the store overrides the local one.
+		changed = active.Phase != state.Phase
+		merged.Phase, merged.Cause, merged.Recorded = state.Phase, state.Cause, true
 	}
-	held.Move = merged
-	if news {
-		c.entered(held, now)
-		c.publish(now)
+	active.State = merged
+	if changed {
+		c.enterPhase(active, now)
+		c.updatePlans(now)
 	}
 	c.mu.Unlock()
-	if news {
-		c.options.Spread()
+	if changed {
+		c.options.Broadcast()
 	}
 	c.signal()
 }
 
-// notWritten logs a failed write and has the next one wait.
-func (c *Controller) notWritten(move rollout.Move, err error) {
-	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", move.Service),
-		zap.Stringer("phase", move.Phase), zap.Error(err))
+// writeFailed logs a failed write and delays the next one.
+func (c *Controller) writeFailed(state rollout.State, err error) {
+	c.options.Logger.Warn("status of a roll-out not written", zap.String("service", state.Service),
+		zap.Stringer("phase", state.Phase), zap.Error(err))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.moves[move.Service]
-	if held == nil || held.Revision != move.Revision {
+	active := c.rollouts[state.Service]
+	if active == nil || active.Revision != state.Revision {
 		return
 	}
-	held.writing = false
-	held.notBefore = clock.Now().Add(min(retryBase<<min(held.failures, 4), retryMost))
-	held.failures++
+	active.writing = false
+	active.notBefore = clock.Now().Add(min(minRetryDelay<<min(active.failures, 4), maxRetryDelay))
+	active.failures++
 }
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// Causes of a move that is taken back.
+// Causes of a rollback.
 const (
-	CauseFaulty = "several back ends of the version are faulty"
-	CauseLate   = "not done by the deadline"
-	CauseUnseen = "too little was seen of the version, or it has too few back ends"
+	CauseFaulty               = "several back ends of the version are faulty"
+	CauseDeadlineMissed       = "not done by the deadline"
+	CauseInsufficientEvidence = "too little was seen of the version, or it has too few back ends"
 )
 
-// expiry is how long after its deadline a move of which no end was heard is taken for
-// taken back: news of an end takes that long to reach a node that hears it from its peers
-// alone.
-const expiry = 1500 * time.Millisecond
+// expiryGrace is how long after its deadline a rollout without a known result counts as rolled
+// back. A node that receives the result from its peers alone may learn of it that much later.
+const expiryGrace = 1500 * time.Millisecond
 
-// Judged returns the move after a look at what its back ends are called, and whether it
-// changed. Every node does this by itself; nobody waits for the store to stop sending.
-func (m Move) Judged(tally Tally, now time.Time) (Move, bool) {
-	if m.Phase >= Condemned {
-		return m, false
+// Evaluate returns the state after an evaluation of the evidence, and whether it changed. Every
+// node evaluates by itself, so that traffic to a bad version stops without a round trip to the
+// store.
+func (s State) Evaluate(tally Tally, now time.Time) (State, bool) {
+	if s.Phase >= Condemned {
+		return s, false
 	}
 	switch {
 	case tally.Condemns():
-		m.Phase, m.Recorded, m.Cause = Condemned, false, CauseFaulty
-	case now.After(m.Deadline.Add(expiry)) && !tally.last():
-		m.Phase, m.Recorded, m.Cause = Condemned, false, CauseLate
+		s.Phase, s.Recorded, s.Cause = Condemned, false, CauseFaulty
+	case now.After(s.Deadline.Add(expiryGrace)) && !tally.onlyVersion():
+		s.Phase, s.Recorded, s.Cause = Condemned, false, CauseDeadlineMissed
 	default:
-		return m, false
+		return s, false
 	}
-	return m, true
+	return s, true
 }
 
-// Ordered returns the move of an order that was heard at that moment. A version that is the
-// only one in use has nothing to be tried against: its move is over at once.
-func Ordered(order Order, tally Tally, now time.Time) Move {
-	begun := Begin(order, now)
-	if tally.last() {
-		begun.Phase = Completed
+// Start returns the initial state for an order received at the given time. If no other version
+// is in use, there is nothing to compare with and the rollout is completed at once.
+func Start(order Order, tally Tally, now time.Time) State {
+	state := NewState(order, now)
+	if tally.onlyVersion() {
+		state.Phase = Completed
 	}
-	return begun
+	return state
 }
 
-// Due returns the phase that is to be written to the store now, and whether one is.
-func (m Move) Due(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
+// DuePhase returns the phase to write to the store now, and whether a write is due.
+func (s State) DuePhase(tally Tally, limits Limits, now time.Time) (phase Phase, due bool) {
 	switch {
-	case m.Phase.Final():
-		return m.Phase, !m.Recorded
-	case m.Phase == Condemned:
+	case s.Phase.Final():
+		return s.Phase, !s.Recorded
+	case s.Phase == Condemned:
 		return RolledBack, true
-	case tally.last() && !now.Before(m.CompleteAt(limits)):
+	case tally.onlyVersion() && !now.Before(s.CompleteAt(limits)):
 		return Completed, true
-	case !now.Before(m.Deadline):
+	case !now.Before(s.Deadline):
 		return RolledBack, true
-	case m.Phase == Promoting:
-		return Completed, !now.Before(m.CompleteAt(limits))
-	case !now.Before(m.CompleteAt(limits)):
-		// Too late to begin: what others work on would be broken off.
+	case s.Phase == Promoting:
+		return Completed, !now.Before(s.CompleteAt(limits))
+	case !now.Before(s.CompleteAt(limits)):
+		// Too late to promote: requests in progress on other versions would be interrupted.
 		return RolledBack, true
-	case !now.Before(m.PromoteAt(limits)) && tally.Promotes():
+	case !now.Before(s.PromoteAt(limits)) && tally.Promotes():
 		return Promoting, true
 	}
-	return Trial, !m.Recorded
+	return Trial, !s.Recorded
 }
 
-// Reached returns the move in a phase that the store has.
-func (m Move) Reached(phase Phase) Move {
+// WithRecordedPhase returns the state with a phase that the store has recorded.
+func (s State) WithRecordedPhase(phase Phase) State {
 	switch {
-	case phase != RolledBack || m.Cause != "":
-	case m.Phase == Trial:
-		m.Cause = CauseUnseen
+	case phase != RolledBack || s.Cause != "":
+	case s.Phase == Trial:
+		s.Cause = CauseInsufficientEvidence
 	default:
-		m.Cause = CauseLate
+		s.Cause = CauseDeadlineMissed
 	}
-	m.Phase, m.Recorded = phase, true
-	return m
+	s.Phase, s.Recorded = phase, true
+	return s
 }
--- a/internal/sidecar/rollout/plan.go
+++ b/internal/sidecar/rollout/plan.go
@@ -8,75 +8,79 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/evenly"
 )
 
-// Plan says, for a short time, how the requests of one service are divided. It is
-// immutable but for its place in the sequence of requests.
+// Plan determines how the requests of one service are divided between versions. Plans are
+// replaced often. A Plan is immutable except for its position in the sequence of requests.
 type Plan struct {
-	// Version is the one that a move concerns; empty while there is none and versions are
-	// held all the same.
-	Version string
-	Phase   Phase
-	Stint   Stint
-	// Held are versions besides that get no requests.
-	Held []string
-	// Alone: no back end of another version is there, so that the version is in use.
-	Alone bool
-	// Moved is since when all requests go to the version, zero while they do not.
-	Moved time.Time
-	split *Split
+	// Version is the version being rolled out; empty if there is no rollout and only
+	// WithheldVersions apply.
+	Version         string
+	Phase           Phase
+	TrialAssignment TrialAssignment
+	// WithheldVersions are other versions that get no requests.
+	WithheldVersions []string
+	// OnlyVersion means that no other version has back ends, so that this one must be used.
+	OnlyVersion bool
+	// PromotedAt is the time since which all requests go to the version; zero before.
+	PromotedAt time.Time
+	splitter   *Splitter
 }
 
-// Split divides the requests of one service and outlives its plans.
-type Split struct {
+// Splitter divides the requests of one service. It outlives the plans of the service.
+type Splitter struct {
 	sequence *evenly.Sequence
-	// asked counts the requests that were divided.
-	asked atomic.Int64
+	// requests counts the requests that were divided.
+	requests atomic.Int64
 }
 
-// Asked returns how many requests were divided.
-func (s *Split) Asked() int64 { return s.asked.Load() }
+// Requests returns the number of requests divided so far.
+func (s *Splitter) Requests() int64 { return s.requests.Load() }
 
-// NewSplit returns a split.
-func NewSplit() *Split { return &Split{sequence: evenly.NewSequence()} }
+// NewSplitter returns a Splitter at the start of its sequence.
+func NewSplitter() *Splitter { return &Splitter{sequence: evenly.NewSequence()} }
 
-// NewPlan returns a plan that goes on with a split.
-func NewPlan(move Move, stint Stint, held []string, alone bool, split *Split) *Plan {
-	return &Plan{Version: move.Version, Phase: move.Phase, Stint: stint, Held: held, Alone: alone, split: split}
+// NewPlan returns a plan that continues the sequence of the given splitter.
+func NewPlan(state State, assignment TrialAssignment, withheldVersions []string, onlyVersion bool, splitter *Splitter) *Plan {
+	return &Plan{Version: state.Version, Phase: state.Phase, TrialAssignment: assignment, WithheldVersions: withheldVersions, OnlyVersion: onlyVersion, splitter: splitter}
 }
 
-// Moves reports whether all requests go to the version.
-func (p *Plan) Moves() bool {
-	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.Alone))
+// Promoted reports whether all requests go to the version.
+func (p *Plan) Promoted() bool {
+	return p.Version != "" && (p.Phase == Promoting || p.Phase == Completed || (p.Phase == Trial && p.OnlyVersion))
 }
 
-// Compares reports whether answers are compared by version.
-func (p *Plan) Compares() bool { return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting) }
+// ComparesVersions reports whether the answers of versions are compared.
+func (p *Plan) ComparesVersions() bool {
+	return p.Version != "" && (p.Phase == Trial || p.Phase == Promoting)
+}
 
-// Select returns who may take a request. One that was sent before is not for a trial.
-func (p *Plan) Select(sentBefore bool) Selection {
-	if !sentBefore {
-		p.split.asked.Add(1)
+// Select returns the back ends that may take a request. Retries are not used for the trial.
+func (p *Plan) Select(retry bool) Selection {
+	if !retry {
+		p.splitter.requests.Add(1)
 	}
 	switch {
-	case p.Moves():
+	case p.Promoted():
 		return Only(p.Version)
-	case !sentBefore && len(p.Stint.BackEnds) > 0:
-		if place := p.split.sequence.NextFraction(); place < p.Stint.Share {
-			index := int(place / p.Stint.Share * float64(len(p.Stint.BackEnds)))
-			return Node(p.Stint.BackEnds[min(index, len(p.Stint.BackEnds)-1)], p.Version)
+	case !retry && len(p.TrialAssignment.BackEnds) > 0:
+		if position := p.splitter.sequence.NextFraction(); position < p.TrialAssignment.Share {
+			index := int(position / p.TrialAssignment.Share * float64(len(p.TrialAssignment.BackEnds)))
+			return Node(p.TrialAssignment.BackEnds[min(index, len(p.TrialAssignment.BackEnds)-1)], p.Version)
 		}
 	}
-	return p.others()
+	return p.otherVersions()
 }
 
-// others are the back ends that the move leaves alone.
-func (p *Plan) others() Selection { return Without(append(slices.Clone(p.Held), p.Version)...) }
+// otherVersions selects the back ends that are neither of the version on trial nor withheld.
+func (p *Plan) otherVersions() Selection {
+	return Without(append(slices.Clone(p.WithheldVersions), p.Version)...)
+}
 
-// Otherwise returns who takes a request when none of those selected is there. While a
-// version is on trial, or was judged bad, its back ends do not stand in for others: right
-// after a restart a node may know of no other ones for a moment.
-func (p *Plan) Otherwise() Selection {
-	if p.Moves() {
-		return Every()
+// Fallback returns the back ends that may take a request if none of those selected is
+// available. The back ends of a version on trial, or of a condemned one, are never a fallback:
+// right after a restart a node may not know of others yet.
+func (p *Plan) Fallback() Selection {
+	if p.Promoted() {
+		return All()
 	}
-	return p.others()
+	return p.otherVersions()
 }
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -20,14 +20,14 @@
 func (s *Sidecar) addRollouts() {
 	s.rollouts = controller.New(controller.Options{
 		Store: s.options.Store, Codec: s.options.Rollouts, Members: s.members,
-		Limits:       func() rollout.Limits { return s.settings.Load().Rollout },
-		Load:         func(service, version string) float64 { return s.egress.Load(service, version) },
-		Readers:      s.reading,
-		Settled:      s.settled,
-		Spread:       func() { go s.spread(context.Background()) },
-		SpreadRecord: func() { s.spread(context.Background()) },
-		Logger:       s.logger,
-		Registry:     s.options.Registry,
+		Limits:          func() rollout.Limits { return s.settings.Load().Rollout },
+		Load:            func(service, version string) float64 { return s.egress.Load(service, version) },
+		Readers:         s.reading,
+		Settled:         s.settled,
+		Broadcast:       func() { go s.spread(context.Background()) },
+		BroadcastRecord: func() { s.spread(context.Background()) },
+		Logger:          s.logger,
+		Registry:        s.options.Registry,
 	})
 }
 
@@ -89,8 +89,8 @@
 
 // Answered implements ingress.Judge. While the back end warms up it is slow whatever its
 // version is, and so are all answers that were under way while the node stood still.
-func (j *judge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual) {
-	answer := rollout.Answer{Failed: failed, Usual: usual}
+func (j *judge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.BaselineRates) {
+	answer := rollout.Answer{Failed: failed, BaselineRates: usual}
 	if table := j.sidecar.keeper.Table(); table != nil {
 		if matched := table.MatchRequest(request); matched != nil {
 			answer.Route = matched.Name
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -6,117 +6,122 @@
 )
 
 const (
-	// hearWeight is the weight of one reply, as 1/n: back ends see different parts of the demand.
-	hearWeight = 16
-	// margin is how much more than its share a tenant has unmarked. Back ends see a share by chance:
-	// the queues there share exactly, and what is marked gives way to all.
-	margin = 2
-	// roomy is how many times what a tenant asks for a back end with room for all counts as its share.
-	roomy = 2
-	// hearAge is after what time without a reply nothing is known of a tenant.
-	hearAge = 2 * time.Second
-	// mostHeard is from how many tenants on those are looked for of which nothing is known any more.
-	mostHeard = 4096
+	// replyWeight is the inverse weight of one reply in the mean: back ends see different parts
+	// of the demand.
+	replyWeight = 16
+	// unmarkedMargin is the multiple of its share up to which a tenant's requests are left
+	// unmarked. Shares computed at back ends vary randomly; the queues there share exactly,
+	// while marked requests yield to all others.
+	unmarkedMargin = 2
+	// spareFactor is the share assumed at a back end with sufficient capacity, as a multiple of
+	// the tenant's demand.
+	spareFactor = 2
+	// maxReplyAge is the time without a reply after which the state of a flow is stale.
+	maxReplyAge = 2 * time.Second
+	// maxFlows bounds the number of flows; when it is reached, stale ones are removed.
+	maxFlows = 4096
 )
 
-// Subject is a tenant's requests of one priority to a service.
-type Subject struct {
+// Flow identifies a tenant's requests of one priority to a service.
+type Flow struct {
 	Service, Tenant string
 	Priority        int
 }
 
-// Heard is what the node of callers knows of tenants' shares, by what replies told. The zero value
-// is ready and knows nothing. It is safe for concurrent use.
-type Heard struct {
+// Tracker tracks, at the callers' node, the shares of tenants as reported with replies. The
+// zero value is ready to use. It is safe for concurrent use.
+type Tracker struct {
 	mu    sync.RWMutex // guards all below
-	parts map[Subject]*part
-	// swept is when subjects were last looked for of which nothing is known any more.
-	swept time.Time
+	flows map[Flow]*flowEstimate
+	// sweptAt is when stale flows were last removed.
+	sweptAt time.Time
 }
 
-// part is what replies told of one subject.
-type part struct {
+// flowEstimate is the estimate for one flow.
+type flowEstimate struct {
 	mu sync.Mutex // guards all below
-	// share and demand are means that fade by replies. Demand differs between back ends by chance: the mean of
-	// the parts would be below the part of the means.
+	// share and demand are exponentially weighted means over replies. They are averaged
+	// separately, since demand varies randomly between back ends: the mean of the ratios would
+	// be below the ratio of the means.
 	share, demand float64
-	// at is when the last reply came; zero before the first.
-	at time.Time
+	// lastReply is when the last reply arrived; zero before the first.
+	lastReply time.Time
 }
 
-// Take takes in what a reply told. Of subjects for which there has always been room nothing is kept.
-func (h *Heard) Take(of Subject, told Standing, now time.Time) {
-	h.mu.RLock()
-	held := h.parts[of]
-	h.mu.RUnlock()
-	if held == nil {
-		if told == (Standing{}) {
+// Observe records the allocation reported with a reply. No state is kept for flows that have
+// always had sufficient capacity.
+func (t *Tracker) Observe(flow Flow, reported Allocation, now time.Time) {
+	t.mu.RLock()
+	estimate := t.flows[flow]
+	t.mu.RUnlock()
+	if estimate == nil {
+		if reported == (Allocation{}) {
 			return
 		}
-		held = h.add(of, now)
+		estimate = t.add(flow, now)
 	}
-	held.take(told, now)
+	estimate.observe(reported, now)
 }
 
-// add returns the part of a subject, which it makes where there is none.
-func (h *Heard) add(of Subject, now time.Time) *part {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if held := h.parts[of]; held != nil {
-		return held
+// add returns the estimate of a flow and creates it if there is none.
+func (t *Tracker) add(flow Flow, now time.Time) *flowEstimate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if estimate := t.flows[flow]; estimate != nil {
+		return estimate
 	}
-	if h.parts == nil {
-		h.parts = map[Subject]*part{}
+	if t.flows == nil {
+		t.flows = map[Flow]*flowEstimate{}
 	}
-	if len(h.parts) >= mostHeard && now.Sub(h.swept) >= hearAge {
-		h.swept = now
-		for other, held := range h.parts {
-			if !held.known(now) {
-				delete(h.parts, other)
+	if len(t.flows) >= maxFlows && now.Sub(t.sweptAt) >= maxReplyAge {
+		t.sweptAt = now
+		for other, estimate := range t.flows {
+			if !estimate.isFresh(now) {
+				delete(t.flows, other)
 			}
 		}
 	}
-	added := &part{}
-	if len(h.parts) < mostHeard {
-		h.parts[of] = added
+	added := &flowEstimate{}
+	if len(t.flows) < maxFlows {
+		t.flows[flow] = added
 	}
 	return added
 }
 
-// Part returns which part of the subject's requests is within its share; Whole when nothing recent
-// is known.
-func (h *Heard) Part(of Subject, now time.Time) float64 {
-	h.mu.RLock()
-	held := h.parts[of]
-	h.mu.RUnlock()
-	if held == nil {
-		return Whole
+// Fraction returns the fraction of the flow's requests that is within its share; FullFraction
+// if there is no recent report.
+func (t *Tracker) Fraction(flow Flow, now time.Time) float64 {
+	t.mu.RLock()
+	estimate := t.flows[flow]
+	t.mu.RUnlock()
+	if estimate == nil {
+		return FullFraction
 	}
-	held.mu.Lock()
-	defer held.mu.Unlock()
-	if now.Sub(held.at) >= hearAge || held.demand <= held.share*margin {
-		return Whole
+	estimate.mu.Lock()
+	defer estimate.mu.Unlock()
+	if now.Sub(estimate.lastReply) >= maxReplyAge || estimate.demand <= estimate.share*unmarkedMargin {
+		return FullFraction
 	}
-	return clamp(held.share * margin / held.demand)
+	return clampFraction(estimate.share * unmarkedMargin / estimate.demand)
 }
 
-func (p *part) take(told Standing, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	share, demand := float64(told.Share), float64(told.Demand)
+func (e *flowEstimate) observe(reported Allocation, now time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	share, demand := float64(reported.Share), float64(reported.Demand)
 	switch {
-	case told == (Standing{}):
-		share, demand = roomy*p.demand, p.demand
-	case now.Sub(p.at) >= hearAge:
-		p.share, p.demand = share, demand
+	case reported == (Allocation{}):
+		share, demand = spareFactor*e.demand, e.demand
+	case now.Sub(e.lastReply) >= maxReplyAge:
+		e.share, e.demand = share, demand
 	}
-	p.share += (share - p.share) / hearWeight
-	p.demand += (demand - p.demand) / hearWeight
-	p.at = now
+	e.share += (share - e.share) / replyWeight
+	e.demand += (demand - e.demand) / replyWeight
+	e.lastReply = now
 }
 
-func (p *part) known(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.at) < hearAge
+func (e *flowEstimate) isFresh(now time.Time) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return now.Sub(e.lastReply) < maxReplyAge
 }
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -1,9 +1,10 @@
-// Package shares answers the load of tenants that ask for more than their share of a service's room
-// while it is not enough for all. The node beside each back end works out the max-min share from what is offered
-// and what gets room there, and tells with its replies to a tenant's requests which part of them is
-// within the share. Callers' nodes mark the rest as above it, so that those give way at every back end
-// and need not be sent. A request that is not marked tells of which part it is, so that what is marked, or
-// not sent at all, is known to be offered too. The package is pure: the caller brings the time.
+// Package shares limits tenants that demand more than their max-min fair share of a service
+// while capacity is short. The node beside each back end computes the max-min share from the
+// demand and the capacity used there, and reports with its replies what fraction of a tenant's
+// requests is within the share. Callers' nodes mark the rest as above the share; marked
+// requests yield at every back end and need not be sent. A request that is not marked carries
+// that fraction, so that the demand of requests that are marked or not sent is known too. The
+// package is pure: the caller supplies the time.
 package shares
 
 import (
@@ -16,201 +17,211 @@
 	"time"
 )
 
-// Whole is the part of a tenant's requests that is within its share where nothing else is known.
-const Whole = 1.0
+// FullFraction is the fraction of a tenant's requests that is within its share if nothing is
+// known.
+const FullFraction = 1.0
 
 const (
-	// leastPart is the smallest part: some requests always tell what is offered.
-	leastPart = 0.02
-	// partUnits make a whole number of a part.
-	partUnits = 1000
+	// minFraction is the smallest fraction: some requests are always sent unmarked, to report
+	// the demand.
+	minFraction = 0.02
+	// fractionUnits is the number of units per 1 in which a fraction is written as an integer.
+	fractionUnits = 1000
 )
 
-// FormatPart writes a part as the value of a header, empty for Whole.
-func FormatPart(part float64) string {
-	if units := int64(part * partUnits); units < partUnits {
+// FormatFraction formats a fraction as a header value, empty for FullFraction.
+func FormatFraction(fraction float64) string {
+	if units := int64(fraction * fractionUnits); units < fractionUnits {
 		return strconv.FormatInt(units, 10)
 	}
 	return ""
 }
 
-// ParsePart reads the value of a header. What no node writes is Whole: nodes of the version before
-// tell nothing.
-func ParsePart(text string) float64 {
+// ParseFraction parses a header value. A missing or invalid value is FullFraction, since nodes
+// of the previous version send none.
+func ParseFraction(text string) float64 {
 	units, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		return Whole
+		return FullFraction
 	}
-	return clamp(float64(units) / partUnits)
+	return clampFraction(float64(units) / fractionUnits)
 }
 
-func clamp(part float64) float64 { return min(max(part, leastPart), Whole) }
+func clampFraction(fraction float64) float64 { return min(max(fraction, minFraction), FullFraction) }
 
-// Standing is what a back end's node tells of a tenant: the most that one tenant may have of what gets
-// room there, and what this one asks for. The zero value says that there is room for all.
-type Standing struct{ Share, Demand time.Duration }
+// Allocation is what a back end's node reports about a tenant: the maximum that one tenant may
+// use of the capacity there, and the tenant's demand. The zero value means that capacity is
+// sufficient for all.
+type Allocation struct{ Share, Demand time.Duration }
 
-// roomForAll is the zero value as a header.
-const roomForAll = "0"
+// unlimitedHeader is the header value of the zero Allocation.
+const unlimitedHeader = "0"
 
-// Format writes the standing as the value of a header.
-func (s Standing) Format() string {
-	if s == (Standing{}) {
-		return roomForAll
+// Format formats the allocation as a header value.
+func (s Allocation) Format() string {
+	if s == (Allocation{}) {
+		return unlimitedHeader
 	}
 	line := strconv.AppendInt(make([]byte, 0, 32), s.Share.Microseconds(), 10)
 	return string(strconv.AppendInt(append(line, ' '), s.Demand.Microseconds(), 10))
 }
 
-// ParseStanding reads the value of a header. What no node writes is the zero value.
-func ParseStanding(text string) Standing {
+// ParseAllocation parses a header value. An invalid value yields the zero Allocation.
+func ParseAllocation(text string) Allocation {
 	share, demand, found := strings.Cut(text, " ")
-	const bits = 40 // of microseconds: some days
-	allowed, shareErr := strconv.ParseUint(share, 10, bits)
-	asked, demandErr := strconv.ParseUint(demand, 10, bits)
+	const bits = 40 // of microseconds: about 12.7 days
+	shareMicros, shareErr := strconv.ParseUint(share, 10, bits)
+	demandMicros, demandErr := strconv.ParseUint(demand, 10, bits)
 	if !found || shareErr != nil || demandErr != nil {
-		return Standing{}
+		return Allocation{}
 	}
-	return Standing{Share: time.Duration(allowed) * time.Microsecond, Demand: time.Duration(asked) * time.Microsecond}
+	return Allocation{Share: time.Duration(shareMicros) * time.Microsecond, Demand: time.Duration(demandMicros) * time.Microsecond}
 }
 
 const (
-	// window is how often shares are worked out, and for how long at least demand is counted.
+	// window is the interval at which shares are computed, and the minimum time over which
+	// demand is counted.
 	window = 250 * time.Millisecond
-	// kept is which part of what was counted is kept from one window to the next: a back end gets a few
-	// requests of a tenant in each.
-	kept = 0.75
-	// forgottenBelow is what a tenant's demand has faded to when it is forgotten.
-	forgottenBelow = time.Millisecond
-	// fullFrom is which part of the demand has to get room for nobody to be above its share.
-	fullFrom = 0.97
-	// silentAfter is after what time without requests all is forgotten.
-	silentAfter = 2 * time.Second
-	// mostTenants bounds the tenants of a class; others are taken for within their shares.
-	mostTenants = 4096
-	// mostClasses bounds the priorities: from then on those that are silent are forgotten.
-	mostClasses = 64
+	// retained is the fraction of the counts that is kept from one window to the next, since a
+	// back end gets only a few requests of a tenant in each.
+	retained = 0.75
+	// minDemand is the decayed demand below which a tenant is removed.
+	minDemand = time.Millisecond
+	// sufficientFraction is the fraction of the demand that must be served for no tenant to be
+	// above its share.
+	sufficientFraction = 0.97
+	// idleTimeout is the time without requests after which all counts are reset.
+	idleTimeout = 2 * time.Second
+	// maxTenants bounds the tenants of a class; further ones count as within their shares.
+	maxTenants = 4096
+	// maxClasses bounds the number of priorities; when it is reached, idle ones are evicted.
+	maxClasses = 64
 )
 
-// Meter works out the shares at one back end. The zero value is ready. It is safe for concurrent use.
+// Meter computes the shares at one back end. The zero value is ready to use. It is safe for
+// concurrent use.
 type Meter struct {
 	mu      sync.Mutex // guards all below
 	classes map[int]*class
 }
 
-// class are requests of one priority.
+// class holds the requests of one priority.
 type class struct {
-	// demands are by tenant, served what got room of all together.
+	// demands holds the demand by tenant. served is the work of all tenants that got a slot.
 	demands map[string]*demand
 	served  float64
-	// share is the most that a tenant may have of what gets room, infinite while there is enough.
+	// share is the maximum work that a tenant may have served; infinite while capacity is
+	// sufficient.
 	share float64
-	// folded is when shares were worked out last.
-	folded time.Time
-	// sorted is used again.
-	sorted []float64
+	// updatedAt is when the shares were last computed.
+	updatedAt time.Time
+	// scratch is a buffer that is reused.
+	scratch []float64
 }
 
-// demand is what a tenant offers: work in nanoseconds, in the present window and faded from those before.
-type demand struct{ now, faded float64 }
+// demand is the work that a tenant demands, in nanoseconds: in the current window, and the
+// decayed sum of those before.
+type demand struct{ now, decayed float64 }
 
-// Came takes in that a request of a tenant came that was not marked. part is that of the tenant's
-// requests which its node does not mark.
-func (m *Meter) Came(priority int, tenant string, work time.Duration, part float64, now time.Time) {
+// RecordArrival records the arrival of an unmarked request. fraction is the fraction of the
+// tenant's requests that its node leaves unmarked.
+func (m *Meter) RecordArrival(priority int, tenant string, work time.Duration, fraction float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := m.class(priority, now)
-	offered := held.demands[tenant]
-	if offered == nil {
-		if len(held.demands) >= mostTenants {
+	requests := m.class(priority, now)
+	tenantDemand := requests.demands[tenant]
+	if tenantDemand == nil {
+		if len(requests.demands) >= maxTenants {
 			return
 		}
-		offered = &demand{}
-		held.demands[tenant] = offered
+		tenantDemand = &demand{}
+		requests.demands[tenant] = tenantDemand
 	}
-	offered.now += float64(work) / clamp(part)
+	tenantDemand.now += float64(work) / clampFraction(fraction)
 }
 
-// Served takes in that a request of some tenant got a slot.
-func (m *Meter) Served(priority int, work time.Duration, now time.Time) {
+// RecordServed records that a request of any tenant got a slot.
+func (m *Meter) RecordServed(priority int, work time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.class(priority, now).served += float64(work)
 }
 
-// Standing returns that of a tenant, the zero value while there is room for all.
-func (m *Meter) Standing(priority int, tenant string, now time.Time) Standing {
+// Allocation returns the allocation of a tenant; the zero value while capacity is sufficient
+// for all.
+func (m *Meter) Allocation(priority int, tenant string, now time.Time) Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := m.class(priority, now)
-	if math.IsInf(held.share, 1) {
-		return Standing{}
+	requests := m.class(priority, now)
+	if math.IsInf(requests.share, 1) {
+		return Allocation{}
 	}
-	told := Standing{Share: time.Duration(held.share)}
-	if offered := held.demands[tenant]; offered != nil {
-		told.Demand = time.Duration(offered.faded)
+	allocation := Allocation{Share: time.Duration(requests.share)}
+	if tenantDemand := requests.demands[tenant]; tenantDemand != nil {
+		allocation.Demand = time.Duration(tenantDemand.decayed)
 	}
-	return told
+	return allocation
 }
 
-// class returns that of the priority, with the shares of now.
+// class returns the class of the priority, with its shares up to date.
 func (m *Meter) class(priority int, now time.Time) *class {
-	held := m.classes[priority]
-	if held == nil {
+	found := m.classes[priority]
+	if found == nil {
 		if m.classes == nil {
 			m.classes = map[int]*class{}
 		}
-		if len(m.classes) >= mostClasses {
-			m.makeRoom(now)
+		if len(m.classes) >= maxClasses {
+			m.evictClasses(now)
 		}
-		held = &class{demands: map[string]*demand{}, share: math.Inf(1), folded: now}
-		m.classes[priority] = held
+		found = &class{demands: map[string]*demand{}, share: math.Inf(1), updatedAt: now}
+		m.classes[priority] = found
 	}
-	if passed := now.Sub(held.folded); passed >= window {
-		held.fold(passed)
-		held.folded = now
+	if elapsed := now.Sub(found.updatedAt); elapsed >= window {
+		found.update(elapsed)
+		found.updatedAt = now
 	}
-	return held
+	return found
 }
 
-// makeRoom forgets the classes that are silent, or all when none is: what they knew is worked out anew.
-func (m *Meter) makeRoom(now time.Time) {
-	maps.DeleteFunc(m.classes, func(_ int, held *class) bool { return now.Sub(held.folded) >= silentAfter })
-	if len(m.classes) >= mostClasses {
+// evictClasses removes idle classes, or all if none is idle; their state is then rebuilt.
+func (m *Meter) evictClasses(now time.Time) {
+	maps.DeleteFunc(m.classes, func(_ int, requests *class) bool { return now.Sub(requests.updatedAt) >= idleTimeout })
+	if len(m.classes) >= maxClasses {
 		clear(m.classes)
 	}
 }
 
-// fold ends a window.
-func (c *class) fold(passed time.Duration) {
-	if passed >= silentAfter {
+// update ends a window and computes the share.
+func (c *class) update(elapsed time.Duration) {
+	if elapsed >= idleTimeout {
 		clear(c.demands)
 		c.served, c.share = 0, math.Inf(1)
 		return
 	}
-	keep := math.Pow(kept, float64(passed)/float64(window))
+	retainedFraction := math.Pow(retained, float64(elapsed)/float64(window))
 	total := 0.0
-	c.sorted = c.sorted[:0]
-	for tenant, offered := range c.demands {
-		offered.faded = offered.faded*keep + offered.now
-		offered.now = 0
-		if offered.faded < float64(forgottenBelow) {
+	c.scratch = c.scratch[:0]
+	for tenant, tenantDemand := range c.demands {
+		tenantDemand.decayed = tenantDemand.decayed*retainedFraction + tenantDemand.now
+		tenantDemand.now = 0
+		if tenantDemand.decayed < float64(minDemand) {
 			delete(c.demands, tenant)
 			continue
 		}
-		total += offered.faded
-		c.sorted = append(c.sorted, offered.faded)
+		total += tenantDemand.decayed
+		c.scratch = append(c.scratch, tenantDemand.decayed)
 	}
 	c.share = math.Inf(1)
-	if c.served < total*fullFrom {
-		slices.Sort(c.sorted)
-		c.share = MaxMin(c.sorted, c.served)
+	if c.served < total*sufficientFraction {
+		slices.Sort(c.scratch)
+		c.share = MaxMin(c.scratch, c.served)
 	}
-	c.served *= keep
+	c.served *= retainedFraction
 }
 
-// MaxMin returns the largest share of the room that nobody exceeds when demands in ascending order
-// are served up to it, infinite when there is room for all.
+// MaxMin returns the max-min fair share of a capacity: the largest limit at which all demands,
+// in ascending order, can be served up to it. It is infinite if the capacity is sufficient for
+// all.
 func MaxMin(demands []float64, room float64) float64 {
 	for i, demand := range demands {
 		share := room / float64(len(demands)-i)
