--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -289,12 +289,12 @@
 		Digest:   e.options.Roster.View().Digest(),
 		Version:  e.options.Configuration.Version(),
 		ProofAge: e.proof.proofAge(),
-		Told:     e.state(),
+		SharedState:     e.state(),
 	}
 }
 
 // state returns what this node knows of operators' orders and deployment-wide facts.
-func (e *Exchanger) state() (state Told) {
+func (e *Exchanger) state() (state SharedState) {
 	if e.options.Store != nil {
 		state.Era = e.options.Store.Era()
 	}
@@ -312,7 +312,7 @@
 
 // mergeEra merges a peer's era of the store. What a peer in an earlier era considers recorded
 // in the store may have been lost since.
-func (e *Exchanger) mergeEra(state *Told) {
+func (e *Exchanger) mergeEra(state *SharedState) {
 	if e.options.Store == nil {
 		return
 	}
@@ -327,7 +327,7 @@
 // mergeState merges a peer's shared state. It precedes the merge of the peer's records, so that a
 // node that learns of a new back-end version knows the roll-out behind it. New orders are forwarded
 // in the zone.
-func (e *Exchanger) mergeState(state *Told) {
+func (e *Exchanger) mergeState(state *SharedState) {
 	e.mergeEra(state)
 	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
 	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Hear(state.Evacuations)
@@ -343,7 +343,7 @@
 func (e *Exchanger) handleMessage(received *Message) {
 	e.hadContact.Store(true)
 	e.lost.remove(received.From.Node) // it is reachable, whichever side started
-	e.mergeState(&received.Told)
+	e.mergeState(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
 	e.Behind(received.From, received.Version)
 }
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -33,12 +33,12 @@
 	// Records are the sender's records in the differing buckets, as far as the receiver
 	// needs them.
 	Records []*roster.Record `json:"records,omitempty"`
-	Told
+	SharedState
 }
 
-// Told is what the sender knows of operators' orders other than the configuration, and of
+// SharedState is what the sender knows of operators' orders other than the configuration, and of
 // facts that hold for the whole deployment.
-type Told struct {
+type SharedState struct {
 	// Era is how often the store was restored from an older copy.
 	Era uint64 `json:"era,omitempty"`
 	// Rollouts are the roll-outs of back-end versions.
@@ -79,7 +79,7 @@
 	Version uint64 `json:"version"`
 	// Relay asks the receiver to forward the record in its zone if it is new.
 	Relay bool `json:"relay,omitempty"`
-	Told
+	SharedState
 }
 
 const (
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -185,7 +185,7 @@
 	if notice.From == notice.Record.Node {
 		e.lost.remove(notice.From)
 	}
-	e.mergeState(&notice.Told)
+	e.mergeState(&notice.SharedState)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
 		e.Behind(sender, notice.Version)
@@ -226,7 +226,7 @@
 // notice returns a notice of a record.
 func (e *Exchanger) notice(record *roster.Record) *Notice {
 	return &Notice{
-		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), Told: e.state(),
+		Record: record, From: e.options.Roster.Own().Node, Version: e.options.Configuration.Version(), SharedState: e.state(),
 	}
 }
 
