--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -71,9 +71,9 @@
 // Rollouts holds the roll-outs of back-end versions that a node knows of.
 type Rollouts interface {
 	// Tell returns the known roll-outs; nil when there are none.
-	Tell() []rollout.WireState
+	Tell() []rollout.SharedState
 	// Hear merges a peer's roll-outs and reports whether some of them were new.
-	Hear([]rollout.WireState) (news bool)
+	Hear([]rollout.SharedState) (news bool)
 }
 
 // Evacuations holds the orders to evacuate zones that a node knows of.
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -42,7 +42,7 @@
 	// Era is how often the store was restored from an older copy.
 	Era uint64 `json:"era,omitempty"`
 	// Rollouts are the roll-outs of back-end versions.
-	Rollouts []rollout.WireState `json:"rollouts,omitempty"`
+	Rollouts []rollout.SharedState `json:"rollouts,omitempty"`
 	// Evacuations are the newest orders for zones that are, or were, to be evacuated.
 	Evacuations []evacuation.Order `json:"evacuations,omitempty"`
 	// SharedMachines reports whether some back end shares its machine with others and announces the
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -187,7 +187,7 @@
 }
 
 // Hear merges rollout states received from a peer and reports whether any of it was new.
-func (c *Controller) Hear(received []rollout.WireState) (changed bool) {
+func (c *Controller) Hear(received []rollout.SharedState) (changed bool) {
 	now := clock.Now()
 	for _, wire := range received {
 		state, valid := wire.Hear(now)
@@ -201,14 +201,14 @@
 }
 
 // Tell returns the rollout states to send to peers; nil if there are none.
-func (c *Controller) Tell() []rollout.WireState {
+func (c *Controller) Tell() []rollout.SharedState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.rollouts) == 0 {
 		return nil
 	}
 	now := clock.Now()
-	states := make([]rollout.WireState, 0, len(c.rollouts))
+	states := make([]rollout.SharedState, 0, len(c.rollouts))
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
 		states = append(states, c.rollouts[service].Tell(now))
 	}
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -121,9 +121,9 @@
 	return s
 }
 
-// WireState is the form in which nodes exchange a State. It carries the remaining time in place
+// SharedState is the form in which nodes exchange a State. It carries the remaining time in place
 // of the deadline, since clocks differ between nodes.
-type WireState struct {
+type SharedState struct {
 	Service    string `json:"service"`
 	Version    string `json:"version"`
 	Revision   uint64 `json:"revision"`
@@ -135,8 +135,8 @@
 }
 
 // Tell returns the state as sent to peers at the given time.
-func (s State) Tell(now time.Time) WireState {
-	return WireState{
+func (s State) Tell(now time.Time) SharedState {
+	return SharedState{
 		Service: s.Service, Version: s.Version, Revision: s.Revision, DurationMS: s.Duration.Milliseconds(),
 		LeftMS: s.Deadline.Sub(now).Milliseconds(), Phase: s.Phase, Recorded: s.Recorded, Cause: s.Cause,
 	}
@@ -146,7 +146,7 @@
 const maxDurationMS = int64(24 * time.Hour / time.Millisecond)
 
 // Hear returns the state received from a peer at the given time, and whether it is valid.
-func (w WireState) Hear(now time.Time) (State, bool) {
+func (w SharedState) Hear(now time.Time) (State, bool) {
 	if w.Service == "" || w.Version == "" || w.Revision == 0 || w.Phase < Trial || w.Phase > RolledBack ||
 		w.DurationMS <= 0 || w.DurationMS > maxDurationMS || w.LeftMS > w.DurationMS || w.LeftMS < -maxDurationMS {
 		return State{}, false
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -96,16 +96,16 @@
 }
 
 func TestInvalidWireState(t *testing.T) {
-	invalid := map[string]func(*rollout.WireState){
-		"no service":                        func(wire *rollout.WireState) { wire.Service = "" },
-		"no version":                        func(wire *rollout.WireState) { wire.Version = "" },
-		"no order":                          func(wire *rollout.WireState) { wire.Revision = 0 },
-		"a phase after the last":            func(wire *rollout.WireState) { wire.Phase = rollout.RolledBack + 1 },
-		"a phase before the first":          func(wire *rollout.WireState) { wire.Phase = -1 },
-		"no duration":                       func(wire *rollout.WireState) { wire.DurationMS = 0 },
-		"remaining time above the duration": func(wire *rollout.WireState) { wire.LeftMS = wire.DurationMS + 1 },
-		"durations that overflow":           func(wire *rollout.WireState) { wire.DurationMS, wire.LeftMS = 1<<62, 1<<61 },
-		"deadline too far in the past":      func(wire *rollout.WireState) { wire.LeftMS = -1 << 62 },
+	invalid := map[string]func(*rollout.SharedState){
+		"no service":                        func(wire *rollout.SharedState) { wire.Service = "" },
+		"no version":                        func(wire *rollout.SharedState) { wire.Version = "" },
+		"no order":                          func(wire *rollout.SharedState) { wire.Revision = 0 },
+		"a phase after the last":            func(wire *rollout.SharedState) { wire.Phase = rollout.RolledBack + 1 },
+		"a phase before the first":          func(wire *rollout.SharedState) { wire.Phase = -1 },
+		"no duration":                       func(wire *rollout.SharedState) { wire.DurationMS = 0 },
+		"remaining time above the duration": func(wire *rollout.SharedState) { wire.LeftMS = wire.DurationMS + 1 },
+		"durations that overflow":           func(wire *rollout.SharedState) { wire.DurationMS, wire.LeftMS = 1<<62, 1<<61 },
+		"deadline too far in the past":      func(wire *rollout.SharedState) { wire.LeftMS = -1 << 62 },
 	}
 	for name, change := range invalid {
 		t.Run(name, func(t *testing.T) {
