--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -285,11 +285,11 @@
 // newMessage returns a message with the fields that every message carries.
 func (e *Exchanger) newMessage() *Message {
 	return &Message{
-		From:     e.options.Roster.Own(),
-		Digest:   e.options.Roster.View().Digest(),
-		Version:  e.options.Configuration.Version(),
-		ProofAge: e.proof.proofAge(),
-		SharedState:     e.state(),
+		From:        e.options.Roster.Own(),
+		Digest:      e.options.Roster.View().Digest(),
+		Version:     e.options.Configuration.Version(),
+		ProofAge:    e.proof.proofAge(),
+		SharedState: e.state(),
 	}
 }
 
