--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -29,7 +29,7 @@
 type awayStore struct{ Store }
 
 func (awayStore) PaceWatches(func(bool) time.Duration) {}
-func (awayStore) OnEra(func(uint64))                   {}
+func (awayStore) OnRestore(func(uint64))               {}
 func (awayStore) LearnEra(uint64)                      {}
 func (awayStore) Era() uint64                          { return 0 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -43,8 +43,8 @@
 	// takes in what another node knows.
 	Era() uint64
 	LearnEra(era uint64)
-	// OnEra has the function told of each such return. It must not block.
-	OnEra(func(era uint64))
+	// OnRestore has the function told of each such return. It must not block.
+	OnRestore(func(era uint64))
 	// PaceWatches sets how long each call of a watch waits; first: it is the first one, or the one
 	// before brought events.
 	PaceWatches(wait func(first bool) time.Duration)
@@ -198,7 +198,7 @@
 	created.keeper.Observe(created.apply)
 	created.watch(options.Registry)
 	options.Store.PaceWatches(created.WatchWait)
-	options.Store.OnEra(created.restored)
+	options.Store.OnRestore(created.restored)
 	return created
 }
 
