--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -28,10 +28,10 @@
 // awayStore is a store that answers nobody.
 type awayStore struct{ Store }
 
-func (awayStore) PaceWatches(func(bool) time.Duration) {}
-func (awayStore) OnRestore(func(uint64))               {}
-func (awayStore) LearnEra(uint64)                      {}
-func (awayStore) Era() uint64                          { return 0 }
+func (awayStore) SetWatchWait(func(bool) time.Duration) {}
+func (awayStore) OnRestore(func(uint64))                {}
+func (awayStore) LearnEra(uint64)                       {}
+func (awayStore) Era() uint64                           { return 0 }
 
 func (awayStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
 	return nil, 0, store.ErrUnavailable
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -45,9 +45,9 @@
 	LearnEra(era uint64)
 	// OnRestore has the function told of each such return. It must not block.
 	OnRestore(func(era uint64))
-	// PaceWatches sets how long each call of a watch waits; first: it is the first one, or the one
+	// SetWatchWait sets how long each call of a watch waits; first: it is the first one, or the one
 	// before brought events.
-	PaceWatches(wait func(first bool) time.Duration)
+	SetWatchWait(wait func(first bool) time.Duration)
 }
 
 // Options are the parts that the assembly provides.
@@ -197,7 +197,7 @@
 	created.members.Observe(created.follow)
 	created.keeper.Observe(created.apply)
 	created.watch(options.Registry)
-	options.Store.PaceWatches(created.WatchWait)
+	options.Store.SetWatchWait(created.WatchWait)
 	options.Store.OnRestore(created.restored)
 	return created
 }
