--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// Ended takes in that a back end ends for good.
-func (s *Sidecar) Ended(ctx context.Context, ended roster.Incarnation) {
+// Deregister takes in that a back end ends for good.
+func (s *Sidecar) Deregister(ctx context.Context, ended roster.Incarnation) {
 	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(ended) })
 	if changed {
 		s.spread(ctx)
