--- a/internal/sidecar/assembly/process.go
+++ b/internal/sidecar/assembly/process.go
@@ -87,7 +87,7 @@
 		httpserver.New("outbound", p.listeners.outbound, p.node.Outbound(), callers, p.logger),
 		httpserver.New("inbound", p.listeners.inbound, p.node.Inbound(), peers, p.logger),
 		httpserver.New("peer", p.listeners.peer, container(p.node.Exchanger().Service()), peers, p.logger),
-		httpserver.New("readiness", p.listeners.readiness, container(platform.Readiness(p.node.Ready)), control, p.logger),
+		httpserver.New("readiness", p.listeners.readiness, container(platform.NewReadinessService(p.node.Ready)), control, p.logger),
 		httpserver.New("control", p.listeners.control, container(platform.NewHeartbeatService(p.node)), control, p.logger),
 	}
 }
