--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -63,7 +63,7 @@
 }
 
 func provideStore(loaded *sidecar.Settings, network dial.Network) *platform.Store {
-	return platform.NewStore(loaded.StoreAddress, sidecar.WatchPause, sidecar.StoreDialer(network))
+	return platform.NewStore(loaded.StoreAddress, sidecar.WatchBatchDelay, sidecar.StoreDialer(network))
 }
 
 func provideSidecar(loaded *sidecar.Settings, store *platform.Store, network dial.Network, logger *zap.Logger, registry *prometheus.Registry) *sidecar.Sidecar {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -85,9 +85,9 @@
 	exchangeDial       = 400 * time.Millisecond
 	storeDial          = time.Second
 	storeSilence       = 3 * time.Second
-	// WatchPause is how long a watch of the store rests after an event: changes
+	// WatchBatchDelay is how long a watch of the store rests after an event: changes
 	// in quick succession come with one call.
-	WatchPause = 500 * time.Millisecond
+	WatchBatchDelay = 500 * time.Millisecond
 )
 
 // Sidecar is one node. It is safe for concurrent use.
