--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -104,10 +104,10 @@
 	go s.exchanger.Greet(context.Background())
 }
 
-// WatchWait returns how long the next call of a watch is to wait. Calls of the nodes that watch end
+// WatchTimeout returns how long the next call of a watch is to wait. Calls of the nodes that watch end
 // one after the other, at the distance after which proof would be asked for: events, which come to
 // all at the same moment, begin the order, and it is kept while there are none.
-func (s *Sidecar) WatchWait(first bool) time.Duration {
+func (s *Sidecar) WatchTimeout(first bool) time.Duration {
 	rank, count := s.readingRank()
 	spacing := exchange.ProofRefreshAge(s.options.Settings.applyBound())
 	period := min(time.Duration(max(count, watchersLeast))*spacing, watchLongest)
--- a/internal/sidecar/reading_test.go
+++ b/internal/sidecar/reading_test.go
@@ -31,8 +31,8 @@
 			for _, reader := range readers.All(view, func(*roster.Record) bool { return true }) {
 				own := &Sidecar{options: node.options, exchanger: node.exchanger, members: roster.New(*reader)}
 				own.members.Merge(view.Records())
-				first = append(first, own.WatchWait(true))
-				period = own.WatchWait(false)
+				first = append(first, own.WatchTimeout(true))
+				period = own.WatchTimeout(false)
 			}
 			slices.Sort(first)
 			spacing := exchange.ProofRefreshAge(node.options.Settings.applyBound())
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -197,7 +197,7 @@
 	created.members.Observe(created.follow)
 	created.keeper.Observe(created.apply)
 	created.watch(options.Registry)
-	options.Store.PaceWatches(created.WatchWait)
+	options.Store.PaceWatches(created.WatchTimeout)
 	options.Store.OnEra(created.restored)
 	return created
 }
