--- a/cmd/kestrel-sidecar/main.go
+++ b/cmd/kestrel-sidecar/main.go
@@ -88,7 +88,7 @@
 func reload(process *assembly.Process, given *flags) {
 	next, err := given.load()
 	if err != nil {
-		process.RefuseReload(err)
+		process.LogReloadError(err)
 		return
 	}
 	process.Reload(next)
--- a/internal/sidecar/assembly/process.go
+++ b/internal/sidecar/assembly/process.go
@@ -63,8 +63,8 @@
 	return lifecycle.Serve(ctx, tasks, func() error { return p.stop(servers) })
 }
 
-// RefuseReload logs why newer settings were not taken over.
-func (p *Process) RefuseReload(err error) {
+// LogReloadError logs why newer settings were not taken over.
+func (p *Process) LogReloadError(err error) {
 	p.logger.Error("settings refused", telemetry.Error(err))
 }
 
