--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -73,7 +73,7 @@
 		ConfigurationKey: platform.ConfigurationKey,
 		OperatorPrefix:   platform.OperatorPrefix,
 		Decode:           platform.DecodeConfiguration,
-		IsOrder:          platform.IsRolloutOrder,
+		IsOrderKey:          platform.IsRolloutOrder,
 		DecodeOrder:      platform.DecodeRolloutOrder,
 		DecodeLoad:       platform.DecodeLoad,
 		DecodeNotice:     platform.DecodeNotice,
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -55,7 +55,7 @@
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
 		return
 	}
-	if !s.options.IsOrder(item.Key) {
+	if !s.options.IsOrderKey(item.Key) {
 		return
 	}
 	order, err := s.options.DecodeOrder(item)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -58,8 +58,8 @@
 	// the keys of all that operators write.
 	ConfigurationKey, OperatorPrefix string
 	Decode                           configuration.Decoder
-	// IsOrder tells the keys of orders to roll a version out, DecodeOrder reads one.
-	IsOrder     func(key string) bool
+	// IsOrderKey tells the keys of orders to roll a version out, DecodeOrder reads one.
+	IsOrderKey     func(key string) bool
 	DecodeOrder func(store.KeyValue) (rollout.Order, error)
 	// EvacuatedZone returns the zone that an item under the key orders to be emptied.
 	EvacuatedZone func(key string) (zone string, is bool)
