--- a/internal/sidecar/assembly/process.go
+++ b/internal/sidecar/assembly/process.go
@@ -31,9 +31,9 @@
 const (
 	// closeTimeout bounds the closing of the listeners after the drain.
 	closeTimeout = 250 * time.Millisecond
-	// memoryShare is the part of the allowed memory at which the runtime
+	// memoryLimitShare is the part of the allowed memory at which the runtime
 	// collects more eagerly.
-	memoryShare = 0.6
+	memoryLimitShare = 0.6
 )
 
 // New binds the listeners of the network and assembles the process.
@@ -44,7 +44,7 @@
 // Run serves until the context ends and the node has drained.
 func (p *Process) Run(ctx context.Context) error {
 	if p.settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(p.settings.MemoryBytes) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(p.settings.MemoryBytes) * memoryLimitShare))
 	}
 	p.logger.Info("start", zap.Any("build", build.Read()), zap.Any("settings", p.settings))
 	servers := p.servers()
@@ -82,7 +82,7 @@
 		Pipelining: p.node.Pipelining(),
 	}
 	peers := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: peerIdleTimeout, HeaderBytes: 2 * headerBytes}
-	control := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: controlIdle, HeaderBytes: headerBytes}
+	control := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: controlIdleTimeout, HeaderBytes: headerBytes}
 	return []*httpserver.Server{
 		httpserver.New("outbound", p.listeners.outbound, p.node.Outbound(), callers, p.logger),
 		httpserver.New("inbound", p.listeners.inbound, p.node.Inbound(), peers, p.logger),
@@ -97,9 +97,9 @@
 	p.node.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	var failed []error
+	var errs []error
 	for _, server := range servers {
-		failed = append(failed, server.Stop(ctx))
+		errs = append(errs, server.Stop(ctx))
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -35,16 +35,16 @@
 	// logRepeatInterval and logRepeatBurst bound repeated messages.
 	logRepeatInterval = time.Second
 	logRepeatBurst    = 500
-	// ringLines is how many lines wait for the output.
-	ringLines = 1024
+	// logQueueLines is how many lines wait for the output.
+	logQueueLines = 1024
 
 	headerTimeout = 10 * time.Second
 	headerBytes   = 80 << 10
 	// callerIdleTimeout is longer than callers keep their connections, peers'
 	// longer than nodes do.
-	callerIdleTimeout = 2 * time.Minute
-	peerIdleTimeout   = 90 * time.Second
-	controlIdle       = 30 * time.Second
+	callerIdleTimeout  = 2 * time.Minute
+	peerIdleTimeout    = 90 * time.Second
+	controlIdleTimeout = 30 * time.Second
 )
 
 func provideRing(registry *prometheus.Registry) *telemetry.Ring {
@@ -52,7 +52,7 @@
 		Name: "kestrel_log_lost_total", Help: "Log lines that found no room before a slow output.",
 	})
 	registry.MustRegister(lost)
-	return telemetry.NewRing(os.Stdout, ringLines, lost)
+	return telemetry.NewRing(os.Stdout, logQueueLines, lost)
 }
 
 func provideLogger(loaded *sidecar.Settings, flags Flags, ring *telemetry.Ring, registry *prometheus.Registry) (*zap.Logger, error) {
@@ -73,7 +73,7 @@
 		ConfigurationKey: platform.ConfigurationKey,
 		OperatorPrefix:   platform.OperatorPrefix,
 		Decode:           platform.DecodeConfiguration,
-		IsOrderKey:          platform.IsRolloutOrder,
+		IsOrderKey:       platform.IsRolloutOrder,
 		DecodeOrder:      platform.DecodeRolloutOrder,
 		DecodeLoad:       platform.DecodeLoad,
 		DecodeNotice:     platform.DecodeNotice,
@@ -116,9 +116,9 @@
 		return trace.Errorf("no configuration is in force, or the node is stopping")
 	})
 	admin.AddPage(sidecar.PathBackend, "the back end beside the node, and what it asks for", func() any { return node.BackendStatus() })
-	held := node.Quarantine()
-	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return held.Quarantined() })
-	admin.HandleCommand(quarantine.PathLift, http.HandlerFunc(held.ServeLift))
+	requests := node.Quarantine()
+	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return requests.Quarantined() })
+	admin.HandleCommand(quarantine.PathLift, http.HandlerFunc(requests.ServeLift))
 	return admin
 }
 
--- a/internal/sidecar/backendstatus_test.go
+++ b/internal/sidecar/backendstatus_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStatusOfABackEndThatAsksForNothing(t *testing.T) {
+func TestBackendStatusWithoutNotices(t *testing.T) {
 	g := NewWithT(t)
 	raw, err := json.Marshal(newNode(t).BackendStatus())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/sidecar/contention.go
+++ b/internal/sidecar/contention.go
@@ -10,25 +10,27 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/nested"
 )
 
-// loadTold takes in what the back end tells of its load, and reports whether requests compete for
+// recordLoad takes in what the back end tells of its load, and reports whether requests compete for
 // room, so that it counts.
-func (s *Sidecar) loadTold(load hop.BackendLoad) (counts bool) {
+func (s *Sidecar) recordLoad(load hop.BackendLoad) (contended bool) {
 	if load.Factor > 0 && s.contention.SetShared() {
 		s.logger.Info("the back end shares its machine", zap.Float64("factor", load.Factor), zap.Bool("overloadControl", s.contention.On()))
 	}
 	return s.contention.On()
 }
 
-// nestedCalls tells calls of back ends where requests compete for room.
-type nestedCalls struct {
+// nestedClassifier tells calls of back ends where requests compete for room.
+type nestedClassifier struct {
 	contention *contention.Switch
-	recognizer *nested.Classifier
+	classifier *nested.Classifier
 }
 
 // Repeated implements egress.Nested.
-func (n *nestedCalls) Repeated(deadline time.Time) float64 { return n.recognizer.Repeated(deadline) }
+func (n *nestedClassifier) Repeated(deadline time.Time) float64 {
+	return n.classifier.Repeated(deadline)
+}
 
 // Nested implements egress.Nested.
-func (n *nestedCalls) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
-	return n.contention.On() && n.recognizer.Nested(route, deadline, identified, now)
+func (n *nestedClassifier) Nested(route string, deadline time.Time, identified bool, now time.Time) bool {
+	return n.contention.On() && n.classifier.Nested(route, deadline, identified, now)
 }
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -14,30 +14,30 @@
 func (s *Sidecar) addEvacuations() {
 	s.evacuations = evacuation.New(evacuation.Options{
 		ZoneExists: func(zone string) bool { return len(s.members.View().Zone(zone)) > 0 },
-		Broadcast:  func() { go s.spread(context.Background()) },
-		OnChange:   s.emptied,
+		Broadcast:  func() { go s.broadcastRecord(context.Background()) },
+		OnChange:   s.evacuated,
 		Logger:     s.logger,
 	})
 }
 
-// emptied takes in that a zone was emptied or is taken back. Its back ends may have turned cold
+// evacuated takes in that a zone was evacuated or is taken back. Its back ends may have turned cold
 // meanwhile: each is asked before it gets more than it bears then.
-func (s *Sidecar) emptied(zone string, emptied bool) {
+func (s *Sidecar) evacuated(zone string, evacuated bool) {
 	if zone == s.options.Settings.Zone {
 		s.ingress.MarkPossiblyCold()
-		s.logger.Info("own zone", zap.Bool("emptied", emptied), zap.Int("callsInFlight", s.egress.InFlight()))
+		s.logger.Info("own zone", zap.Bool("emptied", evacuated), zap.Int("callsInFlight", s.egress.InFlight()))
 	}
 }
 
-// orderRemoved takes in that operators took back what lay under a key.
-func (s *Sidecar) orderRemoved(key string, revision uint64) {
+// handleItemRemoved takes in that operators took back what lay under a key.
+func (s *Sidecar) handleItemRemoved(key string, revision uint64) {
 	if zone, is := s.options.EvacuatedZone(key); is {
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: revision})
 	}
 }
 
-// ordersListed takes in all orders that the store had at a revision.
-func (s *Sidecar) ordersListed(found []store.KeyValue, revision uint64) {
+// handleItemsListed takes in all orders that the store had at a revision.
+func (s *Sidecar) handleItemsListed(found []store.KeyValue, revision uint64) {
 	var zones []string
 	for _, item := range found {
 		if zone, is := s.options.EvacuatedZone(item.Key); is {
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -25,15 +25,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// awayStore is a store that answers nobody.
-type awayStore struct{ Store }
+// unavailableStore is a store that answers nobody.
+type unavailableStore struct{ Store }
 
-func (awayStore) PaceWatches(func(bool) time.Duration) {}
-func (awayStore) OnEra(func(uint64))                   {}
-func (awayStore) LearnEra(uint64)                      {}
-func (awayStore) Era() uint64                          { return 0 }
+func (unavailableStore) PaceWatches(func(bool) time.Duration) {}
+func (unavailableStore) OnEra(func(uint64))                   {}
+func (unavailableStore) LearnEra(uint64)                      {}
+func (unavailableStore) Era() uint64                          { return 0 }
 
-func (awayStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
+func (unavailableStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
@@ -42,7 +42,7 @@
 	created := New(Options{
 		Settings: Settings{Node: "n", Zone: "z", HeartbeatInterval: time.Second, Service: "alpha"},
 		Decode:   func([]byte) (*route.Document, []string, error) { return &route.Document{Version: 1}, nil, nil },
-		Store:    awayStore{}, Network: dial.System{}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+		Store:    unavailableStore{}, Network: dial.System{}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	NewWithT(t).Expect(created.keeper.Offer(nil, configuration.SourceRead)).To(Succeed())
 	created.members.Update(func(record roster.Record) (roster.Record, bool) {
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -13,45 +13,45 @@
 // metrics counts what the node decides. Label sets are bounded: outcomes, steps
 // and statuses are few, services are those of the configuration.
 type metrics struct {
-	calls    *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	routes   boundedLabels
-	hop      prometheus.Histogram
-	sends    *prometheus.CounterVec
-	arrivals *prometheus.CounterVec
-	queued   prometheus.Histogram
-	worked   prometheus.Histogram
-	silent   prometheus.Counter
-	overtook prometheus.Counter
-	// ended counts unplanned ends of the back end's process, running the requests that
+	calls          *prometheus.CounterVec
+	latency        *prometheus.HistogramVec
+	routes         boundedLabels
+	hop            prometheus.Histogram
+	sends          *prometheus.CounterVec
+	arrivals       *prometheus.CounterVec
+	queueSeconds   prometheus.Histogram
+	backendSeconds prometheus.Histogram
+	silentProbes   prometheus.Counter
+	pipelined      prometheus.Counter
+	// crashes counts unplanned ends of the back end's process, crashedRequests the requests that
 	// were at work then.
-	ended, running prometheus.Counter
-	// backendSent counts the requests that went to the back end, unreadable what it asked for that
+	crashes, crashedRequests prometheus.Counter
+	// backendSent counts the requests that went to the back end, unreadableNotices what it asked for that
 	// cannot be read.
-	backendSent, unreadable prometheus.Counter
+	backendSent, unreadableNotices prometheus.Counter
 	// diverted counts requests that were not sent to a back end whose limit had no room for them.
 	diverted *prometheus.CounterVec
-	// behind is how long the node was behind a version that it had heard of, asked counts
+	// lag is how long the node was lag a version that it had heard of, asked counts
 	// its questions for configurations.
-	behind prometheus.Histogram
-	asked  *prometheus.CounterVec
-	// levelTold counts what other nodes said when they were asked for their version, proofAges
+	lag     prometheus.Histogram
+	fetches *prometheus.CounterVec
+	// versionAnswers counts what other nodes said when they were asked for their version, proofAges
 	// are the ages of their proofs.
-	levelTold *prometheus.CounterVec
-	proofAges prometheus.Histogram
+	versionAnswers *prometheus.CounterVec
+	proofAges      prometheus.Histogram
 }
 
 // latencyBuckets are in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// labelledRoutes is how many routes have a label of their own. Those that are
+// maxRouteLabels is how many routes have a label of their own. Those that are
 // called first do; deployments have many routes that nobody calls.
-const labelledRoutes = 64
+const maxRouteLabels = 64
 
 // boundedLabels gives the first names labels of their own. It is safe for
 // concurrent use.
 type boundedLabels struct {
-	most int
+	maxLabels int
 
 	mu    sync.RWMutex // guards known
 	known map[string]struct{}
@@ -61,7 +61,7 @@
 func (b *boundedLabels) label(name string) string {
 	b.mu.RLock()
 	_, found := b.known[name]
-	full := len(b.known) >= b.most
+	full := len(b.known) >= b.maxLabels
 	b.mu.RUnlock()
 	switch {
 	case found:
@@ -86,7 +86,7 @@
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "kestrel_sidecar_call_seconds", Help: "Time from a call to the end of its answer, by route.", Buckets: latencyBuckets,
 		}, []string{"route"}),
-		routes: boundedLabels{most: labelledRoutes},
+		routes: boundedLabels{maxLabels: maxRouteLabels},
 		hop: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "kestrel_sidecar_hop_seconds", Help: "Time that served calls spent outside of the back end.", Buckets: latencyBuckets,
 		}),
@@ -96,23 +96,23 @@
 		arrivals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kestrel_sidecar_arrivals_total", Help: "Requests of nodes for the local back end by outcome and step.",
 		}, []string{"outcome", "step"}),
-		queued: prometheus.NewHistogram(prometheus.HistogramOpts{
+		queueSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "kestrel_sidecar_queue_seconds", Help: "Time that requests waited for a slot.", Buckets: latencyBuckets,
 		}),
-		worked: prometheus.NewHistogram(prometheus.HistogramOpts{
+		backendSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "kestrel_sidecar_backend_seconds", Help: "Time that the back end held requests.", Buckets: latencyBuckets,
 		}),
 	}
-	created.silent = prometheus.NewCounter(prometheus.CounterOpts{
+	created.silentProbes = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_silent_probes_total", Help: "Probes that a node did not answer.",
 	})
-	created.overtook = prometheus.NewCounter(prometheus.CounterOpts{
+	created.pipelined = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_pipelined_total", Help: "Requests begun before the answers to earlier ones on their connection.",
 	})
-	created.ended = prometheus.NewCounter(prometheus.CounterOpts{
+	created.crashes = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_backend_ends_total", Help: "Unplanned ends of the back end's process under requests.",
 	})
-	created.running = prometheus.NewCounter(prometheus.CounterOpts{
+	created.crashedRequests = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_backend_ends_running_total", Help: "Requests at work when the back end's process ended.",
 	})
 	created.backendSent = prometheus.NewCounter(prometheus.CounterOpts{
@@ -121,22 +121,22 @@
 	created.diverted = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_limit_diverted_total", Help: "Requests not sent to a back end whose own limit had no room in time, by service and whether they went to another one.",
 	}, []string{"service", "elsewhere"})
-	created.unreadable = prometheus.NewCounter(prometheus.CounterOpts{
+	created.unreadableNotices = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_backend_notices_unreadable_total", Help: "Answers of the local back end with a limit or a leave that cannot be read.",
 	})
-	created.behind = prometheus.NewHistogram(prometheus.HistogramOpts{
+	created.lag = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "kestrel_sidecar_configuration_behind_seconds", Help: "Time from the first word of a newer configuration until it was in force.", Buckets: latencyBuckets,
 	})
-	created.asked = prometheus.NewCounterVec(prometheus.CounterOpts{
+	created.fetches = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_configuration_questions_total", Help: "Questions for a newer configuration by whom was asked and result.",
 	}, []string{"asked", "result"})
-	created.levelTold = prometheus.NewCounterVec(prometheus.CounterOpts{
+	created.versionAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "kestrel_sidecar_level_answers_total", Help: "Answers of other nodes that were asked for their version, by result.",
 	}, []string{"result"})
 	created.proofAges = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "kestrel_sidecar_level_proof_seconds", Help: "Age of the proof that came with these answers.", Buckets: latencyBuckets,
 	})
-	registry.MustRegister(created.diverted, created.backendSent, created.unreadable, created.levelTold, created.proofAges, created.behind, created.asked, created.ended, created.running, created.silent, created.overtook, created.calls, created.latency, created.hop, created.sends, created.arrivals, created.queued, created.worked)
+	registry.MustRegister(created.diverted, created.backendSent, created.unreadableNotices, created.versionAnswers, created.proofAges, created.lag, created.fetches, created.crashes, created.crashedRequests, created.silentProbes, created.pipelined, created.calls, created.latency, created.hop, created.sends, created.arrivals, created.queueSeconds, created.backendSeconds)
 	return created
 }
 
@@ -147,7 +147,7 @@
 }
 
 // Overtook implements egress.Observer.
-func (m *metrics) Overtook() { m.overtook.Inc() }
+func (m *metrics) Overtook() { m.pipelined.Inc() }
 
 // Carried implements egress.Observer.
 func (m *metrics) Carried(elapsed, worked time.Duration) {
@@ -167,24 +167,24 @@
 // RequestCompleted implements ingress.Observer.
 func (m *metrics) RequestCompleted(result outcome.Outcome, step outcome.Step, elapsed, waited time.Duration) {
 	m.arrivals.WithLabelValues(string(result), string(step)).Inc()
-	m.queued.Observe(waited.Seconds())
-	m.worked.Observe((elapsed - waited).Seconds())
+	m.queueSeconds.Observe(waited.Seconds())
+	m.backendSeconds.Observe((elapsed - waited).Seconds())
 }
 
 // BackendCrashed implements ingress.Observer.
-func (m *metrics) BackendCrashed(running int) {
-	m.ended.Inc()
-	m.running.Add(float64(running))
+func (m *metrics) BackendCrashed(crashedRequests int) {
+	m.crashes.Inc()
+	m.crashedRequests.Add(float64(crashedRequests))
 }
 
 // BackendSent implements ingress.Observer.
 func (m *metrics) BackendSent() { m.backendSent.Inc() }
 
 // NoticeUnreadable implements ingress.Observer.
-func (m *metrics) NoticeUnreadable() { m.unreadable.Inc() }
+func (m *metrics) NoticeUnreadable() { m.unreadableNotices.Inc() }
 
 // CaughtUp implements exchange.Observer.
-func (m *metrics) CaughtUp(behind time.Duration) { m.behind.Observe(behind.Seconds()) }
+func (m *metrics) CaughtUp(lag time.Duration) { m.lag.Observe(lag.Seconds()) }
 
 // FetchFinished implements exchange.Observer.
 func (m *metrics) FetchFinished(whom string, err error) {
@@ -192,19 +192,19 @@
 	if err != nil {
 		result = "failed"
 	}
-	m.asked.WithLabelValues(whom, result).Inc()
+	m.fetches.WithLabelValues(whom, result).Inc()
 }
 
 // VersionRequestFinished implements exchange.Observer.
 func (m *metrics) VersionRequestFinished(result string, age time.Duration) {
-	m.levelTold.WithLabelValues(result).Inc()
+	m.versionAnswers.WithLabelValues(result).Inc()
 	if age >= 0 {
 		m.proofAges.Observe(age.Seconds())
 	}
 }
 
-// watch adds gauges that read the node's state.
-func (s *Sidecar) watch(registry prometheus.Registerer) {
+// registerGauges adds gauges that read the node's state.
+func (s *Sidecar) registerGauges(registry prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 	}
@@ -223,7 +223,7 @@
 	})
 	gauge("kestrel_sidecar_heartbeat_age_seconds", "Time since the back end's last heartbeat, below zero before the first.", s.heartbeatAge)
 	gauge("kestrel_sidecar_reads_store", "1 while this node is one of those of its zone that read the store.", func() float64 {
-		if s.reads() {
+		if s.isReader() {
 			return 1
 		}
 		return 0
@@ -255,19 +255,19 @@
 		return float64(s.ingress.Limit().Recent)
 	})
 	gauge("kestrel_sidecar_running", "Requests at the local back end.", func() float64 { return float64(s.ingress.Load().Running) })
-	registry.MustRegister(newTenantTimes(s.ingress.Usage))
+	registry.MustRegister(newTenantCollector(s.ingress.Usage))
 	gauge("kestrel_sidecar_waiting", "Requests that wait for a slot.", func() float64 { return float64(s.ingress.Load().Waiting) })
 	gauge("kestrel_sidecar_calls_in_flight", "Calls under way.", func() float64 { return float64(s.egress.InFlight()) })
-	gauge("kestrel_sidecar_retry_budget", "Least repeats left of all services.", s.leastBudget)
+	gauge("kestrel_sidecar_retry_budget", "Least repeats left of all services.", s.lowestRetryBudget)
 	registry.MustRegister(newZoneCollector(s.egress))
 }
 
-func (s *Sidecar) leastBudget() float64 {
-	least, found := 0.0, false
+func (s *Sidecar) lowestRetryBudget() float64 {
+	lowest, found := 0.0, false
 	for _, left := range s.repeats.Left() {
-		if !found || left < least {
-			least, found = left, true
+		if !found || left < lowest {
+			lowest, found = left, true
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -25,7 +25,7 @@
 
 func (f *failingStore) CompareAndSwap(context.Context, store.Swap) (uint64, error) { return 0, f.err }
 
-func TestStoreCallsAreCountedByResult(t *testing.T) {
+func TestStoreCallsByResult(t *testing.T) {
 	for _, failing := range []struct {
 		err  error
 		name string
@@ -44,9 +44,9 @@
 	}
 }
 
-func TestLabelsAreBounded(t *testing.T) {
+func TestBoundedLabels(t *testing.T) {
 	g := NewWithT(t)
-	labels := boundedLabels{most: 2}
+	labels := boundedLabels{maxLabels: 2}
 	g.Expect(labels.label("a")).To(Equal("a"))
 	g.Expect(labels.label("b")).To(Equal("b"))
 	g.Expect(labels.label("c")).To(Equal("other"))
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -11,13 +11,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// metLongEnough is how long after its start a node that others are in touch with, but that has not
+// discoveryGracePeriod is how long after its start a node that others are in touch with, but that has not
 // read who is there, takes what it has heard for about all of them.
-const metLongEnough = 2 * time.Second
+const discoveryGracePeriod = 2 * time.Second
 
-// knowsOthers reports whether the node knows about all others.
-func (s *Sidecar) knowsOthers() bool {
-	return s.joined.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= metLongEnough)
+// knowsPeers reports whether the node knows about all others.
+func (s *Sidecar) knowsPeers() bool {
+	return s.peersDiscovered.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= discoveryGracePeriod)
 }
 
 func (s *Sidecar) addQuota() {
@@ -25,7 +25,7 @@
 		Node:   s.options.Settings.Node,
 		View:   s.members.View,
 		Usable: func(record *roster.Record) bool { return s.exchanger.Usable(record) },
-		Known:  s.knowsOthers,
+		Known:  s.knowsPeers,
 		Limit: func(name string) (quota.Limit, bool) {
 			tenant := s.keeper.Table().LimitedTenant(name)
 			if tenant == nil {
@@ -35,8 +35,8 @@
 		},
 		Tenants: func() []string { return s.keeper.Table().LimitedTenantNames() },
 		Bounds:  func() quota.Bounds { return s.settings.Load().Quota },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-			return s.exchanger.AskQuota(ctx, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.Ask) (*lending.Answer, error) {
+			return s.exchanger.AskQuota(ctx, to, request)
 		},
 		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
@@ -49,7 +49,7 @@
 		Node:     s.options.Settings.Node,
 		View:     s.members.View,
 		Usable:   func(record *roster.Record) bool { return s.exchanger.Usable(record) },
-		Known:    s.knowsOthers,
+		Known:    s.knowsPeers,
 		Limits:   func() repeats.Limits { return s.settings.Load().Retries },
 		Services: func() []string { return s.keeper.Table().ServiceNames() },
 		Exists: func(service string) bool {
@@ -57,8 +57,8 @@
 			return table != nil && table.Service(service) != nil
 		},
 		On: func() bool { return s.options.Settings.LendRepeats && s.contention.On() },
-		Send: func(ctx context.Context, to *roster.Record, asked *lending.Ask) (*lending.Answer, error) {
-			return s.exchanger.AskRepeats(ctx, to, asked)
+		Send: func(ctx context.Context, to *roster.Record, request *lending.Ask) (*lending.Answer, error) {
+			return s.exchanger.AskRepeats(ctx, to, request)
 		},
 		Lost:     func(node string) { s.exchanger.Lost(node) },
 		Logger:   s.logger,
--- a/internal/sidecar/reading_test.go
+++ b/internal/sidecar/reading_test.go
@@ -13,9 +13,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestCallsOfWatchesEndInTurn at even distances, so that some node has proof of the store as old as
+// TestWatchTimeoutsAreEvenlySpaced at even distances, so that some node has proof of the store as old as
 // that at most.
-func TestCallsOfWatchesEndInTurn(t *testing.T) {
+func TestWatchTimeoutsAreEvenlySpaced(t *testing.T) {
 	for _, size := range []int{1, 3, 10, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			g := NewWithT(t)
@@ -26,20 +26,20 @@
 			}
 			node.members.Merge(records)
 			view := node.members.View()
-			var first []time.Duration
+			var firstTimeouts []time.Duration
 			var period time.Duration
 			for _, reader := range readers.All(view, func(*roster.Record) bool { return true }) {
 				own := &Sidecar{options: node.options, exchanger: node.exchanger, members: roster.New(*reader)}
 				own.members.Merge(view.Records())
-				first = append(first, own.WatchTimeout(true))
+				firstTimeouts = append(firstTimeouts, own.WatchTimeout(true))
 				period = own.WatchTimeout(false)
 			}
-			slices.Sort(first)
+			slices.Sort(firstTimeouts)
 			spacing := exchange.ProofRefreshAge(node.options.Settings.applyBound())
-			for i, wait := range first {
-				g.Expect(wait).To(Equal(watchShortest + time.Duration(i)*spacing))
+			for i, wait := range firstTimeouts {
+				g.Expect(wait).To(Equal(minWatchTimeout + time.Duration(i)*spacing))
 			}
-			g.Expect(period).To(Equal(time.Duration(max(len(first), watchersLeast)) * spacing))
+			g.Expect(period).To(Equal(time.Duration(max(len(firstTimeouts), minWatchers)) * spacing))
 		})
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -15,18 +15,18 @@
 // Reload takes in newer settings and logs what has changed. What a running node
 // cannot take over stays as it was and is named.
 func (s *Sidecar) Reload(next Settings) {
-	held := *s.settings.Load()
-	changed, waiting := compare(&held, &next)
+	current := *s.settings.Load()
+	changed, needRestart := applyReloadable(&current, &next)
 	if len(changed) > 0 {
-		s.settings.Store(&held)
+		s.settings.Store(&current)
 	}
-	s.logger.Info("settings reloaded", zap.Strings("changed", changed), zap.Strings("needRestart", waiting))
+	s.logger.Info("settings reloaded", zap.Strings("changed", changed), zap.Strings("needRestart", needRestart))
 }
 
-// compare copies the reloadable fields that differ into held and returns their
+// applyReloadable copies the reloadable fields that differ into held and returns their
 // names, and those of the others that differ.
-func compare(held, next *Settings) (changed, waiting []string) {
-	target, source := reflect.ValueOf(held).Elem(), reflect.ValueOf(next).Elem()
+func applyReloadable(current, next *Settings) (changed, needRestart []string) {
+	target, source := reflect.ValueOf(current).Elem(), reflect.ValueOf(next).Elem()
 	for index := range target.NumField() {
 		name := target.Type().Field(index).Name
 		switch {
@@ -35,8 +35,8 @@
 			target.Field(index).Set(source.Field(index))
 			changed = append(changed, name)
 		default:
-			waiting = append(waiting, name)
+			needRestart = append(needRestart, name)
 		}
 	}
-	return changed, waiting
+	return changed, needRestart
 }
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -22,10 +22,10 @@
 		Store: s.options.Store, Codec: s.options.Rollouts, Members: s.members,
 		Limits:       func() rollout.Limits { return s.settings.Load().Rollout },
 		Load:         func(service, version string) float64 { return s.egress.Load(service, version) },
-		Readers:      s.reading,
+		Readers:      s.storeReaders,
 		Settled:      s.settled,
-		Spread:       func() { go s.spread(context.Background()) },
-		SpreadRecord: func() { s.spread(context.Background()) },
+		Spread:       func() { go s.broadcastRecord(context.Background()) },
+		SpreadRecord: func() { s.broadcastRecord(context.Background()) },
 		Logger:       s.logger,
 		Registry:     s.options.Registry,
 	})
@@ -41,16 +41,16 @@
 	return s.keeper.Version() > 0 && clock.Since(s.started) >= settleTime
 }
 
-// place is where the store has what operators write.
-func (s *Sidecar) place() configuration.Keyspace {
+// keyspace is where the store has what operators write.
+func (s *Sidecar) keyspace() configuration.Keyspace {
 	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
-		OnOther: s.ordered, OnRemoved: s.orderRemoved, OnListed: s.ordersListed,
+		OnOther: s.handleOperatorItem, OnRemoved: s.handleItemRemoved, OnListed: s.handleItemsListed,
 	}
 }
 
-// ordered takes in an item that operators wrote beside the configuration.
-func (s *Sidecar) ordered(item store.KeyValue) {
+// handleOperatorItem takes in an item that operators wrote beside the configuration.
+func (s *Sidecar) handleOperatorItem(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
 		return
@@ -66,20 +66,20 @@
 	s.rollouts.Ordered(order)
 }
 
-// reading returns the nodes of all zones that read the store.
-func (s *Sidecar) reading() []*roster.Record {
+// storeReaders returns the nodes of all zones that read the store.
+func (s *Sidecar) storeReaders() []*roster.Record {
 	return readers.All(s.members.View(), s.exchanger.Usable)
 }
 
-// judge compares the back end's version with others by what the node sees of its
+// answerJudge compares the back end's version with others by what the node sees of its
 // answers.
-type judge struct{ sidecar *Sidecar }
+type answerJudge struct{ sidecar *Sidecar }
 
 // Refuses implements ingress.Judge.
-func (j *judge) Refuses() bool { return j.sidecar.rollouts.Refuses() }
+func (j *answerJudge) Refuses() bool { return j.sidecar.rollouts.Refuses() }
 
 // Judges implements ingress.Judge.
-func (j *judge) Judges() bool {
+func (j *answerJudge) Judges() bool {
 	judges := j.sidecar.rollouts.Judges()
 	if judges {
 		j.sidecar.stalls.Extend()
@@ -89,16 +89,16 @@
 
 // Answered implements ingress.Judge. While the back end warms up it is slow whatever its
 // version is, and so are all answers that were under way while the node stood still.
-func (j *judge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual) {
+func (j *answerJudge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual) {
 	answer := rollout.Answer{Failed: failed, Usual: usual}
 	if table := j.sidecar.keeper.Table(); table != nil {
 		if matched := table.MatchRequest(request); matched != nil {
 			answer.Route = matched.Name
 		}
 	}
-	until := j.sidecar.warm.Load()
-	warm := until == 0 || clock.Stamp(clock.Now()) >= until
+	until := j.sidecar.warmedUp.Load()
+	warmedUp := until == 0 || clock.Stamp(clock.Now()) >= until
 	worked -= j.sidecar.stalls.Stalled(clock.Now().Add(-worked))
-	answer.Slow = warm && expected > 0 && worked > rollout.SlowFactor*expected
+	answer.Slow = warmedUp && expected > 0 && worked > rollout.SlowFactor*expected
 	j.sidecar.rollouts.Answered(answer)
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -23,11 +23,11 @@
 	if err := clock.CheckSupport(); err != nil {
 		s.logger.Warn("suspensions of the machine cannot be seen", zap.Error(err))
 	}
-	defer clock.OnWake(s.woke)()
-	var running sync.WaitGroup
-	work := []func(){
+	defer clock.OnWake(s.handleWake)()
+	var workers sync.WaitGroup
+	tasks := []func(){
 		func() {
-			configuration.Follow(ctx, s.options.Store, s.place(), s.keeper, s.follows, s.logger)
+			configuration.Follow(ctx, s.options.Store, s.keyspace(), s.keeper, s.followsConfiguration, s.logger)
 		},
 		func() { s.membership.Run(ctx) },
 		func() { s.rollouts.Run(ctx) },
@@ -37,21 +37,21 @@
 		func() { s.sweep(ctx) },
 		func() { clock.Watch(ctx) },
 	}
-	for _, task := range work {
-		running.Go(task)
+	for _, task := range tasks {
+		workers.Go(task)
 	}
-	running.Wait()
+	workers.Wait()
 }
 
-// woke takes in that the machine was suspended. Others may have closed connections, left and
+// handleWake takes in that the machine was suspended. Others may have closed connections, left and
 // changed the configuration meanwhile: nothing goes out on a connection from before, and the
 // node asks what it has missed.
-func (s *Sidecar) woke(slept time.Duration) {
+func (s *Sidecar) handleWake(slept time.Duration) {
 	s.logger.Warn("machine was suspended", zap.Duration("slept", slept), zap.Int("callsInFlight", s.egress.InFlight()))
 	s.egress.CloseIdle()
 	s.ingress.CloseIdle()
 	go s.exchanger.Greet(context.Background())
-	if s.reads() {
+	if s.isReader() {
 		go s.refresh()
 	}
 }
@@ -60,7 +60,7 @@
 func (s *Sidecar) refresh() {
 	ctx, cancel := context.WithTimeout(context.Background(), wakeRefreshTimeout)
 	defer cancel()
-	if err := configuration.Refresh(ctx, s.options.Store, s.place(), s.keeper); err != nil {
+	if err := configuration.Refresh(ctx, s.options.Store, s.keyspace(), s.keeper); err != nil {
 		s.logger.Warn("configuration not read after a suspension", zap.Error(err))
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -59,7 +59,7 @@
 	ConfigurationKey, OperatorPrefix string
 	Decode                           configuration.Decoder
 	// IsOrderKey tells the keys of orders to roll a version out, DecodeOrder reads one.
-	IsOrderKey     func(key string) bool
+	IsOrderKey  func(key string) bool
 	DecodeOrder func(store.KeyValue) (rollout.Order, error)
 	// EvacuatedZone returns the zone that an item under the key orders to be emptied.
 	EvacuatedZone func(key string) (zone string, is bool)
@@ -76,15 +76,15 @@
 }
 
 const (
-	// drainShare is the part of the drain bound after which a back end that is
+	// drainDelayShare is the part of the drain bound after which a back end that is
 	// leaving gets no new work any more; the rest covers what is on its way.
-	drainShare = 0.5
+	drainDelayShare = 0.5
 	// peerSilence bounds connections to other nodes.
-	peerUnacknowledged = 1500 * time.Millisecond
-	peerIdle           = time.Second
-	exchangeDial       = 400 * time.Millisecond
-	storeDial          = time.Second
-	storeSilence       = 3 * time.Second
+	peerAckTimeout    = 1500 * time.Millisecond
+	peerKeepAliveIdle = time.Second
+	peerDialTimeout   = 400 * time.Millisecond
+	storeDialTimeout  = time.Second
+	storeAckTimeout   = 3 * time.Second
 	// WatchBatchDelay is how long a watch of the store rests after an event: changes
 	// in quick succession come with one call.
 	WatchBatchDelay = 500 * time.Millisecond
@@ -106,34 +106,34 @@
 	quota       *quota.Quota
 	repeats     *repeats.Repeats
 	// contention says whether requests compete for room, work what the back end works on.
-	contention *contention.Switch
-	work       *nested.ActiveRequests
-	egress     *egress.Handler
-	ingress    *ingress.Handler
-	stopping   atomic.Bool
+	contention     *contention.Switch
+	activeRequests *nested.ActiveRequests
+	egress         *egress.Handler
+	ingress        *ingress.Handler
+	stopping       atomic.Bool
 	// following: the node follows the configuration in the store.
 	following atomic.Bool
 	// started is when the node was made, joined when the store had first told of the
 	// other nodes; nil before.
-	started time.Time
-	joined  atomic.Pointer[time.Time]
+	started         time.Time
+	peersDiscovered atomic.Pointer[time.Time]
 	// settings are replaced at a reload.
 	settings atomic.Pointer[Settings]
-	// lastBeat is when a heartbeat was last heard, as a stamp of the node's clock;
+	// lastHeartbeat is when a heartbeat was last heard, as a stamp of the node's clock;
 	// zero before the first.
-	lastBeat atomic.Int64
-	// warm is when the back end's warm-up is over, as a stamp of the node's clock; zero
+	lastHeartbeat atomic.Int64
+	// warmedUp is when the back end's warmedUp-up is over, as a stamp of the node's clock; zero
 	// when it has told of none.
-	warm atomic.Int64
+	warmedUp atomic.Int64
 	// stalls are the times at which the node did not run, known while its answers are judged.
 	stalls stall.Monitor
-	// claims is used under the roster's lock.
-	claims roster.IncarnationTracker
+	// incarnations is used under the roster's lock.
+	incarnations roster.IncarnationTracker
 }
 
 // StoreDialer returns the dialer for connections to the store.
 func StoreDialer(network dial.Network) func(ctx context.Context, network, address string) (net.Conn, error) {
-	return network.Dialer(storeDial, dial.PeerTimeouts{Unacknowledged: storeSilence, Idle: peerIdle})
+	return network.Dialer(storeDialTimeout, dial.PeerTimeouts{Unacknowledged: storeAckTimeout, Idle: peerKeepAliveIdle})
 }
 
 // New returns a sidecar that serves nobody before its first configuration.
@@ -147,34 +147,34 @@
 			Address: settings.Listen.Inbound, PeerAddress: settings.Listen.Peer, Link: settings.LinkMbps,
 			RunID: uint64(rand.Uint32()),
 		}),
-		started:    clock.Now(),
-		keeper:     configuration.NewKeeper(options.Decode, options.Logger),
-		contention: contention.NewSwitch(settings.OverloadControl),
-		work:       &nested.ActiveRequests{},
-		claims:     roster.IncarnationTracker{Interval: settings.HeartbeatInterval},
+		started:        clock.Now(),
+		keeper:         configuration.NewKeeper(options.Decode, options.Logger),
+		contention:     contention.NewSwitch(settings.OverloadControl),
+		activeRequests: &nested.ActiveRequests{},
+		incarnations:   roster.IncarnationTracker{Interval: settings.HeartbeatInterval},
 	}
-	observed := newMetrics(options.Registry)
+	observer := newMetrics(options.Registry)
 	options.Store = newCountedStore(options.Store, options.Registry)
 	created.options.Store = options.Store
 	created.settings.Store(settings)
 	created.quarantine = quarantine.New(quarantine.Options{
 		Members:          created.members,
-		Broadcast:        func() { created.spread(context.Background()) },
-		BroadcastAndWait: created.tell,
+		Broadcast:        func() { created.broadcastRecord(context.Background()) },
+		BroadcastAndWait: created.broadcastAndWait,
 		Logger:           options.Logger, Registry: options.Registry,
 	})
 	created.addRollouts()
 	created.addEvacuations()
 	created.addQuota()
 	created.addRepeats()
-	created.addIngress(observed)
-	created.addEgress(observed)
+	created.addIngress(observer)
+	created.addEgress(observer)
 	created.exchanger = exchange.New(exchange.Options{
 		Roster:        created.members,
 		Configuration: created.keeper,
-		Dial:          options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Dial:          options.Network.Dialer(peerDialTimeout, dial.PeerTimeouts{Unacknowledged: peerAckTimeout, Idle: peerKeepAliveIdle}),
 		Refresh: func(ctx context.Context) error {
-			return configuration.Refresh(ctx, options.Store, created.place(), created.keeper)
+			return configuration.Refresh(ctx, options.Store, created.keyspace(), created.keeper)
 		},
 		Bound:       settings.applyBound(),
 		Store:       options.Store,
@@ -183,22 +183,22 @@
 		Quota:       created.quota,
 		Repeats:     created.repeats,
 		Contention:  created.contention,
-		Reads:       created.reads,
-		Observer:    observed,
+		Reads:       created.isReader,
+		Observer:    observer,
 		Suspect:     created.egress.Suspect,
 		Logger:      options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		OnDiscovery: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
-		CompactionRank: created.compactRank,
+		OnDiscovery: created.handlePeersDiscovered, Met: created.exchanger.Met, Reads: created.isReader, Logger: options.Logger,
+		CompactionRank: created.compactionRank,
 	})
-	created.members.Observe(created.follow)
-	created.keeper.Observe(created.apply)
-	created.watch(options.Registry)
+	created.members.Observe(created.handleRecordChanges)
+	created.keeper.Observe(created.applyConfiguration)
+	created.registerGauges(options.Registry)
 	options.Store.PaceWatches(created.WatchTimeout)
-	options.Store.OnEra(created.restored)
+	options.Store.OnEra(created.handleStoreRestore)
 	return created
 }
 
@@ -208,23 +208,23 @@
 		Vocabulary:     s.options.Vocabulary,
 		Address:        settings.BackendAddress,
 		LinkMbps:       settings.LinkMbps,
-		ActiveRequests: s.work,
+		ActiveRequests: s.activeRequests,
 		DecodeLoad:     s.options.DecodeLoad,
-		RecordLoad:     s.loadTold,
+		RecordLoad:     s.recordLoad,
 
 		DecodeNotice:       s.options.DecodeNotice,
-		OnDraining:         s.leaves,
+		OnDraining:         s.handleDrainNotice,
 		Restarted:          !settings.FirstStart,
 		Contended:          s.contention.On,
-		Judge:              &judge{sidecar: s},
-		Quarantine:         &guard{Quarantine: s.quarantine, sidecar: s},
+		Judge:              &answerJudge{sidecar: s},
+		Quarantine:         &crashRecorder{Quarantine: s.quarantine, sidecar: s},
 		Endpoint:           func() *roster.Endpoint { return s.members.Own().Endpoint },
-		OnInstanceMismatch: s.identified,
+		OnInstanceMismatch: s.confirmInstance,
 		Version:            s.keeper.Version,
 		Proof:              func() (time.Duration, bool) { return s.exchanger.FreshProof() },
-		RoutesTo:           s.serves,
+		RoutesTo:           s.routesTo,
 		Evacuated:          func() bool { return s.evacuations.Zones().Contains(settings.Zone) },
-		DrainDelay:         s.drainAfter,
+		DrainDelay:         s.drainDelay,
 		Dial:               s.options.Network.Dialer(0, dial.PeerTimeouts{}),
 		Logger:             s.logger,
 		Observer:           observed,
@@ -246,13 +246,13 @@
 		Emptied:     s.evacuations.Zones,
 		Quarantine:  s.quarantine,
 		Quota:       s.quota,
-		Nested:      &nestedCalls{contention: s.contention, recognizer: nested.NewClassifier(s.work, s.started)},
+		Nested:      &nestedClassifier{contention: s.contention, classifier: nested.NewClassifier(s.activeRequests, s.started)},
 		RetryBudget: s.repeats,
 		Contended:   s.contention.On,
 		Weights:     choice.DefaultWeights(),
-		Freshness:   (*level)(s),
-		DrainAfter:  s.drainAfter,
-		Dial:        s.options.Network.Dialer(exchangeDial, dial.PeerTimeouts{Unacknowledged: peerUnacknowledged, Idle: peerIdle}),
+		Freshness:   (*freshness)(s),
+		DrainAfter:  s.drainDelay,
+		Dial:        s.options.Network.Dialer(peerDialTimeout, dial.PeerTimeouts{Unacknowledged: peerAckTimeout, Idle: peerKeepAliveIdle}),
 		Probe: func(ctx context.Context, record *roster.Record) error {
 			return s.exchanger.Ping(ctx, record)
 		},
@@ -261,9 +261,9 @@
 	})
 }
 
-// drainAfter is how long after its word that it is leaving a back end still gets new work.
-func (s *Sidecar) drainAfter() time.Duration {
-	return time.Duration(float64(s.settings.Load().DrainBound) * drainShare)
+// drainDelay is how long after its word that it is leaving a back end still gets new work.
+func (s *Sidecar) drainDelay() time.Duration {
+	return time.Duration(float64(s.settings.Load().DrainBound) * drainDelayShare)
 }
 
 // callObserver adds to the metrics what a reply says of a peer's configuration.
@@ -274,7 +274,7 @@
 
 // Silent implements egress.Observer.
 func (o *callObserver) Silent(node string, first bool) {
-	o.silent.Inc()
+	o.silentProbes.Inc()
 	if first {
 		o.sidecar.logger.Warn("peer silent", zap.String("peer", node))
 	}
@@ -301,8 +301,8 @@
 	return s.options.Settings.Service
 }
 
-// follow passes changed records on. The roster's lock is held.
-func (s *Sidecar) follow(changed []*roster.Record) {
+// handleRecordChanges passes changed records on. The roster's lock is held.
+func (s *Sidecar) handleRecordChanges(changed []*roster.Record) {
 	for _, record := range changed {
 		s.logChange(record)
 		if record.Node == s.options.Settings.Node {
@@ -331,17 +331,17 @@
 	entry.Write(fields...)
 }
 
-// apply takes in a new configuration. What the watch brings is announced to those
+// applyConfiguration takes in a new configuration. What the watch brings is announced to those
 // that do not read. What the watch had missed is likely to have been missed by
 // others as well: all are told.
-func (s *Sidecar) apply(table *route.Table, source configuration.Source) {
+func (s *Sidecar) applyConfiguration(table *route.Table, source configuration.Source) {
 	s.setService(table, s.members.Own().Endpoint)
 	s.contention.SetTenantsConfigured(len(table.Document().Tenants) > 0)
 	switch source {
 	case configuration.SourceWatch:
 		go s.exchanger.AnnounceVersion()
 	case configuration.SourceRead:
-		go s.spread(context.Background())
+		go s.broadcastRecord(context.Background())
 		go s.exchanger.AnnounceVersion()
 	}
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// stopPoll is the time between two looks at whether a stop is done.
-	stopPoll = 50 * time.Millisecond
-	// stopLeast is how long a stopping node serves at least: so long the
+	// drainPollInterval is the time between two looks at whether a stop is done.
+	drainPollInterval = 50 * time.Millisecond
+	// minDrainTime is how long a stopping node serves at least: so long the
 	// platform takes to lead callers elsewhere.
-	stopLeast = 2300 * time.Millisecond
-	// stopLeastGraceShare bounds that time where the grace time is short.
-	stopLeastGraceShare = 0.4
-	// stopQuiet is the time without a call after which no more are expected.
-	stopQuiet = 600 * time.Millisecond
-	// stopAnnounce is the part of the grace time after which peers are told to
+	minDrainTime = 2300 * time.Millisecond
+	// minDrainGraceShare bounds that time where the grace time is short.
+	minDrainGraceShare = 0.4
+	// quietPeriod is the time without a call after which no more are expected.
+	quietPeriod = 600 * time.Millisecond
+	// announceShare is the part of the grace time after which peers are told to
 	// send no more requests: until then the back end's slots are still of use,
 	// since callers of this machine come for about as long.
-	stopAnnounce = 0.3
-	// stopTakes is the part of the grace time in which new calls are taken. The
+	announceShare = 0.3
+	// acceptShare is the part of the grace time in which new calls are taken. The
 	// platform has led callers elsewhere before, unless most nodes of the zone are
 	// away; then the sooner this one is back the better.
-	stopTakes = 0.4
-	// stopEnd is how long before the forced end what is left is cut.
-	stopEnd = 900 * time.Millisecond
+	acceptShare = 0.4
+	// cutoffMargin is how long before the forced end what is left is cut.
+	cutoffMargin = 900 * time.Millisecond
 	// withdrawTimeout bounds the last word to the store.
 	withdrawTimeout = 300 * time.Millisecond
 )
@@ -43,36 +43,36 @@
 	s.egress.Stop()
 	s.ingress.Stop()
 	plan := stopPlan{grace: s.settings.Load().Grace}
-	s.egress.RefuseFrom(started.Add(plan.takes()))
-	announcement := time.AfterFunc(time.Duration(float64(plan.grace)*stopAnnounce), s.leave)
+	s.egress.RefuseFrom(started.Add(plan.acceptUntil()))
+	announcement := time.AfterFunc(time.Duration(float64(plan.grace)*announceShare), s.announceLeaving)
 	defer announcement.Stop()
 	s.logger.Info("stop begins", zap.Int("callsInFlight", s.egress.InFlight()), zap.Int("running", s.ingress.Load().Running))
-	plan.await(started, s)
+	plan.waitIdle(started, s)
 	s.egress.CancelCalls()
 	s.withdraw()
 	s.logger.Info("stop ends", zap.Int("callsInFlight", s.egress.InFlight()),
 		zap.Int("running", s.ingress.Load().Running), zap.Duration("elapsed", clock.Since(started)))
 }
 
-// leave tells the peers to send no more requests for the back end.
-func (s *Sidecar) leave() {
+// announceLeaving tells the peers to send no more requests for the back end.
+func (s *Sidecar) announceLeaving() {
 	s.repeats.Close()
 	s.quota.Close() // who hears that the node leaves takes it for closed
 	s.members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.Leaving = true
 		return record, true
 	})
-	s.spread(context.Background())
+	s.broadcastRecord(context.Background())
 }
 
-// underWay returns how many requests there are on either side.
-func (s *Sidecar) underWay() int { return s.egress.InFlight() + s.ingress.InFlight() }
+// inFlight returns how many requests there are on either side.
+func (s *Sidecar) inFlight() int { return s.egress.InFlight() + s.ingress.InFlight() }
 
 // lastCall returns when a caller last came.
 func (s *Sidecar) lastCall() time.Time { return s.egress.LastCall() }
 
-// refuse has both sides refuse whatever comes from now on.
-func (s *Sidecar) refuse() {
+// rejectNew has both sides rejectNew whatever comes from now on.
+func (s *Sidecar) rejectNew() {
 	s.egress.RefuseFrom(clock.Now())
 	s.ingress.RejectNew()
 }
@@ -84,47 +84,47 @@
 	grace time.Duration
 }
 
-// takes returns until when new calls are taken.
-func (p stopPlan) takes() time.Duration { return time.Duration(float64(p.grace) * stopTakes) }
+// acceptUntil returns until when new calls are taken.
+func (p stopPlan) acceptUntil() time.Duration { return time.Duration(float64(p.grace) * acceptShare) }
 
-// least returns how long the node stays at least, for calls that still come.
-func (p stopPlan) least() time.Duration {
-	return min(stopLeast, time.Duration(float64(p.grace)*stopLeastGraceShare))
+// minimum returns how long the node stays at minimum, for calls that still come.
+func (p stopPlan) minimum() time.Duration {
+	return min(minDrainTime, time.Duration(float64(p.grace)*minDrainGraceShare))
 }
 
-// end returns when what is left is cut.
-func (p stopPlan) end() time.Duration { return p.grace - stopEnd }
+// cutoff returns when what is left is cut.
+func (p stopPlan) cutoff() time.Duration { return p.grace - cutoffMargin }
 
 // done reports whether the stop is done after the elapsed time: nothing is under
 // way, and either no call has come for a while or all are refused anyhow. What
 // is still under way near the forced end is cut.
 func (p stopPlan) done(elapsed time.Duration, idle bool, sinceCall time.Duration) bool {
 	switch {
-	case elapsed >= p.end():
+	case elapsed >= p.cutoff():
 		return true
-	case !idle || elapsed < p.least():
+	case !idle || elapsed < p.minimum():
 		return false
 	}
-	return sinceCall >= stopQuiet || elapsed >= p.takes()
+	return sinceCall >= quietPeriod || elapsed >= p.acceptUntil()
 }
 
-// stopping is what a planned stop needs of the node.
-type stopping interface {
-	underWay() int
+// drainable is what a planned stop needs of the node.
+type drainable interface {
+	inFlight() int
 	lastCall() time.Time
-	refuse()
+	rejectNew()
 }
 
-// await returns when the node may close its listeners. Peers may still send: from
+// waitIdle returns when the node may close its listeners. Peers may still send: from
 // the moment it is found idle everything is refused, and what came in before that
 // is still served.
-func (p stopPlan) await(started time.Time, node stopping) {
-	for !p.done(clock.Since(started), node.underWay() == 0, clock.Since(node.lastCall())) {
-		time.Sleep(stopPoll)
+func (p stopPlan) waitIdle(started time.Time, node drainable) {
+	for !p.done(clock.Since(started), node.inFlight() == 0, clock.Since(node.lastCall())) {
+		time.Sleep(drainPollInterval)
 	}
-	node.refuse()
-	for node.underWay() > 0 && clock.Since(started) < p.end() {
-		time.Sleep(stopPoll)
+	node.rejectNew()
+	for node.inFlight() > 0 && clock.Since(started) < p.cutoff() {
+		time.Sleep(drainPollInterval)
 	}
 }
 
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -29,58 +29,58 @@
 		{"one is under way", 4000 * ms, false, time.Second, false},
 		{"it is still under way near the end", 5100 * ms, false, time.Second, true},
 	}
-	for _, moment := range cases {
-		t.Run(moment.name, func(t *testing.T) {
-			NewWithT(t).Expect(plan.done(moment.elapsed, moment.idle, moment.sinceCall)).To(Equal(moment.done))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			NewWithT(t).Expect(plan.done(test.elapsed, test.idle, test.sinceCall)).To(Equal(test.done))
 		})
 	}
 	g := NewWithT(t)
-	g.Expect(plan.takes()).To(BeNumerically("<", 3*time.Second), "later ones would be broken off")
+	g.Expect(plan.acceptUntil()).To(BeNumerically("<", 3*time.Second), "later ones would be broken off")
 	g.Expect(stopPlan{grace: time.Second}.done(100*ms, false, 0)).To(BeTrue(), "a short grace time leaves no time to wait")
 }
 
-// stoppingNode has nothing under way until it is found idle; in that moment a
+// fakeNode has nothing under way until it is found idle; in that moment a
 // request comes in that takes some time.
-type stoppingNode struct {
-	came    time.Time
-	late    time.Duration
-	refused time.Time
-	ends    time.Time
+type fakeNode struct {
+	lastCallAt  time.Time
+	requestTime time.Duration
+	rejectedAt  time.Time
+	ends        time.Time
 }
 
-func (n *stoppingNode) lastCall() time.Time { return n.came }
+func (n *fakeNode) lastCall() time.Time { return n.lastCallAt }
 
-func (n *stoppingNode) refuse() {
-	n.refused = time.Now()
-	n.ends = n.refused.Add(n.late)
+func (n *fakeNode) rejectNew() {
+	n.rejectedAt = time.Now()
+	n.ends = n.rejectedAt.Add(n.requestTime)
 }
 
-func (n *stoppingNode) underWay() int {
+func (n *fakeNode) inFlight() int {
 	if time.Now().Before(n.ends) {
 		return 1
 	}
 	return 0
 }
 
-// TestAStopServesWhatCameInTheLastMoment: peers may send until all is refused.
-func TestAStopServesWhatCameInTheLastMoment(t *testing.T) {
+// TestDrainServesLateRequest: peers may send until all is refused.
+func TestDrainServesLateRequest(t *testing.T) {
 	cases := []struct {
-		name       string
-		late, ends time.Duration
+		name              string
+		requestTime, ends time.Duration
 	}{
 		{"nothing came", 0, 2300 * ms},
 		{"one came", 800 * ms, 3100 * ms},
 		{"one came that lasts too long", time.Minute, 5100 * ms},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				started := time.Now()
-				node := &stoppingNode{came: started, late: played.late}
-				stopPlan{grace: 6 * time.Second}.await(started, node)
-				g.Expect(node.refused.Sub(started)).To(Equal(2300 * ms))
-				g.Expect(time.Since(started)).To(Equal(played.ends))
+				node := &fakeNode{lastCallAt: started, requestTime: test.requestTime}
+				stopPlan{grace: 6 * time.Second}.waitIdle(started, node)
+				g.Expect(node.rejectedAt.Sub(started)).To(Equal(2300 * ms))
+				g.Expect(time.Since(started)).To(Equal(test.ends))
 			})
 		})
 	}
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -18,9 +18,9 @@
 	seconds *prometheus.HistogramVec
 }
 
-func newCountedStore(counted Store, registry prometheus.Registerer) *countedStore {
-	made := &countedStore{
-		Store: counted,
+func newCountedStore(wrapped Store, registry prometheus.Registerer) *countedStore {
+	created := &countedStore{
+		Store: wrapped,
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "kestrel_sidecar_store_calls_total", Help: "Calls of the store by kind and result; a watch counts when it ends.",
 		}, []string{"kind", "result"}),
@@ -28,8 +28,8 @@
 			Name: "kestrel_sidecar_store_seconds", Help: "Time that calls of the store took, watches aside.", Buckets: latencyBuckets,
 		}, []string{"kind"}),
 	}
-	registry.MustRegister(made.calls, made.seconds)
-	return made
+	registry.MustRegister(created.calls, created.seconds)
+	return created
 }
 
 // Kinds of calls.
@@ -68,8 +68,8 @@
 	return "other"
 }
 
-// count takes in one call that began at a moment.
-func (s *countedStore) count(kind string, began time.Time, err error) {
+// observe takes in one call that began at a moment.
+func (s *countedStore) observe(kind string, began time.Time, err error) {
 	s.calls.WithLabelValues(kind, storeResult(err)).Inc()
 	s.seconds.WithLabelValues(kind).Observe(time.Since(began).Seconds())
 }
@@ -78,7 +78,7 @@
 func (s *countedStore) Apply(ctx context.Context, swaps []store.Swap) (uint64, error) {
 	began := time.Now()
 	revision, err := s.Store.Apply(ctx, swaps)
-	s.count(callWrite, began, err)
+	s.observe(callWrite, began, err)
 	return revision, err
 }
 
@@ -86,7 +86,7 @@
 func (s *countedStore) Get(ctx context.Context, key string) (store.KeyValue, error) {
 	began := time.Now()
 	found, err := s.Store.Get(ctx, key)
-	s.count(callGet, began, err)
+	s.observe(callGet, began, err)
 	return found, err
 }
 
@@ -94,7 +94,7 @@
 func (s *countedStore) Range(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error) {
 	began := time.Now()
 	found, at, err := s.Store.Range(ctx, prefix, from, limit)
-	s.count(callRange, began, err)
+	s.observe(callRange, began, err)
 	return found, at, err
 }
 
@@ -102,7 +102,7 @@
 func (s *countedStore) RangeStale(ctx context.Context, prefix, from string, limit int) ([]store.KeyValue, uint64, error) {
 	began := time.Now()
 	found, at, err := s.Store.RangeStale(ctx, prefix, from, limit)
-	s.count(callStale, began, err)
+	s.observe(callStale, began, err)
 	return found, at, err
 }
 
@@ -110,7 +110,7 @@
 func (s *countedStore) CompareAndSwap(ctx context.Context, swap store.Swap) (uint64, error) {
 	began := time.Now()
 	revision, err := s.Store.CompareAndSwap(ctx, swap)
-	s.count(callWrite, began, err)
+	s.observe(callWrite, began, err)
 	return revision, err
 }
 
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -8,19 +8,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// labelledTenants is how many tenants have a label of their own: those that held slots for the
+// maxTenantLabels is how many tenants have a label of their own: those that held slots for the
 // longest time.
-const labelledTenants = 10
+const maxTenantLabels = 10
 
-// tenantTimes tells for how long tenants' requests held slots of the local back end. It is a
+// tenantCollector tells for how long tenants' requests held slots of the local back end. It is a
 // prometheus.Collector.
-type tenantTimes struct {
-	usage         func(most int) ([]admission.Usage, time.Duration)
+type tenantCollector struct {
+	usage         func(limit int) ([]admission.Usage, time.Duration)
 	named, others *prometheus.Desc
 }
 
-func newTenantTimes(usage func(most int) ([]admission.Usage, time.Duration)) *tenantTimes {
-	return &tenantTimes{
+func newTenantCollector(usage func(limit int) ([]admission.Usage, time.Duration)) *tenantCollector {
+	return &tenantCollector{
 		usage:  usage,
 		named:  prometheus.NewDesc("kestrel_sidecar_tenant_slot_seconds", "Time that slots were held, by tenant: those with the most.", []string{"tenant"}, nil),
 		others: prometheus.NewDesc("kestrel_sidecar_other_tenants_slot_seconds", "Time that slots were held by all other tenants.", nil, nil),
@@ -28,16 +28,16 @@
 }
 
 // Describe implements prometheus.Collector.
-func (t *tenantTimes) Describe(into chan<- *prometheus.Desc) {
-	into <- t.named
-	into <- t.others
+func (t *tenantCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- t.named
+	descriptions <- t.others
 }
 
 // Collect implements prometheus.Collector.
-func (t *tenantTimes) Collect(into chan<- prometheus.Metric) {
-	top, others := t.usage(labelledTenants)
-	for _, one := range top {
-		into <- prometheus.MustNewConstMetric(t.named, prometheus.GaugeValue, one.SlotTime.Seconds(), one.Tenant)
+func (t *tenantCollector) Collect(metrics chan<- prometheus.Metric) {
+	top, others := t.usage(maxTenantLabels)
+	for _, entry := range top {
+		metrics <- prometheus.MustNewConstMetric(t.named, prometheus.GaugeValue, entry.SlotTime.Seconds(), entry.Tenant)
 	}
-	into <- prometheus.MustNewConstMetric(t.others, prometheus.GaugeValue, others.Seconds())
+	metrics <- prometheus.MustNewConstMetric(t.others, prometheus.GaugeValue, others.Seconds())
 }
--- a/internal/sidecar/tenants_test.go
+++ b/internal/sidecar/tenants_test.go
@@ -11,21 +11,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// TestTheTenantsWithTheMostHaveLabels: the number of labels is bounded, and what is without one adds up.
-func TestTheTenantsWithTheMostHaveLabels(t *testing.T) {
+// TestTenantLabelsAreBounded: the number of labels is bounded, and what is without one adds up.
+func TestTenantLabelsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	gate := admission.New(func() time.Time { return time.Unix(1, 0) })
 	gate.Resize(1)
-	for number := range 2 * labelledTenants {
+	for number := range 2 * maxTenantLabels {
 		slot, err := gate.Acquire(t.Context(), admission.RequestInfo{Tenant: strconv.Itoa(number), MaximumWait: time.Second})
 		g.Expect(err).NotTo(HaveOccurred())
 		slot.Release(true)
 	}
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(newTenantTimes(gate.Usage))
+	registry.MustRegister(newTenantCollector(gate.Usage))
 	families, err := registry.Gather()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(families).To(HaveLen(2))
 	g.Expect(families[0].GetMetric()).To(HaveLen(1))
-	g.Expect(families[1].GetMetric()).To(HaveLen(labelledTenants))
+	g.Expect(families[1].GetMetric()).To(HaveLen(maxTenantLabels))
 }
--- a/internal/sidecar/zonemetrics.go
+++ b/internal/sidecar/zonemetrics.go
@@ -34,10 +34,10 @@
 }
 
 // Collect implements prometheus.Collector.
-func (c *zoneCollector) Collect(collected chan<- prometheus.Metric) {
+func (c *zoneCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, load := range c.egress.ZoneLoads(clock.Now()) {
-		collected <- prometheus.MustNewConstMetric(c.perSlot, prometheus.GaugeValue, load.PerSlot, load.Service, load.Zone)
-		collected <- prometheus.MustNewConstMetric(c.age, prometheus.GaugeValue, load.Age.Seconds(), load.Service, load.Zone)
-		collected <- prometheus.MustNewConstMetric(c.sent, prometheus.CounterValue, float64(load.Sent), load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.perSlot, prometheus.GaugeValue, load.PerSlot, load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.age, prometheus.GaugeValue, load.Age.Seconds(), load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.sent, prometheus.CounterValue, float64(load.Sent), load.Service, load.Zone)
 	}
 }
