--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -6,14 +6,14 @@
 	"go.uber.org/zap"
 )
 
-// reloadable are the fields of Settings that a running node takes over. The
-// others name what is bound or known to peers, and need a restart.
+// reloadable names the fields of Settings that a running node can change. The others are addresses
+// already bound or facts known to peers, and need a restart.
 var reloadable = map[string]bool{
 	"StoreAddress": true, "DrainBound": true, "Grace": true, "Retries": true, "ValueBytes": true, "Rollout": true,
 }
 
-// Reload takes in newer settings and logs what has changed. What a running node
-// cannot take over stays as it was and is named.
+// Reload applies newer settings and logs the names of the changed fields. Fields that a running
+// node cannot change keep their values and are logged as needing a restart.
 func (s *Sidecar) Reload(next Settings) {
 	current := *s.settings.Load()
 	changed, needRestart := applyReloadable(&current, &next)
@@ -23,8 +23,8 @@
 	s.logger.Info("settings reloaded", zap.Strings("changed", changed), zap.Strings("needRestart", needRestart))
 }
 
-// applyReloadable copies the reloadable fields that differ into held and returns their
-// names, and those of the others that differ.
+// applyReloadable copies the reloadable fields that differ from next to current. It returns their
+// names and the names of the other fields that differ.
 func applyReloadable(current, next *Settings) (changed, needRestart []string) {
 	target, source := reflect.ValueOf(current).Elem(), reflect.ValueOf(next).Elem()
 	for index := range target.NumField() {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -24,10 +24,11 @@
 	g.Expect(needRestart).To(ConsistOf("Zone"))
 	g.Expect(current.Grace).To(Equal(2 * time.Second))
 	g.Expect(current.Retries.Ratio).To(Equal(0.5))
-	g.Expect(current.Zone).To(Equal("z"), "what is known to peers stays")
+	g.Expect(current.Zone).To(Equal("z"), "a field known to peers must not change")
 }
 
-// TestReloadableFieldsExist: a field that is renamed must not fall out.
+// TestReloadableFieldsExist checks that every name in reloadable is a field of Settings, so that
+// renaming a field does not silently make it need a restart.
 func TestReloadableFieldsExist(t *testing.T) {
 	g := NewWithT(t)
 	current, next := Settings{}, Settings{StoreAddress: "x", DrainBound: 1, Grace: 1, Retries: repeats.Limits{Slack: 1}, ValueBytes: 1, Rollout: rollout.Limits{Share: 1}}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -11,14 +11,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/configuration"
 )
 
-// sweepInterval is the time between two looks at idle connections.
+// sweepInterval is the time between two sweeps of idle connections and forgotten nodes.
 const sweepInterval = 2 * time.Second
 
-// wakeRefreshTimeout bounds the read of the configuration after a suspension; the watch goes
-// on beside it.
+// wakeRefreshTimeout bounds the read of the configuration after a suspension. The watch continues
+// meanwhile.
 const wakeRefreshTimeout = time.Second
 
-// Run does the node's work in the background until the context ends.
+// Run runs the node's background tasks until the context ends.
 func (s *Sidecar) Run(ctx context.Context) {
 	if err := clock.CheckSupport(); err != nil {
 		s.logger.Warn("suspensions of the machine cannot be seen", zap.Error(err))
@@ -43,9 +43,9 @@
 	workers.Wait()
 }
 
-// handleWake takes in that the machine was suspended. Others may have closed connections, left and
-// changed the configuration meanwhile: nothing goes out on a connection from before, and the
-// node asks what it has missed.
+// handleWake handles that the machine was suspended. Meanwhile others may have closed connections,
+// left, or changed the configuration: the node closes its idle connections so that no request uses
+// one from before the suspension, and asks peers and the store for what it has missed.
 func (s *Sidecar) handleWake(slept time.Duration) {
 	s.logger.Warn("machine was suspended", zap.Duration("slept", slept), zap.Int("callsInFlight", s.egress.InFlight()))
 	s.egress.CloseIdle()
@@ -56,7 +56,8 @@
 	}
 }
 
-// refresh reads the configuration, which a watch from before may not bring any more.
+// refresh reads the configuration, since a watch from before the suspension may no longer deliver
+// changes.
 func (s *Sidecar) refresh() {
 	ctx, cancel := context.WithTimeout(context.Background(), wakeRefreshTimeout)
 	defer cancel()
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -1,6 +1,6 @@
-// Package sidecar is the node beside one back end: it serves the callers and
-// the back end of its machine, follows the configuration, and knows the other
-// nodes. It needs no disk and no other machine but the store and its peers.
+// Package sidecar implements a node of the mesh that runs beside one back end. It proxies the
+// calls of local callers and the requests for the local back end, follows the configuration, and
+// tracks the other nodes. It uses no disk and depends only on the store and its peers.
 package sidecar
 
 import (
@@ -14,62 +14,64 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/rollout"
 )
 
-// Settings are what a sidecar is told before it starts.
+// Settings configures a sidecar.
 type Settings struct {
-	// Node names this node among all; Host is its address without a port.
+	// Node is the unique name of this node. Host is its address without a port.
 	Node, Zone, Region, Host string
-	// Regions holds the region of each zone, as far as known.
+	// Regions maps zones to their regions, as far as known.
 	Regions map[string]string
-	// Service is that of the back end beside the node.
+	// Service is the service of the local back end.
 	Service string
-	// BackendAddress is the back end's own listener, host:port.
+	// BackendAddress is the address at which the back end listens, host:port.
 	BackendAddress string
-	// StoreAddress is the platform's store, host:port.
+	// StoreAddress is the address of the platform's store, host:port.
 	StoreAddress string
-	// ValueBytes is the longest value that the store takes.
+	// ValueBytes is the size of the largest value that the store accepts.
 	ValueBytes int64
 	Listen     Listen
-	// MemoryBytes is what the process may use; zero means no bound.
+	// MemoryBytes is the memory that the process may use; zero means no limit.
 	MemoryBytes int64
-	// LinkMbps is the speed of the machine's link in Mbit/s; zero when unknown.
+	// LinkMbps is the speed of the machine's network link in Mbit/s; zero if unknown.
 	LinkMbps int
-	// FirstStart: the whole system starts for the first time, so that no node has
-	// left anything in the store.
+	// FirstStart means that the whole system starts for the first time, so that no node has
+	// written anything to the store yet.
 	FirstStart bool
 	// HeartbeatInterval is the usual time between two heartbeats of a back end.
 	HeartbeatInterval time.Duration
-	// ApplyBound is how long after its acknowledgement a version may still not be in force; zero
-	// means exchange.DefaultBound.
+	// ApplyBound is the maximum time from the acknowledgement of a version until it is in force;
+	// zero means exchange.DefaultBound.
 	ApplyBound time.Duration
-	// DrainBound is how long after its word that it is leaving a back end may
-	// still get new work.
+	// DrainBound is how long a back end may still receive new requests after it has announced
+	// that it is leaving.
 	DrainBound time.Duration
-	// Grace is the time between the request to stop and the forced end.
+	// Grace is the time between the request to stop and the forced end of the process.
 	Grace time.Duration
-	// Retries bound the repeated sends of all nodes together.
+	// Retries limits the retries of all nodes together.
 	Retries repeats.Limits
-	// Quota says what tenants' limits bind to.
+	// Quota holds the bounds within which tenants' rate limits are enforced.
 	Quota quota.Bounds
-	// OverloadControl says whether requests compete for room (contention.Auto when empty).
+	// OverloadControl selects whether requests are treated as competing for capacity;
+	// contention.Auto if empty.
 	OverloadControl contention.Mode
-	// LendRepeats: where requests compete for room, nodes lend each other their shares of the repeats.
+	// LendRepeats lets nodes lend each other their shares of the retry budget where requests
+	// compete for capacity.
 	LendRepeats bool
-	// Rollout bounds what a version that turns out to be bad may get.
+	// Rollout limits the requests that a faulty version may receive.
 	Rollout rollout.Limits
 }
 
-// applyBound is ApplyBound, never zero.
+// applyBound returns ApplyBound or its default.
 func (s *Settings) applyBound() time.Duration {
 	return cmp.Or(s.ApplyBound, exchange.DefaultBound)
 }
 
 // Listen holds the addresses to bind, host:port.
 type Listen struct {
-	// Outbound takes callers' requests, Inbound those of other nodes.
+	// Outbound serves local callers, Inbound requests of other nodes for the local back end.
 	Outbound, Inbound string
-	// Peer takes exchanges of other nodes.
+	// Peer serves state exchanges with other nodes.
 	Peer string
-	// Readiness and Control are asked and told by the platform.
+	// Readiness serves the platform's readiness probes, Control the back end's heartbeats.
 	Readiness, Control string
 	// Metrics serves metrics; empty serves none.
 	Metrics string
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -35,99 +35,100 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Store is what a sidecar needs of the store.
+// Store is the part of the store client that a sidecar uses.
 type Store interface {
 	membership.Store
 	store.Writer
-	// Era is how often the store has come back from an older copy, as far as known; LearnEra
-	// takes in what another node knows.
+	// Era returns how often the store has been restored from an older copy, as far as known.
+	// LearnEra records the era that another node knows.
 	Era() uint64
 	LearnEra(era uint64)
-	// OnEra has the function told of each such return. It must not block.
+	// OnEra registers a function to call when the era rises. The function must not block.
 	OnEra(func(era uint64))
-	// PaceWatches sets how long each call of a watch waits; first: it is the first one, or the one
-	// before brought events.
+	// PaceWatches sets the function that returns the timeout of each call of a watch. first is true
+	// for the first call and for a call whose predecessor returned events.
 	PaceWatches(wait func(first bool) time.Duration)
 }
 
-// Options are the parts that the assembly provides.
+// Options holds the dependencies of a sidecar.
 type Options struct {
 	Settings   Settings
 	Vocabulary hop.Vocabulary
-	// ConfigurationKey is where the store has the configuration, OperatorPrefix begins
-	// the keys of all that operators write.
+	// ConfigurationKey is the key of the configuration in the store. OperatorPrefix is the
+	// prefix of all keys that operators write.
 	ConfigurationKey, OperatorPrefix string
 	Decode                           configuration.Decoder
-	// IsOrderKey tells the keys of orders to roll a version out, DecodeOrder reads one.
+	// IsOrderKey reports whether a key holds a roll-out order. DecodeOrder decodes the order.
 	IsOrderKey  func(key string) bool
 	DecodeOrder func(store.KeyValue) (rollout.Order, error)
-	// EvacuatedZone returns the zone that an item under the key orders to be emptied.
+	// EvacuatedZone returns the zone whose evacuation an item under the key orders.
 	EvacuatedZone func(key string) (zone string, is bool)
 	Rollouts      controller.Codec
-	// DecodeLoad reads what a back end tells of its load.
+	// DecodeLoad decodes the load that a back end reports in a reply header.
 	DecodeLoad func(header string) (hop.BackendLoad, error)
-	// DecodeNotice reads what a back end asks for with an answer.
+	// DecodeNotice decodes a request limit or drain notice from the headers of a reply.
 	DecodeNotice func(header http.Header) (hop.Notice, error)
 	Store        Store
-	// Network has the listeners of the node and opens its connections.
+	// Network provides the node's listeners and dials its connections.
 	Network  dial.Network
 	Logger   *zap.Logger
 	Registry prometheus.Registerer
 }
 
 const (
-	// drainDelayShare is the part of the drain bound after which a back end that is
-	// leaving gets no new work any more; the rest covers what is on its way.
+	// drainDelayShare is the fraction of DrainBound after which a draining back end receives no
+	// new requests. The rest of the bound covers requests already on their way.
 	drainDelayShare = 0.5
-	// peerSilence bounds connections to other nodes.
+	// Timeouts of connections to other nodes and to the store.
 	peerAckTimeout    = 1500 * time.Millisecond
 	peerKeepAliveIdle = time.Second
 	peerDialTimeout   = 400 * time.Millisecond
 	storeDialTimeout  = time.Second
 	storeAckTimeout   = 3 * time.Second
-	// WatchBatchDelay is how long a watch of the store rests after an event: changes
-	// in quick succession come with one call.
+	// WatchBatchDelay is how long a watch of the store waits after an event before the next call,
+	// so that one call returns several changes made in quick succession.
 	WatchBatchDelay = 500 * time.Millisecond
 )
 
-// Sidecar is one node. It is safe for concurrent use.
+// Sidecar is one node of the mesh. It is safe for concurrent use.
 type Sidecar struct {
 	options Options
 	logger  *zap.Logger
 	members *roster.Roster
 	keeper  *configuration.Keeper
-	// membership finds the other nodes in the store.
+	// membership discovers the other nodes through the store.
 	membership *membership.Membership
 	exchanger  *exchange.Exchanger
 	rollouts   *controller.Controller
 	quarantine *quarantine.Quarantine
-	// evacuations are the orders to empty zones.
+	// evacuations holds the orders to evacuate zones.
 	evacuations *evacuation.Orders
 	quota       *quota.Quota
 	repeats     *repeats.Repeats
-	// contention says whether requests compete for room, work what the back end works on.
-	contention     *contention.Switch
+	// contention reports whether requests compete for capacity.
+	contention *contention.Switch
+	// activeRequests holds the requests that the back end is processing.
 	activeRequests *nested.ActiveRequests
 	egress         *egress.Handler
 	ingress        *ingress.Handler
 	stopping       atomic.Bool
-	// following: the node follows the configuration in the store.
+	// following is true while the node watches the configuration in the store.
 	following atomic.Bool
-	// started is when the node was made, joined when the store had first told of the
-	// other nodes; nil before.
+	// started is when the node was created. peersDiscovered is when the store first returned
+	// the other nodes; nil before.
 	started         time.Time
 	peersDiscovered atomic.Pointer[time.Time]
-	// settings are replaced at a reload.
+	// settings is replaced when settings are reloaded.
 	settings atomic.Pointer[Settings]
-	// lastHeartbeat is when a heartbeat was last heard, as a stamp of the node's clock;
-	// zero before the first.
+	// lastHeartbeat is when the last heartbeat arrived, as a clock.Stamp; zero before the first.
 	lastHeartbeat atomic.Int64
-	// warmedUp is when the back end's warmedUp-up is over, as a stamp of the node's clock; zero
-	// when it has told of none.
+	// warmedUp is when the back end's warm-up ends, as a clock.Stamp; zero if it has reported
+	// no warm-up.
 	warmedUp atomic.Int64
-	// stalls are the times at which the node did not run, known while its answers are judged.
+	// stalls records when this process was not scheduled. It runs only while the back end's
+	// answers are judged.
 	stalls stall.Monitor
-	// incarnations is used under the roster's lock.
+	// incarnations is guarded by the roster's lock.
 	incarnations roster.IncarnationTracker
 }
 
@@ -136,7 +137,7 @@
 	return network.Dialer(storeDialTimeout, dial.PeerTimeouts{Unacknowledged: storeAckTimeout, Idle: peerKeepAliveIdle})
 }
 
-// New returns a sidecar that serves nobody before its first configuration.
+// New returns a sidecar. It serves no calls before its first configuration is in force.
 func New(options Options) *Sidecar {
 	settings := &options.Settings
 	created := &Sidecar{
@@ -261,12 +262,14 @@
 	})
 }
 
-// drainDelay is how long after its word that it is leaving a back end still gets new work.
+// drainDelay returns how long a back end still receives new requests after it has announced
+// that it is leaving.
 func (s *Sidecar) drainDelay() time.Duration {
 	return time.Duration(float64(s.settings.Load().DrainBound) * drainDelayShare)
 }
 
-// callObserver adds to the metrics what a reply says of a peer's configuration.
+// callObserver implements egress.Observer. Besides counting, it logs silent peers and passes
+// unreachable peers and those with a newer configuration to the exchanger.
 type callObserver struct {
 	*metrics
 	sidecar *Sidecar
@@ -293,7 +296,7 @@
 	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
 }
 
-// caller names the service beside this node.
+// caller returns the name of the service beside this node.
 func (s *Sidecar) caller() string {
 	if endpoint := s.members.Own().Endpoint; endpoint != nil {
 		return endpoint.Service
@@ -301,7 +304,8 @@
 	return s.options.Settings.Service
 }
 
-// handleRecordChanges passes changed records on. The roster's lock is held.
+// handleRecordChanges passes changed records to the parts that depend on them. It is called with
+// the roster's lock held.
 func (s *Sidecar) handleRecordChanges(changed []*roster.Record) {
 	for _, record := range changed {
 		s.logChange(record)
@@ -331,9 +335,10 @@
 	entry.Write(fields...)
 }
 
-// applyConfiguration takes in a new configuration. What the watch brings is announced to those
-// that do not read. What the watch had missed is likely to have been missed by
-// others as well: all are told.
+// applyConfiguration puts a new configuration to use. A version that came with the watch is
+// announced to the nodes that do not read the store. A version that the watch missed and a read
+// found has probably been missed by other readers too, so the node's record is sent to all peers
+// as well.
 func (s *Sidecar) applyConfiguration(table *route.Table, source configuration.Source) {
 	s.setService(table, s.members.Own().Endpoint)
 	s.contention.SetTenantsConfigured(len(table.Document().Tenants) > 0)
@@ -346,24 +351,24 @@
 	}
 }
 
-// setService passes on what the configuration says of the back end's service.
+// setService gives the ingress handler the configured service of the back end.
 func (s *Sidecar) setService(table *route.Table, endpoint *roster.Endpoint) {
 	if table != nil && endpoint != nil {
 		s.ingress.SetService(table.Service(endpoint.Service))
 	}
 }
 
-// Ready reports whether callers are to come to this node.
+// Ready reports whether the node accepts calls.
 func (s *Sidecar) Ready() bool { return !s.stopping.Load() && s.keeper.Table() != nil }
 
 // Stopping reports whether the planned stop has begun.
 func (s *Sidecar) Stopping() bool { return s.stopping.Load() }
 
-// Outbound returns the handler of the callers' listener.
+// Outbound returns the handler of the listener for local callers.
 func (s *Sidecar) Outbound() http.Handler { return s.egress }
 
-// Pipelining says which requests that a caller sent ahead of answers are served
-// side by side.
+// Pipelining returns the options that decide which pipelined requests of a caller are served
+// concurrently.
 func (s *Sidecar) Pipelining() *pipelining.Options {
 	return &pipelining.Options{Ahead: s.egress.Ahead, Begun: s.egress.Begun}
 }
@@ -371,8 +376,8 @@
 // Inbound returns the handler of the listener for other nodes.
 func (s *Sidecar) Inbound() http.Handler { return s.ingress }
 
-// Quarantine returns what the node knows of requests that end back ends.
+// Quarantine returns the node's quarantine of requests that crash back ends.
 func (s *Sidecar) Quarantine() *quarantine.Quarantine { return s.quarantine }
 
-// Exchanger returns the node's exchanges with its peers.
+// Exchanger returns the part that exchanges state with peers.
 func (s *Sidecar) Exchanger() *exchange.Exchanger { return s.exchanger }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// drainPollInterval is the time between two looks at whether a stop is done.
+	// drainPollInterval is the time between two checks whether the drain is done.
 	drainPollInterval = 50 * time.Millisecond
-	// minDrainTime is how long a stopping node serves at least: so long the
-	// platform takes to lead callers elsewhere.
+	// minDrainTime is how long a stopping node keeps serving at least: the platform takes
+	// that long to direct callers to another node.
 	minDrainTime = 2300 * time.Millisecond
-	// minDrainGraceShare bounds that time where the grace time is short.
+	// minDrainGraceShare bounds minDrainTime by a fraction of the grace time, for short
+	// grace times.
 	minDrainGraceShare = 0.4
-	// quietPeriod is the time without a call after which no more are expected.
+	// quietPeriod is the time without a call after which no more calls are expected.
 	quietPeriod = 600 * time.Millisecond
-	// announceShare is the part of the grace time after which peers are told to
-	// send no more requests: until then the back end's slots are still of use,
-	// since callers of this machine come for about as long.
+	// announceShare is the fraction of the grace time after which peers are told to send no
+	// more requests. Until then the back end's slots are still useful, since local callers
+	// keep arriving for about that long.
 	announceShare = 0.3
-	// acceptShare is the part of the grace time in which new calls are taken. The
-	// platform has led callers elsewhere before, unless most nodes of the zone are
-	// away; then the sooner this one is back the better.
+	// acceptShare is the fraction of the grace time in which new calls are accepted. By then
+	// the platform has directed callers elsewhere, unless most nodes of the zone are down; in
+	// that case the sooner this node restarts the better.
 	acceptShare = 0.4
-	// cutoffMargin is how long before the forced end what is left is cut.
+	// cutoffMargin is how long before the forced end the remaining requests are cancelled.
 	cutoffMargin = 900 * time.Millisecond
-	// withdrawTimeout bounds the last word to the store.
+	// withdrawTimeout bounds the removal of the node's record from the store.
 	withdrawTimeout = 300 * time.Millisecond
 )
 
-// Drain brings the node to its planned stop: it is no longer ready, tells its
-// peers, and serves what still comes until nothing does or the time is nearly
-// over. The listeners are to be closed after that.
+// Drain performs the planned stop of the node: it stops being ready, tells its peers, and serves
+// further requests until none arrive or the grace time is nearly over. The caller closes the
+// listeners afterwards.
 func (s *Sidecar) Drain() {
 	started := clock.Now()
 	s.stopping.Store(true)
@@ -54,10 +55,10 @@
 		zap.Int("running", s.ingress.Load().Running), zap.Duration("elapsed", clock.Since(started)))
 }
 
-// announceLeaving tells the peers to send no more requests for the back end.
+// announceLeaving tells the peers to send no more requests to the back end.
 func (s *Sidecar) announceLeaving() {
 	s.repeats.Close()
-	s.quota.Close() // who hears that the node leaves takes it for closed
+	s.quota.Close() // peers that learn that the node is leaving assume that its quota is closed
 	s.members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.Leaving = true
 		return record, true
@@ -65,39 +66,38 @@
 	s.broadcastRecord(context.Background())
 }
 
-// inFlight returns how many requests there are on either side.
+// inFlight returns the number of requests in flight, outbound and inbound.
 func (s *Sidecar) inFlight() int { return s.egress.InFlight() + s.ingress.InFlight() }
 
-// lastCall returns when a caller last came.
+// lastCall returns when the last call arrived.
 func (s *Sidecar) lastCall() time.Time { return s.egress.LastCall() }
 
-// rejectNew has both sides rejectNew whatever comes from now on.
+// rejectNew makes both sides reject all requests from now on.
 func (s *Sidecar) rejectNew() {
 	s.egress.RefuseFrom(clock.Now())
 	s.ingress.RejectNew()
 }
 
-// stopPlan says what happens when in a planned stop. Times count from its
-// beginning.
+// stopPlan is the schedule of a planned stop. Times count from its start.
 type stopPlan struct {
-	// grace is the time until the forced end.
+	// grace is the time until the process is killed.
 	grace time.Duration
 }
 
-// acceptUntil returns until when new calls are taken.
+// acceptUntil returns how long new calls are accepted.
 func (p stopPlan) acceptUntil() time.Duration { return time.Duration(float64(p.grace) * acceptShare) }
 
-// minimum returns how long the node stays at minimum, for calls that still come.
+// minimum returns how long the node keeps serving at least, for calls that still arrive.
 func (p stopPlan) minimum() time.Duration {
 	return min(minDrainTime, time.Duration(float64(p.grace)*minDrainGraceShare))
 }
 
-// cutoff returns when what is left is cut.
+// cutoff returns when the remaining requests are cancelled.
 func (p stopPlan) cutoff() time.Duration { return p.grace - cutoffMargin }
 
-// done reports whether the stop is done after the elapsed time: nothing is under
-// way, and either no call has come for a while or all are refused anyhow. What
-// is still under way near the forced end is cut.
+// done reports whether the drain is done after the elapsed time: either the cutoff is reached, or
+// nothing is in flight, the minimum has passed, and no call has arrived for quietPeriod or new
+// calls are rejected anyway.
 func (p stopPlan) done(elapsed time.Duration, idle bool, sinceCall time.Duration) bool {
 	switch {
 	case elapsed >= p.cutoff():
@@ -108,16 +108,15 @@
 	return sinceCall >= quietPeriod || elapsed >= p.acceptUntil()
 }
 
-// drainable is what a planned stop needs of the node.
+// drainable is the part of a node that a planned stop uses.
 type drainable interface {
 	inFlight() int
 	lastCall() time.Time
 	rejectNew()
 }
 
-// waitIdle returns when the node may close its listeners. Peers may still send: from
-// the moment it is found idle everything is refused, and what came in before that
-// is still served.
+// waitIdle returns when the node may close its listeners. Peers may still send requests: once the
+// node is found idle it rejects new ones, and those that arrived before that are still served.
 func (p stopPlan) waitIdle(started time.Time, node drainable) {
 	for !p.done(clock.Since(started), node.inFlight() == 0, clock.Since(node.lastCall())) {
 		time.Sleep(drainPollInterval)
@@ -128,8 +127,8 @@
 	}
 }
 
-// withdraw removes the node's key when its back end has ended: neither comes
-// back under this name.
+// withdraw removes the node's record from the store if its back end has ended for good: neither
+// returns under this name.
 func (s *Sidecar) withdraw() {
 	if !s.members.Own().Gone() {
 		return
@@ -137,6 +136,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if err := s.membership.Withdraw(ctx); err != nil {
-		s.logger.Warn("record not withdrawn", zap.Error(err))
+		s.logger.Warn("record of the node not deleted from the store", zap.Error(err))
 	}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -10,9 +10,8 @@
 
 const ms = time.Millisecond
 
-// TestStopPlan: a stopping node leaves once nothing is under way and either no
-// call comes any more or every call would be refused; it never stays beyond the
-// time at which the rest is cut.
+// TestStopPlan checks that a stopping node is done once nothing is in flight and either no more calls
+// arrive or every call would be rejected, and that it never continues beyond the cutoff.
 func TestStopPlan(t *testing.T) {
 	plan := stopPlan{grace: 6 * time.Second}
 	cases := []struct {
@@ -22,12 +21,12 @@
 		sinceCall time.Duration
 		done      bool
 	}{
-		{"callers may still come", 2000 * ms, true, time.Minute, false},
-		{"none comes any more", 2300 * ms, true, 600 * ms, true},
-		{"one came just now", 2300 * ms, true, 10 * ms, false},
-		{"they keep coming and are refused", 2400 * ms, true, 0, true},
-		{"one is under way", 4000 * ms, false, time.Second, false},
-		{"it is still under way near the end", 5100 * ms, false, time.Second, true},
+		{"calls may still arrive", 2000 * ms, true, time.Minute, false},
+		{"no more calls arrive", 2300 * ms, true, 600 * ms, true},
+		{"a call arrived just now", 2300 * ms, true, 10 * ms, false},
+		{"calls keep arriving and are rejected", 2400 * ms, true, 0, true},
+		{"a request is in flight", 4000 * ms, false, time.Second, false},
+		{"a request is in flight after the cutoff", 5100 * ms, false, time.Second, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,12 +34,12 @@
 		})
 	}
 	g := NewWithT(t)
-	g.Expect(plan.acceptUntil()).To(BeNumerically("<", 3*time.Second), "later ones would be broken off")
+	g.Expect(plan.acceptUntil()).To(BeNumerically("<", 3*time.Second), "calls accepted later would be cancelled")
 	g.Expect(stopPlan{grace: time.Second}.done(100*ms, false, 0)).To(BeTrue(), "a short grace time leaves no time to wait")
 }
 
-// fakeNode has nothing under way until it is found idle; in that moment a
-// request comes in that takes some time.
+// fakeNode has nothing in flight until rejectNew is called; at that moment a request has just arrived
+// that takes requestTime.
 type fakeNode struct {
 	lastCallAt  time.Time
 	requestTime time.Duration
@@ -62,15 +61,16 @@
 	return 0
 }
 
-// TestDrainServesLateRequest: peers may send until all is refused.
+// TestDrainServesLateRequest checks that a request that arrives just before new ones are rejected is
+// still served, but not beyond the cutoff: peers may send until the node rejects requests.
 func TestDrainServesLateRequest(t *testing.T) {
 	cases := []struct {
 		name              string
 		requestTime, ends time.Duration
 	}{
-		{"nothing came", 0, 2300 * ms},
-		{"one came", 800 * ms, 3100 * ms},
-		{"one came that lasts too long", time.Minute, 5100 * ms},
+		{"no request", 0, 2300 * ms},
+		{"one request", 800 * ms, 3100 * ms},
+		{"one request beyond the cutoff", time.Minute, 5100 * ms},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
