--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -12,13 +12,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// broadcastTimeout bounds how long a back end's word waits until another node has
-// heard it. The word counts in any case.
+// broadcastTimeout bounds how long a broadcast of the node's record waits until another node has
+// received it. The change takes effect on this node in any case.
 const broadcastTimeout = 400 * time.Millisecond
 
-// Heartbeat takes in what the back end says. When it says that it is leaving,
-// the call returns once another node knows, or after a short time: the word
-// must outlive this process. An error says that the word is not of the back end.
+// Heartbeat handles a heartbeat of the back end. If the heartbeat puts the back end into a state
+// other than ready, the call returns once another node has received the change, or after
+// broadcastTimeout: the change must survive the end of this process. An error means that the
+// heartbeat does not come from the local back end.
 func (s *Sidecar) Heartbeat(ctx context.Context, beat roster.Heartbeat) error {
 	if !s.servesService(beat.Service) {
 		err := trace.BadParameter("info.service: %q is neither this machine's service nor one of the configuration", beat.Service)
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// servesService reports whether a back end of the service may be beside this node.
+// servesService reports whether the local back end may be of the service.
 func (s *Sidecar) servesService(service string) bool {
 	own := s.options.Settings.Service
 	if own == "" || service == own {
@@ -54,7 +55,8 @@
 	return table != nil && table.Service(service) != nil
 }
 
-// handleDrainNotice takes in that the back end handleDrainNotice by what an answer says, as if a heartbeat had said so.
+// handleDrainNotice marks the back end as draining after it announced so in an answer, with the
+// same effect as a heartbeat.
 func (s *Sidecar) handleDrainNotice(of roster.Incarnation) {
 	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkDraining(of) })
 	if changed {
@@ -62,7 +64,7 @@
 	}
 }
 
-// confirmInstance takes in the id that the back end itself gives.
+// confirmInstance confirms the instance id that the back end itself reports.
 func (s *Sidecar) confirmInstance(id string) {
 	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) {
 		return s.incarnations.Confirm(record, id, clock.Now())
@@ -72,8 +74,8 @@
 	}
 }
 
-// crashRecorder passes the ends of the back end on to the quarantine, and lets the next one that
-// makes itself known take its place at once.
+// crashRecorder passes crashes of the back end to the quarantine and marks the crashed incarnation
+// as lost, so that the next one to send a heartbeat replaces it at once.
 type crashRecorder struct {
 	*quarantine.Quarantine
 	sidecar *Sidecar
@@ -88,7 +90,7 @@
 	})
 }
 
-// Ended takes in that a back end ends for good.
+// Ended records that a back end has ended for good, and tells the peers.
 func (s *Sidecar) Ended(ctx context.Context, ended roster.Incarnation) {
 	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(ended) })
 	if changed {
@@ -96,20 +98,20 @@
 	}
 }
 
-// broadcastRecord tells the peers of the own record and returns when one of them knows,
-// or none can be told in time.
+// broadcastRecord sends the node's own record to the peers and returns when the first of them has
+// received it, or after broadcastTimeout.
 func (s *Sidecar) broadcastRecord(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), broadcastTimeout)
 	context.AfterFunc(ctx, cancel)
 	s.exchanger.BroadcastUntilFirst(ctx)
 }
 
-// crashBroadcastWait bounds how long the requests under which a back end has ended wait until the
-// peers know. Peers in touch hear within some milliseconds.
+// crashBroadcastWait bounds how long the requests that were active when a back end crashed wait
+// until the peers know. Connected peers receive the record within a few milliseconds.
 const crashBroadcastWait = 250 * time.Millisecond
 
-// broadcastAndWait tells the peers of the own record and returns when all that are told know, or after
-// tellTimeout. The telling goes on then.
+// broadcastAndWait sends the node's own record to the peers and returns when the broadcast is
+// complete, or after crashBroadcastWait; the broadcast then continues in the background.
 func (s *Sidecar) broadcastAndWait() {
 	delivered := make(chan struct{})
 	go func() {
@@ -126,8 +128,7 @@
 	}
 }
 
-// heartbeatAge returns the seconds since the last heartbeat, below zero before
-// the first.
+// heartbeatAge returns the seconds since the last heartbeat; negative before the first.
 func (s *Sidecar) heartbeatAge() float64 {
 	last := s.lastHeartbeat.Load()
 	if last == 0 {
--- a/internal/sidecar/backendstatus.go
+++ b/internal/sidecar/backendstatus.go
@@ -6,30 +6,30 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// PathBackend is the operators' page on the back end beside the node.
+// PathBackend is the path of the admin page on the local back end.
 const PathBackend = "/backend"
 
-// BackendStatus is a moment's state of the back end beside a node.
+// BackendStatus is a snapshot of the state of the local back end.
 type BackendStatus struct {
 	Endpoint *roster.Endpoint `json:"endpoint"`
-	// LeavesByAnswer: it has said with an answer that it leaves.
+	// LeavesByAnswer is true if the back end has announced in an answer that it is leaving.
 	LeavesByAnswer bool `json:"leavesByAnswer"`
-	// Limit is the one that it has named, null for none.
+	// Limit is the request limit that the back end has announced; null if none.
 	Limit *LimitStatus `json:"limit"`
-	// Recent is how many requests it got in the last four seconds.
+	// Recent is the number of requests sent to it in the last four seconds.
 	Recent  int `json:"recent"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// LimitStatus is a limit that a back end has named.
+// LimitStatus describes a request limit that a back end has announced.
 type LimitStatus struct {
 	PerSecond float64 `json:"perSecond"`
-	// ForSeconds is since when it has said so.
+	// ForSeconds is the time since the back end announced it.
 	ForSeconds float64 `json:"forSeconds"`
 }
 
-// BackendStatus returns the present state of the back end beside the node; its endpoint is nil before the
+// BackendStatus returns the current state of the local back end. Its endpoint is nil before the
 // first heartbeat.
 func (s *Sidecar) BackendStatus() BackendStatus {
 	limit, load := s.ingress.Limit(), s.ingress.Load()
--- a/internal/sidecar/contention.go
+++ b/internal/sidecar/contention.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/nested"
 )
 
-// recordLoad takes in what the back end tells of its load, and reports whether requests compete for
-// room, so that it counts.
+// recordLoad records the load that the back end reports. It returns whether requests compete for
+// capacity, which is when the load is taken into account.
 func (s *Sidecar) recordLoad(load hop.BackendLoad) (contended bool) {
 	if load.Factor > 0 && s.contention.SetShared() {
 		s.logger.Info("the back end shares its machine", zap.Float64("factor", load.Factor), zap.Bool("overloadControl", s.contention.On()))
@@ -19,7 +19,8 @@
 	return s.contention.On()
 }
 
-// nestedClassifier tells calls of back ends where requests compete for room.
+// nestedClassifier recognizes the nested calls of back ends, but only where requests compete for
+// capacity.
 type nestedClassifier struct {
 	contention *contention.Switch
 	classifier *nested.Classifier
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// evacuated takes in that a zone was evacuated or is taken back. Its back ends may have turned cold
-// meanwhile: each is asked before it gets more than it bears then.
+// evacuated handles that a zone was evacuated or that its evacuation ended. The zone's back ends may
+// have gone cold meanwhile: each is asked before it receives more than a cold back end can handle.
 func (s *Sidecar) evacuated(zone string, evacuated bool) {
 	if zone == s.options.Settings.Zone {
 		s.ingress.MarkPossiblyCold()
@@ -29,14 +29,15 @@
 	}
 }
 
-// handleItemRemoved takes in that operators took back what lay under a key.
+// handleItemRemoved handles that operators removed the item under a key.
 func (s *Sidecar) handleItemRemoved(key string, revision uint64) {
 	if zone, is := s.options.EvacuatedZone(key); is {
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: revision})
 	}
 }
 
-// handleItemsListed takes in all orders that the store had at a revision.
+// handleItemsListed reconciles the evacuation orders with all items that the store held at a
+// revision.
 func (s *Sidecar) handleItemsListed(found []store.KeyValue, revision uint64) {
 	var zones []string
 	for _, item := range found {
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -25,7 +25,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// unavailableStore is a store that answers nobody.
+// unavailableStore is a store whose reads fail with store.ErrUnavailable.
 type unavailableStore struct{ Store }
 
 func (unavailableStore) PaceWatches(func(bool) time.Duration) {}
@@ -37,7 +37,7 @@
 	return nil, 0, store.ErrUnavailable
 }
 
-// newNode returns a node beside a back end of service alpha, with a configuration.
+// newNode returns a node with a configuration and a local back end of service alpha.
 func newNode(t testing.TB) *Sidecar {
 	created := New(Options{
 		Settings: Settings{Node: "n", Zone: "z", HeartbeatInterval: time.Second, Service: "alpha"},
@@ -52,8 +52,8 @@
 	return created
 }
 
-// FuzzPeerMessage: nothing that a peer says ends a node. What ends one would end all: what a
-// node takes in it tells its peers.
+// FuzzPeerMessage checks that no message of a peer crashes a node. A message that crashed one node
+// would crash all, since nodes forward what they accept to their peers.
 func FuzzPeerMessage(f *testing.F) {
 	print := fingerprint.Fingerprint{Content: fingerprint.Digest{1}, Call: fingerprint.Digest{2}}
 	peer := &roster.Record{
--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// routesTo reports whether the configuration in force leads the request to the service. One
-// that is not newer than that by which the request was routed says nothing. Of a tenant that
-// has lost a key since then nobody here can tell whether the request came with that one: its
-// own node is to look again.
+// routesTo reports whether the configuration in force routes the request to the service. It returns
+// true if that configuration is not newer than the one by which the request was routed. If the
+// request's tenant has lost a key since then, it returns false: this node cannot tell whether the
+// request came with that key, so the caller's node has to check again.
 func (s *Sidecar) routesTo(request *http.Request, service string, version uint64) bool {
 	table := s.keeper.Table()
 	if table.Version() <= version {
@@ -22,7 +22,8 @@
 	return matched != nil && matched.RoutesTo(service)
 }
 
-// freshness implements egress.Freshness: it confirms that the configuration in force is the newest.
+// freshness implements egress.Freshness for a node: it confirms that the configuration in force is
+// the newest.
 type freshness Sidecar
 
 // Confirm implements egress.Freshness.
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// metrics counts what the node decides. Label sets are bounded: outcomes, steps
-// and statuses are few, services are those of the configuration.
+// metrics holds the node's counters and histograms. Label sets are bounded: outcomes, steps and
+// statuses are few, and services are those of the configuration.
 type metrics struct {
 	calls          *prometheus.CounterVec
 	latency        *prometheus.HistogramVec
@@ -24,32 +24,33 @@
 	silentProbes   prometheus.Counter
 	pipelined      prometheus.Counter
 	// crashes counts unplanned ends of the back end's process, crashedRequests the requests that
-	// were at work then.
+	// were active at that moment.
 	crashes, crashedRequests prometheus.Counter
-	// backendSent counts the requests that went to the back end, unreadableNotices what it asked for that
-	// cannot be read.
+	// backendSent counts the requests sent to the back end, unreadableNotices its notices that
+	// cannot be decoded.
 	backendSent, unreadableNotices prometheus.Counter
-	// diverted counts requests that were not sent to a back end whose limit had no room for them.
+	// diverted counts requests that were not sent to a back end because its own limit had no
+	// capacity for them in time.
 	diverted *prometheus.CounterVec
-	// lag is how long the node was lag a version that it had heard of, asked counts
-	// its questions for configurations.
+	// lag is the time from the first report of a newer version until it was in force, fetches
+	// counts requests for a configuration.
 	lag     prometheus.Histogram
 	fetches *prometheus.CounterVec
-	// versionAnswers counts what other nodes said when they were asked for their version, proofAges
-	// are the ages of their proofs.
+	// versionAnswers counts the answers of other nodes that were asked for their version,
+	// proofAges are the ages of the proofs in these answers.
 	versionAnswers *prometheus.CounterVec
 	proofAges      prometheus.Histogram
 }
 
-// latencyBuckets are in seconds.
+// latencyBuckets are the histogram buckets of all latencies, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// maxRouteLabels is how many routes have a label of their own. Those that are
-// called first do; deployments have many routes that nobody calls.
+// maxRouteLabels is how many routes have a label of their own. Labels go to the routes that are
+// called first, since deployments have many routes that nobody calls.
 const maxRouteLabels = 64
 
-// boundedLabels gives the first names labels of their own. It is safe for
-// concurrent use.
+// boundedLabels limits the values of a label: the first maxLabels names keep theirs, all others
+// share one. It is safe for concurrent use.
 type boundedLabels struct {
 	maxLabels int
 
@@ -57,7 +58,7 @@
 	known map[string]struct{}
 }
 
-// label returns the name or, beyond the bound, a common one.
+// label returns the name, or "other" beyond the limit.
 func (b *boundedLabels) label(name string) string {
 	b.mu.RLock()
 	_, found := b.known[name]
@@ -154,7 +155,7 @@
 	m.hop.Observe(max(elapsed-worked, 0).Seconds())
 }
 
-// Sent counts one send.
+// Sent implements egress.Observer.
 func (m *metrics) Sent(service string, attempt int) {
 	m.sends.WithLabelValues(service, strconv.FormatBool(attempt > 1)).Inc()
 }
@@ -203,7 +204,7 @@
 	}
 }
 
-// registerGauges adds gauges that read the node's state.
+// registerGauges registers gauges that read the node's state.
 func (s *Sidecar) registerGauges(registry prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -13,7 +13,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// failingStore fails every call in one way.
+// failingStore returns err from every call.
 type failingStore struct {
 	Store
 	err error
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -11,11 +11,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// discoveryGracePeriod is how long after its start a node that others are in touch with, but that has not
-// read who is there, takes what it has heard for about all of them.
+// discoveryGracePeriod is the time after its start from which a node that has met peers, but has
+// not yet read the members from the store, assumes that it knows about all of them.
 const discoveryGracePeriod = 2 * time.Second
 
-// knowsPeers reports whether the node knows about all others.
+// knowsPeers reports whether the node can assume that it knows about all other nodes.
 func (s *Sidecar) knowsPeers() bool {
 	return s.peersDiscovered.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= discoveryGracePeriod)
 }
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// initialConfigurationWait is how long a node without a configuration leaves the store
-	// alone while it has found nobody, or while the whole system starts for the first
-	// time and it is not one to read.
+	// initialConfigurationWait is how long a node without a configuration does not read it from
+	// the store if it has discovered no peers, or if the whole system starts for the first time
+	// and the node is not selected as a reader.
 	initialConfigurationWait = 5 * time.Second
-	// peerConfigurationWait is how long a node that has started, and has found others, waits
-	// for one of them to bring the configuration before it reads the store itself. After
-	// a restart of 195 nodes most had 0.5 MB of it within 0.42 s of their start so; the
-	// store needs 0.8 s to send that to each over 1,000 Mbit/s.
+	// peerConfigurationWait is how long a started node that has discovered peers waits to
+	// receive the configuration from one of them before it reads the store itself. After a
+	// restart of 195 nodes most received a configuration of 0.5 MB from peers within 0.42 s of
+	// their start; the store needs 0.8 s to send it to all of them over 1,000 Mbit/s.
 	peerConfigurationWait = 400 * time.Millisecond
-	// peerConfigurationWaitPerNode is added to it for each node that is known: the store needs 2 ms to
-	// send 0.25 MB to one over 1,000 Mbit/s, so that where all start and all read the last one has it
-	// no sooner than that.
+	// peerConfigurationWaitPerNode is added to peerConfigurationWait for each known node. The
+	// store needs 2 ms to send 0.25 MB to one node over 1,000 Mbit/s, so if all nodes start and
+	// read the store, the last one receives the configuration no sooner than after this time.
 	peerConfigurationWaitPerNode = 2 * time.Millisecond
-	// firstStartMargin is how much longer than a heartbeat's interval, within which all back ends make
-	// themselves known, nodes take to know each other where the whole system starts for the first
-	// time. Before that nearly each node takes itself for one that reads. After as long again a node
-	// without a configuration reads in any case.
+	// firstStartMargin is how much longer than the heartbeat interval, in which every back end
+	// sends its first heartbeat, nodes need to learn of each other at the first start of the
+	// whole system. Before that nearly every node considers itself a reader. After the margin
+	// has passed once more, a node without a configuration reads the store in any case.
 	firstStartMargin = 2500 * time.Millisecond
-	// minWatchTimeout is the shortest time that a call waits, watchLongest the longest.
+	// minWatchTimeout and maxWatchTimeout bound the timeout of a watch call.
 	minWatchTimeout = 50 * time.Millisecond
 	maxWatchTimeout = 28 * time.Second
-	// minWatchers is for how many nodes that watch the calls of one are spread at least.
+	// minWatchers is the minimum number of watching nodes that WatchTimeout assumes.
 	minWatchers = 2
 )
 
-// isReader reports whether this node isReader the store.
+// isReader reports whether this node reads the store for others.
 func (s *Sidecar) isReader() bool {
 	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Usable)
 }
 
-// maxCompactors is how many of the nodes that read the store keep the snapshot of all records, one
-// after the other.
+// maxCompactors is how many of the nodes that read the store maintain the snapshot of all records;
+// each takes over from the one before.
 const maxCompactors = 3
 
-// compactionRank is the node's place among them: those that read, in an order on which nodes with the
-// same view agree.
+// compactionRank returns the node's rank among the nodes that maintain the snapshot, and whether it
+// is one of them. They are the first store readers by name, an order on which nodes with the same
+// view agree.
 func (s *Sidecar) compactionRank() (rank int, ranked bool) {
 	own := s.members.Own()
 	storeReaders := s.storeReaders()
@@ -57,19 +58,19 @@
 	return rank, rank >= 0 && rank < maxCompactors
 }
 
-// followsConfiguration reports whether this node is to follow the configuration in the store. A node
-// that is leaving begins no new turn: where all nodes of a zone leave at once each would read
-// the store once more for the rest of its time.
+// followsConfiguration reports whether this node should follow the configuration in the store. A
+// leaving node does not start to: if all nodes of a zone leave at once, the role passes from one to
+// the next, and each would read the store once more in its remaining time.
 func (s *Sidecar) followsConfiguration() bool {
 	selected := s.selectedToFollow() && (s.following.Load() || !s.members.Own().Leaving)
 	s.following.Store(selected)
 	return selected
 }
 
-// selectedToFollow reports whether this node is one that follows the configuration in the store:
-// while it has one, when it reads for others. One that has none yet waits a short
-// time for those; longer where the whole system starts for the first time, since
-// nobody calls so early.
+// selectedToFollow reports whether this node is selected to follow the configuration in the store.
+// With a configuration, it is while it reads the store for others. Without one, it first waits a
+// short time for the readers; longer at the first start of the whole system, since no calls arrive
+// so early.
 func (s *Sidecar) selectedToFollow() bool {
 	if s.keeper.Version() > 0 {
 		return s.isReader()
@@ -90,9 +91,9 @@
 	return s.exchanger.Met() && s.isReader()
 }
 
-// handlePeersDiscovered tells the peers that were found in the store of this node, and asks some of
-// them what they know. A node that goes on as an earlier life of it ended has nothing to tell; some
-// peers hear that it is there.
+// handlePeersDiscovered announces this node to the peers found in the store and exchanges state with
+// some of them. A node that resumed the record of its previous run unchanged has nothing new to
+// send; it only tells some peers that it is reachable.
 func (s *Sidecar) handlePeersDiscovered(resumed bool) {
 	now := clock.Now()
 	s.peersDiscovered.CompareAndSwap(nil, &now)
@@ -104,9 +105,10 @@
 	go s.exchanger.Greet(context.Background())
 }
 
-// WatchTimeout returns how long the next call of a watch is to wait. Calls of the nodes that watch end
-// one after the other, at the distance after which proof would be asked for: events, which come to
-// all at the same moment, begin the order, and it is kept while there are none.
+// WatchTimeout returns the timeout of the next call of a watch. The calls of the watching nodes end
+// one after another, spaced by the age at which a newer proof would be requested. Since an event
+// reaches all nodes at the same moment, each call after an event starts this order anew, offset by
+// the node's rank, and equal timeouts keep it while there are no events.
 func (s *Sidecar) WatchTimeout(first bool) time.Duration {
 	rank, count := s.readerRank()
 	spacing := exchange.ProofRefreshAge(s.options.Settings.applyBound())
@@ -117,8 +119,8 @@
 	return period
 }
 
-// readerRank returns the node's place among those of all zones that read the store, and how many
-// these are: an order on which nodes with the same view agree.
+// readerRank returns the node's rank among the nodes of all zones that read the store, and their
+// number. Nodes with the same view agree on the order.
 func (s *Sidecar) readerRank() (rank, count int) {
 	storeReaders := s.storeReaders()
 	own := s.members.Own()
--- a/internal/sidecar/reading_test.go
+++ b/internal/sidecar/reading_test.go
@@ -13,8 +13,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/roster"
 )
 
-// TestWatchTimeoutsAreEvenlySpaced at even distances, so that some node has proof of the store as old as
-// that at most.
+// TestWatchTimeoutsAreEvenlySpaced checks that the watch calls of the readers end at even intervals,
+// so that at any time some node has a proof from the store no older than one interval.
 func TestWatchTimeoutsAreEvenlySpaced(t *testing.T) {
 	for _, size := range []int{1, 3, 10, 300} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -31,17 +31,17 @@
 	})
 }
 
-// settleTime is how long after its start a node takes the versions that it meets for those
-// in use: records of others come in any order then.
+// settleTime is the time after its start during which a node takes all versions that it encounters
+// for versions already in use, since the records of other nodes arrive in any order.
 const settleTime = 5 * time.Second
 
-// settled reports whether the node has a configuration, and with it the orders given
-// before, and knows the others for some time.
+// settled reports whether the node has a configuration, and with it all earlier orders, and has run
+// for settleTime.
 func (s *Sidecar) settled() bool {
 	return s.keeper.Version() > 0 && clock.Since(s.started) >= settleTime
 }
 
-// keyspace is where the store has what operators write.
+// keyspace describes the keys that operators write, with the handlers of their items.
 func (s *Sidecar) keyspace() configuration.Keyspace {
 	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
@@ -49,7 +49,7 @@
 	}
 }
 
-// handleOperatorItem takes in an item that operators wrote beside the configuration.
+// handleOperatorItem handles an item other than the configuration that an operator wrote.
 func (s *Sidecar) handleOperatorItem(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
@@ -71,8 +71,8 @@
 	return readers.All(s.members.View(), s.exchanger.Usable)
 }
 
-// answerJudge compares the back end's version with others by what the node sees of its
-// answers.
+// answerJudge implements ingress.Judge: it passes the results of the back end's answers to the
+// roll-out controller, which compares its version with others.
 type answerJudge struct{ sidecar *Sidecar }
 
 // Refuses implements ingress.Judge.
@@ -87,8 +87,9 @@
 	return judges
 }
 
-// Answered implements ingress.Judge. While the back end warms up it is slow whatever its
-// version is, and so are all answers that were under way while the node stood still.
+// Answered implements ingress.Judge. An answer does not count as slow while the back end warms up,
+// when any version is slow. Time during which this process was stalled is subtracted from the
+// answer's duration.
 func (j *answerJudge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.Usual) {
 	answer := rollout.Answer{Failed: failed, Usual: usual}
 	if table := j.sidecar.keeper.Table(); table != nil {
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// countedStore is a store whose calls are counted by kind and result, with the
-// time they took. A watch counts when it ends.
+// countedStore wraps a store, counts its calls by kind and result, and records their durations. A
+// watch is counted when it ends.
 type countedStore struct {
 	Store
 	calls   *prometheus.CounterVec
@@ -32,7 +32,7 @@
 	return created
 }
 
-// Kinds of calls.
+// Kinds of calls, the values of the label kind.
 const (
 	callGet   = "get"
 	callRange = "range"
@@ -41,7 +41,7 @@
 	callWatch = "watch"
 )
 
-// storeResults names the errors of the port.
+// storeResults maps the errors of the store interface to values of the label result.
 var storeResults = []struct {
 	err  error
 	name string
@@ -68,7 +68,7 @@
 	return "other"
 }
 
-// observe takes in one call that began at a moment.
+// observe counts one call and records its duration.
 func (s *countedStore) observe(kind string, began time.Time, err error) {
 	s.calls.WithLabelValues(kind, storeResult(err)).Inc()
 	s.seconds.WithLabelValues(kind).Observe(time.Since(began).Seconds())
@@ -124,7 +124,7 @@
 	return &countedWatch{Watch: running, ended: s.calls}, nil
 }
 
-// countedWatch counts its end when it is asked why it ended.
+// countedWatch counts the end of a watch when Err is called.
 type countedWatch struct {
 	store.Watch
 	ended *prometheus.CounterVec
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -8,12 +8,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// maxTenantLabels is how many tenants have a label of their own: those that held slots for the
-// longest time.
+// maxTenantLabels is how many tenants have a label of their own: those that held slots longest.
 const maxTenantLabels = 10
 
-// tenantCollector tells for how long tenants' requests held slots of the local back end. It is a
-// prometheus.Collector.
+// tenantCollector reports how long the requests of each tenant held slots of the local back end. It
+// implements prometheus.Collector.
 type tenantCollector struct {
 	usage         func(limit int) ([]admission.Usage, time.Duration)
 	named, others *prometheus.Desc
--- a/internal/sidecar/tenants_test.go
+++ b/internal/sidecar/tenants_test.go
@@ -11,7 +11,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// TestTenantLabelsAreBounded: the number of labels is bounded, and what is without one adds up.
+// TestTenantLabelsAreBounded checks that the number of tenant labels is bounded and that the times of
+// all other tenants are reported as one metric.
 func TestTenantLabelsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	gate := admission.New(func() time.Time { return time.Unix(1, 0) })
--- a/internal/sidecar/zonemetrics.go
+++ b/internal/sidecar/zonemetrics.go
@@ -7,8 +7,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/egress"
 )
 
-// zoneCollector tells how full zones are and how many requests the node sent there. It implements
-// prometheus.Collector.
+// zoneCollector reports the utilization of zones and the number of requests that the node sent to
+// them. It implements prometheus.Collector.
 type zoneCollector struct {
 	egress             *egress.Handler
 	perSlot, age, sent *prometheus.Desc
