--- a/internal/sidecar/assembly/process.go
+++ b/internal/sidecar/assembly/process.go
@@ -29,14 +29,14 @@
 }
 
 const (
-	// closeTimeout bounds the closing of the listeners after the drain.
+	// closeTimeout bounds the time to close the listeners after the drain.
 	closeTimeout = 250 * time.Millisecond
-	// memoryLimitShare is the part of the allowed memory at which the runtime
-	// collects more eagerly.
+	// memoryLimitShare is the fraction of the allowed memory that is set as the runtime's soft
+	// memory limit.
 	memoryLimitShare = 0.6
 )
 
-// New binds the listeners of the network and assembles the process.
+// New binds the listeners on the network and assembles the process.
 func New(loaded *sidecar.Settings, flags Flags, network dial.Network) (*Process, error) {
 	return assemble(loaded, flags, network)
 }
@@ -63,12 +63,12 @@
 	return lifecycle.Serve(ctx, tasks, func() error { return p.stop(servers) })
 }
 
-// LogReloadError logs why newer settings were not taken over.
+// LogReloadError logs why newer settings were not applied.
 func (p *Process) LogReloadError(err error) {
 	p.logger.Error("settings refused", telemetry.Error(err))
 }
 
-// Reload takes in newer settings as far as a running process can.
+// Reload applies newer settings as far as a running process can.
 func (p *Process) Reload(next *sidecar.Settings) {
 	if p.settings.StoreAddress != next.StoreAddress {
 		p.store.SetAddress(next.StoreAddress)
--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -1,5 +1,5 @@
-// Package assembly puts a sidecar together for the users' platform: the product's
-// parts, the adapter's names, formats and calls, and the listeners.
+// Package assembly assembles a sidecar for the users' platform from the product's components, the
+// platform adapter's names, formats and clients, and the listeners.
 package assembly
 
 import (
@@ -23,25 +23,25 @@
 	"github.com/kestrelstream/kestrelstream/platform"
 )
 
-// Flags are what the command line adds to the platform's settings.
+// Flags holds the command-line flags that supplement the platform's settings.
 type Flags struct {
-	// MetricsPort is where metrics are served; zero serves none.
+	// MetricsPort is the port that serves metrics; zero disables them.
 	MetricsPort int
-	// LogLevel is debug, info, warn or error.
+	// LogLevel is the minimum level to log: debug, info, warn or error.
 	LogLevel string
 }
 
 const (
-	// logRepeatInterval and logRepeatBurst bound repeated messages.
+	// logRepeatInterval and logRepeatBurst limit the rate of repeated messages.
 	logRepeatInterval = time.Second
 	logRepeatBurst    = 500
-	// logQueueLines is how many lines wait for the output.
+	// logQueueLines is how many log lines are buffered for the output.
 	logQueueLines = 1024
 
 	headerTimeout = 10 * time.Second
 	headerBytes   = 80 << 10
-	// callerIdleTimeout is longer than callers keep their connections, peers'
-	// longer than nodes do.
+	// callerIdleTimeout is longer than callers keep idle connections, peerIdleTimeout longer than
+	// other nodes do.
 	callerIdleTimeout  = 2 * time.Minute
 	peerIdleTimeout    = 90 * time.Second
 	controlIdleTimeout = 30 * time.Second
@@ -86,7 +86,7 @@
 	})
 }
 
-// listeners are what the process has bound.
+// listeners holds the bound listeners of the process.
 type listeners struct {
 	outbound, inbound, peer, readiness, control, metrics net.Listener
 }
@@ -122,7 +122,7 @@
 	return admin
 }
 
-// container returns the handler of one web service.
+// container returns a handler that serves one web service.
 func container(service *restful.WebService) *restful.Container {
 	created := restful.NewContainer()
 	created.Add(service)
