--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -82,10 +82,10 @@
 }
 
 // Ended implements ingress.Quarantine.
-func (g *crashRecorder) Ended(crash roster.Crash) {
-	g.Quarantine.Ended(crash)
-	g.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
-		g.sidecar.incarnations.MarkLost(record, crash.Endpoint)
+func (c *crashRecorder) Ended(crash roster.Crash) {
+	c.Quarantine.Ended(crash)
+	c.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
+		c.sidecar.incarnations.MarkLost(record, crash.Endpoint)
 		return record, false
 	})
 }
--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -27,15 +27,15 @@
 type freshness Sidecar
 
 // Confirm implements egress.Freshness.
-func (l *freshness) Confirm(ctx context.Context) bool { return l.exchanger.Confirm(ctx) }
+func (f *freshness) Confirm(ctx context.Context) bool { return f.exchanger.Confirm(ctx) }
 
 // CatchUp implements egress.Freshness.
-func (l *freshness) CatchUp(ctx context.Context, node string, version uint64) bool {
-	return l.exchanger.CatchUp(ctx, l.members.View().Record(node), version)
+func (f *freshness) CatchUp(ctx context.Context, node string, version uint64) bool {
+	return f.exchanger.CatchUp(ctx, f.members.View().Record(node), version)
 }
 
 // ProofAge implements egress.Freshness.
-func (l *freshness) ProofAge() (time.Duration, bool) { return l.keeper.ProofAge() }
+func (f *freshness) ProofAge() (time.Duration, bool) { return f.keeper.ProofAge() }
 
 // Proven implements egress.Freshness.
-func (l *freshness) Proven(version uint64, at time.Time) { l.keeper.Proven(version, at) }
+func (f *freshness) Proven(version uint64, at time.Time) { f.keeper.Proven(version, at) }
