--- a/internal/sidecar/assembly/process.go
+++ b/internal/sidecar/assembly/process.go
@@ -29,14 +29,14 @@
 }
 
 const (
-	// closeTimeout bounds the closing of the listeners after the drain.
+	// closeTimeout bounds the time to close the listeners after the drain.
 	closeTimeout = 250 * time.Millisecond
-	// memoryShare is the part of the allowed memory at which the runtime
-	// collects more eagerly.
-	memoryShare = 0.6
+	// memoryLimitShare is the fraction of the allowed memory that is set as the runtime's soft
+	// memory limit.
+	memoryLimitShare = 0.6
 )
 
-// New binds the listeners of the network and assembles the process.
+// New binds the listeners on the network and assembles the process.
 func New(loaded *sidecar.Settings, flags Flags, network dial.Network) (*Process, error) {
 	return assemble(loaded, flags, network)
 }
@@ -44,7 +44,7 @@
 // Run serves until the context ends and the node has drained.
 func (p *Process) Run(ctx context.Context) error {
 	if p.settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(p.settings.MemoryBytes) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(p.settings.MemoryBytes) * memoryLimitShare))
 	}
 	p.logger.Info("start", zap.Any("build", build.Read()), zap.Any("settings", p.settings))
 	servers := p.servers()
@@ -63,12 +63,12 @@
 	return lifecycle.Serve(ctx, tasks, func() error { return p.stop(servers) })
 }
 
-// RefuseReload logs why newer settings were not taken over.
-func (p *Process) RefuseReload(err error) {
+// LogReloadError logs why newer settings were not applied.
+func (p *Process) LogReloadError(err error) {
 	p.logger.Error("settings refused", telemetry.Error(err))
 }
 
-// Reload takes in newer settings as far as a running process can.
+// Reload applies newer settings as far as a running process can.
 func (p *Process) Reload(next *sidecar.Settings) {
 	if p.settings.StoreAddress != next.StoreAddress {
 		p.store.SetAddress(next.StoreAddress)
@@ -82,7 +82,7 @@
 		Pipelining: p.node.Pipelining(),
 	}
 	peers := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: peerIdleTimeout, HeaderBytes: 2 * headerBytes}
-	control := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: controlIdle, HeaderBytes: headerBytes}
+	control := httpserver.Limits{HeaderTimeout: headerTimeout, IdleTimeout: controlIdleTimeout, HeaderBytes: headerBytes}
 	return []*httpserver.Server{
 		httpserver.New("outbound", p.listeners.outbound, p.node.Outbound(), callers, p.logger),
 		httpserver.New("inbound", p.listeners.inbound, p.node.Inbound(), peers, p.logger),
@@ -97,9 +97,9 @@
 	p.node.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	var failed []error
+	var errs []error
 	for _, server := range servers {
-		failed = append(failed, server.Stop(ctx))
+		errs = append(errs, server.Stop(ctx))
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -1,5 +1,5 @@
-// Package assembly puts a sidecar together for the users' platform: the product's
-// parts, the adapter's names, formats and calls, and the listeners.
+// Package assembly assembles a sidecar for the users' platform from the product's components, the
+// platform adapter's names, formats and clients, and the listeners.
 package assembly
 
 import (
@@ -23,28 +23,28 @@
 	"github.com/kestrelstream/kestrelstream/platform"
 )
 
-// Flags are what the command line adds to the platform's settings.
+// Flags holds the command-line flags that supplement the platform's settings.
 type Flags struct {
-	// MetricsPort is where metrics are served; zero serves none.
+	// MetricsPort is the port that serves metrics; zero disables them.
 	MetricsPort int
-	// LogLevel is debug, info, warn or error.
+	// LogLevel is the minimum level to log: debug, info, warn or error.
 	LogLevel string
 }
 
 const (
-	// logRepeatInterval and logRepeatBurst bound repeated messages.
+	// logRepeatInterval and logRepeatBurst limit the rate of repeated messages.
 	logRepeatInterval = time.Second
 	logRepeatBurst    = 500
-	// ringLines is how many lines wait for the output.
-	ringLines = 1024
+	// logQueueLines is how many log lines are buffered for the output.
+	logQueueLines = 1024
 
 	headerTimeout = 10 * time.Second
 	headerBytes   = 80 << 10
-	// callerIdleTimeout is longer than callers keep their connections, peers'
-	// longer than nodes do.
-	callerIdleTimeout = 2 * time.Minute
-	peerIdleTimeout   = 90 * time.Second
-	controlIdle       = 30 * time.Second
+	// callerIdleTimeout is longer than callers keep idle connections, peerIdleTimeout longer than
+	// other nodes do.
+	callerIdleTimeout  = 2 * time.Minute
+	peerIdleTimeout    = 90 * time.Second
+	controlIdleTimeout = 30 * time.Second
 )
 
 func provideRing(registry *prometheus.Registry) *telemetry.Ring {
@@ -52,7 +52,7 @@
 		Name: "kestrel_log_lost_total", Help: "Log lines that found no room before a slow output.",
 	})
 	registry.MustRegister(lost)
-	return telemetry.NewRing(os.Stdout, ringLines, lost)
+	return telemetry.NewRing(os.Stdout, logQueueLines, lost)
 }
 
 func provideLogger(loaded *sidecar.Settings, flags Flags, ring *telemetry.Ring, registry *prometheus.Registry) (*zap.Logger, error) {
@@ -63,7 +63,7 @@
 }
 
 func provideStore(loaded *sidecar.Settings, network dial.Network) *platform.Store {
-	return platform.NewStore(loaded.StoreAddress, sidecar.WatchPause, sidecar.StoreDialer(network))
+	return platform.NewStore(loaded.StoreAddress, sidecar.WatchBatchDelay, sidecar.StoreDialer(network))
 }
 
 func provideSidecar(loaded *sidecar.Settings, store *platform.Store, network dial.Network, logger *zap.Logger, registry *prometheus.Registry) *sidecar.Sidecar {
@@ -73,7 +73,7 @@
 		ConfigurationKey: platform.ConfigurationKey,
 		OperatorPrefix:   platform.OperatorPrefix,
 		Decode:           platform.DecodeConfiguration,
-		IsOrder:          platform.IsRolloutOrder,
+		IsOrderKey:       platform.IsRolloutOrder,
 		DecodeOrder:      platform.DecodeRolloutOrder,
 		DecodeLoad:       platform.DecodeLoad,
 		DecodeNotice:     platform.DecodeNotice,
@@ -86,7 +86,7 @@
 	})
 }
 
-// listeners are what the process has bound.
+// listeners holds the bound listeners of the process.
 type listeners struct {
 	outbound, inbound, peer, readiness, control, metrics net.Listener
 }
@@ -116,13 +116,13 @@
 		return trace.Errorf("no configuration is in force, or the node is stopping")
 	})
 	admin.AddPage(sidecar.PathBackend, "the back end beside the node, and what it asks for", func() any { return node.BackendStatus() })
-	held := node.Quarantine()
-	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return held.Quarantined() })
-	admin.HandleCommand(quarantine.PathLift, http.HandlerFunc(held.ServeLift))
+	requests := node.Quarantine()
+	admin.AddPage(quarantine.PathList, "requests that no back end gets", func() any { return requests.Quarantined() })
+	admin.HandleCommand(quarantine.PathLift, http.HandlerFunc(requests.ServeLift))
 	return admin
 }
 
-// container returns the handler of one web service.
+// container returns a handler that serves one web service.
 func container(service *restful.WebService) *restful.Container {
 	created := restful.NewContainer()
 	created.Add(service)
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -25,24 +25,24 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// awayStore is a store that answers nobody.
-type awayStore struct{ Store }
+// unavailableStore is a store whose reads fail with store.ErrUnavailable.
+type unavailableStore struct{ Store }
 
-func (awayStore) SetWatchWait(func(bool) time.Duration) {}
-func (awayStore) OnRestore(func(uint64))                {}
-func (awayStore) LearnEra(uint64)                       {}
-func (awayStore) Era() uint64                           { return 0 }
+func (unavailableStore) SetWatchWait(func(bool) time.Duration) {}
+func (unavailableStore) OnRestore(func(uint64))                {}
+func (unavailableStore) LearnEra(uint64)                       {}
+func (unavailableStore) Era() uint64                           { return 0 }
 
-func (awayStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
+func (unavailableStore) Range(context.Context, string, string, int) ([]store.KeyValue, uint64, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
-// newNode returns a node beside a back end of service alpha, with a configuration.
+// newNode returns a node with a configuration and a local back end of service alpha.
 func newNode(t testing.TB) *Sidecar {
 	created := New(Options{
 		Settings: Settings{Node: "n", Zone: "z", HeartbeatInterval: time.Second, Service: "alpha"},
 		Decode:   func([]byte) (*route.Document, []string, error) { return &route.Document{Version: 1}, nil, nil },
-		Store:    awayStore{}, Network: dial.System{}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
+		Store:    unavailableStore{}, Network: dial.System{}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 	})
 	NewWithT(t).Expect(created.keeper.Offer(nil, configuration.SourceRead)).To(Succeed())
 	created.members.Update(func(record roster.Record) (roster.Record, bool) {
@@ -52,8 +52,8 @@
 	return created
 }
 
-// FuzzPeerMessage: nothing that a peer says ends a node. What ends one would end all: what a
-// node takes in it tells its peers.
+// FuzzPeerMessage checks that no message of a peer crashes a node. A message that crashed one node
+// would crash all, since nodes forward what they accept to their peers.
 func FuzzPeerMessage(f *testing.F) {
 	print := fingerprint.Fingerprint{Content: fingerprint.Digest{1}, Call: fingerprint.Digest{2}}
 	peer := &roster.Record{
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -22,40 +22,40 @@
 		Store: s.options.Store, Codec: s.options.Rollouts, Members: s.members,
 		Limits:          func() rollout.Limits { return s.settings.Load().Rollout },
 		Load:            func(service, version string) float64 { return s.egress.Load(service, version) },
-		Readers:         s.reading,
+		Readers:         s.storeReaders,
 		Settled:         s.settled,
-		Broadcast:       func() { go s.spread(context.Background()) },
-		BroadcastRecord: func() { s.spread(context.Background()) },
+		Broadcast:       func() { go s.broadcastRecord(context.Background()) },
+		BroadcastRecord: func() { s.broadcastRecord(context.Background()) },
 		Logger:          s.logger,
 		Registry:        s.options.Registry,
 	})
 }
 
-// settleTime is how long after its start a node takes the versions that it meets for those
-// in use: records of others come in any order then.
+// settleTime is the time after its start during which a node takes all versions that it encounters
+// for versions already in use, since the records of other nodes arrive in any order.
 const settleTime = 5 * time.Second
 
-// settled reports whether the node has a configuration, and with it the orders given
-// before, and knows the others for some time.
+// settled reports whether the node has a configuration, and with it all earlier orders, and has run
+// for settleTime.
 func (s *Sidecar) settled() bool {
 	return s.keeper.Version() > 0 && clock.Since(s.started) >= settleTime
 }
 
-// place is where the store has what operators write.
-func (s *Sidecar) place() configuration.Keyspace {
+// keyspace describes the keys that operators write, with the handlers of their items.
+func (s *Sidecar) keyspace() configuration.Keyspace {
 	return configuration.Keyspace{
 		Key: s.options.ConfigurationKey, Prefix: s.options.OperatorPrefix,
-		OnOther: s.ordered, OnRemoved: s.orderRemoved, OnListed: s.ordersListed,
+		OnOther: s.handleOperatorItem, OnRemoved: s.handleItemRemoved, OnListed: s.handleItemsListed,
 	}
 }
 
-// ordered takes in an item that operators wrote beside the configuration.
-func (s *Sidecar) ordered(item store.KeyValue) {
+// handleOperatorItem handles an item other than the configuration that an operator wrote.
+func (s *Sidecar) handleOperatorItem(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
 		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
 		return
 	}
-	if !s.options.IsOrder(item.Key) {
+	if !s.options.IsOrderKey(item.Key) {
 		return
 	}
 	order, err := s.options.DecodeOrder(item)
@@ -66,20 +66,20 @@
 	s.rollouts.Ordered(order)
 }
 
-// reading returns the nodes of all zones that read the store.
-func (s *Sidecar) reading() []*roster.Record {
+// storeReaders returns the nodes of all zones that read the store.
+func (s *Sidecar) storeReaders() []*roster.Record {
 	return readers.All(s.members.View(), s.exchanger.Reachable)
 }
 
-// judge compares the back end's version with others by what the node sees of its
-// answers.
-type judge struct{ sidecar *Sidecar }
+// answerJudge implements ingress.Judge: it passes the results of the back end's answers to the
+// roll-out controller, which compares its version with others.
+type answerJudge struct{ sidecar *Sidecar }
 
 // Refuses implements ingress.Judge.
-func (j *judge) Refuses() bool { return j.sidecar.rollouts.Refuses() }
+func (j *answerJudge) Refuses() bool { return j.sidecar.rollouts.Refuses() }
 
 // Judges implements ingress.Judge.
-func (j *judge) Judges() bool {
+func (j *answerJudge) Judges() bool {
 	judges := j.sidecar.rollouts.Judges()
 	if judges {
 		j.sidecar.stalls.Extend()
@@ -87,18 +87,19 @@
 	return judges
 }
 
-// Answered implements ingress.Judge. While the back end warms up it is slow whatever its
-// version is, and so are all answers that were under way while the node stood still.
-func (j *judge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.BaselineRates) {
+// Answered implements ingress.Judge. An answer does not count as slow while the back end warms up,
+// when any version is slow. Time during which this process was stalled is subtracted from the
+// answer's duration.
+func (j *answerJudge) Answered(request *http.Request, failed bool, worked, expected time.Duration, usual rollout.BaselineRates) {
 	answer := rollout.Answer{Failed: failed, BaselineRates: usual}
 	if table := j.sidecar.keeper.Table(); table != nil {
 		if matched := table.MatchRequest(request); matched != nil {
 			answer.Route = matched.Name
 		}
 	}
-	until := j.sidecar.warm.Load()
-	warm := until == 0 || clock.Stamp(clock.Now()) >= until
+	until := j.sidecar.warmedUp.Load()
+	warmedUp := until == 0 || clock.Stamp(clock.Now()) >= until
 	worked -= j.sidecar.stalls.Stalled(clock.Now().Add(-worked))
-	answer.Slow = warm && expected > 0 && worked > rollout.SlowFactor*expected
+	answer.Slow = warmedUp && expected > 0 && worked > rollout.SlowFactor*expected
 	j.sidecar.rollouts.Answered(answer)
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -11,125 +11,124 @@
 )
 
 const (
-	// stopPoll is the time between two looks at whether a stop is done.
-	stopPoll = 50 * time.Millisecond
-	// stopLeast is how long a stopping node serves at least: so long the
-	// platform takes to lead callers elsewhere.
-	stopLeast = 2300 * time.Millisecond
-	// stopLeastGraceShare bounds that time where the grace time is short.
-	stopLeastGraceShare = 0.4
-	// stopQuiet is the time without a call after which no more are expected.
-	stopQuiet = 600 * time.Millisecond
-	// stopAnnounce is the part of the grace time after which peers are told to
-	// send no more requests: until then the back end's slots are still of use,
-	// since callers of this machine come for about as long.
-	stopAnnounce = 0.3
-	// stopTakes is the part of the grace time in which new calls are taken. The
-	// platform has led callers elsewhere before, unless most nodes of the zone are
-	// away; then the sooner this one is back the better.
-	stopTakes = 0.4
-	// stopEnd is how long before the forced end what is left is cut.
-	stopEnd = 900 * time.Millisecond
-	// withdrawTimeout bounds the last word to the store.
+	// drainPollInterval is the time between two checks whether the drain is done.
+	drainPollInterval = 50 * time.Millisecond
+	// minDrainTime is how long a stopping node keeps serving at least: the platform takes
+	// that long to direct callers to another node.
+	minDrainTime = 2300 * time.Millisecond
+	// minDrainGraceShare bounds minDrainTime by a fraction of the grace time, for short
+	// grace times.
+	minDrainGraceShare = 0.4
+	// quietPeriod is the time without a call after which no more calls are expected.
+	quietPeriod = 600 * time.Millisecond
+	// announceShare is the fraction of the grace time after which peers are told to send no
+	// more requests. Until then the back end's slots are still useful, since local callers
+	// keep arriving for about that long.
+	announceShare = 0.3
+	// acceptShare is the fraction of the grace time in which new calls are accepted. By then
+	// the platform has directed callers elsewhere, unless most nodes of the zone are down; in
+	// that case the sooner this node restarts the better.
+	acceptShare = 0.4
+	// cutoffMargin is how long before the forced end the remaining requests are cancelled.
+	cutoffMargin = 900 * time.Millisecond
+	// withdrawTimeout bounds the removal of the node's record from the store.
 	withdrawTimeout = 300 * time.Millisecond
 )
 
-// Drain brings the node to its planned stop: it is no longer ready, tells its
-// peers, and serves what still comes until nothing does or the time is nearly
-// over. The listeners are to be closed after that.
+// Drain performs the planned stop of the node: it stops being ready, tells its peers, and serves
+// further requests until none arrive or the grace time is nearly over. The caller closes the
+// listeners afterwards.
 func (s *Sidecar) Drain() {
 	started := clock.Now()
 	s.stopping.Store(true)
 	s.egress.Stop()
 	s.ingress.Stop()
 	plan := stopPlan{grace: s.settings.Load().Grace}
-	s.egress.RefuseFrom(started.Add(plan.takes()))
-	announcement := time.AfterFunc(time.Duration(float64(plan.grace)*stopAnnounce), s.leave)
+	s.egress.RefuseFrom(started.Add(plan.acceptUntil()))
+	announcement := time.AfterFunc(time.Duration(float64(plan.grace)*announceShare), s.announceLeaving)
 	defer announcement.Stop()
 	s.logger.Info("stop begins", zap.Int("callsInFlight", s.egress.InFlight()), zap.Int("running", s.ingress.Load().Running))
-	plan.await(started, s)
+	plan.waitIdle(started, s)
 	s.egress.CancelCalls()
 	s.withdraw()
 	s.logger.Info("stop ends", zap.Int("callsInFlight", s.egress.InFlight()),
 		zap.Int("running", s.ingress.Load().Running), zap.Duration("elapsed", clock.Since(started)))
 }
 
-// leave tells the peers to send no more requests for the back end.
-func (s *Sidecar) leave() {
+// announceLeaving tells the peers to send no more requests to the back end.
+func (s *Sidecar) announceLeaving() {
 	s.repeats.Close()
-	s.quota.Close() // who hears that the node leaves takes it for closed
+	s.quota.Close() // peers that learn that the node is leaving assume that its quota is closed
 	s.members.Update(func(record roster.Record) (roster.Record, bool) {
 		record.Leaving = true
 		return record, true
 	})
-	s.spread(context.Background())
+	s.broadcastRecord(context.Background())
 }
 
-// underWay returns how many requests there are on either side.
-func (s *Sidecar) underWay() int { return s.egress.InFlight() + s.ingress.InFlight() }
+// inFlight returns the number of requests in flight, outbound and inbound.
+func (s *Sidecar) inFlight() int { return s.egress.InFlight() + s.ingress.InFlight() }
 
-// lastCall returns when a caller last came.
+// lastCall returns when the last call arrived.
 func (s *Sidecar) lastCall() time.Time { return s.egress.LastCall() }
 
-// refuse has both sides refuse whatever comes from now on.
-func (s *Sidecar) refuse() {
+// rejectNew makes both sides reject all requests from now on.
+func (s *Sidecar) rejectNew() {
 	s.egress.RefuseFrom(clock.Now())
 	s.ingress.RejectNew()
 }
 
-// stopPlan says what happens when in a planned stop. Times count from its
-// beginning.
+// stopPlan is the schedule of a planned stop. Times count from its start.
 type stopPlan struct {
-	// grace is the time until the forced end.
+	// grace is the time until the process is killed.
 	grace time.Duration
 }
 
-// takes returns until when new calls are taken.
-func (p stopPlan) takes() time.Duration { return time.Duration(float64(p.grace) * stopTakes) }
+// acceptUntil returns how long new calls are accepted.
+func (p stopPlan) acceptUntil() time.Duration { return time.Duration(float64(p.grace) * acceptShare) }
 
-// least returns how long the node stays at least, for calls that still come.
-func (p stopPlan) least() time.Duration {
-	return min(stopLeast, time.Duration(float64(p.grace)*stopLeastGraceShare))
+// minimum returns how long the node keeps serving at least, for calls that still arrive.
+func (p stopPlan) minimum() time.Duration {
+	return min(minDrainTime, time.Duration(float64(p.grace)*minDrainGraceShare))
 }
 
-// end returns when what is left is cut.
-func (p stopPlan) end() time.Duration { return p.grace - stopEnd }
+// cutoff returns when the remaining requests are cancelled.
+func (p stopPlan) cutoff() time.Duration { return p.grace - cutoffMargin }
 
-// done reports whether the stop is done after the elapsed time: nothing is under
-// way, and either no call has come for a while or all are refused anyhow. What
-// is still under way near the forced end is cut.
+// done reports whether the drain is done after the elapsed time: either the cutoff is reached, or
+// nothing is in flight, the minimum has passed, and no call has arrived for quietPeriod or new
+// calls are rejected anyway.
 func (p stopPlan) done(elapsed time.Duration, idle bool, sinceCall time.Duration) bool {
 	switch {
-	case elapsed >= p.end():
+	case elapsed >= p.cutoff():
 		return true
-	case !idle || elapsed < p.least():
+	case !idle || elapsed < p.minimum():
 		return false
 	}
-	return sinceCall >= stopQuiet || elapsed >= p.takes()
+	return sinceCall >= quietPeriod || elapsed >= p.acceptUntil()
 }
 
-// stopping is what a planned stop needs of the node.
-type stopping interface {
-	underWay() int
+// drainable is the part of a node that a planned stop uses.
+type drainable interface {
+	inFlight() int
 	lastCall() time.Time
-	refuse()
+	rejectNew()
 }
 
-// await returns when the node may close its listeners. Peers may still send: from
-// the moment it is found idle everything is refused, and what came in before that
-// is still served.
-func (p stopPlan) await(started time.Time, node stopping) {
-	for !p.done(clock.Since(started), node.underWay() == 0, clock.Since(node.lastCall())) {
-		time.Sleep(stopPoll)
+// waitIdle returns when the node may close its listeners. Peers may still send requests: once the
+// node is found idle it rejects new ones, and those that arrived before that are still served.
+func (p stopPlan) waitIdle(started time.Time, node drainable) {
+	for !p.done(clock.Since(started), node.inFlight() == 0, clock.Since(node.lastCall())) {
+		time.Sleep(drainPollInterval)
 	}
-	node.refuse()
-	for node.underWay() > 0 && clock.Since(started) < p.end() {
-		time.Sleep(stopPoll)
+	node.rejectNew()
+	for node.inFlight() > 0 && clock.Since(started) < p.cutoff() {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// withdraw removes the node's key when its back end has ended: neither comes
-// back under this name.
+// withdraw removes the node's record from the store if its back end has ended for good: neither
+// returns under this name.
 func (s *Sidecar) withdraw() {
 	if !s.members.Own().Gone() {
 		return
@@ -137,6 +136,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if err := s.membership.Withdraw(ctx); err != nil {
-		s.logger.Warn("record not withdrawn", zap.Error(err))
+		s.logger.Warn("record of the node not deleted from the store", zap.Error(err))
 	}
 }
--- a/internal/sidecar/zonemetrics.go
+++ b/internal/sidecar/zonemetrics.go
@@ -7,8 +7,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/egress"
 )
 
-// zoneCollector tells how full zones are and how many requests the node sent there. It implements
-// prometheus.Collector.
+// zoneCollector reports the utilization of zones and the number of requests that the node sent to
+// them. It implements prometheus.Collector.
 type zoneCollector struct {
 	egress             *egress.Handler
 	perSlot, age, sent *prometheus.Desc
@@ -34,10 +34,10 @@
 }
 
 // Collect implements prometheus.Collector.
-func (c *zoneCollector) Collect(collected chan<- prometheus.Metric) {
+func (c *zoneCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, load := range c.egress.ZoneLoads(clock.Now()) {
-		collected <- prometheus.MustNewConstMetric(c.perSlot, prometheus.GaugeValue, load.PerSlot, load.Service, load.Zone)
-		collected <- prometheus.MustNewConstMetric(c.age, prometheus.GaugeValue, load.Age.Seconds(), load.Service, load.Zone)
-		collected <- prometheus.MustNewConstMetric(c.sent, prometheus.CounterValue, float64(load.Sent), load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.perSlot, prometheus.GaugeValue, load.PerSlot, load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.age, prometheus.GaugeValue, load.Age.Seconds(), load.Service, load.Zone)
+		metrics <- prometheus.MustNewConstMetric(c.sent, prometheus.CounterValue, float64(load.Sent), load.Service, load.Zone)
 	}
 }
