--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -28,7 +28,7 @@
 // unavailableStore is a store whose reads fail with store.ErrUnavailable.
 type unavailableStore struct{ Store }
 
-func (unavailableStore) SetWatchWait(func(bool) time.Duration) {}
+func (unavailableStore) SetWatchTimeout(func(bool) time.Duration) {}
 func (unavailableStore) OnRestore(func(uint64))                {}
 func (unavailableStore) LearnEra(uint64)                       {}
 func (unavailableStore) Era() uint64                           { return 0 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -45,9 +45,9 @@
 	LearnEra(era uint64)
 	// OnRestore registers a function to call when the era rises. The function must not block.
 	OnRestore(func(era uint64))
-	// SetWatchWait sets the function that returns the timeout of each call of a watch. first is true
+	// SetWatchTimeout sets the function that returns the timeout of each call of a watch. first is true
 	// for the first call and for a call whose predecessor returned events.
-	SetWatchWait(wait func(first bool) time.Duration)
+	SetWatchTimeout(wait func(first bool) time.Duration)
 }
 
 // Options holds the dependencies of a sidecar.
@@ -198,7 +198,7 @@
 	created.members.Observe(created.handleRecordChanges)
 	created.keeper.Observe(created.applyConfiguration)
 	created.registerGauges(options.Registry)
-	options.Store.SetWatchWait(created.WatchTimeout)
+	options.Store.SetWatchTimeout(created.WatchTimeout)
 	options.Store.OnRestore(created.handleStoreRestore)
 	return created
 }
