--- a/internal/sidecar/choice/choice.go
+++ b/internal/sidecar/choice/choice.go
@@ -53,9 +53,9 @@
 }
 
 // DefaultWeights returns weights that prefer the caller's zone until its back ends would answer
-// late. With a penalty of 0.18 for leaving the zone, cross-zone traffic is two thirds of the bytes
-// that it is with 0.1, at the same number of timely answers when demand is near capacity. With 0.3
-// it is one third, but one answer in a hundred is lost (docs/design/0010-the-shifted-work.md).
+// late. A lower penalty for leaving the zone causes more traffic between zones; with a higher one,
+// answers are late or lost near capacity although back ends of other zones have free slots
+// (docs/design/0010-the-shifted-work.md).
 func DefaultWeights() Weights {
 	return Weights{OtherZone: 0.18, OtherRegion: 0.2, RecentFailure: 50, Draining: 100, Unresponsive: 200, AlreadyTried: 400, Excluded: 1000}
 }
--- a/internal/sidecar/choice/draw.go
+++ b/internal/sidecar/choice/draw.go
@@ -15,7 +15,7 @@
 	// sampleSize is how many local and how many remote back ends are compared at a time. With two,
 	// the load of the busiest back end stays close to the mean however old the load reports are.
 	// With more, all nodes that received the same report choose the same back end (Mitzenmacher,
-	// "How Useful Is Old Information?"). TestFleet has the figures for 4 to 1,000 nodes.
+	// "How Useful Is Old Information?"). TestFleet of package occupancy simulates it.
 	sampleSize = 2
 	// acceptableCost is the cost at which sampling stops, since the answer is likely to be in time.
 	// It lies between the cost of an idle back end at half the usual speed and that of one several
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -36,9 +36,7 @@
 	retryLatencyTargets = 3
 	// shortWaitSends is how many of a request's first sends wait only shortWaitShare of the
 	// permitted time before the request tries another node. Queue lengths known to a node are out
-	// of date, so the next queue is usually shorter. At full load of three services with 22 to 34
-	// back ends, this raised the total value of answers from 0.863 to 0.879, and from 0.935 to
-	// 0.966 on the routes with the shortest target latency (docs/design/0010-the-shifted-work.md).
+	// of date, so the next queue is usually shorter (docs/design/0010-the-shifted-work.md).
 	shortWaitSends = 2
 	shortWaitShare = 0.35
 )
--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -119,9 +119,9 @@
 }
 
 // Now returns the current time. Only differences between such times are meaningful: the wall
-// time in the result is not the machine's. It costs about 10 ns more than time.Now
-// (BenchmarkNow); the kernel is asked only when the wall clock has moved relative to the
-// runtime's monotonic clock.
+// time in the result is not the machine's. It costs little more than time.Now (BenchmarkNow):
+// the kernel is asked only when the wall clock has moved relative to the runtime's monotonic
+// clock.
 func Now() time.Time { return processClock.now() }
 
 // Since returns the time elapsed since a moment of this clock.
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -21,9 +21,8 @@
 	// maxAddedHeaders is the number of headers that the node adds at most.
 	maxAddedHeaders = 5
 	// maxRefusals limits how many nodes may refuse one request. A refusal costs no back end
-	// anything. The first attempts wait only briefly; with three attempts in all only the last one
-	// waits for its full time, and 0.862 of the worth was served instead of 0.879 with five
-	// (docs/design/0010-the-shifted-work.md).
+	// anything. The first attempts wait only briefly; with a lower limit only the last one waits for
+	// its full time, and fewer requests are served in time (docs/design/0010-the-shifted-work.md).
 	maxRefusals = 5
 	// maxCrashes limits how many crashes of back ends one request may cause: its own node knows
 	// before the others that the request may be the cause.
@@ -287,9 +286,8 @@
 }
 
 // maxAttemptWait returns how long the request may wait at the attempt's node. Attempts with large
-// bodies always wait for their full time: a refusal after a brief wait would waste the transfer.
-// With brief waits seven times the bytes passed between zones where a tenth of the requests are
-// uploads, and these got 0.37 of their worth instead of 0.61.
+// bodies always wait for their full time: a refusal after a brief wait would waste the transfer,
+// and the repeated transfers would use up the links between zones.
 func (c *call) maxAttemptWait(request choice.Request, a *attempt) time.Duration {
 	return c.maxWait(request, a.sends, a.candidates)
 }
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -19,8 +19,8 @@
 	zoneDelay  = 300 * time.Millisecond
 	// hedgeDelay is the time without a byte from any peer that is asked after which another peer
 	// is asked as well: a peer that hangs costs that much of the 2.5 s in which a version has to be
-	// in force. With one request at a time and its time-out of 2 s a node was behind for up to
-	// 2.75 s beside healthy peers, now for 0.15 s (TestSilentPeerDoesNotDelayCatchUp).
+	// in force. With one request at a time, a node stayed behind beside healthy peers until the
+	// time-out of 2 s had passed (TestSilentPeerDoesNotDelayCatchUp).
 	hedgeDelay = 150 * time.Millisecond
 	// maxFetches bounds the concurrent fetches; when another peer is due, the oldest fetch is
 	// abandoned.
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -28,9 +28,9 @@
 	relayFanout = 8
 	// leavingFanout is how many nodes of its zone each node notifies that learns that another one no longer
 	// accepts work. Each node forwards a notice only once, when it is new to it, so forwarding ends by itself.
-	// In a zone of 334 nodes all but 3 in 100 at most learn of it within a few consecutive messages, and the
-	// others by exchanges 0.8 s apart. Without forwarding, the number of nodes that wait for exchanges grows
-	// with the zone (TestLeavingNoticeSpreadsInZone). Other notices are not worth the messages.
+	// Nearly all nodes of a large zone learn of it within a few consecutive messages, and the others by
+	// exchanges. Without forwarding, the number of nodes that wait for exchanges grows with the zone
+	// (TestLeavingNoticeSpreadsInZone). Other notices are not worth the messages.
 	leavingFanout = 4
 	// maxParallelNotices is how many peers are notified in parallel: all that one node notifies, so that peers
 	// that hang do not delay notices to others.
--- a/internal/sidecar/ingress/transfer.go
+++ b/internal/sidecar/ingress/transfer.go
@@ -19,13 +19,13 @@
 	maximumBuffered = 512 << 10
 	// transferWindow determines how many bytes are received concurrently: as many as the link
 	// carries in that time. With more, each transfer takes longer and delays other traffic on the
-	// link. Windows of 0.05 s and 0.2 s served fewer requests on links of 10 Mbit/s.
+	// link; with less, a slow link has room for few bodies at a time.
 	transferWindow = 100 * time.Millisecond
 	// reservationTimeout is how long a body reserves its capacity at most: a slow sender does not
 	// use the link.
 	reservationTimeout = 10 * transferWindow
 	// linkWaitShare is the part of its maximum wait that a request may wait for the link; the rest
-	// is left for the transfer and the slot. It was preferred to the whole wait after a measurement.
+	// is left for the transfer and the slot.
 	linkWaitShare = 0.5
 	// assumedLinkMbps is used for a link of unknown speed.
 	assumedLinkMbps = 1000
--- a/internal/sidecar/ingress/trial.go
+++ b/internal/sidecar/ingress/trial.go
@@ -54,8 +54,7 @@
 }
 
 // survivedBodyLimit bounds the bodies, in bytes, of requests that are reported as survived while
-// there are no suspects: a fingerprint takes 0.5 microseconds without a body and 3.7 more for each
-// 4 KB (BenchmarkOf).
+// there are no suspects: the time that a fingerprint takes grows with the body (BenchmarkOf).
 const survivedBodyLimit = 4 << 10
 
 // reportSurvived reports to the quarantine that the back end answered the request.
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -205,8 +205,7 @@
 // firstContactDelay returns how long a node waits for contact after its write before it reads the
 // keys. At the first start of the whole system there are no requests yet, and keys are written over
 // the span of a heartbeat interval. The distribution makes few nodes read early, and these contact
-// the others, so that there are about half as many reads as with waits drawn uniformly over 0.75 s
-// (TestReadsOfFirstStart).
+// the others, so that fewer nodes read than with waits drawn uniformly (TestReadsOfFirstStart).
 func (m *Membership) firstContactDelay() time.Duration {
 	if !m.options.FirstStart {
 		return contactDelay
--- a/internal/sidecar/occupancy/occupancy.go
+++ b/internal/sidecar/occupancy/occupancy.go
@@ -25,8 +25,7 @@
 	gapSmoothing = 8
 	// halfLifeGaps is the half-life of a report in gaps. A report that has decayed before the
 	// next one arrives makes the back end look idle to all nodes; with four gaps it has lost a
-	// sixth by then. In TestFleet half or twice the value changes nothing at a utilization of
-	// 0.55, and late answers by a fifth at 0.7.
+	// sixth by then. With many more, load that has ended is counted for too long.
 	halfLifeGaps = 4
 	// minHalfLife and maxHalfLife bound the half-life. Whatever is reported, a back end that
 	// was full is eventually tried again. The first report gets maxHalfLife, since a node that
--- a/internal/sidecar/quarantine/blame.go
+++ b/internal/sidecar/quarantine/blame.go
@@ -19,11 +19,10 @@
 	// same time. Two suspects rarely share that many, as a back end runs one suspect at a time.
 	conclusiveCrashes = 3
 	// coincidenceWindow is the time within which an unexplained crash without the request indicates
-	// that back ends crash for another reason. In simulations in which a tenth to a half of the
-	// back ends crashed three times, 44 of 1,350,000 harmless requests were quarantined, compared
-	// with 81 if two such crashes were required, while as many back ends crashed under harmful
-	// requests (300 days of TestUnrelatedCrashes and TestHarmfulRequests). Older crashes indicate
-	// nothing, as they stay unexplained for days if nobody repeats the requests that were running.
+	// that back ends crash for another reason. One such crash is enough: if two were required, more
+	// harmless requests would be quarantined, and no fewer back ends would crash under harmful ones
+	// (TestUnrelatedCrashes, TestHarmfulRequests). Older crashes indicate nothing, as they stay
+	// unexplained for days if nobody repeats the requests that were running.
 	coincidenceWindow = 10 * time.Second
 )
 
@@ -57,9 +56,8 @@
 // counts against other requests.
 //
 // Only a request that was the trial request at a crash is blamed. One that is made all the time is
-// running wherever back ends crash together: without this rule, 284 of 10,000 harmless requests
-// were quarantined when half of the back ends crashed three times and a tenth of the requests were
-// identical (TestUnrelatedCrashes). If two requests were running at the same number of crashes and
+// running wherever back ends crash together, and would be quarantined without this rule although it
+// is harmless (TestUnrelatedCrashes). If two requests were running at the same number of crashes and
 // share one, neither is blamed; the next run of each decides.
 func findCulprits(open []openCrash) (blamed []culprit) {
 	for {
--- a/internal/sidecar/rollout/judge.go
+++ b/internal/sidecar/rollout/judge.go
@@ -50,9 +50,7 @@
 	alarmThreshold = 4.5
 	// suspectFraction is the fraction of the alarm threshold from which a back end no longer
 	// counts in favor of its version: one of several routes may be bad while all together look
-	// good. Of 1,000 versions with half of the answers of one route of three slow, 72 instead
-	// of 109 are promoted with 8 trial requests per second, and as many good ones
-	// (TestLowRequestRate).
+	// good (TestLowRequestRate).
 	suspectFraction = 0.5
 	// maxLogOdds bounds the log odds of one back end, so that others can outweigh it.
 	maxLogOdds = 4.0
@@ -240,11 +238,9 @@
 	// itself.
 	quorumSize = 2
 	// condemnThreshold and promoteThreshold are the sums of log odds at which a version is
-	// condemned and promoted: odds of 55 and 148 to 1. Of 1,000 simulated versions of which a
-	// third of the answers is eight times as slow from 10 s of 14 s on, 0, 19 and 4 are
-	// promoted with 25, 8 and 4 trial requests per second; of good ones 1,000, 996 and 708.
-	// With requests spread evenly over the trial and a threshold of -4 it was 43, 190 and 12,
-	// and 1,000, 997 and 645 (TestBadVersions, TestLowRequestRate).
+	// condemned and promoted: odds of 55 and 148 to 1. Promotion needs more evidence, since a
+	// version may turn bad late in the trial; with a stricter threshold, good versions are not
+	// promoted at low request rates (TestBadVersions, TestLowRequestRate).
 	condemnThreshold = 4.0
 	promoteThreshold = -5.0
 	// singlePromoteThreshold applies to a version with one back end, whose log odds cannot
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -25,7 +25,7 @@
 	// finalFraction is the last part of the trial, in which the version gets finalWeight times
 	// as many requests as with an even spread; before it gets earlyWeight times as many.
 	// Evidence decays and a version may turn bad late, so the last answers carry the most
-	// information. See promoteThreshold for the effect.
+	// information. With an even spread more versions that turn bad late are promoted.
 	finalFraction = 0.25
 	finalWeight   = 2.0
 	earlyWeight   = (1 - finalFraction*finalWeight) / (1 - finalFraction)
@@ -38,8 +38,8 @@
 	// completionFraction is how long before the deadline the rollout is declared completed, as
 	// a fraction of the promotion time; minCompletion is a lower bound on that time and
 	// maxCompletionFraction an upper bound on the fraction. It covers an order received late,
-	// the write to the store and the polling interval of the operator's tool: with 0.11 s of 8
-	// s a completed rollout was counted as late.
+	// the write to the store and the polling interval of the operator's tool: with a lead
+	// of 0.11 s in a rollout of 8 s, a completed rollout was counted as late.
 	completionFraction    = 0.35
 	minCompletion         = 300 * time.Millisecond
 	maxCompletionFraction = 0.5
--- a/internal/sidecar/roster/publish.go
+++ b/internal/sidecar/roster/publish.go
@@ -73,10 +73,8 @@
 const rebuildDivisor = 4
 
 // publish replaces the view at a cost proportional to what changed: the lists of the affected zones
-// and services are copied, all others are shared with the previous view. One change among 984
-// records in 6 zones and 3 services takes 16 microseconds and 5 KB, among 2,000 records 28
-// microseconds and 9 KB (BenchmarkIncrementalView). Rebuilding the view each time takes 268 and 612
-// microseconds, 64 and 126 KB (BenchmarkRebuiltView).
+// and services are copied, all others are shared with the previous view. Rebuilding the view each
+// time takes many times as long and as much memory (BenchmarkIncrementalView, BenchmarkRebuiltView).
 func (r *Roster) publish() {
 	r.published, r.publishPending = clock.Now(), false
 	if len(r.dirty)*rebuildDivisor >= len(r.records) {
