--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -123,8 +123,8 @@
 	return again
 }
 
-// Tell returns the orders to send to peers, nil if there are none.
-func (o *Orders) Tell() []Order {
+// Export returns the orders to send to peers, nil if there are none.
+func (o *Orders) Export() []Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.orders) == 0 {
@@ -133,8 +133,8 @@
 	return slices.SortedFunc(maps.Values(o.orders), func(a, b Order) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// Hear merges orders received from a peer and reports whether any of them is new.
-func (o *Orders) Hear(received []Order) (news bool) { return o.merge(received, "peer") }
+// Import merges orders received from a peer and reports whether any of them is new.
+func (o *Orders) Import(received []Order) (news bool) { return o.merge(received, "peer") }
 
 // merge applies orders and reports whether any of them is new.
 func (o *Orders) merge(received []Order, source string) (news bool) {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -49,12 +49,12 @@
 			if random.IntN(2) == 0 {
 				made.Ordered(orders[index])
 			} else {
-				made.Hear([]evacuation.Order{orders[index]})
+				made.Import([]evacuation.Order{orders[index]})
 			}
 		}
 		g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
-		g.Expect(made.Hear(orders)).To(BeFalse(), "no order is new")
-		g.Expect(made.Tell()).To(Equal([]evacuation.Order{orders[2], orders[4]}))
+		g.Expect(made.Import(orders)).To(BeFalse(), "no order is new")
+		g.Expect(made.Export()).To(Equal([]evacuation.Order{orders[2], orders[4]}))
 	}
 }
 
@@ -98,15 +98,15 @@
 func TestInvalidOrdersAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
-	g.Expect(made.Hear([]evacuation.Order{
+	g.Expect(made.Import([]evacuation.Order{
 		{Revision: 1, Emptied: true}, {Zone: "a", Emptied: true}, {Zone: strings.Repeat("z", 201), Revision: 1, Emptied: true},
 	})).To(BeFalse())
-	g.Expect(made.Tell()).To(BeNil())
+	g.Expect(made.Export()).To(BeNil())
 	for i := range 1000 {
-		made.Hear([]evacuation.Order{{Zone: fmt.Sprint(i), Revision: uint64(i + 1), Emptied: true}})
+		made.Import([]evacuation.Order{{Zone: fmt.Sprint(i), Revision: uint64(i + 1), Emptied: true}})
 	}
-	g.Expect(len(made.Tell())).To(Equal(256))
-	made.Hear([]evacuation.Order{{Zone: "0", Revision: 5000}})
+	g.Expect(len(made.Export())).To(Equal(256))
+	made.Import([]evacuation.Order{{Zone: "0", Revision: 5000}})
 	g.Expect(made.Zones().Contains("0")).To(BeFalse(), "orders for known zones still apply")
 }
 
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -70,18 +70,18 @@
 
 // Rollouts holds the roll-outs of back-end versions that a node knows of.
 type Rollouts interface {
-	// Tell returns the known roll-outs; nil when there are none.
-	Tell() []rollout.WireState
-	// Hear merges a peer's roll-outs and reports whether some of them were new.
-	Hear([]rollout.WireState) (news bool)
+	// Export returns the known roll-outs; nil when there are none.
+	Export() []rollout.WireState
+	// Import merges a peer's roll-outs and reports whether some of them were new.
+	Import([]rollout.WireState) (news bool)
 }
 
 // Evacuations holds the orders to evacuate zones that a node knows of.
 type Evacuations interface {
-	// Tell returns the known orders; nil when there are none.
-	Tell() []evacuation.Order
-	// Hear merges a peer's orders and reports whether some of them were new.
-	Hear([]evacuation.Order) (news bool)
+	// Export returns the known orders; nil when there are none.
+	Export() []evacuation.Order
+	// Import merges a peer's orders and reports whether some of them were new.
+	Import([]evacuation.Order) (news bool)
 }
 
 // Contention records whether some back end shares its machine with others.
@@ -299,10 +299,10 @@
 		state.Era = e.options.Store.Era()
 	}
 	if e.options.Rollouts != nil {
-		state.Rollouts = e.options.Rollouts.Tell()
+		state.Rollouts = e.options.Rollouts.Export()
 	}
 	if e.options.Evacuations != nil {
-		state.Evacuations = e.options.Evacuations.Tell()
+		state.Evacuations = e.options.Evacuations.Export()
 	}
 	if e.options.Contention != nil {
 		state.SharedMachines = e.options.Contention.Shared()
@@ -329,8 +329,8 @@
 // in the zone.
 func (e *Exchanger) mergeState(state *Told) {
 	e.mergeEra(state)
-	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
-	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Hear(state.Evacuations)
+	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Import(state.Rollouts)
+	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Import(state.Evacuations)
 	if state.SharedMachines && e.options.Contention != nil {
 		e.options.Contention.SetShared()
 	}
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -186,11 +186,11 @@
 	c.signal()
 }
 
-// Hear merges rollout states received from a peer and reports whether any of it was new.
-func (c *Controller) Hear(received []rollout.WireState) (changed bool) {
+// Import merges rollout states received from a peer and reports whether any of it was new.
+func (c *Controller) Import(received []rollout.WireState) (changed bool) {
 	now := clock.Now()
 	for _, wire := range received {
-		state, valid := wire.Hear(now)
+		state, valid := wire.Import(now)
 		if !valid {
 			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", wire))
 			continue
@@ -200,8 +200,8 @@
 	return changed
 }
 
-// Tell returns the rollout states to send to peers; nil if there are none.
-func (c *Controller) Tell() []rollout.WireState {
+// Export returns the rollout states to send to peers; nil if there are none.
+func (c *Controller) Export() []rollout.WireState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.rollouts) == 0 {
@@ -210,7 +210,7 @@
 	now := clock.Now()
 	states := make([]rollout.WireState, 0, len(c.rollouts))
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
-		states = append(states, c.rollouts[service].Tell(now))
+		states = append(states, c.rollouts[service].Export(now))
 	}
 	return states
 }
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -217,10 +217,10 @@
 		if !sender.alive {
 			continue
 		}
-		own, states := sender.members.Own(), sender.control.Tell()
+		own, states := sender.members.Own(), sender.control.Export()
 		for _, receiver := range f.nodes {
 			if receiver != sender && receiver.alive {
-				receiver.control.Hear(states)
+				receiver.control.Import(states)
 				receiver.members.Merge([]*roster.Record{own})
 			}
 		}
@@ -386,7 +386,7 @@
 		started := f.nodes[oldNodes]
 		f.kill(oldNodes)
 		f.start(oldNodes)
-		started.control.Hear(f.nodes[0].control.Tell())
+		started.control.Import(f.nodes[0].control.Export())
 		started.members.Merge([]*roster.Record{f.nodes[oldNodes+1].members.Own()})
 		started.members.Merge([]*roster.Record{f.nodes[0].members.Own()})
 		g.Expect(started.control.Plan(service).Select(true).Admits(f.nodes[0].members.Own())).To(BeTrue())
--- a/internal/sidecar/rollout/rollout.go
+++ b/internal/sidecar/rollout/rollout.go
@@ -134,8 +134,8 @@
 	Cause      string `json:"cause,omitempty"`
 }
 
-// Tell returns the state as sent to peers at the given time.
-func (s State) Tell(now time.Time) WireState {
+// Export returns the state as sent to peers at the given time.
+func (s State) Export(now time.Time) WireState {
 	return WireState{
 		Service: s.Service, Version: s.Version, Revision: s.Revision, DurationMS: s.Duration.Milliseconds(),
 		LeftMS: s.Deadline.Sub(now).Milliseconds(), Phase: s.Phase, Recorded: s.Recorded, Cause: s.Cause,
@@ -145,8 +145,8 @@
 // maxDurationMS bounds the times accepted from a peer, in milliseconds.
 const maxDurationMS = int64(24 * time.Hour / time.Millisecond)
 
-// Hear returns the state received from a peer at the given time, and whether it is valid.
-func (w WireState) Hear(now time.Time) (State, bool) {
+// Import returns the state received from a peer at the given time, and whether it is valid.
+func (w WireState) Import(now time.Time) (State, bool) {
 	if w.Service == "" || w.Version == "" || w.Revision == 0 || w.Phase < Trial || w.Phase > RolledBack ||
 		w.DurationMS <= 0 || w.DurationMS > maxDurationMS || w.LeftMS > w.DurationMS || w.LeftMS < -maxDurationMS {
 		return State{}, false
--- a/internal/sidecar/rollout/rollout_test.go
+++ b/internal/sidecar/rollout/rollout_test.go
@@ -88,7 +88,7 @@
 	state := stateInPhase(rollout.Condemned)
 	state.Cause, state.Recorded = rollout.CauseFaulty, true
 	remoteNow := time.Unix(90000, 0)
-	decoded, valid := state.Tell(start.Add(4 * time.Second)).Hear(remoteNow)
+	decoded, valid := state.Export(start.Add(4 * time.Second)).Import(remoteNow)
 	g.Expect(valid).To(BeTrue())
 	g.Expect(decoded.Deadline).To(Equal(remoteNow.Add(10 * time.Second)))
 	decoded.Deadline = state.Deadline
@@ -109,9 +109,9 @@
 	}
 	for name, change := range invalid {
 		t.Run(name, func(t *testing.T) {
-			wire := stateInPhase(rollout.Trial).Tell(start)
+			wire := stateInPhase(rollout.Trial).Export(start)
 			change(&wire)
-			_, valid := wire.Hear(start)
+			_, valid := wire.Import(start)
 			NewWithT(t).Expect(valid).To(BeFalse())
 		})
 	}
