--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -47,7 +47,7 @@
 			before := handler.subset(members.View(), "s", rollout.All(), regions{})
 			g.Expect(before.records).To(HaveLen(9))
 			for i, zone := range test.emptied {
-				orders.Ordered(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Emptied: true})
+				orders.ApplyOrder(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Emptied: true})
 			}
 			found := map[string]bool{}
 			for _, record := range handler.subset(members.View(), "s", rollout.All(), regionsOf(test.route, test.tenant)).records {
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -80,8 +80,8 @@
 // Zones returns the zones that are evacuated now, nil if there are none.
 func (o *Orders) Zones() *Zones { return o.zones.Load() }
 
-// Ordered applies an order read from the store.
-func (o *Orders) Ordered(order Order) {
+// ApplyOrder applies an order read from the store.
+func (o *Orders) ApplyOrder(order Order) {
 	if o.merge([]Order{order}, "store") {
 		o.options.Broadcast()
 	}
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -47,7 +47,7 @@
 		made := newRecordedOrders()
 		for _, index := range random.Perm(len(orders)) {
 			if random.IntN(2) == 0 {
-				made.Ordered(orders[index])
+				made.ApplyOrder(orders[index])
 			} else {
 				made.Import([]evacuation.Order{orders[index]})
 			}
@@ -63,9 +63,9 @@
 func TestReconcileRevokesMissingOrder(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
-	made.Ordered(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
-	made.Ordered(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
-	made.Ordered(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
 	made.Reconcile([]string{"b"}, 10, time.Now())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"b", "late"}))
 	g.Expect(made.changes).To(Equal([]string{"a true", "b true", "late true", "a false"}))
@@ -80,11 +80,11 @@
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
 	made := newRecordedOrders()
-	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
-	made.Ordered(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
 	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a", "b"}))
-	made.Ordered(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewriteGracePeriod))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
@@ -116,7 +116,7 @@
 	g := NewWithT(t)
 	made := newRecordedOrders()
 	for revision := range uint64(100) {
-		made.Ordered(evacuation.Order{Zone: "a", Revision: revision + 1, Emptied: revision%2 == 0})
+		made.ApplyOrder(evacuation.Order{Zone: "a", Revision: revision + 1, Emptied: revision%2 == 0})
 	}
 	g.Expect(made.Zones().Contains("a")).To(BeFalse())
 	g.Expect(made.Zones()).To(BeNil())
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -32,7 +32,7 @@
 // orderRemoved takes in that operators took back what lay under a key.
 func (s *Sidecar) orderRemoved(key string, revision uint64) {
 	if zone, is := s.options.EvacuatedZone(key); is {
-		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: revision})
+		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: revision})
 	}
 }
 
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -155,8 +155,8 @@
 	return (*current)[service]
 }
 
-// Ordered handles an order read from the store.
-func (c *Controller) Ordered(order rollout.Order) {
+// ApplyOrder handles an order read from the store.
+func (c *Controller) ApplyOrder(order rollout.Order) {
 	now := clock.Now()
 	if c.merge(c.initialState(order, now), now) {
 		c.options.Logger.Info("roll-out ordered", zap.String("service", order.Service), zap.String("software", order.Version),
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -230,7 +230,7 @@
 func (f *fleet) order(revision uint64) {
 	for _, n := range f.nodes {
 		if n.alive {
-			n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: revision, Duration: duration})
+			n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: revision, Duration: duration})
 		}
 	}
 }
@@ -479,7 +479,7 @@
 						switch {
 						case !n.alive:
 							f.start(i)
-							n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
+							n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 						case f.random.Float64() < 0.08:
 							f.kill(i)
 						}
@@ -491,7 +491,7 @@
 				for i, n := range f.nodes {
 					if !n.alive {
 						f.start(i)
-						n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
+						n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 					}
 				}
 				f.run(12*time.Second, bad)
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -52,7 +52,7 @@
 // ordered takes in an item that operators wrote beside the configuration.
 func (s *Sidecar) ordered(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
-		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
+		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
 		return
 	}
 	if !s.options.IsOrder(item.Key) {
@@ -63,7 +63,7 @@
 		s.logger.Error("order of a roll-out refused", zap.String("key", item.Key), zap.Error(err))
 		return
 	}
-	s.rollouts.Ordered(order)
+	s.rollouts.ApplyOrder(order)
 }
 
 // reading returns the nodes of all zones that read the store.
