--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -181,7 +181,7 @@
 		a.call.work().Observe(reply.ServiceTime)
 	}
 	if reply.Version > a.call.table.Version() {
-		a.call.handler.options.Observer.Behind(a.target.node, reply.Version)
+		a.call.handler.options.Observer.NewerVersionReported(a.target.node, reply.Version)
 	}
 	a.observeProof(response.Header, reply.Version)
 }
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -32,12 +32,12 @@
 func (f *fakeObserver) CallEnded(string, int, outcome.Outcome, outcome.Step, time.Duration) {}
 func (f *fakeObserver) Sent(string, int)                                                    {}
 func (f *fakeObserver) Diverted(string, bool)                                               {}
-func (f *fakeObserver) Overtook()                                                           {}
-func (f *fakeObserver) Carried(time.Duration, time.Duration)                                {}
-func (f *fakeObserver) Silent(string, bool)                                                 { f.silent.Add(1) }
-func (f *fakeObserver) Regained(string)                                                     {}
+func (f *fakeObserver) Pipelined()                                                          {}
+func (f *fakeObserver) ResponseReceived(time.Duration, time.Duration)                       {}
+func (f *fakeObserver) ProbeFailed(string, bool)                                            { f.silent.Add(1) }
+func (f *fakeObserver) Recovered(string)                                                    {}
 func (f *fakeObserver) Unreachable(string)                                                  {}
-func (f *fakeObserver) Behind(string, uint64)                                               {}
+func (f *fakeObserver) NewerVersionReported(string, uint64)                                 {}
 
 // peer is a node with a scripted behaviour for each connection.
 type peer struct {
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -119,19 +119,19 @@
 	// Diverted: a back end's rate limit has no capacity for a request in time; elsewhere: another
 	// back end takes it.
 	Diverted(service string, elsewhere bool)
-	// Overtook: a pipelined request was started before its turn on the caller's connection.
-	Overtook()
-	// Carried: an attempt returned a response after the elapsed time; worked is the part of it that
+	// Pipelined: a pipelined request was started before its turn on the caller's connection.
+	Pipelined()
+	// ResponseReceived: an attempt returned a response after the elapsed time; worked is the part of it that
 	// the back end spent on the request.
-	Carried(elapsed, worked time.Duration)
-	// Silent: a node did not answer a probe; first: it had answered before.
-	Silent(node string, first bool)
-	// Regained: a node that did not answer probes answers again.
-	Regained(node string)
+	ResponseReceived(elapsed, worked time.Duration)
+	// ProbeFailed: a node did not answer a probe; first: it had answered before.
+	ProbeFailed(node string, first bool)
+	// Recovered: a node that did not answer probes answers again.
+	Recovered(node string)
 	// Unreachable: no connection to a node could be opened.
 	Unreachable(node string)
-	// Behind: a peer holds a newer configuration than this node.
-	Behind(node string, version uint64)
+	// NewerVersionReported: a peer holds a newer configuration than this node.
+	NewerVersionReported(node string, version uint64)
 }
 
 const (
@@ -269,7 +269,7 @@
 
 // Begun records a request that was started before its turn: it is in flight until ended is called.
 func (h *Handler) Begun() (ended func()) {
-	h.options.Observer.Overtook()
+	h.options.Observer.Pipelined()
 	h.inFlight.Add(1)
 	return func() { h.inFlight.Add(-1) }
 }
--- a/internal/sidecar/egress/silence.go
+++ b/internal/sidecar/egress/silence.go
@@ -116,7 +116,7 @@
 			h.markRecovered(peer, probes > 0)
 			return
 		}
-		h.options.Observer.Silent(peer.node, probes == 0)
+		h.options.Observer.ProbeFailed(peer.node, probes == 0)
 		peer.silent.Store(true)
 		peer.avoidUntil.Store(clock.Stamp(clock.Now().Add(silentAvoidance)))
 		peer.outstanding.recordMissedProbe()
@@ -132,7 +132,7 @@
 	if wasSilent {
 		peer.succeeded()
 		peer.avoidUntil.Store(0)
-		h.options.Observer.Regained(peer.node)
+		h.options.Observer.Recovered(peer.node)
 	}
 }
 
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -90,7 +90,7 @@
 func (c *call) recordResult(ended *attempt) result {
 	if ended.response != nil {
 		c.handler.options.RetryBudget.RecordResult(c.service, true)
-		c.handler.options.Observer.Carried(ended.elapsed, ended.worked)
+		c.handler.options.Observer.ResponseReceived(ended.elapsed, ended.worked)
 	}
 	c.recordAttempt(ended)
 	return result{target: ended.target, response: ended.response, failure: ended.failure, version: ended.version}
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -74,10 +74,10 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// Behind processes a version that a peer reported. When it is above the one in force,
+// NewerVersionReported processes a version that a peer reported. When it is above the one in force,
 // the node catches up, normally from the first peer that reported it. A reader waits first for
 // its own watch, another node for a peer of its zone.
-func (e *Exchanger) Behind(peer *roster.Record, version uint64) {
+func (e *Exchanger) NewerVersionReported(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -75,9 +75,9 @@
 			answer(connection)
 		})
 		peer.offer(t, 8)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.NewerVersionReported(peer.record, 8)
 		time.Sleep(20 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 9)
+		late.exchanger.NewerVersionReported(peer.record, 9)
 		time.Sleep(300 * time.Millisecond)
 		peer.offer(t, 9) // the peer reported it before it was in force there
 		time.Sleep(time.Second)
@@ -90,7 +90,7 @@
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		for version := uint64(8); version < 20; version++ {
 			peer.offer(t, version)
-			late.exchanger.Behind(peer.record, version)
+			late.exchanger.NewerVersionReported(peer.record, version)
 			time.Sleep(100 * time.Millisecond)
 			g.Expect(late.keeper.Version()).To(Equal(version))
 		}
@@ -111,7 +111,7 @@
 			}
 			return errors.New("call refused")
 		}
-		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.NewerVersionReported(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		time.Sleep(storeDelay - time.Millisecond)
 		g.Expect(calls.Load()).To(BeZero())
 		time.Sleep(time.Minute)
@@ -135,11 +135,11 @@
 			time.Sleep(time.Second)
 			return nil
 		}
-		late.exchanger.Behind(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
+		late.exchanger.NewerVersionReported(&roster.Record{Node: "nobody", Zone: "near", PeerAddress: "nobody:1"}, 8)
 		<-asked
 		answer := in.nodes[peer.record.PeerAddress]
 		in.set(peer.record.PeerAddress, nil)
-		late.exchanger.Behind(peer.record, 9)
+		late.exchanger.NewerVersionReported(peer.record, 9)
 		time.Sleep(1100 * time.Millisecond)
 		g.Expect(late.exchanger.updater.level()).To(BeFalse())
 		peer.offer(t, 9)
@@ -157,9 +157,9 @@
 		late.exchanger.updater.logger = zap.New(core)
 		in.set("quiet:1", silent)
 		peer.offer(t, 8)
-		late.exchanger.Behind(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
+		late.exchanger.NewerVersionReported(&roster.Record{Node: "quiet", Zone: "near", PeerAddress: "quiet:1"}, 8)
 		time.Sleep(10 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.NewerVersionReported(peer.record, 8)
 		time.Sleep(2 * time.Second)
 		g.Expect(logged.FilterMessage("newer configuration announced").Len()).To(Equal(1), "once per version")
 		caught := logged.FilterMessage("configuration caught up").All()
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -199,7 +199,7 @@
 		asked <- struct{}{}
 		return nil
 	}
-	first.exchanger.Behind(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
+	first.exchanger.NewerVersionReported(&roster.Record{Node: "second", PeerAddress: "127.0.0.1:1"}, 7)
 	g.Eventually(asked).WithTimeout(waitTimeout).Should(Receive())
 }
 
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -345,7 +345,7 @@
 	e.lost.remove(received.From.Node) // it is reachable, whichever side started
 	e.mergeState(&received.Told)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.Behind(received.From, received.Version)
+	e.NewerVersionReported(received.From, received.Version)
 }
 
 // post sends a message and returns the reply.
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -166,13 +166,13 @@
 	for i := range quiet {
 		address := "silent-" + strconv.Itoa(i) + ":1"
 		in.set(address, accept)
-		late.exchanger.Behind(&roster.Record{Node: "silent-" + strconv.Itoa(i), Zone: zone, PeerAddress: address}, 8)
+		late.exchanger.NewerVersionReported(&roster.Record{Node: "silent-" + strconv.Itoa(i), Zone: zone, PeerAddress: address}, 8)
 	}
 	const pause = 50 * time.Millisecond
 	time.Sleep(pause)
 	reportedAt := time.Now()
 	for late.keeper.Version() < 8 && time.Since(reportedAt) < time.Minute {
-		late.exchanger.Behind(healthy.record, 8)
+		late.exchanger.NewerVersionReported(healthy.record, 8)
 		time.Sleep(pause)
 	}
 	g.Expect(time.Since(reportedAt)).To(BeNumerically("<=", most))
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -119,7 +119,7 @@
 	began := time.Now()
 	for late.keeper.Version() < 8 && time.Since(began) < time.Minute {
 		for _, peer := range held[1:] {
-			late.exchanger.Behind(peer.record, 8)
+			late.exchanger.NewerVersionReported(peer.record, 8)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -158,9 +158,9 @@
 			_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 90\r\n\r\n{\"version\":"))
 		})
 		peer.offer(t, 8)
-		late.exchanger.Behind(&roster.Record{Node: "stops", Zone: "near", PeerAddress: "stops:1"}, 8)
+		late.exchanger.NewerVersionReported(&roster.Record{Node: "stops", Zone: "near", PeerAddress: "stops:1"}, 8)
 		time.Sleep(10 * time.Millisecond)
-		late.exchanger.Behind(peer.record, 8)
+		late.exchanger.NewerVersionReported(peer.record, 8)
 		began := time.Now()
 		for late.keeper.Version() < 8 && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -188,7 +188,7 @@
 	e.mergeState(&notice.Told)
 	news := e.options.Roster.Merge([]*roster.Record{notice.Record})
 	if sender := e.options.Roster.View().Record(notice.From); sender != nil {
-		e.Behind(sender, notice.Version)
+		e.NewerVersionReported(sender, notice.Version)
 	}
 	if count := fanout(notice); count > 0 && len(news) > 0 {
 		go e.forward(notice.Record, count)
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -146,11 +146,11 @@
 	m.latency.WithLabelValues(m.routes.label(route)).Observe(elapsed.Seconds())
 }
 
-// Overtook implements egress.Observer.
-func (m *metrics) Overtook() { m.overtook.Inc() }
+// Pipelined implements egress.Observer.
+func (m *metrics) Pipelined() { m.overtook.Inc() }
 
-// Carried implements egress.Observer.
-func (m *metrics) Carried(elapsed, worked time.Duration) {
+// ResponseReceived implements egress.Observer.
+func (m *metrics) ResponseReceived(elapsed, worked time.Duration) {
 	m.hop.Observe(max(elapsed-worked, 0).Seconds())
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -272,8 +272,8 @@
 	sidecar *Sidecar
 }
 
-// Silent implements egress.Observer.
-func (o *callObserver) Silent(node string, first bool) {
+// ProbeFailed implements egress.Observer.
+func (o *callObserver) ProbeFailed(node string, first bool) {
 	o.silent.Inc()
 	if first {
 		o.sidecar.logger.Warn("peer silent", zap.String("peer", node))
@@ -283,14 +283,14 @@
 // Unreachable implements egress.Observer.
 func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.MarkLost(node) }
 
-// Regained implements egress.Observer.
-func (o *callObserver) Regained(node string) {
+// Recovered implements egress.Observer.
+func (o *callObserver) Recovered(node string) {
 	o.sidecar.logger.Info("peer regained", zap.String("peer", node))
 }
 
-// Behind implements egress.Observer.
-func (o *callObserver) Behind(node string, version uint64) {
-	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
+// NewerVersionReported implements egress.Observer.
+func (o *callObserver) NewerVersionReported(node string, version uint64) {
+	o.sidecar.exchanger.NewerVersionReported(o.sidecar.members.View().Record(node), version)
 }
 
 // caller names the service beside this node.
