--- a/internal/sidecar/configuration/follower.go
+++ b/internal/sidecar/configuration/follower.go
@@ -172,7 +172,7 @@
 			accepted = keys.deliver(event.KeyValue, keeper, SourceWatch) && accepted
 		}
 		if !event.Current.IsZero() && accepted {
-			keeper.Proven(keeper.Version(), event.Current)
+			keeper.RecordProof(keeper.Version(), event.Current)
 		}
 	}
 	return watch.Err()
@@ -205,7 +205,7 @@
 		keys.deliverList(found, after, keeper)
 	}
 	if index := slices.IndexFunc(found, isConfiguration); index >= 0 && keys.deliver(found[index], keeper, SourceRead) {
-		keeper.Proven(keeper.Version(), asked)
+		keeper.RecordProof(keeper.Version(), asked)
 	}
 	return after, nil
 }
--- a/internal/sidecar/configuration/proof.go
+++ b/internal/sidecar/configuration/proof.go
@@ -59,9 +59,9 @@
 	return known
 }
 
-// Proven records a proof, from any source, that there was no newer version than the given one
+// RecordProof records a proof, from any source, that there was no newer version than the given one
 // at a moment. It takes effect once the node holds that version or a newer one.
-func (k *Keeper) Proven(version uint64, at time.Time) {
+func (k *Keeper) RecordProof(version uint64, at time.Time) {
 	if version > 0 {
 		k.proof.record(version, at, k.Version())
 	}
--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -190,7 +190,7 @@
 // since the request was sent counts against it.
 func (a *attempt) observeProof(header http.Header, version uint64) {
 	if age, valid := hop.ParseMilliseconds(header.Get(hop.HeaderProof)); valid {
-		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
+		a.call.handler.options.Freshness.RecordProof(version, a.sent.Add(-age))
 	}
 }
 
--- a/internal/sidecar/egress/level.go
+++ b/internal/sidecar/egress/level.go
@@ -17,8 +17,8 @@
 	// CatchUp fetches a version that the named node holds, and reports whether that succeeded
 	// within a short time.
 	CatchUp(ctx context.Context, node string, version uint64) bool
-	// Proven records another node's proof that at that time no version above the given one existed.
-	Proven(version uint64, at time.Time)
+	// RecordProof records another node's proof that at that time no version above the given one existed.
+	RecordProof(version uint64, at time.Time)
 	// ProofAge returns how long ago the configuration in force is known to have been the newest;
 	// false when that was never known.
 	ProofAge() (age time.Duration, proven bool)
@@ -33,8 +33,8 @@
 // CatchUp implements Freshness.
 func (standalone) CatchUp(context.Context, string, uint64) bool { return false }
 
-// Proven implements Freshness.
-func (standalone) Proven(uint64, time.Time) {}
+// RecordProof implements Freshness.
+func (standalone) RecordProof(uint64, time.Time) {}
 
 // ProofAge implements Freshness.
 func (standalone) ProofAge() (time.Duration, bool) { return 0, false }
--- a/internal/sidecar/egress/level_test.go
+++ b/internal/sidecar/egress/level_test.go
@@ -41,7 +41,7 @@
 	return f.advance()
 }
 
-func (f *fakeFreshness) Proven(_ uint64, at time.Time) { f.proof = at }
+func (f *fakeFreshness) RecordProof(_ uint64, at time.Time) { f.proof = at }
 
 func (f *fakeFreshness) ProofAge() (time.Duration, bool) { return 0, false }
 
--- a/internal/sidecar/exchange/catchup_test.go
+++ b/internal/sidecar/exchange/catchup_test.go
@@ -207,7 +207,7 @@
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		_, proven := late.keeper.ProofAge()
 		g.Expect(proven).To(BeFalse())
-		peer.keeper.Proven(7, time.Now())
+		peer.keeper.RecordProof(7, time.Now())
 		time.Sleep(time.Second)
 		g.Expect(late.exchanger.proof.ask(t.Context(), peer.record, 0)).To(Succeed())
 		age, proven := late.keeper.ProofAge()
@@ -216,11 +216,11 @@
 		g.Expect(late.exchanger.ExchangeWith(t.Context(), peer.record)).To(Succeed())
 
 		peer.offer(t, 8)
-		peer.keeper.Proven(8, time.Now())
+		peer.keeper.RecordProof(8, time.Now())
 		late.exchanger.proof.recordProof(8, new(int64), time.Now())
 		age, _ = late.keeper.ProofAge()
 		g.Expect(age).To(Equal(time.Second), "the node does not hold that version")
-		late.keeper.Proven(7, time.Now().Add(-time.Hour))
+		late.keeper.RecordProof(7, time.Now().Add(-time.Hour))
 		age, _ = late.keeper.ProofAge()
 		g.Expect(age).To(Equal(time.Second), "an older proof has no effect")
 	})
@@ -236,7 +236,7 @@
 				<-ctx.Done()
 				return ctx.Err()
 			}
-			late.keeper.Proven(7, time.Now())
+			late.keeper.RecordProof(7, time.Now())
 			return nil
 		}
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "no other node, and the store does not answer")
@@ -247,7 +247,7 @@
 		time.Sleep(time.Minute)
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
 		peer.offer(t, 8)
-		peer.keeper.Proven(8, time.Now())
+		peer.keeper.RecordProof(8, time.Now())
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
 		g.Expect(late.keeper.Version()).To(BeEquivalentTo(8))
 
@@ -266,7 +266,7 @@
 func TestConfirmsShareRequests(t *testing.T) {
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
-		peer.keeper.Proven(7, time.Now())
+		peer.keeper.RecordProof(7, time.Now())
 		var asked atomic.Int64
 		plain := late.exchanger.client.Transport
 		late.exchanger.client.Transport = countingTransport{plain, &asked}
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -230,7 +230,7 @@
 // age counts from then, so that the time in transit counts against the proof.
 func (c *proofChecker) recordProof(version uint64, peerAge *int64, asked time.Time) {
 	if age, valid := proofAge(peerAge); valid {
-		c.exchanger.options.Configuration.Proven(version, asked.Add(-age))
+		c.exchanger.options.Configuration.RecordProof(version, asked.Add(-age))
 	}
 }
 
--- a/internal/sidecar/exchange/proof_test.go
+++ b/internal/sidecar/exchange/proof_test.go
@@ -27,11 +27,11 @@
 func TestStaleProofDoesNotConfirm(t *testing.T) {
 	runWithPeer(t, func(t *testing.T, g *WithT, late, peer *virtualMember, _ *network) {
 		late.exchanger.options.Roster.Merge([]*roster.Record{peer.record})
-		peer.keeper.Proven(7, time.Now())
+		peer.keeper.RecordProof(7, time.Now())
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "the proof is new")
 		time.Sleep(5 * smallestBound)
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeFalse(), "the proof is old")
-		peer.keeper.Proven(7, time.Now())
+		peer.keeper.RecordProof(7, time.Now())
 		time.Sleep(smallestBound / 4)
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue(), "the reader has fresh proof again")
 	})
@@ -47,10 +47,10 @@
 				far.offer(t, 7)
 				far.offer(t, 8)
 				late.exchanger.options.Roster.Merge([]*roster.Record{peer.record, far.record})
-				late.keeper.Proven(7, time.Now())
-				peer.keeper.Proven(7, time.Now())
+				late.keeper.RecordProof(7, time.Now())
+				peer.keeper.RecordProof(7, time.Now())
 				time.Sleep(smallestBound)
-				far.keeper.Proven(8, time.Now())
+				far.keeper.RecordProof(8, time.Now())
 				g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
 				g.Expect(late.keeper.Version()).To(BeEquivalentTo(8))
 			})
@@ -69,7 +69,7 @@
 			hanging = append(hanging, &roster.Record{Node: fmt.Sprint("hanging-", i), Epoch: 1, Counter: 1, Zone: "near", PeerAddress: address})
 		}
 		late.exchanger.options.Roster.Merge(hanging)
-		late.keeper.Proven(7, time.Now())
+		late.keeper.RecordProof(7, time.Now())
 		began := time.Now()
 		g.Expect(late.exchanger.Confirm(t.Context())).To(BeTrue())
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*confirmHedgeDelay))
@@ -102,7 +102,7 @@
 	if err := m.keeper.Offer(fmt.Append(nil, version), configuration.SourceRead); err != nil && !errors.Is(err, configuration.ErrNotNewer) {
 		return err
 	}
-	m.keeper.Proven(version, asked)
+	m.keeper.RecordProof(version, asked)
 	return nil
 }
 
@@ -119,12 +119,12 @@
 		case version != m.keeper.Version():
 			m.calls.Add(1)
 			_ = m.keeper.Offer(fmt.Append(nil, version), configuration.SourceWatch)
-			m.keeper.Proven(version, began)
+			m.keeper.RecordProof(version, began)
 			began = time.Now().Add(rest)
 			due = began.Add(time.Duration(rank) * spacing)
 		case !time.Now().Before(due):
 			m.calls.Add(1)
-			m.keeper.Proven(version, time.Now())
+			m.keeper.RecordProof(version, time.Now())
 			began = time.Now()
 			due = began.Add(time.Duration(count) * spacing)
 		}
@@ -298,7 +298,7 @@
 		ctx, end := context.WithCancel(t.Context())
 		go late.exchanger.proof.run(ctx)
 		time.Sleep(time.Minute)
-		late.keeper.Proven(7, time.Now())
+		late.keeper.RecordProof(7, time.Now())
 		time.Sleep(smallestBound / 4)
 		began := calls.Load()
 		time.Sleep(smallestBound)
--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -36,5 +36,5 @@
 // ProofAge implements egress.Freshness.
 func (l *level) ProofAge() (time.Duration, bool) { return l.keeper.ProofAge() }
 
-// Proven implements egress.Freshness.
-func (l *level) Proven(version uint64, at time.Time) { l.keeper.Proven(version, at) }
+// RecordProof implements egress.Freshness.
+func (l *level) RecordProof(version uint64, at time.Time) { l.keeper.RecordProof(version, at) }
