--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -126,7 +126,7 @@
 	switch {
 	case e.options.Configuration.Version() == 0:
 		return 0
-	case e.options.Reads():
+	case e.options.IsReader():
 		return watchDelay
 	case peer.Zone == e.options.Roster.Own().Zone:
 		return 0
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
-	// Reads reports whether the node reads the store itself.
-	Reads func() bool
+	// IsReader reports whether the node reads the store itself.
+	IsReader func() bool
 	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
 	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
@@ -273,8 +273,8 @@
 	return asked
 }
 
-// Met reports whether this node was in contact with another one since it started.
-func (e *Exchanger) Met() bool { return e.hadContact.Load() }
+// HadContact reports whether this node was in contact with another one since it started.
+func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
 
 // Reachable reports whether a node is not recorded as lost.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
--- a/internal/sidecar/membership/firststart_test.go
+++ b/internal/sidecar/membership/firststart_test.go
@@ -77,7 +77,7 @@
 	created.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	created.node = membership.New(membership.Options{
 		Store: target, Members: created.members, FirstStart: true, HeartbeatInterval: heartbeats,
-		OnDiscovery: func(bool) { created.joined() }, Met: created.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
+		OnDiscovery: func(bool) { created.joined() }, HadContact: created.met.Load, IsReader: func() bool { return false }, Logger: zap.NewNop(),
 		CompactionRank: func() (int, bool) { return 0, false },
 	})
 	return created
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -67,10 +67,10 @@
 	// OnDiscovery is called after each read that searched for other nodes. resumed means that the
 	// node adopted the record of its previous run unchanged and has nothing new to publish.
 	OnDiscovery func(resumed bool)
-	// Met reports whether another node has contacted this one.
-	Met func() bool
-	// Reads reports whether the node reads the store on behalf of others.
-	Reads func() bool
+	// HadContact reports whether another node has contacted this one.
+	HadContact func() bool
+	// IsReader reports whether the node reads the store on behalf of others.
+	IsReader func() bool
 	// CompactionRank returns the node's rank, from zero, among those that maintain the snapshot of
 	// all records, and false if it is not one of them.
 	CompactionRank func() (rank int, ranked bool)
@@ -188,7 +188,7 @@
 func (m *Membership) awaitContact(ctx context.Context) {
 	for wait := m.firstContactDelay(); ; wait = min(2*max(wait, contactDelay), maxContactDelay) {
 		pause.Wait(ctx, wait)
-		if ctx.Err() != nil || m.options.Met() {
+		if ctx.Err() != nil || m.options.HadContact() {
 			return
 		}
 		if _, err := m.discover(ctx); err != nil {
@@ -223,7 +223,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !m.options.Reads() {
+		if !m.options.IsReader() {
 			continue
 		}
 		if err := m.readAll(ctx, m.options.Store.RangeStale, func(store.KeyValue) {}); err != nil {
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -116,7 +116,7 @@
 	started.members = roster.New(roster.Record{Node: node, Epoch: 1, Counter: 1, Address: node + ":1", PeerAddress: node + ":2", Zone: "z", RunID: rand.Uint64()})
 	started.node = membership.New(membership.Options{
 		Store: target, Members: started.members, FirstStart: firstStart, HeartbeatInterval: heartbeat,
-		OnDiscovery: func(bool) {}, Met: started.met.Load, Reads: func() bool { return false }, Logger: zap.NewNop(),
+		OnDiscovery: func(bool) {}, HadContact: started.met.Load, IsReader: func() bool { return false }, Logger: zap.NewNop(),
 		CompactionRank: func() (int, bool) { return 0, started.compacts.Load() },
 	})
 	started.run()
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -17,7 +17,7 @@
 
 // knowsOthers reports whether the node knows about all others.
 func (s *Sidecar) knowsOthers() bool {
-	return s.joined.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= metLongEnough)
+	return s.joined.Load() != nil || (s.exchanger.HadContact() && clock.Since(s.started) >= metLongEnough)
 }
 
 func (s *Sidecar) addQuota() {
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -87,7 +87,7 @@
 	case joined != nil:
 		return s.reads()
 	}
-	return s.exchanger.Met() && s.reads()
+	return s.exchanger.HadContact() && s.reads()
 }
 
 // join tells the peers that were found in the store of this node, and asks some of
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -183,7 +183,7 @@
 		Quota:       created.quota,
 		Repeats:     created.repeats,
 		Contention:  created.contention,
-		Reads:       created.reads,
+		IsReader:    created.reads,
 		Observer:    observed,
 		Suspect:     created.egress.Suspect,
 		Logger:      options.Logger,
@@ -191,7 +191,7 @@
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		OnDiscovery: created.join, Met: created.exchanger.Met, Reads: created.reads, Logger: options.Logger,
+		OnDiscovery: created.join, HadContact: created.exchanger.HadContact, IsReader: created.reads, Logger: options.Logger,
 		CompactionRank: created.compactRank,
 	})
 	created.members.Observe(created.follow)
