--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -234,8 +234,8 @@
 // Drop forgets a node that has withdrawn.
 func (h *Handler) Drop(node string) { h.targets.drop(node) }
 
-// Suspect makes the handler avoid a node that did not answer another component.
-func (h *Handler) Suspect(record *roster.Record) {
+// MarkUnresponsive makes the handler avoid a node that did not answer another component.
+func (h *Handler) MarkUnresponsive(record *roster.Record) {
 	h.targets.forRecord(record).failed(clock.Now())
 }
 
--- a/internal/sidecar/exchange/exchange_test.go
+++ b/internal/sidecar/exchange/exchange_test.go
@@ -58,11 +58,11 @@
 	created.record = created.members.Own()
 	created.exchanger = New(Options{
 		Roster: created.members, Configuration: created.keeper,
-		Dial:     (&net.Dialer{}).DialContext,
-		Refresh:  func(context.Context) error { return nil },
-		IsReader: created.reads.Load,
-		Suspect:  func(*roster.Record) {},
-		Logger:   zap.NewNop(),
+		Dial:             (&net.Dialer{}).DialContext,
+		Refresh:          func(context.Context) error { return nil },
+		IsReader:         created.reads.Load,
+		MarkUnresponsive: func(*roster.Record) {},
+		Logger:           zap.NewNop(),
 	})
 	container.Add(created.exchanger.Service())
 	return created
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -57,9 +57,9 @@
 	Repeats Granter
 	// Observer observes how the node stays up to date; it may be nil.
 	Observer Observer
-	// Suspect is called with nodes that do not respond.
-	Suspect func(*roster.Record)
-	Logger  *zap.Logger
+	// MarkUnresponsive is called with nodes that do not respond.
+	MarkUnresponsive func(*roster.Record)
+	Logger           *zap.Logger
 }
 
 // EraTracker tracks how often the store was restored from an older copy.
@@ -234,7 +234,7 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			e.MarkLost(peer.Node)
-			e.options.Suspect(peer)
+			e.options.MarkUnresponsive(peer)
 		}
 		return err
 	}
--- a/internal/sidecar/exchange/silent_test.go
+++ b/internal/sidecar/exchange/silent_test.go
@@ -115,10 +115,10 @@
 	made.record = members.Own()
 	made.exchanger = New(Options{
 		Roster: members, Configuration: made.keeper, Dial: in.dial,
-		Refresh:  func(ctx context.Context) error { return made.refresh(ctx) },
-		IsReader: func() bool { return false },
-		Suspect:  func(*roster.Record) {},
-		Logger:   zap.NewNop(),
+		Refresh:          func(ctx context.Context) error { return made.refresh(ctx) },
+		IsReader:         func() bool { return false },
+		MarkUnresponsive: func(*roster.Record) {},
+		Logger:           zap.NewNop(),
 	})
 	made.container.Add(made.exchanger.Service())
 	in.set(made.record.PeerAddress, made.serve)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -176,17 +176,17 @@
 		Refresh: func(ctx context.Context) error {
 			return configuration.Refresh(ctx, options.Store, created.place(), created.keeper)
 		},
-		Bound:       settings.applyBound(),
-		Store:       options.Store,
-		Rollouts:    created.rollouts,
-		Evacuations: created.evacuations,
-		Quota:       created.quota,
-		Repeats:     created.repeats,
-		Contention:  created.contention,
-		IsReader:    created.reads,
-		Observer:    observed,
-		Suspect:     created.egress.Suspect,
-		Logger:      options.Logger,
+		Bound:            settings.applyBound(),
+		Store:            options.Store,
+		Rollouts:         created.rollouts,
+		Evacuations:      created.evacuations,
+		Quota:            created.quota,
+		Repeats:          created.repeats,
+		Contention:       created.contention,
+		IsReader:         created.reads,
+		Observer:         observed,
+		MarkUnresponsive: created.egress.MarkUnresponsive,
+		Logger:           options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
