--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -44,8 +44,8 @@
 	// Plan returns how a service's requests are split between software versions, nil when they are
 	// not.
 	Plan func(service string) *rollout.Plan
-	// Emptied returns the evacuated zones, whose back ends get no requests; nil for none.
-	Emptied func() *evacuation.Zones
+	// Evacuated returns the evacuated zones, whose back ends get no requests; nil for none.
+	Evacuated func() *evacuation.Zones
 	// Quarantine decides which requests are refused because they crash back ends.
 	Quarantine Quarantine
 	// Quota enforces the tenants' rate limits; nil enforces none.
@@ -202,8 +202,8 @@
 	if options.DrainAfter == nil {
 		options.DrainAfter = func() time.Duration { return 0 }
 	}
-	if options.Emptied == nil {
-		options.Emptied = func() *evacuation.Zones { return nil }
+	if options.Evacuated == nil {
+		options.Evacuated = func() *evacuation.Zones { return nil }
 	}
 	callsContext, cancelCalls := context.WithCancelCause(context.Background())
 	return &Handler{
--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -43,11 +43,11 @@
 			orders := evacuation.New(evacuation.Options{
 				ZoneExists: func(string) bool { return true }, Broadcast: func() {}, OnChange: func(string, bool) {}, Logger: zap.NewNop(),
 			})
-			handler.options.Emptied = orders.Zones
+			handler.options.Evacuated = orders.Zones
 			before := handler.subset(members.View(), "s", rollout.All(), regions{})
 			g.Expect(before.records).To(HaveLen(9))
 			for i, zone := range test.emptied {
-				orders.ApplyOrder(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Emptied: true})
+				orders.ApplyOrder(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Evacuated: true})
 			}
 			found := map[string]bool{}
 			for _, record := range handler.subset(members.View(), "s", rollout.All(), regionsOf(test.route, test.tenant)).records {
--- a/internal/sidecar/egress/subset.go
+++ b/internal/sidecar/egress/subset.go
@@ -50,7 +50,7 @@
 // and in the allowed regions. It is recomputed when a record of the service or the evacuated zones
 // have changed; changed records of other services cost nothing.
 func (h *Handler) subset(view *roster.View, service string, selected rollout.Selection, allowed regions) *subset {
-	source, evacuated := view.Service(service), h.options.Emptied()
+	source, evacuated := view.Service(service), h.options.Evacuated()
 	key := subsetKey{service: service, selection: selected.Key, regions: allowed.key}
 	if found, known := h.subsets.Load(key); known && found.(*subset).chosenFrom(source, evacuated) {
 		return found.(*subset)
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -22,8 +22,8 @@
 	// Revision is the store's revision at which the order was given. The order with the highest one
 	// applies.
 	Revision uint64 `json:"revision"`
-	// Emptied means that the zone is evacuated. Otherwise the evacuation was revoked.
-	Emptied bool `json:"emptied,omitempty"`
+	// Evacuated means that the zone is evacuated. Otherwise the evacuation was revoked.
+	Evacuated bool `json:"emptied,omitempty"`
 }
 
 // Zones is an immutable set of evacuated zones. A nil set is empty.
@@ -99,7 +99,7 @@
 	o.mu.Lock()
 	var revoked []Order
 	for zone, held := range o.orders {
-		if !held.Emptied || held.Revision >= revision || slices.Contains(zones, zone) {
+		if !held.Evacuated || held.Revision >= revision || slices.Contains(zones, zone) {
 			delete(o.missingSince, zone)
 			continue
 		}
@@ -154,7 +154,7 @@
 		}
 		news = true
 		o.orders[order.Zone] = order
-		if current.Emptied != order.Emptied {
+		if current.Evacuated != order.Evacuated {
 			o.publish(order, source)
 		}
 	}
@@ -166,7 +166,7 @@
 func (o *Orders) publish(order Order, source string) {
 	next := map[string]bool{}
 	for zone, held := range o.orders {
-		if held.Emptied {
+		if held.Evacuated {
 			next[zone] = true
 		}
 	}
@@ -176,10 +176,10 @@
 		o.zones.Store(&Zones{emptied: next})
 	}
 	message := "zone is emptied"
-	if !order.Emptied {
+	if !order.Evacuated {
 		message = "zone is taken back"
 	}
 	o.options.Logger.Info(message, zap.String("zone", order.Zone), zap.Uint64("revision", order.Revision),
 		zap.String("source", source), zap.Bool("knownZone", o.options.ZoneExists(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
-	o.options.OnChange(order.Zone, order.Emptied)
+	o.options.OnChange(order.Zone, order.Evacuated)
 }
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -38,8 +38,8 @@
 // arrival and of the source.
 func TestNewestOrderWins(t *testing.T) {
 	orders := []evacuation.Order{
-		{Zone: "a", Revision: 3, Emptied: true}, {Zone: "a", Revision: 5}, {Zone: "a", Revision: 9, Emptied: true},
-		{Zone: "b", Revision: 4, Emptied: true}, {Zone: "b", Revision: 8},
+		{Zone: "a", Revision: 3, Evacuated: true}, {Zone: "a", Revision: 5}, {Zone: "a", Revision: 9, Evacuated: true},
+		{Zone: "b", Revision: 4, Evacuated: true}, {Zone: "b", Revision: 8},
 	}
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 100 {
@@ -63,9 +63,9 @@
 func TestReconcileRevokesMissingOrder(t *testing.T) {
 	g := NewWithT(t)
 	made := newRecordedOrders()
-	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: 3, Emptied: true})
-	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: 4, Emptied: true})
-	made.ApplyOrder(evacuation.Order{Zone: "late", Revision: 20, Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: 3, Evacuated: true})
+	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: 4, Evacuated: true})
+	made.ApplyOrder(evacuation.Order{Zone: "late", Revision: 20, Evacuated: true})
 	made.Reconcile([]string{"b"}, 10, time.Now())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"b", "late"}))
 	g.Expect(made.changes).To(Equal([]string{"a true", "b true", "late true", "a false"}))
@@ -80,11 +80,11 @@
 	g := NewWithT(t)
 	start := time.Unix(1000, 0)
 	made := newRecordedOrders()
-	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Emptied: true})
-	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(1, 500), Evacuated: true})
+	made.ApplyOrder(evacuation.Order{Zone: "b", Revision: store.RevisionIn(1, 501), Evacuated: true})
 	g.Expect(made.Reconcile(nil, store.RevisionIn(2, 490), start)).To(BeTrue())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a", "b"}))
-	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Emptied: true})
+	made.ApplyOrder(evacuation.Order{Zone: "a", Revision: store.RevisionIn(2, 495), Evacuated: true})
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(time.Second))).To(BeTrue())
 	g.Expect(made.Reconcile([]string{"a"}, store.RevisionIn(2, 496), start.Add(evacuation.RewriteGracePeriod))).To(BeFalse())
 	g.Expect(made.Zones().Names()).To(Equal([]string{"a"}))
@@ -99,11 +99,11 @@
 	g := NewWithT(t)
 	made := newRecordedOrders()
 	g.Expect(made.Import([]evacuation.Order{
-		{Revision: 1, Emptied: true}, {Zone: "a", Emptied: true}, {Zone: strings.Repeat("z", 201), Revision: 1, Emptied: true},
+		{Revision: 1, Evacuated: true}, {Zone: "a", Evacuated: true}, {Zone: strings.Repeat("z", 201), Revision: 1, Evacuated: true},
 	})).To(BeFalse())
 	g.Expect(made.Export()).To(BeNil())
 	for i := range 1000 {
-		made.Import([]evacuation.Order{{Zone: fmt.Sprint(i), Revision: uint64(i + 1), Emptied: true}})
+		made.Import([]evacuation.Order{{Zone: fmt.Sprint(i), Revision: uint64(i + 1), Evacuated: true}})
 	}
 	g.Expect(len(made.Export())).To(Equal(256))
 	made.Import([]evacuation.Order{{Zone: "0", Revision: 5000}})
@@ -116,7 +116,7 @@
 	g := NewWithT(t)
 	made := newRecordedOrders()
 	for revision := range uint64(100) {
-		made.ApplyOrder(evacuation.Order{Zone: "a", Revision: revision + 1, Emptied: revision%2 == 0})
+		made.ApplyOrder(evacuation.Order{Zone: "a", Revision: revision + 1, Evacuated: revision%2 == 0})
 	}
 	g.Expect(made.Zones().Contains("a")).To(BeFalse())
 	g.Expect(made.Zones()).To(BeNil())
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -71,7 +71,7 @@
 	for _, message := range []any{
 		&exchange.Message{From: peer, Digest: 1, Version: 1, BucketCount: 8, DifferingBuckets: []int{0, 7}, Records: []*roster.Record{&own, nil}},
 		&exchange.Message{
-			From: peer, Told: exchange.Told{Rollouts: []rollout.WireState{{}}, Evacuations: []evacuation.Order{{}, {Zone: "z", Revision: 1, Emptied: true}}},
+			From: peer, Told: exchange.Told{Rollouts: []rollout.WireState{{}}, Evacuations: []evacuation.Order{{}, {Zone: "z", Revision: 1, Evacuated: true}}},
 			Buckets: []uint32{1, 2},
 		},
 		&exchange.Notice{Record: peer, From: "p", Version: 2},
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -52,7 +52,7 @@
 // ordered takes in an item that operators wrote beside the configuration.
 func (s *Sidecar) ordered(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
-		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
+		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: item.Revision, Evacuated: true})
 		return
 	}
 	if !s.options.IsOrder(item.Key) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -243,7 +243,7 @@
 		Regions:     settings.Regions,
 		Caller:      s.caller,
 		Plan:        s.rollouts.Plan,
-		Emptied:     s.evacuations.Zones,
+		Evacuated:   s.evacuations.Zones,
 		Quarantine:  s.quarantine,
 		Quota:       s.quota,
 		Nested:      &nestedCalls{contention: s.contention, recognizer: nested.NewClassifier(s.work, s.started)},
