--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -79,9 +79,9 @@
 	sidecar *Sidecar
 }
 
-// Ended implements ingress.Quarantine.
-func (g *guard) Ended(crash roster.Crash) {
-	g.Quarantine.Ended(crash)
+// RecordCrash implements ingress.Quarantine.
+func (g *guard) RecordCrash(crash roster.Crash) {
+	g.Quarantine.RecordCrash(crash)
 	g.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
 		g.sidecar.claims.MarkLost(record, crash.Endpoint)
 		return record, false
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -131,7 +131,7 @@
 // Otherwise it returns nil.
 func (c *call) checkQuarantine() *outcome.Failure {
 	quarantine := c.handler.options.Quarantine
-	if quarantine.Idle() || !quarantine.Holds(c.print()) {
+	if quarantine.Idle() || !quarantine.IsQuarantined(c.print()) {
 		return nil
 	}
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -106,8 +106,8 @@
 type Quarantine interface {
 	// Idle reports whether no request is quarantined or suspected.
 	Idle() bool
-	// Holds reports whether the request is quarantined.
-	Holds(fingerprint.Fingerprint) bool
+	// IsQuarantined reports whether the request is quarantined.
+	IsQuarantined(fingerprint.Fingerprint) bool
 }
 
 // Observer receives the events of calls.
--- a/internal/sidecar/egress/quarantine_test.go
+++ b/internal/sidecar/egress/quarantine_test.go
@@ -83,7 +83,9 @@
 // quarantinedPrint quarantines one request.
 type quarantinedPrint struct{ fingerprint.Fingerprint }
 
-func (quarantinedPrint) Idle() bool                                 { return false }
-func (h quarantinedPrint) Holds(print fingerprint.Fingerprint) bool { return print == h.Fingerprint }
+func (quarantinedPrint) Idle() bool { return false }
+func (h quarantinedPrint) IsQuarantined(print fingerprint.Fingerprint) bool {
+	return print == h.Fingerprint
+}
 
 var _ Quarantine = quarantinedPrint{}
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -244,7 +244,7 @@
 	h.options.Logger.Warn("back end ended", zap.String("endpoint", report.Endpoint.ID), zap.String("service", report.Endpoint.Service),
 		zap.String("software", report.Endpoint.Version), zap.Objects("running", report.Running))
 	h.options.Observer.BackendCrashed(len(report.Running))
-	h.options.Quarantine.Ended(report.crash())
+	h.options.Quarantine.RecordCrash(report.crash())
 }
 
 // crash converts the crash to the form that other nodes receive.
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -118,7 +118,7 @@
 	a.duplicateCrash = !first
 	failure.Step = outcome.StepCrash
 	failure.Cause = errors.Join(errCrashed, failure.Cause)
-	if a.handler.options.Quarantine.Holds(a.print()) {
+	if a.handler.options.Quarantine.IsQuarantined(a.print()) {
 		// The caller's node does not know the verdict yet and would send the request to another
 		// back end.
 		failure.Step = outcome.StepQuarantine
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -98,14 +98,14 @@
 type Quarantine interface {
 	// Idle reports whether there are neither quarantined nor suspected requests.
 	Idle() bool
-	// Holds reports whether the request is quarantined and must not reach any back end.
-	Holds(fingerprint.Fingerprint) bool
-	// Suspects reports whether the request may have crashed a back end.
-	Suspects(fingerprint.Fingerprint) bool
-	// Ended records a crash of the back end.
-	Ended(roster.Crash)
-	// Survived records that the back end answered a request.
-	Survived(fingerprint.Fingerprint)
+	// IsQuarantined reports whether the request is quarantined and must not reach any back end.
+	IsQuarantined(fingerprint.Fingerprint) bool
+	// IsSuspect reports whether the request may have crashed a back end.
+	IsSuspect(fingerprint.Fingerprint) bool
+	// RecordCrash records a crash of the back end.
+	RecordCrash(roster.Crash)
+	// RecordSurvival records that the back end answered a request.
+	RecordSurvival(fingerprint.Fingerprint)
 }
 
 // Judge compares the version of the back end with others.
--- a/internal/sidecar/ingress/trial.go
+++ b/internal/sidecar/ingress/trial.go
@@ -27,10 +27,10 @@
 		return nil
 	}
 	print := a.print()
-	if quarantine.Holds(print) {
+	if quarantine.IsQuarantined(print) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 	}
-	if a.onTrial || (!a.reported.Suspect && !quarantine.Suspects(print)) {
+	if a.onTrial || (!a.reported.Suspect && !quarantine.IsSuspect(print)) {
 		return nil
 	}
 	waiting, cancel := context.WithTimeout(a.context, a.reported.MaximumWait)
@@ -40,7 +40,7 @@
 	}
 	a.onTrial = true
 	// The previous holder of the trial may have been the same request from another caller.
-	if quarantine.Holds(print) {
+	if quarantine.IsQuarantined(print) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepQuarantine, 0, errQuarantined)
 	}
 	return nil
@@ -65,9 +65,9 @@
 		return
 	}
 	print := a.print()
-	quarantine.Survived(print)
+	quarantine.RecordSurvival(print)
 	if a.reported.Suspect {
 		// The node that saw the crash may not have reported it to this one yet.
-		time.AfterFunc(propagationTime, func() { quarantine.Survived(print) })
+		time.AfterFunc(propagationTime, func() { quarantine.RecordSurvival(print) })
 	}
 }
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -24,11 +24,11 @@
 
 func newFakeQuarantine() *fakeQuarantine { return &fakeQuarantine{crashes: make(chan roster.Crash, 8)} }
 
-func (s *fakeQuarantine) Idle() bool                             { return !s.holds.Load() && !s.suspects.Load() }
-func (s *fakeQuarantine) Holds(fingerprint.Fingerprint) bool     { return s.holds.Load() }
-func (s *fakeQuarantine) Suspects(fingerprint.Fingerprint) bool  { return s.suspects.Load() }
-func (s *fakeQuarantine) Ended(crash roster.Crash)               { s.crashes <- crash }
-func (s *fakeQuarantine) Survived(print fingerprint.Fingerprint) { s.survived.Add(1) }
+func (s *fakeQuarantine) Idle() bool                                   { return !s.holds.Load() && !s.suspects.Load() }
+func (s *fakeQuarantine) IsQuarantined(fingerprint.Fingerprint) bool   { return s.holds.Load() }
+func (s *fakeQuarantine) IsSuspect(fingerprint.Fingerprint) bool       { return s.suspects.Load() }
+func (s *fakeQuarantine) RecordCrash(crash roster.Crash)               { s.crashes <- crash }
+func (s *fakeQuarantine) RecordSurvival(print fingerprint.Fingerprint) { s.survived.Add(1) }
 
 // refusedAt returns the step at which a request was refused without being run, empty if it was not
 // refused.
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -160,7 +160,7 @@
 			crash.Trial = &request.print
 		}
 	}
-	n.quarantine.Ended(crash)
+	n.quarantine.RecordCrash(crash)
 	for _, request := range ended {
 		n.fleet.events.after(0, func() { n.fleet.crashed(n, request) })
 	}
@@ -172,7 +172,7 @@
 
 // accept starts a request at the node and reports whether there is room for it.
 func (n *fleetNode) accept(request *flight) bool {
-	suspect := request.crashes > 0 || n.quarantine.Suspects(request.print)
+	suspect := request.crashes > 0 || n.quarantine.IsSuspect(request.print)
 	if n.down || len(n.running) >= slots || (suspect && n.onTrial) {
 		return false
 	}
@@ -189,7 +189,7 @@
 		n.onTrial = false
 	}
 	request.at = nil
-	n.quarantine.Survived(request.print)
+	n.quarantine.RecordSurvival(request.print)
 	request.finish()
 }
 
@@ -261,7 +261,7 @@
 // isQuarantined reports whether the node has quarantined the request, and counts a false positive
 // if it is harmless.
 func (f *fleet) isQuarantined(at *fleetNode, request *flight) bool {
-	held := at.quarantine.Holds(request.print)
+	held := at.quarantine.IsQuarantined(request.print)
 	if held && !request.harmful {
 		f.falsePositives++
 	}
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -108,16 +108,16 @@
 	return len(now.held)+len(now.suspects) == 0
 }
 
-// Holds reports whether a request is quarantined.
-func (q *Quarantine) Holds(print fingerprint.Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined.
+func (q *Quarantine) IsQuarantined(print fingerprint.Fingerprint) bool {
 	held := q.state.Load().held
 	_, content := held[print.Content]
 	_, call := held[print.Call]
 	return content || call
 }
 
-// Suspects reports whether a request was running at a crash whose cause is not yet known.
-func (q *Quarantine) Suspects(print fingerprint.Fingerprint) bool {
+// IsSuspect reports whether a request was running at a crash whose cause is not yet known.
+func (q *Quarantine) IsSuspect(print fingerprint.Fingerprint) bool {
 	suspects := q.state.Load().suspects
 	return suspects[print.Content] || suspects[print.Call]
 }
@@ -151,11 +151,11 @@
 	return nil
 }
 
-// Ended records a crash of the node's own back end. Requests that completed here recently are not
+// RecordCrash records a crash of the node's own back end. Requests that completed here recently are not
 // suspected. It returns when the peers have been informed, or after a short timeout: a caller that
 // receives its response sooner might retry at a node that does not suspect the request yet and
 // crash further back ends.
-func (q *Quarantine) Ended(crash roster.Crash) {
+func (q *Quarantine) RecordCrash(crash roster.Crash) {
 	crash.Running = q.completions.withoutCompleted(crash.Running, clock.Now())
 	if len(crash.Running) == 0 {
 		return
@@ -171,11 +171,11 @@
 	}
 }
 
-// Survived records that the node's own back end has completed a request. A suspect is thereby
+// RecordSurvival records that the node's own back end has completed a request. A suspect is thereby
 // cleared of the crashes known so far.
-func (q *Quarantine) Survived(print fingerprint.Fingerprint) {
+func (q *Quarantine) RecordSurvival(print fingerprint.Fingerprint) {
 	q.completions.add(print, clock.Now())
-	if !q.Suspects(print) {
+	if !q.IsSuspect(print) {
 		return
 	}
 	endpoints := q.crashesDuring(print)
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -26,14 +26,14 @@
 	if trial != nil {
 		crash.Running = append(crash.Running, *trial)
 	}
-	n.quarantine.Ended(crash)
+	n.quarantine.RecordCrash(crash)
 	n.fleet.advance()
 }
 
 // countQuarantining counts the nodes that have quarantined a request.
 func (f *fleet) countQuarantining(print fingerprint.Fingerprint) (count int) {
 	for _, node := range f.nodes {
-		if node.quarantine.Holds(print) {
+		if node.quarantine.IsQuarantined(print) {
 			count++
 		}
 	}
@@ -50,12 +50,12 @@
 		harmful, harmless := fingerprintOf(1), fingerprintOf(2)
 		f.nodes[0].reportCrash("i-0", nil, harmful, harmless)
 		for _, node := range f.nodes {
-			g.Expect(node.quarantine.Suspects(harmless)).To(BeTrue())
+			g.Expect(node.quarantine.IsSuspect(harmless)).To(BeTrue())
 			g.Expect(node.quarantine.Idle()).To(BeFalse())
 		}
-		f.nodes[2].quarantine.Survived(harmless)
+		f.nodes[2].quarantine.RecordSurvival(harmless)
 		f.advance()
-		g.Expect(f.nodes[3].quarantine.Suspects(harmless)).To(BeFalse())
+		g.Expect(f.nodes[3].quarantine.IsSuspect(harmless)).To(BeFalse())
 		g.Expect(f.countQuarantining(harmful)).To(BeZero())
 
 		f.nodes[1].reportCrash("i-1", &harmful)
@@ -84,11 +84,11 @@
 		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
 		BroadcastAndWait: func() { told = members.Own().Evidence.Crashes },
 	})
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
+	held.RecordCrash(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
 	g.Expect(told).To(HaveLen(1))
 
 	told = nil
-	held.Ended(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
+	held.RecordCrash(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
 	g.Expect(told).To(BeNil(), "already reported")
 }
 
@@ -101,9 +101,9 @@
 		harmful, harmless := fingerprintOf(1), fingerprintOf(1)
 		harmless.Call = fingerprintOf(2).Call
 		f.nodes[0].reportCrash("i-0", nil, harmful)
-		f.nodes[1].quarantine.Survived(harmless)
+		f.nodes[1].quarantine.RecordSurvival(harmless)
 		f.advance()
-		g.Expect(f.nodes[2].quarantine.Suspects(harmful)).To(BeTrue())
+		g.Expect(f.nodes[2].quarantine.IsSuspect(harmful)).To(BeTrue())
 		f.nodes[1].reportCrash("i-1", &harmful)
 		g.Expect(f.countQuarantining(harmful)).To(Equal(len(f.nodes)))
 		g.Expect(f.countQuarantining(harmless)).To(BeZero())
@@ -136,7 +136,7 @@
 		f.advance()
 		fresh := newFleet(1, 2, 0).nodes[0]
 		fresh.members.Merge(f.nodes[3].members.View().Records())
-		g.Expect(fresh.quarantine.Holds(harmful)).To(BeTrue())
+		g.Expect(fresh.quarantine.IsQuarantined(harmful)).To(BeTrue())
 	})
 }
 
