--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -71,11 +71,11 @@
 // Limited reports whether the back end has advertised a rate limit.
 func (g *Gate) Limited() bool { return g.limited.Load() }
 
-// Room returns the rate of the limit, in requests per second, and the remaining number of requests like
+// Remaining returns the rate of the limit, in requests per second, and the remaining number of requests like
 // this one that it allows, which is negative if requests wait for it; limited is false if there is no
 // limit. If the request was refused with an error, the result is consistent with the wait that the error
 // tells its peer.
-func (g *Gate) Room(info RequestInfo, refused *RateLimitError) (perSecond, room float64, limited bool) {
+func (g *Gate) Remaining(info RequestInfo, refused *RateLimitError) (perSecond, remaining float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	advertised, _ := g.limit.Advertised()
@@ -83,10 +83,10 @@
 	case !advertised.HasLimit:
 		return 0, 0, false
 	case refused != nil:
-		return advertised.PerSecond, g.limit.RoomIn(refused.Wait), true
+		return advertised.PerSecond, g.limit.RemainingAfter(refused.Wait), true
 	}
 	ahead := g.waiting.lengthUpTo(info.precedence().Level())
-	return advertised.PerSecond, g.limit.Room(info.Peer, info.class(), ahead, g.now()), true
+	return advertised.PerSecond, g.limit.Remaining(info.Peer, info.class(), ahead, g.now()), true
 }
 
 // onlyRateLimited reports whether a request waits for the rate limit alone. The requests ahead are then
--- a/internal/sidecar/egress/notice.go
+++ b/internal/sidecar/egress/notice.go
@@ -95,9 +95,9 @@
 	next := &limitReport{endpoint: record.Endpoint.Incarnation(), perSecond: reported.PerSecond}
 	if known := t.limitOf(record); known != nil {
 		next.Estimate = known.Estimate
-		next.Update(reported.PerSecond, reported.Room, class, now)
+		next.Update(reported.PerSecond, reported.Remaining, class, now)
 	} else {
-		next.Estimate = ratelimit.NewEstimate(reported.PerSecond, reported.Room, class, now)
+		next.Estimate = ratelimit.NewEstimate(reported.PerSecond, reported.Remaining, class, now)
 	}
 	t.limit.Store(next)
 }
--- a/internal/sidecar/hop/limit.go
+++ b/internal/sidecar/hop/limit.go
@@ -20,13 +20,13 @@
 type Limit struct {
 	// PerSecond is the rate that the back end accepts from all nodes together.
 	PerSecond float64
-	// Room is how many requests like the answered one the limit admits now; it is negative while
+	// Remaining is how many requests like the answered one the limit admits now; it is negative while
 	// requests wait.
-	Room float64
+	Remaining float64
 }
 
 const (
-	// limitScale converts rates and room to whole numbers.
+	// limitScale converts rates and remaining to whole numbers.
 	limitScale = 1000
 	// maximumLimit bounds both.
 	maximumLimit    = 1 << 40
@@ -36,7 +36,7 @@
 // Format returns the header value of the limit.
 func (l Limit) Format() string {
 	line := strconv.AppendInt(nil, scaleLimit(l.PerSecond), 10)
-	return string(strconv.AppendInt(append(line, ' '), scaleLimit(l.Room), 10))
+	return string(strconv.AppendInt(append(line, ' '), scaleLimit(l.Remaining), 10))
 }
 
 func scaleLimit(number float64) int64 {
@@ -60,5 +60,5 @@
 	if numbers[0] < 0 {
 		return Limit{}, fmt.Errorf("%w: the limit is negative", ErrMalformedHeader)
 	}
-	return Limit{PerSecond: numbers[0], Room: numbers[1]}, nil
+	return Limit{PerSecond: numbers[0], Remaining: numbers[1]}, nil
 }
--- a/internal/sidecar/hop/limit_test.go
+++ b/internal/sidecar/hop/limit_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLimitHeader(t *testing.T) {
-	for _, sent := range []hop.Limit{{PerSecond: 12.8, Room: 3.25}, {PerSecond: 0, Room: -7.5}, {PerSecond: 1000, Room: 1000}} {
+	for _, sent := range []hop.Limit{{PerSecond: 12.8, Remaining: 3.25}, {PerSecond: 0, Remaining: -7.5}, {PerSecond: 1000, Remaining: 1000}} {
 		received, err := hop.ParseLimit(sent.Format())
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 		NewWithT(t).Expect(received).To(Equal(sent))
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -176,7 +176,7 @@
 
 // setLimitHeader sets the header for the back end's rate limit.
 func (a *arrival) setLimitHeader(header http.Header) {
-	if perSecond, room, limited := a.handler.gate.Room(a.ticket(), a.limited); limited {
-		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: perSecond, Room: room}.Format()}
+	if perSecond, remaining, limited := a.handler.gate.Remaining(a.ticket(), a.limited); limited {
+		header[hop.HeaderLimit] = []string{hop.Limit{PerSecond: perSecond, Remaining: remaining}.Format()}
 	}
 }
--- a/internal/sidecar/ingress/notice_test.go
+++ b/internal/sidecar/ingress/notice_test.go
@@ -102,7 +102,7 @@
 	reported, err := hop.ParseLimit(refused.Header().Get(hop.HeaderLimit))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(reported.PerSecond).To(Equal(0.5))
-	g.Expect(reported.Room).To(BeNumerically("<", 0.5))
+	g.Expect(reported.Remaining).To(BeNumerically("<", 0.5))
 }
 
 // TestUnreadableLimitKeepsTheCurrentOne checks that an undecodable limit does not replace the one
--- a/internal/sidecar/ratelimit/estimate.go
+++ b/internal/sidecar/ratelimit/estimate.go
@@ -17,12 +17,12 @@
 }
 
 // NewEstimate returns the estimate after a first response to a request of the class.
-func NewEstimate(perSecond, room float64, class Class, now time.Time) *Estimate {
+func NewEstimate(perSecond, remaining float64, class Class, now time.Time) *Estimate {
 	estimate := &Estimate{}
 	for i := range estimate.buckets {
-		estimate.buckets[i] = bucket{updated: now, tokens: room}
+		estimate.buckets[i] = bucket{updated: now, tokens: remaining}
 		if Class(i) < class {
-			estimate.buckets[i].tokens = max(room, 1)
+			estimate.buckets[i].tokens = max(remaining, 1)
 		}
 		estimate.buckets[i].setRate(perSecond, now)
 	}
@@ -31,7 +31,7 @@
 
 // Update applies a response to a request of the class: the rate, and the remaining number of requests of
 // that class.
-func (e *Estimate) Update(perSecond, room float64, class Class, now time.Time) {
+func (e *Estimate) Update(perSecond, remaining float64, class Class, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range e.buckets {
@@ -39,11 +39,11 @@
 		classBucket.setRate(perSecond, now)
 		switch {
 		case Class(i) < class:
-			classBucket.tokens = max(classBucket.tokens, room)
+			classBucket.tokens = max(classBucket.tokens, remaining)
 		case Class(i) == class:
-			classBucket.tokens = room
+			classBucket.tokens = remaining
 		default:
-			classBucket.tokens = min(classBucket.tokens, room)
+			classBucket.tokens = min(classBucket.tokens, remaining)
 		}
 		classBucket.tokens = min(classBucket.tokens, classBucket.size)
 	}
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -99,25 +99,25 @@
 // arrive decides on a request at its back end and updates the estimate of the sending node.
 func (f *fleet) arrive(request pending, random *rand.Rand, queue *arrivals) {
 	limit, now := f.limits[request.backend], request.at
-	wait, room := limit.Wait(0, now), 0.0
+	wait, remaining := limit.Wait(0, now), 0.0
 	served := wait <= fleetMaxWait
 	if served {
 		limit.Consume(1, now) // waiting requests are counted at once, so the bucket may become negative
 		f.served++
 		f.servedBy[request.backend] = append(f.servedBy[request.backend], now.Add(wait))
-		room = limit.Room(fmt.Sprint(request.node), 1, 0, now)
+		remaining = limit.Remaining(fmt.Sprint(request.node), 1, 0, now)
 	} else {
 		f.rejected++
 		if f.estimates[request.node][request.backend] == nil {
 			f.firstRejected++
 		}
-		room = limit.RoomIn(limit.RetryAfter(fmt.Sprint(request.node), 1, 0, now))
+		remaining = limit.RemainingAfter(limit.RetryAfter(fmt.Sprint(request.node), 1, 0, now))
 	}
 	advertised, _ := limit.Advertised()
 	if estimate := f.estimates[request.node][request.backend]; estimate != nil {
-		estimate.Update(advertised.PerSecond, room, 1, now)
+		estimate.Update(advertised.PerSecond, remaining, 1, now)
 	} else {
-		f.estimates[request.node][request.backend] = ratelimit.NewEstimate(advertised.PerSecond, room, 1, now)
+		f.estimates[request.node][request.backend] = ratelimit.NewEstimate(advertised.PerSecond, remaining, 1, now)
 	}
 	if !served {
 		request.tried[request.backend] = true
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -153,22 +153,24 @@
 // latest returns the latest of the times.
 func latest(moments ...time.Time) time.Time { return slices.MaxFunc(moments, time.Time.Compare) }
 
-// Room returns the remaining number of requests of a peer that may pass now after that many others,
+// Remaining returns the remaining number of requests of a peer that may pass now after that many others,
 // negative if requests wait. While other peers have been given future retry times, the result is
 // consistent with a retry time after theirs. It is meaningful only while a limit is advertised.
-func (l *Limit) Room(peer string, class Class, ahead int, now time.Time) float64 {
+func (l *Limit) Remaining(peer string, class Class, ahead int, now time.Time) float64 {
 	if l.schedule.outstanding(class, now) {
-		return l.RoomIn(l.RetryAfter(peer, class, ahead, now))
+		return l.RemainingAfter(l.RetryAfter(peer, class, ahead, now))
 	}
 	if wait := l.WaitForClass(class, ahead, now); wait > 0 {
-		return l.RoomIn(wait)
+		return l.RemainingAfter(wait)
 	}
 	return l.bucket.tokens - float64(ahead)
 }
 
-// RoomIn returns the remaining number of requests at a back end that allows the next request after that
+// RemainingAfter returns the remaining number of requests at a back end that allows the next request after that
 // time.
-func (l *Limit) RoomIn(wait time.Duration) float64 { return 1 - wait.Seconds()*l.bucket.perSecond }
+func (l *Limit) RemainingAfter(wait time.Duration) float64 {
+	return 1 - wait.Seconds()*l.bucket.perSecond
+}
 
 // RetryAfter returns the delay after which a peer may retry a request that is refused now. Each peer gets
 // a different retry time, so that they do not retry all at once.
