--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -121,8 +121,8 @@
 	Diverted(service string, elsewhere bool)
 	// Pipelined: a pipelined request was started before its turn on the caller's connection.
 	Pipelined()
-	// ResponseReceived: an attempt returned a response after the elapsed time; worked is the part of it that
-	// the back end spent on the request.
+	// ResponseReceived: an attempt returned a response after the elapsed time; worked is the
+	// part of it that the back end spent on the request.
 	ResponseReceived(elapsed, worked time.Duration)
 	// ProbeFailed: a node did not answer a probe; first: it had answered before.
 	ProbeFailed(node string, first bool)
--- a/internal/sidecar/hop/limit.go
+++ b/internal/sidecar/hop/limit.go
@@ -26,7 +26,7 @@
 }
 
 const (
-	// limitScale converts rates and remaining to whole numbers.
+	// limitScale converts rates and remaining requests to whole numbers.
 	limitScale = 1000
 	// maximumLimit bounds both.
 	maximumLimit    = 1 << 40
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// RecordCrash records a crash of the node's own back end. Requests that completed here recently are not
-// suspected. It returns when the peers have been informed, or after a short timeout: a caller that
-// receives its response sooner might retry at a node that does not suspect the request yet and
+// RecordCrash records a crash of the node's own back end. Requests that completed here recently are
+// not suspected. It returns when the peers have been informed, or after a short timeout: a caller
+// that receives its response sooner might retry at a node that does not suspect the request yet and
 // crash further back ends.
 func (q *Quarantine) RecordCrash(crash roster.Crash) {
 	crash.Running = q.completions.withoutCompleted(crash.Running, clock.Now())
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -166,8 +166,8 @@
 	return l.bucket.tokens - float64(ahead)
 }
 
-// RemainingAfter returns the remaining number of requests at a back end that allows the next request after that
-// time.
+// RemainingAfter returns the remaining number of requests at a back end that allows the next request after
+// that time.
 func (l *Limit) RemainingAfter(wait time.Duration) float64 {
 	return 1 - wait.Seconds()*l.bucket.perSecond
 }
