--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -81,9 +81,9 @@
 	sidecar *Sidecar
 }
 
-// Ended implements ingress.Quarantine.
-func (c *crashRecorder) Ended(crash roster.Crash) {
-	c.Quarantine.Ended(crash)
+// RecordCrash implements ingress.Quarantine.
+func (c *crashRecorder) RecordCrash(crash roster.Crash) {
+	c.Quarantine.RecordCrash(crash)
 	c.sidecar.members.Update(func(record roster.Record) (roster.Record, bool) {
 		c.sidecar.incarnations.MarkLost(record, crash.Endpoint)
 		return record, false
--- a/internal/sidecar/egress/attempt.go
+++ b/internal/sidecar/egress/attempt.go
@@ -181,7 +181,7 @@
 		a.call.work().Observe(reply.ServiceTime)
 	}
 	if reply.Version > a.call.table.Version() {
-		a.call.handler.options.Observer.Behind(a.target.node, reply.Version)
+		a.call.handler.options.Observer.NewerVersionReported(a.target.node, reply.Version)
 	}
 	a.observeProof(response.Header, reply.Version)
 }
@@ -190,7 +190,7 @@
 // since the request was sent counts against it.
 func (a *attempt) observeProof(header http.Header, version uint64) {
 	if age, valid := hop.ParseMilliseconds(header.Get(hop.HeaderProof)); valid {
-		a.call.handler.options.Freshness.Proven(version, a.sent.Add(-age))
+		a.call.handler.options.Freshness.RecordProof(version, a.sent.Add(-age))
 	}
 }
 
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -44,8 +44,8 @@
 	// Plan returns how a service's requests are split between software versions, nil when they are
 	// not.
 	Plan func(service string) *rollout.Plan
-	// Emptied returns the evacuated zones, whose back ends get no requests; nil for none.
-	Emptied func() *evacuation.Zones
+	// Evacuated returns the evacuated zones, whose back ends get no requests; nil for none.
+	Evacuated func() *evacuation.Zones
 	// Quarantine decides which requests are refused because they crash back ends.
 	Quarantine Quarantine
 	// Quota enforces the tenants' rate limits; nil enforces none.
@@ -106,8 +106,8 @@
 type Quarantine interface {
 	// Idle reports whether no request is quarantined or suspected.
 	Idle() bool
-	// Holds reports whether the request is quarantined.
-	Holds(fingerprint.Fingerprint) bool
+	// IsQuarantined reports whether the request is quarantined.
+	IsQuarantined(fingerprint.Fingerprint) bool
 }
 
 // Observer receives the events of calls.
@@ -119,19 +119,19 @@
 	// Diverted: a back end's rate limit has no capacity for a request in time; elsewhere: another
 	// back end takes it.
 	Diverted(service string, elsewhere bool)
-	// Overtook: a pipelined request was started before its turn on the caller's connection.
-	Overtook()
-	// Carried: an attempt returned a response after the elapsed time; worked is the part of it that
-	// the back end spent on the request.
-	Carried(elapsed, worked time.Duration)
-	// Silent: a node did not answer a probe; first: it had answered before.
-	Silent(node string, first bool)
-	// Regained: a node that did not answer probes answers again.
-	Regained(node string)
+	// Pipelined: a pipelined request was started before its turn on the caller's connection.
+	Pipelined()
+	// ResponseReceived: an attempt returned a response after the elapsed time; worked is the
+	// part of it that the back end spent on the request.
+	ResponseReceived(elapsed, worked time.Duration)
+	// ProbeFailed: a node did not answer a probe; first: it had answered before.
+	ProbeFailed(node string, first bool)
+	// Recovered: a node that did not answer probes answers again.
+	Recovered(node string)
 	// Unreachable: no connection to a node could be opened.
 	Unreachable(node string)
-	// Behind: a peer holds a newer configuration than this node.
-	Behind(node string, version uint64)
+	// NewerVersionReported: a peer holds a newer configuration than this node.
+	NewerVersionReported(node string, version uint64)
 }
 
 const (
@@ -202,8 +202,8 @@
 	if options.DrainAfter == nil {
 		options.DrainAfter = func() time.Duration { return 0 }
 	}
-	if options.Emptied == nil {
-		options.Emptied = func() *evacuation.Zones { return nil }
+	if options.Evacuated == nil {
+		options.Evacuated = func() *evacuation.Zones { return nil }
 	}
 	callsContext, cancelCalls := context.WithCancelCause(context.Background())
 	return &Handler{
@@ -234,8 +234,8 @@
 // Drop forgets a node that has withdrawn.
 func (h *Handler) Drop(node string) { h.targets.drop(node) }
 
-// Suspect makes the handler avoid a node that did not answer another component.
-func (h *Handler) Suspect(record *roster.Record) {
+// MarkUnresponsive makes the handler avoid a node that did not answer another component.
+func (h *Handler) MarkUnresponsive(record *roster.Record) {
 	h.targets.forRecord(record).failed(clock.Now())
 }
 
@@ -269,7 +269,7 @@
 
 // Begun records a request that was started before its turn: it is in flight until ended is called.
 func (h *Handler) Begun() (ended func()) {
-	h.options.Observer.Overtook()
+	h.options.Observer.Pipelined()
 	h.inFlight.Add(1)
 	return func() { h.inFlight.Add(-1) }
 }
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -22,8 +22,8 @@
 	// Revision is the store's revision at which the order was given. The order with the highest one
 	// applies.
 	Revision uint64 `json:"revision"`
-	// Emptied means that the zone is evacuated. Otherwise the evacuation was revoked.
-	Emptied bool `json:"emptied,omitempty"`
+	// Evacuated means that the zone is evacuated. Otherwise the evacuation was revoked.
+	Evacuated bool `json:"emptied,omitempty"`
 }
 
 // Zones is an immutable set of evacuated zones. A nil set is empty.
@@ -80,8 +80,8 @@
 // Zones returns the zones that are evacuated now, nil if there are none.
 func (o *Orders) Zones() *Zones { return o.zones.Load() }
 
-// Ordered applies an order read from the store.
-func (o *Orders) Ordered(order Order) {
+// ApplyOrder applies an order read from the store.
+func (o *Orders) ApplyOrder(order Order) {
 	if o.merge([]Order{order}, "store") {
 		o.options.Broadcast()
 	}
@@ -99,7 +99,7 @@
 	o.mu.Lock()
 	var revoked []Order
 	for zone, held := range o.orders {
-		if !held.Emptied || held.Revision >= revision || slices.Contains(zones, zone) {
+		if !held.Evacuated || held.Revision >= revision || slices.Contains(zones, zone) {
 			delete(o.missingSince, zone)
 			continue
 		}
@@ -123,8 +123,8 @@
 	return again
 }
 
-// Tell returns the orders to send to peers, nil if there are none.
-func (o *Orders) Tell() []Order {
+// Export returns the orders to send to peers, nil if there are none.
+func (o *Orders) Export() []Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.orders) == 0 {
@@ -133,8 +133,8 @@
 	return slices.SortedFunc(maps.Values(o.orders), func(a, b Order) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// Hear merges orders received from a peer and reports whether any of them is new.
-func (o *Orders) Hear(received []Order) (news bool) { return o.merge(received, "peer") }
+// Import merges orders received from a peer and reports whether any of them is new.
+func (o *Orders) Import(received []Order) (news bool) { return o.merge(received, "peer") }
 
 // merge applies orders and reports whether any of them is new.
 func (o *Orders) merge(received []Order, source string) (news bool) {
@@ -154,7 +154,7 @@
 		}
 		news = true
 		o.orders[order.Zone] = order
-		if current.Emptied != order.Emptied {
+		if current.Evacuated != order.Evacuated {
 			o.publish(order, source)
 		}
 	}
@@ -166,7 +166,7 @@
 func (o *Orders) publish(order Order, source string) {
 	next := map[string]bool{}
 	for zone, held := range o.orders {
-		if held.Emptied {
+		if held.Evacuated {
 			next[zone] = true
 		}
 	}
@@ -176,10 +176,10 @@
 		o.zones.Store(&Zones{emptied: next})
 	}
 	message := "zone is emptied"
-	if !order.Emptied {
+	if !order.Evacuated {
 		message = "zone is taken back"
 	}
 	o.options.Logger.Info(message, zap.String("zone", order.Zone), zap.Uint64("revision", order.Revision),
 		zap.String("source", source), zap.Bool("knownZone", o.options.ZoneExists(order.Zone)), zap.Strings("emptied", o.zones.Load().Names()))
-	o.options.OnChange(order.Zone, order.Emptied)
+	o.options.OnChange(order.Zone, order.Evacuated)
 }
--- a/internal/sidecar/evacuations.go
+++ b/internal/sidecar/evacuations.go
@@ -32,7 +32,7 @@
 // handleItemRemoved handles that operators removed the item under a key.
 func (s *Sidecar) handleItemRemoved(key string, revision uint64) {
 	if zone, is := s.options.EvacuatedZone(key); is {
-		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: revision})
+		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: revision})
 	}
 }
 
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -19,8 +19,8 @@
 	zoneDelay  = 300 * time.Millisecond
 	// hedgeDelay is the time without a byte from any peer that is asked after which another peer
 	// is asked as well: a peer that hangs costs that much of the 2.5 s in which a version has to be
-	// in force. With one request at a time and its time-out of 2 s a node was behind for up to
-	// 2.75 s beside healthy peers, now for 0.15 s (TestSilentPeerDoesNotDelayCatchUp).
+	// in force. With one request at a time, a node stayed behind beside healthy peers until the
+	// time-out of 2 s had passed (TestSilentPeerDoesNotDelayCatchUp).
 	hedgeDelay = 150 * time.Millisecond
 	// maxFetches bounds the concurrent fetches; when another peer is due, the oldest fetch is
 	// abandoned.
@@ -74,10 +74,10 @@
 	return &catchUp{exchanger: exchanger, logger: exchanger.options.Logger, wake: make(chan struct{}, 1)}
 }
 
-// Behind processes a version that a peer reported. When it is above the one in force,
+// NewerVersionReported processes a version that a peer reported. When it is above the one in force,
 // the node catches up, normally from the first peer that reported it. A reader waits first for
 // its own watch, another node for a peer of its zone.
-func (e *Exchanger) Behind(peer *roster.Record, version uint64) {
+func (e *Exchanger) NewerVersionReported(peer *roster.Record, version uint64) {
 	if peer == nil || version <= e.options.Configuration.Version() {
 		return
 	}
@@ -126,7 +126,7 @@
 	switch {
 	case e.options.Configuration.Version() == 0:
 		return 0
-	case e.options.Reads():
+	case e.options.IsReader():
 		return watchDelay
 	case peer.Zone == e.options.Roster.Own().Zone:
 		return 0
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -41,8 +41,8 @@
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	// Refresh reads the configuration from the store.
 	Refresh func(ctx context.Context) error
-	// Reads reports whether the node reads the store itself.
-	Reads func() bool
+	// IsReader reports whether the node reads the store itself.
+	IsReader func() bool
 	// Store tracks how often the store was restored from a copy; nil when it never is.
 	Store EraTracker
 	// Rollouts holds the roll-outs of back-end versions; nil when there are none.
@@ -57,9 +57,9 @@
 	Repeats Granter
 	// Observer observes how the node stays up to date; it may be nil.
 	Observer Observer
-	// Suspect is called with nodes that do not respond.
-	Suspect func(*roster.Record)
-	Logger  *zap.Logger
+	// MarkUnresponsive is called with nodes that do not respond.
+	MarkUnresponsive func(*roster.Record)
+	Logger           *zap.Logger
 }
 
 // EraTracker tracks how often the store was restored from an older copy.
@@ -70,18 +70,18 @@
 
 // Rollouts holds the roll-outs of back-end versions that a node knows of.
 type Rollouts interface {
-	// Tell returns the known roll-outs; nil when there are none.
-	Tell() []rollout.SharedState
-	// Hear merges a peer's roll-outs and reports whether some of them were new.
-	Hear([]rollout.SharedState) (news bool)
+	// Export returns the known roll-outs; nil when there are none.
+	Export() []rollout.SharedState
+	// Import merges a peer's roll-outs and reports whether some of them were new.
+	Import([]rollout.SharedState) (news bool)
 }
 
 // Evacuations holds the orders to evacuate zones that a node knows of.
 type Evacuations interface {
-	// Tell returns the known orders; nil when there are none.
-	Tell() []evacuation.Order
-	// Hear merges a peer's orders and reports whether some of them were new.
-	Hear([]evacuation.Order) (news bool)
+	// Export returns the known orders; nil when there are none.
+	Export() []evacuation.Order
+	// Import merges a peer's orders and reports whether some of them were new.
+	Import([]evacuation.Order) (news bool)
 }
 
 // Contention records whether some back end shares its machine with others.
@@ -234,7 +234,7 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			e.MarkLost(peer.Node)
-			e.options.Suspect(peer)
+			e.options.MarkUnresponsive(peer)
 		}
 		return err
 	}
@@ -273,8 +273,8 @@
 	return asked
 }
 
-// Met reports whether this node was in contact with another one since it started.
-func (e *Exchanger) Met() bool { return e.hadContact.Load() }
+// HadContact reports whether this node was in contact with another one since it started.
+func (e *Exchanger) HadContact() bool { return e.hadContact.Load() }
 
 // Reachable reports whether a node is not recorded as lost.
 func (e *Exchanger) Reachable(record *roster.Record) bool { return !e.lost.contains(record.Node) }
@@ -299,10 +299,10 @@
 		state.Era = e.options.Store.Era()
 	}
 	if e.options.Rollouts != nil {
-		state.Rollouts = e.options.Rollouts.Tell()
+		state.Rollouts = e.options.Rollouts.Export()
 	}
 	if e.options.Evacuations != nil {
-		state.Evacuations = e.options.Evacuations.Tell()
+		state.Evacuations = e.options.Evacuations.Export()
 	}
 	if e.options.Contention != nil {
 		state.SharedMachines = e.options.Contention.Shared()
@@ -329,8 +329,8 @@
 // in the zone.
 func (e *Exchanger) mergeState(state *SharedState) {
 	e.mergeEra(state)
-	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Hear(state.Rollouts)
-	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Hear(state.Evacuations)
+	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Import(state.Rollouts)
+	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Import(state.Evacuations)
 	if state.SharedMachines && e.options.Contention != nil {
 		e.options.Contention.SetShared()
 	}
@@ -345,7 +345,7 @@
 	e.lost.remove(received.From.Node) // it is reachable, whichever side started
 	e.mergeState(&received.SharedState)
 	e.options.Roster.Merge(append([]*roster.Record{received.From}, received.Records...))
-	e.Behind(received.From, received.Version)
+	e.NewerVersionReported(received.From, received.Version)
 }
 
 // post sends a message and returns the reply.
--- a/internal/sidecar/level.go
+++ b/internal/sidecar/level.go
@@ -37,5 +37,5 @@
 // ProofAge implements egress.Freshness.
 func (f *freshness) ProofAge() (time.Duration, bool) { return f.keeper.ProofAge() }
 
-// Proven implements egress.Freshness.
-func (f *freshness) Proven(version uint64, at time.Time) { f.keeper.Proven(version, at) }
+// RecordProof implements egress.Freshness.
+func (f *freshness) RecordProof(version uint64, at time.Time) { f.keeper.RecordProof(version, at) }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -17,7 +17,7 @@
 
 // knowsPeers reports whether the node can assume that it knows about all other nodes.
 func (s *Sidecar) knowsPeers() bool {
-	return s.peersDiscovered.Load() != nil || (s.exchanger.Met() && clock.Since(s.started) >= discoveryGracePeriod)
+	return s.peersDiscovered.Load() != nil || (s.exchanger.HadContact() && clock.Since(s.started) >= discoveryGracePeriod)
 }
 
 func (s *Sidecar) addQuota() {
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -88,7 +88,7 @@
 	case peersDiscovered != nil:
 		return s.isReader()
 	}
-	return s.exchanger.Met() && s.isReader()
+	return s.exchanger.HadContact() && s.isReader()
 }
 
 // handlePeersDiscovered announces this node to the peers found in the store and exchanges state with
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -155,8 +155,8 @@
 	return (*current)[service]
 }
 
-// Ordered handles an order read from the store.
-func (c *Controller) Ordered(order rollout.Order) {
+// ApplyOrder handles an order read from the store.
+func (c *Controller) ApplyOrder(order rollout.Order) {
 	now := clock.Now()
 	if c.merge(c.initialState(order, now), now) {
 		c.options.Logger.Info("roll-out ordered", zap.String("service", order.Service), zap.String("software", order.Version),
@@ -186,11 +186,11 @@
 	c.signal()
 }
 
-// Hear merges rollout states received from a peer and reports whether any of it was new.
-func (c *Controller) Hear(received []rollout.SharedState) (changed bool) {
+// Import merges rollout states received from a peer and reports whether any of it was new.
+func (c *Controller) Import(received []rollout.SharedState) (changed bool) {
 	now := clock.Now()
 	for _, wire := range received {
-		state, valid := wire.Hear(now)
+		state, valid := wire.Import(now)
 		if !valid {
 			c.options.Logger.Warn("a peer tells of a roll-out that cannot be", zap.Any("told", wire))
 			continue
@@ -200,8 +200,8 @@
 	return changed
 }
 
-// Tell returns the rollout states to send to peers; nil if there are none.
-func (c *Controller) Tell() []rollout.SharedState {
+// Export returns the rollout states to send to peers; nil if there are none.
+func (c *Controller) Export() []rollout.SharedState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.rollouts) == 0 {
@@ -210,7 +210,7 @@
 	now := clock.Now()
 	states := make([]rollout.SharedState, 0, len(c.rollouts))
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
-		states = append(states, c.rollouts[service].Tell(now))
+		states = append(states, c.rollouts[service].Export(now))
 	}
 	return states
 }
--- a/internal/sidecar/rollout/controller/controller_test.go
+++ b/internal/sidecar/rollout/controller/controller_test.go
@@ -217,10 +217,10 @@
 		if !sender.alive {
 			continue
 		}
-		own, states := sender.members.Own(), sender.control.Tell()
+		own, states := sender.members.Own(), sender.control.Export()
 		for _, receiver := range f.nodes {
 			if receiver != sender && receiver.alive {
-				receiver.control.Hear(states)
+				receiver.control.Import(states)
 				receiver.members.Merge([]*roster.Record{own})
 			}
 		}
@@ -230,7 +230,7 @@
 func (f *fleet) order(revision uint64) {
 	for _, n := range f.nodes {
 		if n.alive {
-			n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: revision, Duration: duration})
+			n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: revision, Duration: duration})
 		}
 	}
 }
@@ -386,7 +386,7 @@
 		started := f.nodes[oldNodes]
 		f.kill(oldNodes)
 		f.start(oldNodes)
-		started.control.Hear(f.nodes[0].control.Tell())
+		started.control.Import(f.nodes[0].control.Export())
 		started.members.Merge([]*roster.Record{f.nodes[oldNodes+1].members.Own()})
 		started.members.Merge([]*roster.Record{f.nodes[0].members.Own()})
 		g.Expect(started.control.Plan(service).Select(true).Admits(f.nodes[0].members.Own())).To(BeTrue())
@@ -479,7 +479,7 @@
 						switch {
 						case !n.alive:
 							f.start(i)
-							n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
+							n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 						case f.random.Float64() < 0.08:
 							f.kill(i)
 						}
@@ -491,7 +491,7 @@
 				for i, n := range f.nodes {
 					if !n.alive {
 						f.start(i)
-						n.control.Ordered(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
+						n.control.ApplyOrder(rollout.Order{Service: service, Version: newVersion, Revision: 7, Duration: duration})
 					}
 				}
 				f.run(12*time.Second, bad)
--- a/internal/sidecar/rollouts.go
+++ b/internal/sidecar/rollouts.go
@@ -52,7 +52,7 @@
 // handleOperatorItem handles an item other than the configuration that an operator wrote.
 func (s *Sidecar) handleOperatorItem(item store.KeyValue) {
 	if zone, is := s.options.EvacuatedZone(item.Key); is {
-		s.evacuations.Ordered(evacuation.Order{Zone: zone, Revision: item.Revision, Emptied: true})
+		s.evacuations.ApplyOrder(evacuation.Order{Zone: zone, Revision: item.Revision, Evacuated: true})
 		return
 	}
 	if !s.options.IsOrderKey(item.Key) {
@@ -63,7 +63,7 @@
 		s.logger.Error("order of a roll-out refused", zap.String("key", item.Key), zap.Error(err))
 		return
 	}
-	s.rollouts.Ordered(order)
+	s.rollouts.ApplyOrder(order)
 }
 
 // storeReaders returns the nodes of all zones that read the store.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -177,22 +177,22 @@
 		Refresh: func(ctx context.Context) error {
 			return configuration.Refresh(ctx, options.Store, created.keyspace(), created.keeper)
 		},
-		Bound:       settings.applyBound(),
-		Store:       options.Store,
-		Rollouts:    created.rollouts,
-		Evacuations: created.evacuations,
-		Quota:       created.quota,
-		Repeats:     created.repeats,
-		Contention:  created.contention,
-		Reads:       created.isReader,
-		Observer:    observer,
-		Suspect:     created.egress.Suspect,
-		Logger:      options.Logger,
+		Bound:            settings.applyBound(),
+		Store:            options.Store,
+		Rollouts:         created.rollouts,
+		Evacuations:      created.evacuations,
+		Quota:            created.quota,
+		Repeats:          created.repeats,
+		Contention:       created.contention,
+		IsReader:         created.isReader,
+		Observer:         observer,
+		MarkUnresponsive: created.egress.MarkUnresponsive,
+		Logger:           options.Logger,
 	})
 	created.membership = membership.New(membership.Options{
 		Store: options.Store, Members: created.members,
 		FirstStart: settings.FirstStart, HeartbeatInterval: settings.HeartbeatInterval,
-		OnDiscovery: created.handlePeersDiscovered, Met: created.exchanger.Met, Reads: created.isReader, Logger: options.Logger,
+		OnDiscovery: created.handlePeersDiscovered, HadContact: created.exchanger.HadContact, IsReader: created.isReader, Logger: options.Logger,
 		CompactionRank: created.compactionRank,
 	})
 	created.members.Observe(created.handleRecordChanges)
@@ -244,7 +244,7 @@
 		Regions:     settings.Regions,
 		Caller:      s.caller,
 		Plan:        s.rollouts.Plan,
-		Emptied:     s.evacuations.Zones,
+		Evacuated:   s.evacuations.Zones,
 		Quarantine:  s.quarantine,
 		Quota:       s.quota,
 		Nested:      &nestedClassifier{contention: s.contention, classifier: nested.NewClassifier(s.activeRequests, s.started)},
@@ -275,8 +275,8 @@
 	sidecar *Sidecar
 }
 
-// Silent implements egress.Observer.
-func (o *callObserver) Silent(node string, first bool) {
+// ProbeFailed implements egress.Observer.
+func (o *callObserver) ProbeFailed(node string, first bool) {
 	o.silentProbes.Inc()
 	if first {
 		o.sidecar.logger.Warn("peer silent", zap.String("peer", node))
@@ -286,14 +286,14 @@
 // Unreachable implements egress.Observer.
 func (o *callObserver) Unreachable(node string) { o.sidecar.exchanger.MarkLost(node) }
 
-// Regained implements egress.Observer.
-func (o *callObserver) Regained(node string) {
+// Recovered implements egress.Observer.
+func (o *callObserver) Recovered(node string) {
 	o.sidecar.logger.Info("peer regained", zap.String("peer", node))
 }
 
-// Behind implements egress.Observer.
-func (o *callObserver) Behind(node string, version uint64) {
-	o.sidecar.exchanger.Behind(o.sidecar.members.View().Record(node), version)
+// NewerVersionReported implements egress.Observer.
+func (o *callObserver) NewerVersionReported(node string, version uint64) {
+	o.sidecar.exchanger.NewerVersionReported(o.sidecar.members.View().Record(node), version)
 }
 
 // caller returns the name of the service beside this node.
