--- a/internal/proxy/forward/request.go
+++ b/internal/proxy/forward/request.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Spent reports whether the body can no longer be sent from its start.
-func (b *Body) Spent() bool { return b.stream != nil && b.stream.touched.Load() }
+// Consumed reports whether the body can no longer be sent from its start.
+func (b *Body) Consumed() bool { return b.stream != nil && b.stream.touched.Load() }
 
 // Replayable reports whether the body can be sent any number of times.
 func (b *Body) Replayable() bool { return b.stream == nil }
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -189,7 +189,7 @@
 
 // retry decides whether another attempt follows a failed one.
 func (c *call) retry(last result) bool {
-	if last.target == nil || c.context.Err() != nil || c.body.Spent() {
+	if last.target == nil || c.context.Err() != nil || c.body.Consumed() {
 		return false
 	}
 	if c.crashes >= maxCrashes {
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -54,7 +54,7 @@
 		}
 		a.countFailure(failure)
 		again := failure.Outcome == outcome.NotRun && failure.Step == outcome.StepWrite && a.context.Err() == nil
-		if !again || send == maximumSends || sent.Spent() {
+		if !again || send == maximumSends || sent.Consumed() {
 			return failure
 		}
 	}
