--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -50,8 +50,8 @@
 	Repeatable bool
 	// RetriedUpstream: an earlier hop of the chain is already repeating.
 	RetriedUpstream bool
-	// BodySpent: the request's body is gone and cannot be sent again.
-	BodySpent bool
+	// BodyConsumed: the request's body is gone and cannot be sent again.
+	BodyConsumed bool
 	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	// Random is uniform over all values.
@@ -68,7 +68,7 @@
 // caller then asks the service's Budget. A non-repeatable request is tried
 // again only after a proven not-run.
 func (p Policy) Decide(attempt Attempt) Decision {
-	if attempt.Number >= p.Attempts || attempt.RetriedUpstream || attempt.BodySpent {
+	if attempt.Number >= p.Attempts || attempt.RetriedUpstream || attempt.BodyConsumed {
 		return Decision{}
 	}
 	if attempt.Outcome != outcome.NotRun && !attempt.Repeatable {
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -25,7 +25,7 @@
 	Entry("second attempt", func(a *retry.Attempt) { a.Number = 2 }, true),
 	Entry("last attempt", func(a *retry.Attempt) { a.Number = 3 }, false),
 	Entry("repeated upstream", func(a *retry.Attempt) { a.RetriedUpstream = true }, false),
-	Entry("body spent", func(a *retry.Attempt) { a.BodySpent = true }, false),
+	Entry("body spent", func(a *retry.Attempt) { a.BodyConsumed = true }, false),
 	Entry("no time for the wait", func(a *retry.Attempt) { a.Remaining = 1_500_000 }, false),
 	Entry("just enough time", func(a *retry.Attempt) { a.Remaining = 1_500_001 }, true),
 )
