--- a/internal/proxy/forward/pool.go
+++ b/internal/proxy/forward/pool.go
@@ -25,9 +25,9 @@
 	DialTimeout time.Duration
 	// ReplyHeaderBytes bounds the headers of a reply.
 	ReplyHeaderBytes int64
-	// ConsentTimeout is how long a peer may take to answer an Expect header
+	// ExpectContinueTimeout is how long a peer may take to answer an Expect header
 	// before the body is sent without its consent; zero takes the default.
-	ConsentTimeout time.Duration
+	ExpectContinueTimeout time.Duration
 	// AllowUnframed takes replies that end with their connection; one that is
 	// reset is broken off. Without it such replies are errors.
 	AllowUnframed bool
@@ -99,10 +99,10 @@
 const expectContinueTimeout = time.Second
 
 func (l Limits) consentTimeout() time.Duration {
-	if l.ConsentTimeout == 0 {
+	if l.ExpectContinueTimeout == 0 {
 		return expectContinueTimeout
 	}
-	return l.ConsentTimeout
+	return l.ExpectContinueTimeout
 }
 
 // dialedConn is the context key under which a dial leaves its connection.
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -191,7 +191,7 @@
 		IdleTimeout:      peerIdleTimeout,
 		DialTimeout:      peerDialTimeout,
 		ReplyHeaderBytes: maxReplyHeaderBytes,
-		ConsentTimeout:   continueTimeout,
+		ExpectContinueTimeout:   continueTimeout,
 	}
 	if options.Freshness == nil {
 		options.Freshness = standalone{}
