--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -13,9 +13,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// ErrUnprovenLength says that a reply is neither counted nor chunked, so that
+// ErrUnframedReply says that a reply is neither counted nor chunked, so that
 // its end could not be told from a lost connection.
-var ErrUnprovenLength = errors.New("forward: the reply has neither a length nor chunks")
+var ErrUnframedReply = errors.New("forward: the reply has neither a length nor chunks")
 
 // ErrSwitchedProtocol says that the peer switched protocols unasked.
 var ErrSwitchedProtocol = errors.New("forward: the peer switched protocols")
@@ -124,7 +124,7 @@
 	}
 	counted := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if !counted && request.Method != http.MethodHead && response.Body != http.NoBody {
-		return ErrUnprovenLength
+		return ErrUnframedReply
 	}
 	return nil
 }
