--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -45,9 +45,9 @@
 	return p.roundTrip(request, math.MaxInt64)
 }
 
-// RoundTripOnce is RoundTrip for a request that may not be sent again: it uses
+// RoundTripNonRepeatable is RoundTrip for a request that may not be sent again: it uses
 // no connection that has rested for long, since the peer may have forgotten it.
-func (p *Pool) RoundTripOnce(request *http.Request) (*http.Response, error) {
+func (p *Pool) RoundTripNonRepeatable(request *http.Request) (*http.Response, error) {
 	return p.roundTrip(request, restOnce)
 }
 
--- a/internal/proxy/forward/rest_test.go
+++ b/internal/proxy/forward/rest_test.go
@@ -64,7 +64,7 @@
 func exchanged(pool *forward.Pool, once bool) bool {
 	send := pool.RoundTrip
 	if once {
-		send = pool.RoundTripOnce
+		send = pool.RoundTripNonRepeatable
 	}
 	req, _ := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://peer:80/", nil)
 	resp, err := send(req)
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -64,7 +64,7 @@
 // retried by the pool.
 func (a *arrival) roundTrip(outgoing *http.Request) (*http.Response, error) {
 	if a.expectsContinue {
-		return a.handler.pool.RoundTripOnce(outgoing)
+		return a.handler.pool.RoundTripNonRepeatable(outgoing)
 	}
 	return a.handler.pool.RoundTrip(outgoing)
 }
