--- a/internal/proxy/forward/request.go
+++ b/internal/proxy/forward/request.go
@@ -181,11 +181,11 @@
 	}
 }
 
-// PrepareOwnReply readies the connection for a reply that the proxy makes
+// PrepareLocalReply readies the connection for a reply that the proxy makes
 // itself, before the reply is written. The context is the request's, nil when
 // none was made for it yet; the body is nil when its reading was never begun.
 // The returned function is due once the reply is written.
-func PrepareOwnReply(ctx context.Context, w http.ResponseWriter, request *http.Request, body *Body) (written func()) {
+func PrepareLocalReply(ctx context.Context, w http.ResponseWriter, request *http.Request, body *Body) (written func()) {
 	written = func() {}
 	if body == nil {
 		leaveUnread(w, request)
--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -242,7 +242,7 @@
 // reply sends a failure that the proxy answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
 	a.status, a.outcome = failure.Status, failure.Outcome
-	defer forward.PrepareOwnReply(a.context, a.writer, a.request, a.body)()
+	defer forward.PrepareLocalReply(a.context, a.writer, a.request, a.body)()
 	if failure.Peer == "" {
 		failure.Peer = a.handler.options.Service + "/" + a.handler.options.Endpoint
 	}
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -264,7 +264,7 @@
 // reply sends a failure that the proxy answers itself.
 func (c *call) reply(failure *outcome.Failure) {
 	c.status, c.outcome = failure.Status, failure.Outcome
-	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
+	defer forward.PrepareLocalReply(c.context, c.writer, c.request, c.body)()
 	if failure.Peer == "" && c.route != nil {
 		failure.Peer = c.route.service.name
 	}
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -279,7 +279,7 @@
 // writeFailure sends a failure as the node's own response.
 func (c *call) writeFailure(failure *outcome.Failure) {
 	c.status, c.failure = failure.Status, failure
-	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
+	defer forward.PrepareLocalReply(c.context, c.writer, c.request, c.body)()
 	header := c.writer.Header()
 	if wait := c.retryAfterFor(failure); wait > 0 {
 		header["Retry-After"] = []string{hop.FormatSeconds(wait)}
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -272,7 +272,7 @@
 
 // reply sends a failure that this node answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
-	defer forward.PrepareOwnReply(a.context, a.writer, a.request, nil)()
+	defer forward.PrepareLocalReply(a.context, a.writer, a.request, nil)()
 	a.setReplyHeaders(0)
 	header := a.writer.Header()
 	header[outcome.HeaderOutcome] = []string{string(failure.Outcome)}
