--- a/internal/proxy/forward/caller.go
+++ b/internal/proxy/forward/caller.go
@@ -6,9 +6,9 @@
 	"runtime"
 )
 
-// ErrCallerLeft says that the caller had closed its connection before its request
+// ErrCallerDisconnected says that the caller had closed its connection before its request
 // was passed on.
-var ErrCallerLeft = errors.New("the caller has left")
+var ErrCallerDisconnected = errors.New("the caller has left")
 
 // yields is how often the processor is left to others: one time in 61 the scheduler
 // takes a goroutine that has yielded before one that is new.
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -48,7 +48,7 @@
 // attempt may answer first.
 func (c *call) sendOnce() result {
 	if forward.CallerLeft(c.context) {
-		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerLeft)}
+		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerDisconnected)}
 	}
 	chosen, failure := c.choose()
 	if failure != nil {
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -120,7 +120,7 @@
 		return failure
 	}
 	if forward.CallerLeft(a.context) {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerLeft)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerDisconnected)
 	}
 	a.sent, sent = clock.Now(), true
 	a.handler.activeRequests.begin(a)
