--- a/internal/proxy/forward/caller.go
+++ b/internal/proxy/forward/caller.go
@@ -14,12 +14,12 @@
 // takes a goroutine that has yielded before one that is new.
 const yields = 2
 
-// CallerLeft reports whether the caller is no longer there, or the time of its request
+// CallerDisconnected reports whether the caller is no longer there, or the time of its request
 // is over. The server learns of it
 // by a goroutine that reads on while the request is served. On a process that did
 // not run for a while, request and end of the connection may be at hand together:
 // that goroutine gets its turn first.
-func CallerLeft(ctx context.Context) bool {
+func CallerDisconnected(ctx context.Context) bool {
 	for range yields {
 		runtime.Gosched()
 	}
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -47,7 +47,7 @@
 // sendOnce chooses a node, sends the request there once and waits for the result. A detached
 // attempt may answer first.
 func (c *call) sendOnce() result {
-	if forward.CallerLeft(c.context) {
+	if forward.CallerDisconnected(c.context) {
 		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerDisconnected)}
 	}
 	chosen, failure := c.choose()
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -119,7 +119,7 @@
 	if failure := a.checkQuarantine(); failure != nil {
 		return failure
 	}
-	if forward.CallerLeft(a.context) {
+	if forward.CallerDisconnected(a.context) {
 		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerDisconnected)
 	}
 	a.sent, sent = clock.Now(), true
