--- a/internal/proxy/forward/reply.go
+++ b/internal/proxy/forward/reply.go
@@ -15,8 +15,8 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// ErrCallerGone says that the reply could not be written to the caller.
-var ErrCallerGone = errors.New("forward: the caller no longer reads the reply")
+// ErrReplyWriteFailed says that the reply could not be written to the caller.
+var ErrReplyWriteFailed = errors.New("forward: the caller no longer reads the reply")
 
 // WriteReply passes a reply on to the caller, headers already adjusted, and
 // closes its body. An error means that the caller has seen only a part: the
@@ -36,7 +36,7 @@
 	err := writeReply(w, response, hidden)
 	if inTime := stop(); !inTime && err == nil {
 		// What the server still holds back can no longer be written.
-		return errors.Join(ErrCallerGone, context.Cause(ctx))
+		return errors.Join(ErrReplyWriteFailed, context.Cause(ctx))
 	}
 	return err
 }
@@ -109,7 +109,7 @@
 		count, readErr := response.Body.Read(buffer[:])
 		if count > 0 {
 			if _, err := w.Write(buffer[:count]); err != nil {
-				return errors.Join(ErrCallerGone, err)
+				return errors.Join(ErrReplyWriteFailed, err)
 			}
 		}
 		remaining -= int64(count)
@@ -121,7 +121,7 @@
 		}
 		if remaining != 0 && count > 0 {
 			if err := http.NewResponseController(w).Flush(); err != nil {
-				return errors.Join(ErrCallerGone, err)
+				return errors.Join(ErrReplyWriteFailed, err)
 			}
 		}
 	}
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -232,7 +232,7 @@
 		c.ended()
 		return nil
 	}
-	if !errors.Is(err, forward.ErrCallerGone) && !c.endedByCaller() {
+	if !errors.Is(err, forward.ErrReplyWriteFailed) && !c.endedByCaller() {
 		c.observeBroken(from, balance.FailureBroken)
 	}
 	c.abort(from, err)
