--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -236,7 +236,7 @@
 	c.cleanReply(response)
 	response.Header.Set(outcome.HeaderError, short)
 	if c.outcome == outcome.NotRun {
-		outcome.SuggestRetry(response.Header, retrySoon)
+		outcome.EnsureRetryAfter(response.Header, retrySoon)
 	}
 	c.body.CloseUnlessRead(c.writer.Header())
 	if err := forward.WriteReply(c.context, c.writer, response, c.hiddenHeader()); err != nil {
--- a/internal/proxy/outcome/outcome.go
+++ b/internal/proxy/outcome/outcome.go
@@ -153,8 +153,8 @@
 	return strconv.FormatInt(int64(seconds), 10)
 }
 
-// SuggestRetry tells the caller when to come back, unless the header does.
-func SuggestRetry(header http.Header, wait time.Duration) {
+// EnsureRetryAfter tells the caller when to come back, unless the header does.
+func EnsureRetryAfter(header http.Header, wait time.Duration) {
 	if header.Get(headerRetryAfter) == "" {
 		header.Set(headerRetryAfter, retryAfterSeconds(wait))
 	}
