--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -60,7 +60,7 @@
 
 // Decision says whether to try again, and if so after which wait.
 type Decision struct {
-	Again bool
+	Retry bool
 	Wait  time.Duration
 }
 
@@ -78,7 +78,7 @@
 	if wait >= attempt.Remaining {
 		return Decision{}
 	}
-	return Decision{Again: true, Wait: wait}
+	return Decision{Retry: true, Wait: wait}
 }
 
 // backoff is uniform over [0, bound) with a bound that doubles.
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -15,7 +15,7 @@
 		attempt := retry.Attempt{Number: 1, Outcome: outcome.NotRun, Remaining: time.Second, Random: 1_500_000}
 		change(&attempt)
 		decision := retry.Policy{Attempts: 3}.Decide(attempt)
-		Expect(decision.Again).To(Equal(again))
+		Expect(decision.Retry).To(Equal(again))
 		Expect(decision.Wait).To(BeNumerically("<", attempt.Remaining))
 	},
 	Entry("not run", func(*retry.Attempt) {}, true),
