--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -148,7 +148,7 @@
 		return c.limitRefusal(err)
 	}
 	defer service.shared.limiter.Release()
-	service.shared.budget.First()
+	service.shared.budget.Deposit()
 	c.id = c.handler.callPrefix + strconv.FormatUint(c.handler.callCount.Add(1), 36)
 	return c.attempts()
 }
--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -117,9 +117,9 @@
 // SetPercent changes the share.
 func (b *Budget) SetPercent(percent int) { b.percent.Store(int64(percent)) }
 
-// First notes a first attempt, which earns a share of a repeat. A full budget
+// Deposit notes a first attempt, which earns a share of a repeat. A full budget
 // is not written to, so that it costs callers nothing.
-func (b *Budget) First() {
+func (b *Budget) Deposit() {
 	percent := b.percent.Load()
 	ceiling := max(percent*earningWindow, initialRetries*tokensPerRetry)
 	if b.tokens.Load() < ceiling {
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -56,7 +56,7 @@
 		budget := retry.NewBudget(20)
 		Expect(spend(budget)).To(Equal(10))
 		for range 100 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(Equal(20))
 	})
@@ -64,7 +64,7 @@
 	It("saves up no more than the share of a window", func() {
 		budget := retry.NewBudget(20)
 		for range 100_000 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(Equal(200))
 	})
@@ -73,7 +73,7 @@
 		budget := retry.NewBudget(0)
 		spend(budget)
 		for range 1000 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(BeZero())
 	})
