--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -201,7 +201,7 @@
 		Remaining:       time.Until(deadline),
 		Random:          rand.Uint64(),
 	})
-	if !decision.Retry || c.context.Err() != nil || !c.route.service.shared.budget.Spend() {
+	if !decision.Retry || c.context.Err() != nil || !c.route.service.shared.budget.Withdraw() {
 		return false
 	}
 	c.handler.options.Observer.Retried(c.route.service.name)
--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Spend takes one repeat out of the budget if there is one.
-func (b *Budget) Spend() bool {
+// Withdraw takes one repeat out of the budget if there is one.
+func (b *Budget) Withdraw() bool {
 	for {
 		held := b.tokens.Load()
 		if held < tokensPerRetry {
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -46,7 +46,7 @@
 
 var _ = Describe("Budget", func() {
 	spend := func(budget *retry.Budget) (repeats int) {
-		for budget.Spend() {
+		for budget.Withdraw() {
 			repeats++
 		}
 		return repeats
