--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -22,8 +22,8 @@
 // shardCount is a power of two.
 const shardCount = 64
 
-// Memory is safe for concurrent use. Its locks are per shard.
-type Memory struct {
+// Deduplicator is safe for concurrent use. Its locks are per shard.
+type Deduplicator struct {
 	shards [shardCount]shard
 }
 
@@ -37,8 +37,8 @@
 }
 
 // NewMemory returns a memory of about that many calls.
-func NewMemory(capacity int) *Memory {
-	memory := &Memory{}
+func NewMemory(capacity int) *Deduplicator {
+	memory := &Deduplicator{}
 	perShard := max(capacity/shardCount, 1)
 	for index := range memory.shards {
 		memory.shards[index].held = map[uint64]time.Time{}
@@ -49,7 +49,7 @@
 
 // Record remembers the call until the given time at least. It returns an error
 // when the call must not be passed on.
-func (m *Memory) Record(now time.Time, call string, until time.Time) error {
+func (m *Deduplicator) Record(now time.Time, call string, until time.Time) error {
 	key := xxhash.Sum64String(call)
 	part := &m.shards[key%shardCount]
 	part.mutex.Lock()
@@ -68,7 +68,7 @@
 
 // Forget removes a call that provably was not passed on after all. Its place
 // in the ring stays taken until its turn comes.
-func (m *Memory) Forget(call string) {
+func (m *Deduplicator) Forget(call string) {
 	key := xxhash.Sum64String(call)
 	part := &m.shards[key%shardCount]
 	part.mutex.Lock()
--- a/internal/proxy/inbound/handler.go
+++ b/internal/proxy/inbound/handler.go
@@ -66,7 +66,7 @@
 	current atomic.Pointer[settings]
 	limiter *limit.Limiter
 	pool    *forward.Pool
-	memory  *calls.Memory
+	memory  *calls.Deduplicator
 	claimed claimedLoad
 }
 
