--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -36,8 +36,8 @@
 	count int
 }
 
-// NewMemory returns a memory of about that many calls.
-func NewMemory(capacity int) *Deduplicator {
+// NewDeduplicator returns a memory of about that many calls.
+func NewDeduplicator(capacity int) *Deduplicator {
 	memory := &Deduplicator{}
 	perShard := max(capacity/shardCount, 1)
 	for index := range memory.shards {
--- a/internal/proxy/calls/calls_test.go
+++ b/internal/proxy/calls/calls_test.go
@@ -14,7 +14,7 @@
 
 func TestRecordAndForget(t *testing.T) {
 	g := NewWithT(t)
-	memory := calls.NewMemory(64)
+	memory := calls.NewDeduplicator(64)
 	now := time.Unix(1000, 0)
 	until := now.Add(time.Second)
 	g.Expect(memory.Record(now, "one", until)).To(Succeed())
@@ -28,7 +28,7 @@
 // its retention is never recorded twice, and memory is bounded.
 func TestNeverForgetsTooEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		memory := calls.NewMemory(64)
+		memory := calls.NewDeduplicator(64)
 		now := time.Unix(1000, 0)
 		held := map[string]time.Time{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -57,7 +57,7 @@
 
 func TestFullMemoryRefusesUntilRetentionIsOver(t *testing.T) {
 	g := NewWithT(t)
-	memory := calls.NewMemory(64)
+	memory := calls.NewDeduplicator(64)
 	now := time.Unix(1000, 0)
 	refused := 0
 	for index := range 1000 {
@@ -73,7 +73,7 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	memory := calls.NewMemory(1 << 16)
+	memory := calls.NewDeduplicator(1 << 16)
 	names := make([]string, 1<<17)
 	for index := range names {
 		names[index] = fmt.Sprint("call-", index)
--- a/internal/proxy/inbound/handler.go
+++ b/internal/proxy/inbound/handler.go
@@ -76,7 +76,7 @@
 		options: options,
 		limiter: limit.New(0, 0),
 		pool:    forward.NewPool(options.Address, options.Connections, options.Dial),
-		memory:  calls.NewMemory(options.RememberedCalls),
+		memory:  calls.NewDeduplicator(options.RememberedCalls),
 	}
 }
 
