--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -13,8 +13,8 @@
 
 // Errors of Record.
 var (
-	// ErrSecondArrival: the call was passed on before.
-	ErrSecondArrival = errors.New("calls: this call was passed on before")
+	// ErrDuplicate: the call was passed on before.
+	ErrDuplicate = errors.New("calls: this call was passed on before")
 	// ErrFull: every remembered call is still within its retention.
 	ErrFull = errors.New("calls: memory is full")
 )
@@ -55,7 +55,7 @@
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
 	if _, known := part.held[key]; known {
-		return ErrSecondArrival
+		return ErrDuplicate
 	}
 	if part.count == len(part.ring) && !part.dropOldest(now) {
 		return ErrFull
--- a/internal/proxy/calls/calls_test.go
+++ b/internal/proxy/calls/calls_test.go
@@ -18,10 +18,10 @@
 	now := time.Unix(1000, 0)
 	until := now.Add(time.Second)
 	g.Expect(memory.Record(now, "one", until)).To(Succeed())
-	g.Expect(memory.Record(now, "one", until)).To(MatchError(calls.ErrSecondArrival))
+	g.Expect(memory.Record(now, "one", until)).To(MatchError(calls.ErrDuplicate))
 	memory.Forget("one")
 	g.Expect(memory.Record(now, "one", until)).To(Succeed())
-	g.Expect(memory.Record(until, "one", until)).To(MatchError(calls.ErrSecondArrival))
+	g.Expect(memory.Record(until, "one", until)).To(MatchError(calls.ErrDuplicate))
 }
 
 // TestNeverForgetsTooEarly compares with an unbounded memory: a call within
@@ -45,7 +45,7 @@
 			if err == nil && known && now.Before(retained) {
 				t.Fatalf("call %s was recorded twice within its retention", call)
 			}
-			if errors.Is(err, calls.ErrSecondArrival) && !known {
+			if errors.Is(err, calls.ErrDuplicate) && !known {
 				t.Fatalf("call %s was never recorded", call)
 			}
 			if err == nil {
--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -145,7 +145,7 @@
 		return nil
 	}
 	err := a.handler.memory.Record(time.Now(), a.call, a.deadline.Add(retention))
-	if errors.Is(err, calls.ErrSecondArrival) {
+	if errors.Is(err, calls.ErrDuplicate) {
 		return &outcome.Failure{Outcome: outcome.Unknown, Status: http.StatusConflict, Step: outcome.StepDuplicate, Cause: err}
 	}
 	if err != nil {
