--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -27,7 +27,7 @@
 	lastAnswer atomic.Int64
 
 	mutex     sync.Mutex // guards all below
-	core      *health.Core
+	core      *health.Tracker
 	announced endpoint.Update
 	observers []func(endpoint.Update)
 }
@@ -61,7 +61,7 @@
 }
 
 // change lets the core take something in and announces what follows.
-func (a *announcer) change(apply func(core *health.Core)) {
+func (a *announcer) change(apply func(core *health.Tracker)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	apply(a.core)
@@ -75,8 +75,8 @@
 	}
 }
 
-func (a *announcer) leave()    { a.change((*health.Core).Leave) }
-func (a *announcer) comeBack() { a.change((*health.Core).Return) }
+func (a *announcer) leave()    { a.change((*health.Tracker).Leave) }
+func (a *announcer) comeBack() { a.change((*health.Tracker).Return) }
 
 // answered is on the path of every request, so that it mostly only reads.
 func (a *announcer) answered() {
@@ -85,11 +85,11 @@
 	if now.UnixNano()-last < int64(answeredEvery) || !a.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	a.change(func(core *health.Core) { core.Answered(now) })
+	a.change(func(core *health.Tracker) { core.Answered(now) })
 }
 
 func (a *announcer) unreachable() {
-	a.change(func(core *health.Core) { core.Refused(time.Now()) })
+	a.change(func(core *health.Tracker) { core.Refused(time.Now()) })
 }
 
 // run polls until the context ends.
@@ -101,7 +101,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.change(func(core *health.Core) { core.Polled(time.Now(), says) })
+		a.change(func(core *health.Tracker) { core.Polled(time.Now(), says) })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -39,8 +39,8 @@
 	warmup = 10 * time.Second
 )
 
-// Core holds what is known of one back end. It is not safe for concurrent use.
-type Core struct {
+// Tracker holds what is known of one back end. It is not safe for concurrent use.
+type Tracker struct {
 	state endpoint.State
 	// leaving is set by the operator's drain; it overrides everything.
 	leaving bool
@@ -53,10 +53,10 @@
 }
 
 // New returns a core of a back end of which nothing is known: it is down.
-func New() *Core { return &Core{state: endpoint.Down} }
+func New() *Tracker { return &Tracker{state: endpoint.Down} }
 
 // State returns the state to announce.
-func (c *Core) State() endpoint.State {
+func (c *Tracker) State() endpoint.State {
 	if c.leaving {
 		return endpoint.Draining
 	}
@@ -64,20 +64,20 @@
 }
 
 // Leave begins, Return ends the operator's drain.
-func (c *Core) Leave() { c.leaving = true }
+func (c *Tracker) Leave() { c.leaving = true }
 
 // Return ends the operator's drain.
-func (c *Core) Return() { c.leaving = false }
+func (c *Tracker) Return() { c.leaving = false }
 
 // Answered notes that the back end answered a request.
-func (c *Core) Answered(now time.Time) { c.answered = now }
+func (c *Tracker) Answered(now time.Time) { c.answered = now }
 
 // Refused notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
-func (c *Core) Refused(now time.Time) { c.Polled(now, Unreachable) }
+func (c *Tracker) Refused(now time.Time) { c.Polled(now, Unreachable) }
 
 // Polled takes in the result of a health poll.
-func (c *Core) Polled(now time.Time, says Statement) {
+func (c *Tracker) Polled(now time.Time, says Statement) {
 	switch says {
 	case SaysReady, SaysWarming:
 		c.bad = 0
@@ -90,7 +90,7 @@
 	}
 }
 
-func (c *Core) up(now time.Time, says Statement) {
+func (c *Tracker) up(now time.Time, says Statement) {
 	if !c.state.AcceptsWork() {
 		c.state = endpoint.Warming
 		c.warmFrom = now
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *Core) down(now time.Time, says Statement) {
+func (c *Tracker) down(now time.Time, says Statement) {
 	if c.bad == 0 || c.badSays != says {
 		c.bad, c.badSays = 0, says
 	}
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -11,16 +11,16 @@
 )
 
 // event happens one second after the one before.
-type event func(core *health.Core, now time.Time)
+type event func(core *health.Tracker, now time.Time)
 
 func polled(says health.Statement) event {
-	return func(core *health.Core, now time.Time) { core.Polled(now, says) }
+	return func(core *health.Tracker, now time.Time) { core.Polled(now, says) }
 }
 
-func answered(core *health.Core, now time.Time) { core.Answered(now) }
-func refused(core *health.Core, now time.Time)  { core.Refused(now) }
-func leave(core *health.Core, _ time.Time)      { core.Leave() }
-func back(core *health.Core, _ time.Time)       { core.Return() }
+func answered(core *health.Tracker, now time.Time) { core.Answered(now) }
+func refused(core *health.Tracker, now time.Time)  { core.Refused(now) }
+func leave(core *health.Tracker, _ time.Time)      { core.Leave() }
+func back(core *health.Tracker, _ time.Time)       { core.Return() }
 
 func warm() []event {
 	events := make([]event, 12)
