--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -112,13 +112,13 @@
 
 // healthBody is the part of a health reply that is understood.
 type healthBody struct {
-	State health.Statement `json:"state"`
+	State health.PollResult `json:"state"`
 }
 
 // healthBodyLimit bounds what is read of a health reply, in bytes.
 const healthBodyLimit = 4 << 10
 
-func (a *announcer) poll(ctx context.Context) health.Statement {
+func (a *announcer) poll(ctx context.Context) health.PollResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.options.Backend.Address+a.options.Backend.HealthPath, nil)
 	if err != nil {
 		return health.Unreachable
@@ -134,7 +134,7 @@
 	return statementOfReply(response)
 }
 
-func statementOfError(err error) health.Statement {
+func statementOfError(err error) health.PollResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return health.Unreachable
@@ -144,7 +144,7 @@
 
 // statementOfReply believes the body where it names a state that fits the
 // status, else the status alone.
-func statementOfReply(response *http.Response) health.Statement {
+func statementOfReply(response *http.Response) health.PollResult {
 	var body healthBody
 	_ = json.NewDecoder(io.LimitReader(response.Body, healthBodyLimit)).Decode(&body)
 	success := response.StatusCode < http.StatusMultipleChoices
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -11,22 +11,22 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// Statement is what one health poll brought.
-type Statement string
+// PollResult is what one health poll brought.
+type PollResult string
 
 // The statements of a back end about itself.
 const (
 	// SaysReady: a success status, or a statement of readiness.
-	SaysReady Statement = "ready"
+	SaysReady PollResult = "ready"
 	// SaysWarming: the back end is starting.
-	SaysWarming Statement = "warming"
+	SaysWarming PollResult = "warming"
 	// SaysDraining: the back end is leaving. It is always believed.
-	SaysDraining Statement = "draining"
+	SaysDraining PollResult = "draining"
 	// SaysDown: an error status, or no answer to the poll on an open
 	// connection.
-	SaysDown Statement = "down"
+	SaysDown PollResult = "down"
 	// Unreachable: no connection could be opened.
-	Unreachable Statement = "unreachable"
+	Unreachable PollResult = "unreachable"
 )
 
 const (
@@ -46,7 +46,7 @@
 	leaving bool
 	// bad counts equal bad statements in a row.
 	bad      int
-	badSays  Statement
+	badSays  PollResult
 	warmFrom time.Time
 	// answered is when the back end last answered a request.
 	answered time.Time
@@ -77,7 +77,7 @@
 func (c *Tracker) Refused(now time.Time) { c.Polled(now, Unreachable) }
 
 // Polled takes in the result of a health poll.
-func (c *Tracker) Polled(now time.Time, says Statement) {
+func (c *Tracker) Polled(now time.Time, says PollResult) {
 	switch says {
 	case SaysReady, SaysWarming:
 		c.bad = 0
@@ -90,7 +90,7 @@
 	}
 }
 
-func (c *Tracker) up(now time.Time, says Statement) {
+func (c *Tracker) up(now time.Time, says PollResult) {
 	if !c.state.AcceptsWork() {
 		c.state = endpoint.Warming
 		c.warmFrom = now
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *Tracker) down(now time.Time, says Statement) {
+func (c *Tracker) down(now time.Time, says PollResult) {
 	if c.bad == 0 || c.badSays != says {
 		c.bad, c.badSays = 0, says
 	}
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -13,7 +13,7 @@
 // event happens one second after the one before.
 type event func(core *health.Tracker, now time.Time)
 
-func polled(says health.Statement) event {
+func polled(says health.PollResult) event {
 	return func(core *health.Tracker, now time.Time) { core.Polled(now, says) }
 }
 
