--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -129,7 +129,7 @@
 	}
 	defer response.Body.Close()
 	if a.options.Backend.HealthPath == "" {
-		return health.SaysReady
+		return health.PollReady
 	}
 	return statementOfReply(response)
 }
@@ -154,7 +154,7 @@
 	case success && body.State == health.SaysWarming:
 		return health.SaysWarming
 	case success:
-		return health.SaysReady
+		return health.PollReady
 	default:
 		return health.SaysDown
 	}
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -16,8 +16,8 @@
 
 // The statements of a back end about itself.
 const (
-	// SaysReady: a success status, or a statement of readiness.
-	SaysReady PollResult = "ready"
+	// PollReady: a success status, or a statement of readiness.
+	PollReady PollResult = "ready"
 	// SaysWarming: the back end is starting.
 	SaysWarming PollResult = "warming"
 	// SaysDraining: the back end is leaving. It is always believed.
@@ -79,7 +79,7 @@
 // Polled takes in the result of a health poll.
 func (c *Tracker) Polled(now time.Time, says PollResult) {
 	switch says {
-	case SaysReady, SaysWarming:
+	case PollReady, SaysWarming:
 		c.bad = 0
 		c.up(now, says)
 	case SaysDraining:
@@ -96,7 +96,7 @@
 		c.warmFrom = now
 		return
 	}
-	if says == SaysReady && now.Sub(c.warmFrom) >= warmup {
+	if says == PollReady && now.Sub(c.warmFrom) >= warmup {
 		c.state = endpoint.Ready
 	}
 }
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -25,7 +25,7 @@
 func warm() []event {
 	events := make([]event, 12)
 	for index := range events {
-		events[index] = polled(health.SaysReady)
+		events[index] = polled(health.PollReady)
 	}
 	return events
 }
@@ -40,18 +40,18 @@
 		Expect(core.State()).To(Equal(want))
 	},
 	Entry("nothing known", nil, nil, endpoint.Down),
-	Entry("first good poll", nil, []event{polled(health.SaysReady)}, endpoint.Warming),
+	Entry("first good poll", nil, []event{polled(health.PollReady)}, endpoint.Warming),
 	Entry("good for long enough", warm(), nil, endpoint.Ready),
 	Entry("says it is still starting", nil, []event{polled(health.SaysWarming), polled(health.SaysWarming)}, endpoint.Warming),
 	Entry("one bad poll", warm(), []event{polled(health.SaysDown)}, endpoint.Ready),
 	Entry("two bad polls", warm(), []event{polled(health.SaysDown), polled(health.SaysDown)}, endpoint.Down),
 	Entry("two different bad polls", warm(), []event{polled(health.SaysDown), polled(health.Unreachable)}, endpoint.Ready),
-	Entry("a good one between", warm(), []event{polled(health.SaysDown), polled(health.SaysReady), polled(health.SaysDown)}, endpoint.Ready),
+	Entry("a good one between", warm(), []event{polled(health.SaysDown), polled(health.PollReady), polled(health.SaysDown)}, endpoint.Ready),
 	Entry("says down while it answers", warm(), []event{polled(health.SaysDown), answered, polled(health.SaysDown)}, endpoint.Ready),
 	Entry("says down and answers no more", warm(), []event{answered, polled(health.SaysDown), polled(health.SaysDown), polled(health.SaysDown)}, endpoint.Down),
 	Entry("unreachable although it answered", warm(), []event{answered, polled(health.Unreachable), refused}, endpoint.Down),
 	Entry("draining is believed at once", warm(), []event{answered, polled(health.SaysDraining)}, endpoint.Draining),
-	Entry("back from down starts slowly", warm(), []event{refused, refused, polled(health.SaysReady)}, endpoint.Warming),
-	Entry("operator's drain overrides", warm(), []event{leave, polled(health.SaysReady)}, endpoint.Draining),
+	Entry("back from down starts slowly", warm(), []event{refused, refused, polled(health.PollReady)}, endpoint.Warming),
+	Entry("operator's drain overrides", warm(), []event{leave, polled(health.PollReady)}, endpoint.Draining),
 	Entry("operator's drain ended", warm(), []event{leave, back}, endpoint.Ready),
 )
