--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -151,8 +151,8 @@
 	switch {
 	case body.State == health.SaysDraining:
 		return health.SaysDraining
-	case success && body.State == health.SaysWarming:
-		return health.SaysWarming
+	case success && body.State == health.PollWarming:
+		return health.PollWarming
 	case success:
 		return health.PollReady
 	default:
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -18,8 +18,8 @@
 const (
 	// PollReady: a success status, or a statement of readiness.
 	PollReady PollResult = "ready"
-	// SaysWarming: the back end is starting.
-	SaysWarming PollResult = "warming"
+	// PollWarming: the back end is starting.
+	PollWarming PollResult = "warming"
 	// SaysDraining: the back end is leaving. It is always believed.
 	SaysDraining PollResult = "draining"
 	// SaysDown: an error status, or no answer to the poll on an open
@@ -79,7 +79,7 @@
 // Polled takes in the result of a health poll.
 func (c *Tracker) Polled(now time.Time, says PollResult) {
 	switch says {
-	case PollReady, SaysWarming:
+	case PollReady, PollWarming:
 		c.bad = 0
 		c.up(now, says)
 	case SaysDraining:
