--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -149,8 +149,8 @@
 	_ = json.NewDecoder(io.LimitReader(response.Body, healthBodyLimit)).Decode(&body)
 	success := response.StatusCode < http.StatusMultipleChoices
 	switch {
-	case body.State == health.SaysDraining:
-		return health.SaysDraining
+	case body.State == health.PollDraining:
+		return health.PollDraining
 	case success && body.State == health.PollWarming:
 		return health.PollWarming
 	case success:
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -20,8 +20,8 @@
 	PollReady PollResult = "ready"
 	// PollWarming: the back end is starting.
 	PollWarming PollResult = "warming"
-	// SaysDraining: the back end is leaving. It is always believed.
-	SaysDraining PollResult = "draining"
+	// PollDraining: the back end is leaving. It is always believed.
+	PollDraining PollResult = "draining"
 	// SaysDown: an error status, or no answer to the poll on an open
 	// connection.
 	SaysDown PollResult = "down"
@@ -82,7 +82,7 @@
 	case PollReady, PollWarming:
 		c.bad = 0
 		c.up(now, says)
-	case SaysDraining:
+	case PollDraining:
 		c.bad = 0
 		c.state = endpoint.Draining
 	default:
