--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -139,7 +139,7 @@
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return health.Unreachable
 	}
-	return health.SaysDown
+	return health.PollDown
 }
 
 // statementOfReply believes the body where it names a state that fits the
@@ -156,6 +156,6 @@
 	case success:
 		return health.PollReady
 	default:
-		return health.SaysDown
+		return health.PollDown
 	}
 }
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -22,9 +22,9 @@
 	PollWarming PollResult = "warming"
 	// PollDraining: the back end is leaving. It is always believed.
 	PollDraining PollResult = "draining"
-	// SaysDown: an error status, or no answer to the poll on an open
+	// PollDown: an error status, or no answer to the poll on an open
 	// connection.
-	SaysDown PollResult = "down"
+	PollDown PollResult = "down"
 	// Unreachable: no connection could be opened.
 	Unreachable PollResult = "unreachable"
 )
@@ -106,7 +106,7 @@
 		c.bad, c.badSays = 0, says
 	}
 	c.bad++
-	contradicted := says == SaysDown && now.Sub(c.answered) < evidenceLifetime
+	contradicted := says == PollDown && now.Sub(c.answered) < evidenceLifetime
 	if c.bad >= confirmations && !contradicted {
 		c.state = endpoint.Down
 	}
