--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -121,7 +121,7 @@
 func (a *announcer) poll(ctx context.Context) health.PollResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.options.Backend.Address+a.options.Backend.HealthPath, nil)
 	if err != nil {
-		return health.Unreachable
+		return health.PollUnreachable
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
@@ -137,7 +137,7 @@
 func statementOfError(err error) health.PollResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return health.Unreachable
+		return health.PollUnreachable
 	}
 	return health.PollDown
 }
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -25,8 +25,8 @@
 	// PollDown: an error status, or no answer to the poll on an open
 	// connection.
 	PollDown PollResult = "down"
-	// Unreachable: no connection could be opened.
-	Unreachable PollResult = "unreachable"
+	// PollUnreachable: no connection could be opened.
+	PollUnreachable PollResult = "unreachable"
 )
 
 const (
@@ -74,7 +74,7 @@
 
 // Refused notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
-func (c *Tracker) Refused(now time.Time) { c.Polled(now, Unreachable) }
+func (c *Tracker) Refused(now time.Time) { c.Polled(now, PollUnreachable) }
 
 // Polled takes in the result of a health poll.
 func (c *Tracker) Polled(now time.Time, says PollResult) {
