--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -101,7 +101,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.change(func(core *health.Tracker) { core.Polled(time.Now(), says) })
+		a.change(func(core *health.Tracker) { core.RecordPoll(time.Now(), says) })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -74,10 +74,10 @@
 
 // Refused notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
-func (c *Tracker) Refused(now time.Time) { c.Polled(now, PollUnreachable) }
+func (c *Tracker) Refused(now time.Time) { c.RecordPoll(now, PollUnreachable) }
 
-// Polled takes in the result of a health poll.
-func (c *Tracker) Polled(now time.Time, says PollResult) {
+// RecordPoll takes in the result of a health poll.
+func (c *Tracker) RecordPoll(now time.Time, says PollResult) {
 	switch says {
 	case PollReady, PollWarming:
 		c.bad = 0
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -14,7 +14,7 @@
 type event func(core *health.Tracker, now time.Time)
 
 func polled(says health.PollResult) event {
-	return func(core *health.Tracker, now time.Time) { core.Polled(now, says) }
+	return func(core *health.Tracker, now time.Time) { core.RecordPoll(now, says) }
 }
 
 func answered(core *health.Tracker, now time.Time) { core.Answered(now) }
