--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -85,7 +85,7 @@
 	if now.UnixNano()-last < int64(answeredEvery) || !a.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	a.change(func(core *health.Tracker) { core.Answered(now) })
+	a.change(func(core *health.Tracker) { core.RecordAnswer(now) })
 }
 
 func (a *announcer) unreachable() {
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -69,8 +69,8 @@
 // Return ends the operator's drain.
 func (c *Tracker) Return() { c.leaving = false }
 
-// Answered notes that the back end answered a request.
-func (c *Tracker) Answered(now time.Time) { c.answered = now }
+// RecordAnswer notes that the back end answered a request.
+func (c *Tracker) RecordAnswer(now time.Time) { c.answered = now }
 
 // Refused notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -17,7 +17,7 @@
 	return func(core *health.Tracker, now time.Time) { core.RecordPoll(now, says) }
 }
 
-func answered(core *health.Tracker, now time.Time) { core.Answered(now) }
+func answered(core *health.Tracker, now time.Time) { core.RecordAnswer(now) }
 func refused(core *health.Tracker, now time.Time)  { core.Refused(now) }
 func leave(core *health.Tracker, _ time.Time)      { core.Leave() }
 func back(core *health.Tracker, _ time.Time)       { core.Return() }
