--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -89,7 +89,7 @@
 }
 
 func (a *announcer) unreachable() {
-	a.change(func(core *health.Tracker) { core.Refused(time.Now()) })
+	a.change(func(core *health.Tracker) { core.RecordConnectFailure(time.Now()) })
 }
 
 // run polls until the context ends.
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -72,9 +72,9 @@
 // RecordAnswer notes that the back end answered a request.
 func (c *Tracker) RecordAnswer(now time.Time) { c.answered = now }
 
-// Refused notes that no connection to the back end could be opened for a
+// RecordConnectFailure notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
-func (c *Tracker) Refused(now time.Time) { c.RecordPoll(now, PollUnreachable) }
+func (c *Tracker) RecordConnectFailure(now time.Time) { c.RecordPoll(now, PollUnreachable) }
 
 // RecordPoll takes in the result of a health poll.
 func (c *Tracker) RecordPoll(now time.Time, says PollResult) {
