--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -63,8 +63,8 @@
 	return c.state
 }
 
-// Leave begins, Return ends the operator's drain.
-func (c *Tracker) Leave() { c.leaving = true }
+// BeginDrain begins, Return ends the operator's drain.
+func (c *Tracker) BeginDrain() { c.leaving = true }
 
 // Return ends the operator's drain.
 func (c *Tracker) Return() { c.leaving = false }
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -19,7 +19,7 @@
 
 func answered(core *health.Tracker, now time.Time) { core.RecordAnswer(now) }
 func refused(core *health.Tracker, now time.Time)  { core.RecordConnectFailure(now) }
-func leave(core *health.Tracker, _ time.Time)      { core.Leave() }
+func leave(core *health.Tracker, _ time.Time)      { core.BeginDrain() }
 func back(core *health.Tracker, _ time.Time)       { core.Return() }
 
 func warm() []event {
