--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -76,7 +76,7 @@
 }
 
 func (a *announcer) leave()    { a.change((*health.Tracker).BeginDrain) }
-func (a *announcer) comeBack() { a.change((*health.Tracker).Return) }
+func (a *announcer) comeBack() { a.change((*health.Tracker).EndDrain) }
 
 // answered is on the path of every request, so that it mostly only reads.
 func (a *announcer) answered() {
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -66,8 +66,8 @@
 // BeginDrain begins, Return ends the operator's drain.
 func (c *Tracker) BeginDrain() { c.leaving = true }
 
-// Return ends the operator's drain.
-func (c *Tracker) Return() { c.leaving = false }
+// EndDrain ends the operator's drain.
+func (c *Tracker) EndDrain() { c.leaving = false }
 
 // RecordAnswer notes that the back end answered a request.
 func (c *Tracker) RecordAnswer(now time.Time) { c.answered = now }
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -20,7 +20,7 @@
 func answered(core *health.Tracker, now time.Time) { core.RecordAnswer(now) }
 func refused(core *health.Tracker, now time.Time)  { core.RecordConnectFailure(now) }
 func leave(core *health.Tracker, _ time.Time)      { core.BeginDrain() }
-func back(core *health.Tracker, _ time.Time)       { core.Return() }
+func back(core *health.Tracker, _ time.Time)       { core.EndDrain() }
 
 func warm() []event {
 	events := make([]event, 12)
