--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -69,7 +69,7 @@
 	var connected func(context.Context, net.Conn) context.Context
 	if limits.Pipelining != nil {
 		pipeline := pipelining.New(*limits.Pipelining, handler)
-		created.listener = pipeline.Listen(created.listener)
+		created.listener = pipeline.WrapListener(created.listener)
 		handler, connected = pipeline, pipeline.Context
 	}
 	created.server = &http.Server{
--- a/internal/pipelining/pipelining.go
+++ b/internal/pipelining/pipelining.go
@@ -44,8 +44,8 @@
 	return &Pipeline{options: options, handler: handler}
 }
 
-// Listen wraps the server's listener.
-func (p *Pipeline) Listen(listener net.Listener) net.Listener {
+// WrapListener wraps the server's listener.
+func (p *Pipeline) WrapListener(listener net.Listener) net.Listener {
 	return &pipelinedListener{Listener: listener, pipeline: p}
 }
 
