--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -95,8 +95,8 @@
 	tokensPerRetry = 100
 	// initialRetries may be spent before any first attempt has earned some.
 	initialRetries = 10
-	// earningWindow is how many first attempts can be saved up.
-	earningWindow = 1000
+	// maxSavedAttempts is how many first attempts can be saved up.
+	maxSavedAttempts = 1000
 )
 
 // Budget bounds the repeated attempts of one service. It is safe for
@@ -121,7 +121,7 @@
 // is not written to, so that it costs callers nothing.
 func (b *Budget) Deposit() {
 	percent := b.percent.Load()
-	ceiling := max(percent*earningWindow, initialRetries*tokensPerRetry)
+	ceiling := max(percent*maxSavedAttempts, initialRetries*tokensPerRetry)
 	if b.tokens.Load() < ceiling {
 		b.tokens.Add(percent)
 	}
@@ -130,11 +130,11 @@
 // Withdraw takes one repeat out of the budget if there is one.
 func (b *Budget) Withdraw() bool {
 	for {
-		held := b.tokens.Load()
-		if held < tokensPerRetry {
+		balance := b.tokens.Load()
+		if balance < tokensPerRetry {
 			return false
 		}
-		if b.tokens.CompareAndSwap(held, held-tokensPerRetry) {
+		if b.tokens.CompareAndSwap(balance, balance-tokensPerRetry) {
 			return true
 		}
 	}
