--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -29,32 +29,32 @@
 
 // shard holds keys in a ring in the order of arrival.
 type shard struct {
-	mutex sync.Mutex // guards all below
-	held  map[uint64]time.Time
-	ring  []uint64
-	start int
-	count int
+	mutex    sync.Mutex // guards all below
+	retained map[uint64]time.Time
+	ring     []uint64
+	start    int
+	count    int
 }
 
 // NewDeduplicator returns a memory of about that many calls.
 func NewDeduplicator(capacity int) *Deduplicator {
-	memory := &Deduplicator{}
+	created := &Deduplicator{}
 	perShard := max(capacity/shardCount, 1)
-	for index := range memory.shards {
-		memory.shards[index].held = map[uint64]time.Time{}
-		memory.shards[index].ring = make([]uint64, perShard)
+	for index := range created.shards {
+		created.shards[index].retained = map[uint64]time.Time{}
+		created.shards[index].ring = make([]uint64, perShard)
 	}
-	return memory
+	return created
 }
 
 // Record remembers the call until the given time at least. It returns an error
 // when the call must not be passed on.
-func (m *Deduplicator) Record(now time.Time, call string, until time.Time) error {
+func (d *Deduplicator) Record(now time.Time, call string, until time.Time) error {
 	key := xxhash.Sum64String(call)
-	part := &m.shards[key%shardCount]
+	part := &d.shards[key%shardCount]
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	if _, known := part.held[key]; known {
+	if _, known := part.retained[key]; known {
 		return ErrDuplicate
 	}
 	if part.count == len(part.ring) && !part.dropOldest(now) {
@@ -62,27 +62,27 @@
 	}
 	part.ring[(part.start+part.count)%len(part.ring)] = key
 	part.count++
-	part.held[key] = until
+	part.retained[key] = until
 	return nil
 }
 
 // Forget removes a call that provably was not passed on after all. Its place
 // in the ring stays taken until its turn comes.
-func (m *Deduplicator) Forget(call string) {
+func (d *Deduplicator) Forget(call string) {
 	key := xxhash.Sum64String(call)
-	part := &m.shards[key%shardCount]
+	part := &d.shards[key%shardCount]
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	delete(part.held, key)
+	delete(part.retained, key)
 }
 
 // dropOldest frees the oldest place if its retention is over.
 func (s *shard) dropOldest(now time.Time) bool {
 	oldest := s.ring[s.start]
-	if until, held := s.held[oldest]; held && now.Before(until) {
+	if until, retained := s.retained[oldest]; retained && now.Before(until) {
 		return false
 	}
-	delete(s.held, oldest)
+	delete(s.retained, oldest)
 	s.start = (s.start + 1) % len(s.ring)
 	s.count--
 	return true
--- a/internal/proxy/calls/calls_test.go
+++ b/internal/proxy/calls/calls_test.go
@@ -14,33 +14,33 @@
 
 func TestRecordAndForget(t *testing.T) {
 	g := NewWithT(t)
-	memory := calls.NewDeduplicator(64)
+	deduplicator := calls.NewDeduplicator(64)
 	now := time.Unix(1000, 0)
 	until := now.Add(time.Second)
-	g.Expect(memory.Record(now, "one", until)).To(Succeed())
-	g.Expect(memory.Record(now, "one", until)).To(MatchError(calls.ErrDuplicate))
-	memory.Forget("one")
-	g.Expect(memory.Record(now, "one", until)).To(Succeed())
-	g.Expect(memory.Record(until, "one", until)).To(MatchError(calls.ErrDuplicate))
+	g.Expect(deduplicator.Record(now, "one", until)).To(Succeed())
+	g.Expect(deduplicator.Record(now, "one", until)).To(MatchError(calls.ErrDuplicate))
+	deduplicator.Forget("one")
+	g.Expect(deduplicator.Record(now, "one", until)).To(Succeed())
+	g.Expect(deduplicator.Record(until, "one", until)).To(MatchError(calls.ErrDuplicate))
 }
 
-// TestNeverForgetsTooEarly compares with an unbounded memory: a call within
+// TestRetentionIsHonoured compares with an unbounded memory: a call within
 // its retention is never recorded twice, and memory is bounded.
-func TestNeverForgetsTooEarly(t *testing.T) {
+func TestRetentionIsHonoured(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		memory := calls.NewDeduplicator(64)
+		deduplicator := calls.NewDeduplicator(64)
 		now := time.Unix(1000, 0)
 		held := map[string]time.Time{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "passed")) * time.Millisecond)
 			call := fmt.Sprint(rapid.IntRange(0, 100).Draw(t, "call"))
 			if rapid.IntRange(0, 9).Draw(t, "action") == 0 {
-				memory.Forget(call)
+				deduplicator.Forget(call)
 				delete(held, call)
 				continue
 			}
 			until := now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "retention")) * time.Millisecond)
-			err := memory.Record(now, call, until)
+			err := deduplicator.Record(now, call, until)
 			retained, known := held[call]
 			if err == nil && known && now.Before(retained) {
 				t.Fatalf("call %s was recorded twice within its retention", call)
@@ -55,25 +55,25 @@
 	})
 }
 
-func TestFullMemoryRefusesUntilRetentionIsOver(t *testing.T) {
+func TestFullDeduplicatorRefusesUntilRetentionEnds(t *testing.T) {
 	g := NewWithT(t)
-	memory := calls.NewDeduplicator(64)
+	deduplicator := calls.NewDeduplicator(64)
 	now := time.Unix(1000, 0)
 	refused := 0
 	for index := range 1000 {
-		if err := memory.Record(now, fmt.Sprint(index), now.Add(time.Second)); err != nil {
+		if err := deduplicator.Record(now, fmt.Sprint(index), now.Add(time.Second)); err != nil {
 			g.Expect(err).To(MatchError(calls.ErrFull))
 			refused++
 		}
 	}
 	g.Expect(refused).To(BeNumerically(">=", 1000-64))
 	for index := range 1000 {
-		g.Expect(memory.Record(now.Add(time.Second), fmt.Sprint("later", index), now.Add(time.Second))).To(Succeed())
+		g.Expect(deduplicator.Record(now.Add(time.Second), fmt.Sprint("later", index), now.Add(time.Second))).To(Succeed())
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	memory := calls.NewDeduplicator(1 << 16)
+	deduplicator := calls.NewDeduplicator(1 << 16)
 	names := make([]string, 1<<17)
 	for index := range names {
 		names[index] = fmt.Sprint("call-", index)
@@ -82,7 +82,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		index = (index + 1) & (1<<17 - 1)
-		if err := memory.Record(now, names[index], now); err != nil {
+		if err := deduplicator.Record(now, names[index], now); err != nil {
 			b.Fatal(err)
 		}
 	}
