--- a/internal/proxy/drain/gate.go
+++ b/internal/proxy/drain/gate.go
@@ -35,8 +35,8 @@
 	changed chan struct{}
 
 	mutex sync.Mutex // guards refusal and the phase's changes
-	// refusal ends the phase Announced; nil outside it.
-	refusal *time.Timer
+	// refuseTimer ends the phase Announced; nil outside it.
+	refuseTimer *time.Timer
 }
 
 // NewGate returns a gate in phase Serving.
@@ -52,7 +52,7 @@
 // Leave counts a request out.
 func (g *Gate) Leave() {
 	if g.inFlight.Add(-1) == 0 && g.Phase() != Serving {
-		g.signal()
+		g.notify()
 	}
 }
 
@@ -62,7 +62,7 @@
 // InFlight returns how many requests are between Enter and Leave.
 func (g *Gate) InFlight() int { return int(g.inFlight.Load()) }
 
-func (g *Gate) signal() {
+func (g *Gate) notify() {
 	select {
 	case g.changed <- struct{}{}:
 	default:
@@ -78,7 +78,7 @@
 		return
 	}
 	g.phase.Store(int32(Announced))
-	g.refusal = time.AfterFunc(announcement, g.Refuse)
+	g.refuseTimer = time.AfterFunc(announcement, g.Refuse)
 }
 
 // Refuse ends the taking of new work at once.
@@ -88,17 +88,17 @@
 	if g.Phase() != Announced {
 		return
 	}
-	g.refusal.Stop()
+	g.refuseTimer.Stop()
 	g.phase.Store(int32(Refusing))
-	g.signal()
+	g.notify()
 }
 
 // Resume takes new work again.
 func (g *Gate) Resume() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.refusal != nil {
-		g.refusal.Stop()
+	if g.refuseTimer != nil {
+		g.refuseTimer.Stop()
 	}
 	g.phase.Store(int32(Serving))
 }
@@ -115,14 +115,14 @@
 		case <-g.changed:
 		case <-ctx.Done():
 			g.Refuse()
-			return g.forced()
+			return g.checkInFlight()
 		}
 	}
-	g.signal() // another waiter may have missed it
+	g.notify() // another waiter may have missed it
 	return nil
 }
 
-func (g *Gate) forced() error {
+func (g *Gate) checkInFlight() error {
 	if g.InFlight() > 0 {
 		return ErrForced
 	}
--- a/internal/proxy/drain/gate_test.go
+++ b/internal/proxy/drain/gate_test.go
@@ -11,7 +11,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/drain"
 )
 
-func TestEveryWaiterIsTold(t *testing.T) {
+func TestAllWaitersReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate := drain.NewGate()
