--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -30,84 +30,84 @@
 )
 
 const (
-	// confirmations is how many equal bad polls in a row are needed.
-	confirmations = 2
-	// evidenceLifetime is how long an answered request contradicts a claim
+	// failureThreshold is how many equal bad polls in a row are needed.
+	failureThreshold = 2
+	// answerEvidenceLifetime is how long an answered request contradicts a claim
 	// of being down.
-	evidenceLifetime = 2 * time.Second
-	// warmup is how long a back end that came up is announced as warming.
-	warmup = 10 * time.Second
+	answerEvidenceLifetime = 2 * time.Second
+	// warmupPeriod is how long a back end that came up is announced as warming.
+	warmupPeriod = 10 * time.Second
 )
 
 // Tracker holds what is known of one back end. It is not safe for concurrent use.
 type Tracker struct {
 	state endpoint.State
-	// leaving is set by the operator's drain; it overrides everything.
-	leaving bool
-	// bad counts equal bad statements in a row.
-	bad      int
-	badSays  PollResult
-	warmFrom time.Time
-	// answered is when the back end last answered a request.
-	answered time.Time
+	// operatorDrain is set by the operator's drain; it overrides everything.
+	operatorDrain bool
+	// consecutiveFailures counts equal consecutiveFailures statements in a row.
+	consecutiveFailures int
+	lastFailure         PollResult
+	warmingSince        time.Time
+	// lastAnswer is when the back end last lastAnswer a request.
+	lastAnswer time.Time
 }
 
 // New returns a core of a back end of which nothing is known: it is down.
 func New() *Tracker { return &Tracker{state: endpoint.Down} }
 
 // State returns the state to announce.
-func (c *Tracker) State() endpoint.State {
-	if c.leaving {
+func (t *Tracker) State() endpoint.State {
+	if t.operatorDrain {
 		return endpoint.Draining
 	}
-	return c.state
+	return t.state
 }
 
 // BeginDrain begins, Return ends the operator's drain.
-func (c *Tracker) BeginDrain() { c.leaving = true }
+func (t *Tracker) BeginDrain() { t.operatorDrain = true }
 
 // EndDrain ends the operator's drain.
-func (c *Tracker) EndDrain() { c.leaving = false }
+func (t *Tracker) EndDrain() { t.operatorDrain = false }
 
 // RecordAnswer notes that the back end answered a request.
-func (c *Tracker) RecordAnswer(now time.Time) { c.answered = now }
+func (t *Tracker) RecordAnswer(now time.Time) { t.lastAnswer = now }
 
 // RecordConnectFailure notes that no connection to the back end could be opened for a
 // request. It counts like a poll that was refused.
-func (c *Tracker) RecordConnectFailure(now time.Time) { c.RecordPoll(now, PollUnreachable) }
+func (t *Tracker) RecordConnectFailure(now time.Time) { t.RecordPoll(now, PollUnreachable) }
 
 // RecordPoll takes in the result of a health poll.
-func (c *Tracker) RecordPoll(now time.Time, says PollResult) {
-	switch says {
+func (t *Tracker) RecordPoll(now time.Time, result PollResult) {
+	switch result {
 	case PollReady, PollWarming:
-		c.bad = 0
-		c.up(now, says)
+		t.consecutiveFailures = 0
+		t.recordSuccess(now, result)
 	case PollDraining:
-		c.bad = 0
-		c.state = endpoint.Draining
+		t.consecutiveFailures = 0
+		t.state = endpoint.Draining
 	default:
-		c.down(now, says)
+		t.recordFailure(now, result)
 	}
 }
 
-func (c *Tracker) up(now time.Time, says PollResult) {
-	if !c.state.AcceptsWork() {
-		c.state = endpoint.Warming
-		c.warmFrom = now
+func (t *Tracker) recordSuccess(now time.Time, result PollResult) {
+	if !t.state.AcceptsWork() {
+		t.state = endpoint.Warming
+		t.warmingSince = now
 		return
 	}
-	if says == PollReady && now.Sub(c.warmFrom) >= warmup {
-		c.state = endpoint.Ready
+	if result == PollReady && now.Sub(t.warmingSince) >= warmupPeriod {
+		t.state = endpoint.Ready
 	}
 }
 
-func (c *Tracker) down(now time.Time, says PollResult) {
-	if c.bad == 0 || c.badSays != says {
-		c.bad, c.badSays = 0, says
+func (t *Tracker) recordFailure(now time.Time, result PollResult) {
+	if t.consecutiveFailures == 0 || t.lastFailure != result {
+		t.consecutiveFailures, t.lastFailure = 0, result
 	}
-	c.bad++
-	contradicted := says == PollDown && now.Sub(c.answered) < evidenceLifetime
-	if c.bad >= confirmations && !contradicted {
-		c.state = endpoint.Down
+	t.consecutiveFailures++
+	contradicted := result == PollDown && now.Sub(t.lastAnswer) < answerEvidenceLifetime
+	if t.consecutiveFailures >= failureThreshold && !contradicted {
+		t.state = endpoint.Down
 	}
 }
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -11,47 +11,47 @@
 )
 
 // event happens one second after the one before.
-type event func(core *health.Tracker, now time.Time)
+type event func(tracker *health.Tracker, now time.Time)
 
-func polled(says health.PollResult) event {
-	return func(core *health.Tracker, now time.Time) { core.RecordPoll(now, says) }
+func poll(result health.PollResult) event {
+	return func(tracker *health.Tracker, now time.Time) { tracker.RecordPoll(now, result) }
 }
 
-func answered(core *health.Tracker, now time.Time) { core.RecordAnswer(now) }
-func refused(core *health.Tracker, now time.Time)  { core.RecordConnectFailure(now) }
-func leave(core *health.Tracker, _ time.Time)      { core.BeginDrain() }
-func back(core *health.Tracker, _ time.Time)       { core.EndDrain() }
+func answered(tracker *health.Tracker, now time.Time)      { tracker.RecordAnswer(now) }
+func connectFailed(tracker *health.Tracker, now time.Time) { tracker.RecordConnectFailure(now) }
+func beginDrain(tracker *health.Tracker, _ time.Time)      { tracker.BeginDrain() }
+func endDrain(tracker *health.Tracker, _ time.Time)        { tracker.EndDrain() }
 
-func warm() []event {
+func warmUp() []event {
 	events := make([]event, 12)
 	for index := range events {
-		events[index] = polled(health.PollReady)
+		events[index] = poll(health.PollReady)
 	}
 	return events
 }
 
 var _ = DescribeTable("Core",
 	func(before []event, events []event, want endpoint.State) {
-		core, now := health.New(), time.Unix(1000, 0)
+		tracker, now := health.New(), time.Unix(1000, 0)
 		for _, apply := range append(before, events...) {
 			now = now.Add(time.Second)
-			apply(core, now)
+			apply(tracker, now)
 		}
-		Expect(core.State()).To(Equal(want))
+		Expect(tracker.State()).To(Equal(want))
 	},
 	Entry("nothing known", nil, nil, endpoint.Down),
-	Entry("first good poll", nil, []event{polled(health.PollReady)}, endpoint.Warming),
-	Entry("good for long enough", warm(), nil, endpoint.Ready),
-	Entry("says it is still starting", nil, []event{polled(health.PollWarming), polled(health.PollWarming)}, endpoint.Warming),
-	Entry("one bad poll", warm(), []event{polled(health.PollDown)}, endpoint.Ready),
-	Entry("two bad polls", warm(), []event{polled(health.PollDown), polled(health.PollDown)}, endpoint.Down),
-	Entry("two different bad polls", warm(), []event{polled(health.PollDown), polled(health.PollUnreachable)}, endpoint.Ready),
-	Entry("a good one between", warm(), []event{polled(health.PollDown), polled(health.PollReady), polled(health.PollDown)}, endpoint.Ready),
-	Entry("says down while it answers", warm(), []event{polled(health.PollDown), answered, polled(health.PollDown)}, endpoint.Ready),
-	Entry("says down and answers no more", warm(), []event{answered, polled(health.PollDown), polled(health.PollDown), polled(health.PollDown)}, endpoint.Down),
-	Entry("unreachable although it answered", warm(), []event{answered, polled(health.PollUnreachable), refused}, endpoint.Down),
-	Entry("draining is believed at once", warm(), []event{answered, polled(health.PollDraining)}, endpoint.Draining),
-	Entry("back from down starts slowly", warm(), []event{refused, refused, polled(health.PollReady)}, endpoint.Warming),
-	Entry("operator's drain overrides", warm(), []event{leave, polled(health.PollReady)}, endpoint.Draining),
-	Entry("operator's drain ended", warm(), []event{leave, back}, endpoint.Ready),
+	Entry("first good poll", nil, []event{poll(health.PollReady)}, endpoint.Warming),
+	Entry("good for long enough", warmUp(), nil, endpoint.Ready),
+	Entry("says it is still starting", nil, []event{poll(health.PollWarming), poll(health.PollWarming)}, endpoint.Warming),
+	Entry("one bad poll", warmUp(), []event{poll(health.PollDown)}, endpoint.Ready),
+	Entry("two bad polls", warmUp(), []event{poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("two different bad polls", warmUp(), []event{poll(health.PollDown), poll(health.PollUnreachable)}, endpoint.Ready),
+	Entry("a good one between", warmUp(), []event{poll(health.PollDown), poll(health.PollReady), poll(health.PollDown)}, endpoint.Ready),
+	Entry("says down while it answers", warmUp(), []event{poll(health.PollDown), answered, poll(health.PollDown)}, endpoint.Ready),
+	Entry("says down and answers no more", warmUp(), []event{answered, poll(health.PollDown), poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("unreachable although it answered", warmUp(), []event{answered, poll(health.PollUnreachable), connectFailed}, endpoint.Down),
+	Entry("draining is believed at once", warmUp(), []event{answered, poll(health.PollDraining)}, endpoint.Draining),
+	Entry("back from down starts slowly", warmUp(), []event{connectFailed, connectFailed, poll(health.PollReady)}, endpoint.Warming),
+	Entry("operator's drain overrides", warmUp(), []event{beginDrain, poll(health.PollReady)}, endpoint.Draining),
+	Entry("operator's drain ended", warmUp(), []event{beginDrain, endDrain}, endpoint.Ready),
 )
