--- a/internal/proxy/retry/retry.go
+++ b/internal/proxy/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether an attempt that failed is followed by another
-// one. The decision is a pure function; the budget is a few atomics.
+// Package retry decides whether a failed attempt is retried. The decision is a
+// pure function of the attempt; the retry budget is updated atomically.
 package retry
 
 import (
@@ -11,19 +11,19 @@
 
 // Policy bounds the attempts of one request.
 type Policy struct {
-	// Attempts is the most attempts of one request, the first included.
+	// Attempts is the maximum number of attempts per request, including the first.
 	Attempts int
-	// BudgetPercent is the most repeated attempts per hundred first ones.
+	// BudgetPercent is the maximum number of retries per hundred first attempts.
 	BudgetPercent int
 }
 
-// Defaults of a service that declares no retry policy.
+// Defaults for the parts of a retry policy that a service does not declare.
 const (
 	DefaultAttempts      = 3
 	DefaultBudgetPercent = 20
 )
 
-// WithDefaults fills in what is not declared.
+// WithDefaults replaces zero fields by their defaults.
 func (p Policy) WithDefaults() Policy {
 	if p.Attempts == 0 {
 		p.Attempts = DefaultAttempts
@@ -35,38 +35,38 @@
 }
 
 const (
-	// backoffBase bounds the first wait; each further bound is twice as high
+	// backoffBase bounds the first backoff. The bound doubles with each attempt
 	// up to backoffMaximum.
 	backoffBase    = 2 * time.Millisecond
 	backoffMaximum = 100 * time.Millisecond
 )
 
-// Attempt is what is known after an attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts attempts from one.
+	// Number is the number of the attempt, from one.
 	Number  int
 	Outcome outcome.Outcome
-	// Repeatable requests may be run more than once.
+	// Repeatable: the request may be processed more than once.
 	Repeatable bool
-	// RetriedUpstream: an earlier hop of the chain is already repeating.
+	// RetriedUpstream: an earlier hop already retries this request.
 	RetriedUpstream bool
-	// BodyConsumed: the request's body is gone and cannot be sent again.
+	// BodyConsumed: the request body has been read and cannot be sent again.
 	BodyConsumed bool
-	// Remaining is the time left until the request's deadline.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Random is uniform over all values.
+	// Random is a uniformly distributed value that determines the jitter.
 	Random uint64
 }
 
-// Decision says whether to try again, and if so after which wait.
+// Decision reports whether to retry, and after which wait.
 type Decision struct {
 	Retry bool
 	Wait  time.Duration
 }
 
-// Decide returns the decision as far as the request alone is concerned; the
-// caller then asks the service's Budget. A non-repeatable request is tried
-// again only after a proven not-run.
+// Decide decides on a retry from the request alone; the caller must then also
+// withdraw from the service's Budget. A non-repeatable request is retried only
+// after the outcome NotRun.
 func (p Policy) Decide(attempt Attempt) Decision {
 	if attempt.Number >= p.Attempts || attempt.RetriedUpstream || attempt.BodyConsumed {
 		return Decision{}
@@ -81,7 +81,8 @@
 	return Decision{Retry: true, Wait: wait}
 }
 
-// backoff is uniform over [0, bound) with a bound that doubles.
+// backoff returns a wait that is uniform over [0, bound), where the bound doubles
+// with each attempt (exponential backoff with full jitter).
 func backoff(number int, random uint64) time.Duration {
 	bound := backoffBase
 	for range number - 1 {
@@ -91,22 +92,24 @@
 }
 
 const (
-	// tokensPerRetry keeps percents exact in whole numbers.
+	// tokensPerRetry is 100 so that percentages are whole numbers of tokens.
 	tokensPerRetry = 100
-	// initialRetries may be spent before any first attempt has earned some.
+	// initialRetries is the balance of a new budget, in retries.
 	initialRetries = 10
-	// maxSavedAttempts is how many first attempts can be saved up.
+	// maxSavedAttempts bounds the balance to the deposits of this many first
+	// attempts.
 	maxSavedAttempts = 1000
 )
 
-// Budget bounds the repeated attempts of one service. It is safe for
+// Budget is a token bucket that bounds the retries of a service. It is safe for
 // concurrent use.
 type Budget struct {
 	percent atomic.Int64
 	tokens  atomic.Int64
 }
 
-// NewBudget returns a budget of that many repeats per hundred first attempts.
+// NewBudget returns a budget that allows percent retries per hundred first
+// attempts.
 func NewBudget(percent int) *Budget {
 	budget := &Budget{}
 	budget.percent.Store(int64(percent))
@@ -114,11 +117,11 @@
 	return budget
 }
 
-// SetPercent changes the share.
+// SetPercent changes the number of retries per hundred first attempts.
 func (b *Budget) SetPercent(percent int) { b.percent.Store(int64(percent)) }
 
-// Deposit notes a first attempt, which earns a share of a repeat. A full budget
-// is not written to, so that it costs callers nothing.
+// Deposit credits the budget for a first attempt. A full budget is not written
+// to, which avoids contention between callers.
 func (b *Budget) Deposit() {
 	percent := b.percent.Load()
 	ceiling := max(percent*maxSavedAttempts, initialRetries*tokensPerRetry)
@@ -127,7 +130,7 @@
 	}
 }
 
-// Withdraw takes one repeat out of the budget if there is one.
+// Withdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) Withdraw() bool {
 	for {
 		balance := b.tokens.Load()
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -24,13 +24,13 @@
 	Entry("no outcome, not repeatable", func(a *retry.Attempt) { a.Outcome = "" }, false),
 	Entry("second attempt", func(a *retry.Attempt) { a.Number = 2 }, true),
 	Entry("last attempt", func(a *retry.Attempt) { a.Number = 3 }, false),
-	Entry("repeated upstream", func(a *retry.Attempt) { a.RetriedUpstream = true }, false),
-	Entry("body spent", func(a *retry.Attempt) { a.BodyConsumed = true }, false),
-	Entry("no time for the wait", func(a *retry.Attempt) { a.Remaining = 1_500_000 }, false),
-	Entry("just enough time", func(a *retry.Attempt) { a.Remaining = 1_500_001 }, true),
+	Entry("retried upstream", func(a *retry.Attempt) { a.RetriedUpstream = true }, false),
+	Entry("body consumed", func(a *retry.Attempt) { a.BodyConsumed = true }, false),
+	Entry("wait not shorter than the remaining time", func(a *retry.Attempt) { a.Remaining = 1_500_000 }, false),
+	Entry("wait just shorter than the remaining time", func(a *retry.Attempt) { a.Remaining = 1_500_001 }, true),
 )
 
-var _ = It("bounds the wait, twice as high with each attempt", func() {
+var _ = It("doubles the bound of the wait with each attempt up to a maximum", func() {
 	policy := retry.Policy{Attempts: 100}
 	longest := func(number int) time.Duration {
 		bound := 2 * time.Millisecond << min(number-1, 10)
@@ -52,7 +52,7 @@
 		return repeats
 	}
 
-	It("allows its share of first attempts after an initial few", func() {
+	It("allows its percentage of first attempts after the initial balance", func() {
 		budget := retry.NewBudget(20)
 		Expect(spend(budget)).To(Equal(10))
 		for range 100 {
@@ -61,7 +61,7 @@
 		Expect(spend(budget)).To(Equal(20))
 	})
 
-	It("saves up no more than the share of a window", func() {
+	It("bounds the balance", func() {
 		budget := retry.NewBudget(20)
 		for range 100_000 {
 			budget.Deposit()
