--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -1,6 +1,6 @@
-// Package calls remembers which calls have been passed on to a back end, so
-// that a second arrival is recognised. The memory is bounded; it never forgets
-// a call before its retention is over, it rather takes no further one.
+// Package calls detects duplicate calls to a back end by the IDs of the calls
+// that were already forwarded. Its capacity is bounded: a call is never evicted
+// before its retention ends; new calls are rejected instead.
 package calls
 
 import (
@@ -13,21 +13,22 @@
 
 // Errors of Record.
 var (
-	// ErrDuplicate: the call was passed on before.
-	ErrDuplicate = errors.New("calls: this call was passed on before")
-	// ErrFull: every remembered call is still within its retention.
-	ErrFull = errors.New("calls: memory is full")
+	// ErrDuplicate: the call has already been forwarded.
+	ErrDuplicate = errors.New("calls: duplicate call")
+	// ErrFull: there is no free entry and the oldest one is still retained.
+	ErrFull = errors.New("calls: too many calls are retained")
 )
 
-// shardCount is a power of two.
+// shardCount is a power of two, which makes the modulo cheap.
 const shardCount = 64
 
-// Deduplicator is safe for concurrent use. Its locks are per shard.
+// Deduplicator records call IDs for a retention time. It is safe for concurrent
+// use; each shard has its own lock.
 type Deduplicator struct {
 	shards [shardCount]shard
 }
 
-// shard holds keys in a ring in the order of arrival.
+// shard holds the hashes of call IDs in a ring buffer, in order of arrival.
 type shard struct {
 	mutex    sync.Mutex // guards all below
 	retained map[uint64]time.Time
@@ -36,7 +37,7 @@
 	count    int
 }
 
-// NewDeduplicator returns a memory of about that many calls.
+// NewDeduplicator returns a Deduplicator for about capacity calls.
 func NewDeduplicator(capacity int) *Deduplicator {
 	created := &Deduplicator{}
 	perShard := max(capacity/shardCount, 1)
@@ -47,8 +48,8 @@
 	return created
 }
 
-// Record remembers the call until the given time at least. It returns an error
-// when the call must not be passed on.
+// Record retains the call at least until the given time. It returns ErrDuplicate
+// or ErrFull if the call must not be forwarded.
 func (d *Deduplicator) Record(now time.Time, call string, until time.Time) error {
 	key := xxhash.Sum64String(call)
 	part := &d.shards[key%shardCount]
@@ -66,8 +67,8 @@
 	return nil
 }
 
-// Forget removes a call that provably was not passed on after all. Its place
-// in the ring stays taken until its turn comes.
+// Forget removes a call that was provably not forwarded. Its slot in the ring
+// stays occupied until it is the oldest one.
 func (d *Deduplicator) Forget(call string) {
 	key := xxhash.Sum64String(call)
 	part := &d.shards[key%shardCount]
@@ -76,7 +77,8 @@
 	delete(part.retained, key)
 }
 
-// dropOldest frees the oldest place if its retention is over.
+// dropOldest frees the oldest slot if its call is no longer retained, and reports
+// whether it did.
 func (s *shard) dropOldest(now time.Time) bool {
 	oldest := s.ring[s.start]
 	if until, retained := s.retained[oldest]; retained && now.Before(until) {
--- a/internal/proxy/calls/calls_test.go
+++ b/internal/proxy/calls/calls_test.go
@@ -24,8 +24,8 @@
 	g.Expect(deduplicator.Record(until, "one", until)).To(MatchError(calls.ErrDuplicate))
 }
 
-// TestRetentionIsHonoured compares with an unbounded memory: a call within
-// its retention is never recorded twice, and memory is bounded.
+// TestRetentionIsHonoured compares the Deduplicator with an unbounded map: a call is never
+// recorded twice within its retention, and only recorded calls are duplicates.
 func TestRetentionIsHonoured(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deduplicator := calls.NewDeduplicator(64)
