--- a/internal/proxy/drain/gate.go
+++ b/internal/proxy/drain/gate.go
@@ -1,6 +1,7 @@
-// Package drain brings a proxy, or the back end beside it, to a stop that cuts
-// off no request: announce, go on accepting until the announcement must have
-// arrived, then refuse new work as not run and wait for what is in flight.
+// Package drain stops a proxy, or the back end beside it, without interrupting
+// requests: the drain is announced, requests are still accepted until the
+// announcement must have reached all callers, then new requests are refused with
+// outcome not-run while those in flight complete.
 package drain
 
 import (
@@ -11,55 +12,55 @@
 	"time"
 )
 
-// Phase is how far a drain has come.
+// Phase is the state of a drain.
 type Phase int32
 
-// The phases, in their only order except that Serving may return.
+// The phases, in order. Resume returns to Serving from any phase.
 const (
-	// Serving: new work is taken.
+	// Serving: new requests are accepted.
 	Serving Phase = iota
-	// Announced: new work is still taken, since callers may not know yet;
-	// each answer closes its connection.
+	// Announced: new requests are still accepted, since callers may not know of
+	// the drain yet; each reply closes its connection.
 	Announced
-	// Refusing: new work is answered as not run.
+	// Refusing: new requests are refused with outcome not-run.
 	Refusing
 )
 
-// Gate counts requests in flight and tells whether new ones may start. Its
-// methods on a request's path touch two atomics.
+// Gate counts requests in flight and decides whether new ones may start. Enter
+// and Leave, which run for each request, use only two atomics.
 type Gate struct {
 	phase    atomic.Int32
 	inFlight atomic.Int64
-	// changed receives when the last request ends during a drain, and at each
-	// change of the phase.
+	// changed is signalled when the last request ends during a drain and when
+	// requests begin to be refused.
 	changed chan struct{}
 
-	mutex sync.Mutex // guards refusal and the phase's changes
-	// refuseTimer ends the phase Announced; nil outside it.
+	mutex sync.Mutex // guards refuseTimer and changes of phase
+	// refuseTimer ends the phase Announced; nil before the first drain.
 	refuseTimer *time.Timer
 }
 
 // NewGate returns a gate in phase Serving.
 func NewGate() *Gate { return &Gate{changed: make(chan struct{}, 1)} }
 
-// Enter counts a request in and returns the phase it met. In phase Refusing
-// the request must be refused; Leave is due all the same.
+// Enter counts a new request and returns the current phase. In phase Refusing
+// the request must be refused. Leave must be called in any case.
 func (g *Gate) Enter() Phase {
 	g.inFlight.Add(1)
 	return g.Phase()
 }
 
-// Leave counts a request out.
+// Leave ends a request counted by Enter.
 func (g *Gate) Leave() {
 	if g.inFlight.Add(-1) == 0 && g.Phase() != Serving {
 		g.notify()
 	}
 }
 
-// Phase returns how far the drain has come.
+// Phase returns the current phase.
 func (g *Gate) Phase() Phase { return Phase(g.phase.Load()) }
 
-// InFlight returns how many requests are between Enter and Leave.
+// InFlight returns the number of requests between Enter and Leave.
 func (g *Gate) InFlight() int { return int(g.inFlight.Load()) }
 
 func (g *Gate) notify() {
@@ -69,8 +70,8 @@
 	}
 }
 
-// Begin starts a drain unless one is going on: new work is still taken for the
-// time that the announcement may take to arrive, then refused.
+// Begin starts a drain unless one is in progress. Requests are still accepted
+// for the announcement period, then refused.
 func (g *Gate) Begin(announcement time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -81,7 +82,7 @@
 	g.refuseTimer = time.AfterFunc(announcement, g.Refuse)
 }
 
-// Refuse ends the taking of new work at once.
+// Refuse ends the phase Announced early and refuses new requests immediately.
 func (g *Gate) Refuse() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -93,7 +94,7 @@
 	g.notify()
 }
 
-// Resume takes new work again.
+// Resume cancels the drain and accepts new requests again.
 func (g *Gate) Resume() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -103,12 +104,12 @@
 	g.phase.Store(int32(Serving))
 }
 
-// ErrForced says that a drain ended before its requests did.
+// ErrForced is returned when a drain ended with requests still in flight.
 var ErrForced = errors.New("drain: ended with requests in flight")
 
-// Wait returns once new work is refused and nothing is in flight. When the
-// context ends first it refuses new work and returns ErrForced if anything is
-// in flight; InFlight then says how many requests are cut off.
+// Wait returns once new requests are refused and none is in flight. If the
+// context ends first, Wait refuses new requests and returns ErrForced if any are
+// still in flight; InFlight then returns the number of interrupted requests.
 func (g *Gate) Wait(ctx context.Context) error {
 	for g.Phase() != Refusing || g.InFlight() > 0 {
 		select {
@@ -118,7 +119,7 @@
 			return g.checkInFlight()
 		}
 	}
-	g.notify() // another waiter may have missed it
+	g.notify() // wake another waiter, since a signal wakes only one
 	return nil
 }
 
