--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -1,8 +1,8 @@
-// Package health decides in which state the back end beside a proxy is
-// announced. Its core is pure: it combines what the back end says of itself
-// with what was observed on real requests. Statements that lie or lag do no
-// harm: a claim of being down is not believed while requests are answered, and
-// a claim of being ready is not believed while no connection can be opened.
+// Package health determines the state in which the back end beside a proxy is
+// announced. It performs no I/O: it combines the results of health polls with
+// observations of real requests. Wrong or outdated poll results do no harm: a
+// back end that reports down stays in use while it answers requests, and one
+// that reports ready is not used while no connection to it can be opened.
 package health
 
 import (
@@ -11,48 +11,49 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// PollResult is what one health poll brought.
+// PollResult is the result of a health poll.
 type PollResult string
 
-// The statements of a back end about itself.
+// The results of a health poll.
 const (
-	// PollReady: a success status, or a statement of readiness.
+	// PollReady: a success status, or a body that reports readiness.
 	PollReady PollResult = "ready"
-	// PollWarming: the back end is starting.
+	// PollWarming: the back end reports that it is starting.
 	PollWarming PollResult = "warming"
-	// PollDraining: the back end is leaving. It is always believed.
+	// PollDraining: the back end reports that it is shutting down. This takes
+	// effect immediately.
 	PollDraining PollResult = "draining"
-	// PollDown: an error status, or no answer to the poll on an open
-	// connection.
+	// PollDown: an error status, or no reply on an open connection.
 	PollDown PollResult = "down"
-	// PollUnreachable: no connection could be opened.
+	// PollUnreachable: the connection could not be opened.
 	PollUnreachable PollResult = "unreachable"
 )
 
 const (
-	// failureThreshold is how many equal bad polls in a row are needed.
+	// failureThreshold is the number of consecutive equal failed polls after
+	// which the back end is down.
 	failureThreshold = 2
-	// answerEvidenceLifetime is how long an answered request contradicts a claim
-	// of being down.
+	// answerEvidenceLifetime is how long an answered request overrides PollDown.
 	answerEvidenceLifetime = 2 * time.Second
-	// warmupPeriod is how long a back end that came up is announced as warming.
+	// warmupPeriod is how long a back end is announced as warming after it came up.
 	warmupPeriod = 10 * time.Second
 )
 
-// Tracker holds what is known of one back end. It is not safe for concurrent use.
+// Tracker tracks the health of one back end. It is not safe for concurrent use.
 type Tracker struct {
 	state endpoint.State
-	// operatorDrain is set by the operator's drain; it overrides everything.
+	// operatorDrain reports a drain by the operator, which overrides state.
 	operatorDrain bool
-	// consecutiveFailures counts equal consecutiveFailures statements in a row.
+	// consecutiveFailures counts consecutive failed polls with result
+	// lastFailure.
 	consecutiveFailures int
 	lastFailure         PollResult
 	warmingSince        time.Time
-	// lastAnswer is when the back end last lastAnswer a request.
+	// lastAnswer is the time of the last request that the back end answered.
 	lastAnswer time.Time
 }
 
-// New returns a core of a back end of which nothing is known: it is down.
+// New returns a Tracker whose initial state is down.
 func New() *Tracker { return &Tracker{state: endpoint.Down} }
 
 // State returns the state to announce.
@@ -63,20 +64,20 @@
 	return t.state
 }
 
-// BeginDrain begins, Return ends the operator's drain.
+// BeginDrain begins a drain by the operator.
 func (t *Tracker) BeginDrain() { t.operatorDrain = true }
 
-// EndDrain ends the operator's drain.
+// EndDrain ends the drain by the operator.
 func (t *Tracker) EndDrain() { t.operatorDrain = false }
 
-// RecordAnswer notes that the back end answered a request.
+// RecordAnswer records that the back end answered a request.
 func (t *Tracker) RecordAnswer(now time.Time) { t.lastAnswer = now }
 
-// RecordConnectFailure notes that no connection to the back end could be opened for a
-// request. It counts like a poll that was refused.
+// RecordConnectFailure records that no connection to the back end could be
+// opened for a request. It counts as a poll with result PollUnreachable.
 func (t *Tracker) RecordConnectFailure(now time.Time) { t.RecordPoll(now, PollUnreachable) }
 
-// RecordPoll takes in the result of a health poll.
+// RecordPoll records the result of a health poll.
 func (t *Tracker) RecordPoll(now time.Time, result PollResult) {
 	switch result {
 	case PollReady, PollWarming:
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -10,7 +10,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/health"
 )
 
-// event happens one second after the one before.
+// event is an observation; the test applies one per second.
 type event func(tracker *health.Tracker, now time.Time)
 
 func poll(result health.PollResult) event {
@@ -40,18 +40,18 @@
 		Expect(tracker.State()).To(Equal(want))
 	},
 	Entry("nothing known", nil, nil, endpoint.Down),
-	Entry("first good poll", nil, []event{poll(health.PollReady)}, endpoint.Warming),
-	Entry("good for long enough", warmUp(), nil, endpoint.Ready),
-	Entry("says it is still starting", nil, []event{poll(health.PollWarming), poll(health.PollWarming)}, endpoint.Warming),
-	Entry("one bad poll", warmUp(), []event{poll(health.PollDown)}, endpoint.Ready),
-	Entry("two bad polls", warmUp(), []event{poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
-	Entry("two different bad polls", warmUp(), []event{poll(health.PollDown), poll(health.PollUnreachable)}, endpoint.Ready),
-	Entry("a good one between", warmUp(), []event{poll(health.PollDown), poll(health.PollReady), poll(health.PollDown)}, endpoint.Ready),
-	Entry("says down while it answers", warmUp(), []event{poll(health.PollDown), answered, poll(health.PollDown)}, endpoint.Ready),
-	Entry("says down and answers no more", warmUp(), []event{answered, poll(health.PollDown), poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
-	Entry("unreachable although it answered", warmUp(), []event{answered, poll(health.PollUnreachable), connectFailed}, endpoint.Down),
-	Entry("draining is believed at once", warmUp(), []event{answered, poll(health.PollDraining)}, endpoint.Draining),
-	Entry("back from down starts slowly", warmUp(), []event{connectFailed, connectFailed, poll(health.PollReady)}, endpoint.Warming),
-	Entry("operator's drain overrides", warmUp(), []event{beginDrain, poll(health.PollReady)}, endpoint.Draining),
+	Entry("first successful poll", nil, []event{poll(health.PollReady)}, endpoint.Warming),
+	Entry("ready after the warm-up period", warmUp(), nil, endpoint.Ready),
+	Entry("reports that it is still starting", nil, []event{poll(health.PollWarming), poll(health.PollWarming)}, endpoint.Warming),
+	Entry("one failed poll", warmUp(), []event{poll(health.PollDown)}, endpoint.Ready),
+	Entry("two failed polls", warmUp(), []event{poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("two different failed polls", warmUp(), []event{poll(health.PollDown), poll(health.PollUnreachable)}, endpoint.Ready),
+	Entry("a successful poll in between", warmUp(), []event{poll(health.PollDown), poll(health.PollReady), poll(health.PollDown)}, endpoint.Ready),
+	Entry("reports down while it answers requests", warmUp(), []event{poll(health.PollDown), answered, poll(health.PollDown)}, endpoint.Ready),
+	Entry("reports down and no longer answers requests", warmUp(), []event{answered, poll(health.PollDown), poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("unreachable after it answered a request", warmUp(), []event{answered, poll(health.PollUnreachable), connectFailed}, endpoint.Down),
+	Entry("draining takes effect immediately", warmUp(), []event{answered, poll(health.PollDraining)}, endpoint.Draining),
+	Entry("warms up again after down", warmUp(), []event{connectFailed, connectFailed, poll(health.PollReady)}, endpoint.Warming),
+	Entry("operator's drain overrides polls", warmUp(), []event{beginDrain, poll(health.PollReady)}, endpoint.Draining),
 	Entry("operator's drain ended", warmUp(), []event{beginDrain, endDrain}, endpoint.Ready),
 )
