--- a/internal/roundtrip/roundtrip.go
+++ b/internal/roundtrip/roundtrip.go
@@ -1,6 +1,6 @@
-// Package roundtrip tells whether a failed HTTP round trip may have reached the
-// server. Clients whose requests must not be said to be not run unless that is
-// proven share it.
+// Package roundtrip reports whether the request of a failed HTTP round trip may
+// have reached the server. It is shared by clients that may report a request as
+// not processed only if that is proven.
 package roundtrip
 
 import (
@@ -9,15 +9,15 @@
 	"sync/atomic"
 )
 
-// Trace follows one request. From the moment the request is given a connection
-// it may reach the server. A further attempt by the transport clears this: it
-// makes one for a POST without an idempotency key only when nothing of the
-// former attempt was written.
+// Trace traces one request. Once the request is assigned a connection, it may
+// reach the server. A new attempt by the transport resets this: for a POST
+// without an idempotency key, the transport retries only if nothing of the
+// previous attempt was written.
 type Trace struct {
 	connected atomic.Bool
 }
 
-// Attach returns a context for the request that is to be followed.
+// Attach returns a context that traces the request made with it.
 func (t *Trace) Attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GetConn: func(string) { t.connected.Store(false) },
