--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -197,7 +197,7 @@
 		Outcome:         last,
 		Repeatable:      c.repeatable,
 		RetriedUpstream: c.retriedUpstream,
-		BodyConsumed:       c.body.Consumed(),
+		BodyConsumed:    c.body.Consumed(),
 		Remaining:       time.Until(deadline),
 		Random:          rand.Uint64(),
 	})
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -187,11 +187,11 @@
 // New returns a handler that refuses every request until there is a table.
 func New(options Options) *Handler {
 	limits := forward.Limits{
-		Connections:      maxPeerConnections,
-		IdleTimeout:      peerIdleTimeout,
-		DialTimeout:      peerDialTimeout,
-		ReplyHeaderBytes: maxReplyHeaderBytes,
-		ExpectContinueTimeout:   continueTimeout,
+		Connections:           maxPeerConnections,
+		IdleTimeout:           peerIdleTimeout,
+		DialTimeout:           peerDialTimeout,
+		ReplyHeaderBytes:      maxReplyHeaderBytes,
+		ExpectContinueTimeout: continueTimeout,
 	}
 	if options.Freshness == nil {
 		options.Freshness = standalone{}
