--- a/internal/proxy/forward/caller.go
+++ b/internal/proxy/forward/caller.go
@@ -10,9 +10,9 @@
 // was passed on.
 var ErrCallerDisconnected = errors.New("the caller has left")
 
-// yields is how often the processor is left to others: one time in 61 the scheduler
+// yieldCount is how often the processor is left to others: one time in 61 the scheduler
 // takes a goroutine that has yielded before one that is new.
-const yields = 2
+const yieldCount = 2
 
 // CallerDisconnected reports whether the caller is no longer there, or the time of its request
 // is over. The server learns of it
@@ -20,7 +20,7 @@
 // not run for a while, request and end of the connection may be at hand together:
 // that goroutine gets its turn first.
 func CallerDisconnected(ctx context.Context) bool {
-	for range yields {
+	for range yieldCount {
 		runtime.Gosched()
 	}
 	return ctx.Err() != nil
--- a/internal/proxy/forward/conn.go
+++ b/internal/proxy/forward/conn.go
@@ -37,8 +37,8 @@
 	c.exchange.Store(&ctx)
 }
 
-// rest ends an exchange that is whole.
-func (c *trackedConn) rest() { c.exchange.Store(nil) }
+// finish ends an exchange that is whole.
+func (c *trackedConn) finish() { c.exchange.Store(nil) }
 
 // Close implements net.Conn. A connection whose exchange was given up is reset: what lies in
 // the send buffer is dropped. Over a link that is full the peer would otherwise get a whole
--- a/internal/proxy/forward/conn_test.go
+++ b/internal/proxy/forward/conn_test.go
@@ -35,28 +35,28 @@
 		{name: "a write that is going on", result: 4, duringWrite: true},
 		{name: "a write that is going on and will fail", err: broken, duringWrite: true},
 	}
-	for _, sealed := range cases {
-		t.Run(sealed.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			g := NewWithT(t)
 			var tracked *trackedConn
 			var nothing bool
 			writes := 0
 			tracked = &trackedConn{Conn: &scriptedConn{write: func([]byte) (int, error) {
 				writes++
-				if sealed.duringWrite {
+				if test.duringWrite {
 					nothing = tracked.seal()
 				}
-				return sealed.result, sealed.err
+				return test.result, test.err
 			}}}
 			tracked.begin(t.Context())
-			if !sealed.skip {
+			if !test.skip {
 				_, err := tracked.Write([]byte("data"))
-				g.Expect(err == nil).To(Equal(sealed.err == nil))
+				g.Expect(err == nil).To(Equal(test.err == nil))
 			}
-			if !sealed.duringWrite {
+			if !test.duringWrite {
 				nothing = tracked.seal()
 			}
-			g.Expect(nothing).To(Equal(sealed.nothing))
+			g.Expect(nothing).To(Equal(test.nothing))
 			before := writes
 			_, err := tracked.Write([]byte("late"))
 			g.Expect(err).To(MatchError(net.ErrClosed))
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -48,39 +48,39 @@
 // RoundTripNonRepeatable is RoundTrip for a request that may not be sent again: it uses
 // no connection that has rested for long, since the peer may have forgotten it.
 func (p *Pool) RoundTripNonRepeatable(request *http.Request) (*http.Response, error) {
-	return p.roundTrip(request, restOnce)
+	return p.roundTrip(request, maxIdleNonRepeatable)
 }
 
-func (p *Pool) roundTrip(request *http.Request, longest time.Duration) (*http.Response, error) {
+func (p *Pool) roundTrip(request *http.Request, maxIdle time.Duration) (*http.Response, error) {
 	if err := request.Context().Err(); err != nil {
 		return nil, p.notRun(outcome.StepDeadline, context.Cause(request.Context()))
 	}
-	taken, err := p.get(request.Context(), longest)
+	conn, err := p.get(request.Context(), maxIdle)
 	if err != nil {
 		return nil, p.notRun(outcome.StepConnect, err)
 	}
-	taken.tracked.begin(request.Context())
-	response, err := taken.client.RoundTrip(request)
+	conn.tracked.begin(request.Context())
+	response, err := conn.client.RoundTrip(request)
 	if err != nil {
-		if taken.reused && request.Context().Err() == nil {
-			p.broke(taken.rested)
+		if conn.reused && request.Context().Err() == nil {
+			p.recordBreak(conn.idleFor)
 		}
-		return nil, p.fail(taken, err)
+		return nil, p.fail(conn, err)
 	}
 	if err := p.checkReply(request, response); err != nil {
 		_ = response.Body.Close()
-		return nil, p.fail(taken, err)
+		return nil, p.fail(conn, err)
 	}
-	taken.heed(response.Header)
-	response.Body = &replyBody{body: response.Body, pool: p, connection: taken, whole: response.Body == http.NoBody}
+	conn.applyKeepAlive(response.Header)
+	response.Body = &replyBody{body: response.Body, pool: p, connection: conn, complete: response.Body == http.NoBody}
 	return response, nil
 }
 
-// broke takes in that a connection broke without an answer after a rest.
-func (p *Pool) broke(rested time.Duration) {
+// recordBreak takes in that a connection recordBreak without an answer after a rest.
+func (p *Pool) recordBreak(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.rest.broke(rested, time.Now())
+	p.maxIdle.recordBreak(idleFor, time.Now())
 }
 
 func (p *Pool) notRun(step outcome.Step, cause error) *Error {
@@ -102,8 +102,8 @@
 // near its end the peer's close would cross a request.
 const keepAliveShare = 0.7
 
-// heed takes in how long the peer says that it keeps the connection.
-func (c *connection) heed(header http.Header) {
+// applyKeepAlive takes in how long the peer says that it keeps the connection.
+func (c *connection) applyKeepAlive(header http.Header) {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
@@ -134,7 +134,7 @@
 	body       io.ReadCloser
 	pool       *Pool
 	connection *connection
-	whole      bool
+	complete   bool
 	closed     bool
 }
 
@@ -142,7 +142,7 @@
 func (b *replyBody) Read(data []byte) (int, error) {
 	count, err := b.body.Read(data)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return count, err
 }
@@ -153,7 +153,7 @@
 		return nil
 	}
 	b.closed = true
-	if b.whole && b.connection.client.Available() > 0 {
+	if b.complete && b.connection.client.Available() > 0 {
 		b.pool.put(b.connection, time.Now())
 		return nil
 	}
--- a/internal/proxy/forward/exchange_test.go
+++ b/internal/proxy/forward/exchange_test.go
@@ -19,15 +19,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// peer scripts the server's side of each connection, counted from one.
-type peer struct {
+// scriptedPeer scripts the server's side of each connection, counted from one.
+type scriptedPeer struct {
 	script      func(connection net.Conn, count int32)
 	connections atomic.Int32
 	// arrivals counts requests of which at least the first byte was read.
 	arrivals atomic.Int32
 }
 
-func (p *peer) dial(context.Context, string, string) (net.Conn, error) {
+func (p *scriptedPeer) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	count := p.connections.Add(1)
 	go func() {
@@ -38,7 +38,7 @@
 }
 
 // read takes one whole request off the connection.
-func (p *peer) read(connection net.Conn) bool {
+func (p *scriptedPeer) read(connection net.Conn) bool {
 	request, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
 		return false
@@ -48,13 +48,15 @@
 	return err == nil
 }
 
-func (p *peer) answer(connection net.Conn, text string) { _, _ = io.WriteString(connection, text) }
+func (p *scriptedPeer) answer(connection net.Conn, text string) {
+	_, _ = io.WriteString(connection, text)
+}
 
 const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// warmedUp answers the first request and breaks at the second one on the same
+// breakOnSecondRequest answers the first request and breaks at the second one on the same
 // connection; a third one, on another connection, is answered again.
-func warmedUp(p *peer, second func(connection net.Conn)) func(net.Conn, int32) {
+func breakOnSecondRequest(p *scriptedPeer, second func(connection net.Conn)) func(net.Conn, int32) {
 	return func(connection net.Conn, count int32) {
 		for p.read(connection) {
 			if p.arrivals.Load() == 2 {
@@ -68,7 +70,7 @@
 
 // repeatable requests by the library's own rule, which it resends by itself
 // when a pooled connection dies.
-func resendable() map[string]*http.Request {
+func replayableRequests() map[string]*http.Request {
 	requests := map[string]*http.Request{}
 	for name, method := range map[string]string{"GET": "GET", "Idempotency-Key": "POST", "X-Idempotency-Key": "POST"} {
 		request, err := http.NewRequest(method, "http://peer:80/", nil)
@@ -89,7 +91,7 @@
 	return requests
 }
 
-func newPool(p *peer) *forward.Pool {
+func newPool(p *scriptedPeer) *forward.Pool {
 	limits := forward.Limits{Connections: 4, IdleTimeout: time.Minute, DialTimeout: time.Second}
 	return forward.NewPool("peer:80", limits, p.dial)
 }
@@ -105,12 +107,12 @@
 }
 
 func TestNoRequestIsSentTwice(t *testing.T) {
-	for name, request := range resendable() {
+	for name, request := range replayableRequests() {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				served := &peer{}
-				served.script = warmedUp(served, func(net.Conn) {})
+				served := &scriptedPeer{}
+				served.script = breakOnSecondRequest(served, func(net.Conn) {})
 				pool := newPool(served)
 				defer pool.Close()
 				first, _ := http.NewRequest("GET", "http://peer:80/", nil)
@@ -136,50 +138,50 @@
 func TestBrokenExchanges(t *testing.T) {
 	cases := []struct {
 		name   string
-		script func(p *peer) func(net.Conn, int32)
+		script func(p *scriptedPeer) func(net.Conn, int32)
 		// outcome is that of RoundTrip; empty when headers arrive whole.
 		outcome outcome.Outcome
 	}{
-		{"closed before a byte was read", func(*peer) func(net.Conn, int32) {
+		{"closed before a byte was read", func(*scriptedPeer) func(net.Conn, int32) {
 			return func(net.Conn, int32) {}
 		}, outcome.NotRun},
-		{"closed while the request was written", func(*peer) func(net.Conn, int32) {
+		{"closed while the request was written", func(*scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) { _, _ = connection.Read(make([]byte, 10)) }
 		}, outcome.Unknown},
-		{"closed after the request was written", func(p *peer) func(net.Conn, int32) {
+		{"closed after the request was written", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) { p.read(connection) }
 		}, outcome.Unknown},
-		{"closed in the headers", func(p *peer) func(net.Conn, int32) {
+		{"closed in the headers", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nContent-Le")
 			}
 		}, outcome.Unknown},
-		{"closed in a counted body", func(p *peer) func(net.Conn, int32) {
+		{"closed in a counted body", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort")
 			}
 		}, ""},
-		{"closed in a chunked body", func(p *peer) func(net.Conn, int32) {
+		{"closed in a chunked body", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n")
 			}
 		}, ""},
-		{"neither counted nor chunked", func(p *peer) func(net.Conn, int32) {
+		{"neither counted nor chunked", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\n\r\nhalf of an ans")
 			}
 		}, outcome.Unknown},
-		{"protocol switched unasked", func(p *peer) func(net.Conn, int32) {
+		{"protocol switched unasked", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n")
 			}
 		}, outcome.Unknown},
-		{"not HTTP", func(p *peer) func(net.Conn, int32) {
+		{"not HTTP", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "SSH-2.0\r\n\r\n")
@@ -191,7 +193,7 @@
 			t.Run(method+" "+broken.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
-					served := &peer{}
+					served := &scriptedPeer{}
 					served.script = broken.script(served)
 					pool := newPool(served)
 					defer pool.Close()
@@ -211,7 +213,7 @@
 func TestUnfinishedExchangeIsNotPooled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		served := &peer{}
+		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
 				served.answer(connection, wholeAnswer)
@@ -231,30 +233,30 @@
 	})
 }
 
-func TestGivenUpExchanges(t *testing.T) {
+func TestCancelledExchanges(t *testing.T) {
 	cases := []struct {
 		name    string
-		dial    func(*peer) forward.Dialer
+		dial    func(*scriptedPeer) forward.Dialer
 		outcome outcome.Outcome
 	}{
-		{"while connecting", func(*peer) forward.Dialer {
+		{"while connecting", func(*scriptedPeer) forward.Dialer {
 			return func(ctx context.Context, _, _ string) (net.Conn, error) {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 		}, outcome.NotRun},
-		{"before the peer read a byte", func(p *peer) forward.Dialer {
+		{"before the peer read a byte", func(p *scriptedPeer) forward.Dialer {
 			p.script = func(net.Conn, int32) { time.Sleep(time.Minute) }
 			return p.dial
 		}, outcome.NotRun},
-		{"after the peer read a byte", func(p *peer) forward.Dialer {
+		{"after the peer read a byte", func(p *scriptedPeer) forward.Dialer {
 			p.script = func(connection net.Conn, _ int32) {
 				_, _ = connection.Read(make([]byte, 1))
 				time.Sleep(time.Minute)
 			}
 			return p.dial
 		}, outcome.Unknown},
-		{"while waiting for the reply", func(p *peer) forward.Dialer {
+		{"while waiting for the reply", func(p *scriptedPeer) forward.Dialer {
 			p.script = func(connection net.Conn, _ int32) {
 				p.read(connection)
 				_, _ = connection.Read(make([]byte, 1))
@@ -262,18 +264,18 @@
 			return p.dial
 		}, outcome.Unknown},
 	}
-	for _, given := range cases {
-		t.Run(given.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				limits := forward.Limits{Connections: 1, IdleTimeout: time.Minute, DialTimeout: time.Minute}
-				pool := forward.NewPool("peer:80", limits, given.dial(&peer{}))
+				pool := forward.NewPool("peer:80", limits, test.dial(&scriptedPeer{}))
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				started := time.Now()
 				request, _ := http.NewRequestWithContext(ctx, "POST", "http://peer:80/", strings.NewReader("body"))
 				_, err := exchange(pool, request)
-				g.Expect(outcomeOf(err)).To(Equal(given.outcome))
+				g.Expect(outcomeOf(err)).To(Equal(test.outcome))
 				g.Expect(time.Since(started)).To(Equal(time.Second))
 				time.Sleep(time.Minute)
 				synctest.Wait()
@@ -286,7 +288,7 @@
 func TestConnectionLimitAndSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		served := &peer{}
+		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
 				served.answer(connection, wholeAnswer)
@@ -312,10 +314,10 @@
 	})
 }
 
-func TestRenewedConnectionsAreNotUsedAgain(t *testing.T) {
+func TestRenewRetiresOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		served := &peer{}
+		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
 				served.answer(connection, wholeAnswer)
--- a/internal/proxy/forward/outgoing.go
+++ b/internal/proxy/forward/outgoing.go
@@ -15,7 +15,7 @@
 // NewRequest builds the request to a peer from the one received. The header
 // becomes part of the new request.
 func NewRequest(ctx context.Context, received *http.Request, address string, header http.Header, interim *Interim) *http.Request {
-	interim.trace.Got1xxResponse = interim.pass
+	interim.trace.Got1xxResponse = interim.forwardInterim
 	outgoing := new(http.Request).WithContext(httptrace.WithClientTrace(ctx, &interim.trace))
 	outgoing.Method = received.Method
 	outgoing.URL = &interim.address
@@ -53,14 +53,14 @@
 	}
 	RemoveHopByHop(header)
 	if _, set := header["User-Agent"]; !set {
-		header["User-Agent"] = suppressed
+		header["User-Agent"] = noUserAgent
 	}
 	return header
 }
 
-// suppressed keeps the library from adding a header of its own. It is never
+// noUserAgent keeps the library from adding a header of its own. It is never
 // modified.
-var suppressed = []string{""}
+var noUserAgent = []string{""}
 
 // Interim passes 1xx replies on to the caller. They arrive on a goroutine of
 // the library, possibly after the exchange was given up. It belongs to one
@@ -87,8 +87,8 @@
 	i.writer = nil
 }
 
-// pass writes one 1xx reply. The server itself answers Expect headers.
-func (i *Interim) pass(code int, received textproto.MIMEHeader) error {
+// forwardInterim writes one 1xx reply. The server itself answers Expect headers.
+func (i *Interim) forwardInterim(code int, received textproto.MIMEHeader) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if i.writer == nil || code == http.StatusContinue || code == http.StatusSwitchingProtocols {
--- a/internal/proxy/forward/pool.go
+++ b/internal/proxy/forward/pool.go
@@ -53,8 +53,8 @@
 	generation uint64
 	// used says whether an exchange began since the last Sweep.
 	used bool
-	// rest bounds the rest of connections, beside Limits.IdleTimeout.
-	rest restBound
+	// maxIdle bounds the maxIdle of connections, beside Limits.IdleTimeout.
+	maxIdle idleBound
 }
 
 // connection is one HTTP/1.1 connection. It belongs either to the pool's idle
@@ -64,8 +64,8 @@
 	tracked   *trackedConn
 	idleSince time.Time
 	reused    bool
-	// rested is how long it was idle before the exchange that it is used by.
-	rested time.Duration
+	// idleFor is how long it was idle before the exchange that it is used by.
+	idleFor time.Duration
 	// idleTimeout is what the peer said of this connection; zero when it said
 	// nothing.
 	idleTimeout time.Duration
@@ -85,7 +85,7 @@
 		MaxResponseHeaderBytes: limits.ReplyHeaderBytes,
 		ReadBufferSize:         connectionBufferBytes,
 		WriteBufferSize:        connectionBufferBytes,
-		ExpectContinueTimeout:  limits.consentTimeout(),
+		ExpectContinueTimeout:  limits.expectContinueTimeout(),
 	}
 	return pool
 }
@@ -94,19 +94,19 @@
 // Most messages fit; a proxy holds thousands of connections.
 const connectionBufferBytes = 2 << 10
 
-// expectContinueTimeout is how long a peer may take to answer an Expect header
+// defaultExpectContinueTimeout is how long a peer may take to answer an Expect header
 // before the body is sent without its consent.
-const expectContinueTimeout = time.Second
+const defaultExpectContinueTimeout = time.Second
 
-func (l Limits) consentTimeout() time.Duration {
+func (l Limits) expectContinueTimeout() time.Duration {
 	if l.ExpectContinueTimeout == 0 {
-		return expectContinueTimeout
+		return defaultExpectContinueTimeout
 	}
 	return l.ExpectContinueTimeout
 }
 
-// dialedConn is the context key under which a dial leaves its connection.
-type dialedConn struct{}
+// dialedConnKey is the context key under which a dial leaves its connection.
+type dialedConnKey struct{}
 
 func trackDials(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -115,8 +115,8 @@
 			return nil, err
 		}
 		tracked := &trackedConn{Conn: opened}
-		if place, ok := ctx.Value(dialedConn{}).(**trackedConn); ok {
-			*place = tracked
+		if dest, ok := ctx.Value(dialedConnKey{}).(**trackedConn); ok {
+			*dest = tracked
 		}
 		return tracked, nil
 	}
@@ -141,9 +141,9 @@
 
 // get returns an idle connection or opens one. An idle one that has rested longer
 // than the given time is used only when none may be opened.
-func (p *Pool) get(ctx context.Context, longest time.Duration) (*connection, error) {
+func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*connection, error) {
 	for {
-		idle, mayOpen := p.takeIdle(longest)
+		idle, mayOpen := p.takeIdle(maxIdle)
 		if idle == nil && !mayOpen {
 			return nil, ErrNoConnection
 		}
@@ -155,7 +155,7 @@
 		}
 		now := time.Now()
 		if idle.client.Available() > 0 && !p.expired(idle, now) {
-			idle.rested = now.Sub(idle.idleSince)
+			idle.idleFor = now.Sub(idle.idleSince)
 			return idle, nil
 		}
 		p.discard(idle)
@@ -166,9 +166,9 @@
 // be closing it.
 func (p *Pool) expired(idle *connection, now time.Time) bool {
 	p.mutex.Lock()
-	limits, rest := p.limits, p.rest.allowed(now)
+	limits, maxIdle := p.limits, p.maxIdle.allowed(now)
 	p.mutex.Unlock()
-	return now.Sub(idle.idleSince) >= min(idle.idleLimit(limits), rest)
+	return now.Sub(idle.idleSince) >= min(idle.idleLimit(limits), maxIdle)
 }
 
 // idleLimit is the pool's idle time-out, or less if the peer said so.
@@ -182,12 +182,12 @@
 // takeIdle pops the connection used last, unless it has rested too long and one
 // may be opened. mayOpen says that a place for a new
 // connection is reserved: for the caller when it got none, else for a spare.
-func (p *Pool) takeIdle(longest time.Duration) (taken *connection, mayOpen bool) {
+func (p *Pool) takeIdle(maxIdle time.Duration) (taken *connection, mayOpen bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.used = true
 	last := len(p.idle) - 1
-	if last >= 0 && time.Since(p.idle[last].idleSince) > longest && p.reserve() {
+	if last >= 0 && time.Since(p.idle[last].idleSince) > maxIdle && p.reserve() {
 		return nil, true
 	}
 	if last >= 0 {
@@ -224,7 +224,7 @@
 	defer cancel()
 	var tracked *trackedConn
 	generation := p.currentGeneration()
-	client, err := p.transport.NewClientConn(context.WithValue(ctx, dialedConn{}, &tracked), "http", p.address)
+	client, err := p.transport.NewClientConn(context.WithValue(ctx, dialedConnKey{}, &tracked), "http", p.address)
 	if err != nil {
 		p.mutex.Lock()
 		p.open--
@@ -242,7 +242,7 @@
 
 // put takes back a connection whose exchange is whole.
 func (p *Pool) put(returned *connection, now time.Time) {
-	returned.tracked.rest()
+	returned.tracked.finish()
 	returned.idleSince = now
 	returned.reused = true
 	p.mutex.Lock()
--- a/internal/proxy/forward/reply.go
+++ b/internal/proxy/forward/reply.go
@@ -43,13 +43,13 @@
 
 func writeReply(w http.ResponseWriter, response *http.Response, hidden string) error {
 	copyHeader(w.Header(), response.Header)
-	removeHidden(response.Trailer, hidden)
+	filterTrailer(response.Trailer, hidden)
 	announced := announceTrailers(w.Header(), response.Trailer)
 	w.WriteHeader(response.StatusCode)
 	if err := copyBody(w, response); err != nil {
 		return err
 	}
-	removeHidden(response.Trailer, hidden)
+	filterTrailer(response.Trailer, hidden)
 	if len(response.Trailer) > 0 {
 		writeTrailers(w, response.Trailer, announced)
 	}
@@ -64,7 +64,7 @@
 	return response.ContentLength < 0 || response.ContentLength > serverBufferBytes
 }
 
-func removeHidden(trailer http.Header, hidden string) {
+func filterTrailer(trailer http.Header, hidden string) {
 	outcome.StripMarkers(trailer)
 	delete(trailer, hidden)
 }
--- a/internal/proxy/forward/request.go
+++ b/internal/proxy/forward/request.go
@@ -51,7 +51,7 @@
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, fmt.Errorf("stream request body: %w", err)
 	}
-	removeHidden(request.Trailer, hidden)
+	filterTrailer(request.Trailer, hidden)
 	stream := &streamedBody{source: request.Body, remaining: maximum, request: request, hidden: hidden}
 	return &Body{length: request.ContentLength, trailer: request.Trailer, stream: stream}, nil
 }
@@ -85,13 +85,13 @@
 	if _, err := io.ReadFull(request.Body, buffered); err != nil {
 		return nil, fmt.Errorf("read request body: %w", err)
 	}
-	drainEnd(request.Body)
+	readEOF(request.Body)
 	return &Body{buffered: buffered, length: request.ContentLength}, nil
 }
 
-// drainEnd reads the end mark, by which the server learns that it may watch
+// readEOF reads the end mark, by which the server learns that it may watch
 // the connection for the caller's leaving.
-func drainEnd(body io.Reader) {
+func readEOF(body io.Reader) {
 	var end [1]byte
 	_, _ = body.Read(end[:])
 }
@@ -116,7 +116,7 @@
 }
 
 // Consumed reports whether the body can no longer be sent from its start.
-func (b *Body) Consumed() bool { return b.stream != nil && b.stream.touched.Load() }
+func (b *Body) Consumed() bool { return b.stream != nil && b.stream.readStarted.Load() }
 
 // Replayable reports whether the body can be sent any number of times.
 func (b *Body) Replayable() bool { return b.stream == nil }
@@ -126,7 +126,7 @@
 // What follows on the connection might otherwise be a rest of this request: a
 // server in full duplex does not look whether the body broke off.
 func (b *Body) CloseUnlessRead(header http.Header) {
-	if b != nil && b.stream != nil && b.stream.request.ProtoMajor == 1 && !b.stream.ended.Load() {
+	if b != nil && b.stream != nil && b.stream.request.ProtoMajor == 1 && !b.stream.complete.Load() {
 		header.Set("Connection", "close")
 	}
 }
@@ -134,11 +134,11 @@
 // streamedBody reads from the caller's connection. Close leaves the source
 // open: the server that made it closes it.
 type streamedBody struct {
-	source    io.Reader
-	remaining int64
-	touched   atomic.Bool
-	// ended: the source was read to its end.
-	ended atomic.Bool
+	source      io.Reader
+	remaining   int64
+	readStarted atomic.Bool
+	// complete: the source was read to its end.
+	complete atomic.Bool
 	// request is the one received: its trailers are known, and cleaned of
 	// hidden, at the end of the source.
 	request *http.Request
@@ -147,15 +147,15 @@
 
 // Read implements io.Reader.
 func (s *streamedBody) Read(data []byte) (int, error) {
-	s.touched.Store(true)
+	s.readStarted.Store(true)
 	count, err := s.source.Read(data)
 	s.remaining -= int64(count)
 	if s.remaining < 0 {
 		return 0, ErrBodyTooLarge
 	}
 	if err == io.EOF {
-		removeHidden(s.request.Trailer, s.hidden)
-		s.ended.Store(true)
+		filterTrailer(s.request.Trailer, s.hidden)
+		s.complete.Store(true)
 	}
 	return count, err
 }
@@ -177,7 +177,7 @@
 	stopped := unblockOnDone(ctx, w)
 	return func() {
 		stopped()
-		boundUnread(w)
+		setDiscardDeadline(w)
 	}
 }
 
@@ -188,8 +188,8 @@
 func PrepareLocalReply(ctx context.Context, w http.ResponseWriter, request *http.Request, body *Body) (written func()) {
 	written = func() {}
 	if body == nil {
-		leaveUnread(w, request)
-		written = func() { readRest(w, request) }
+		allowEarlyReply(w, request)
+		written = func() { discardRemainder(w, request) }
 	}
 	if ctx != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		// Reads of the connection may have been unblocked for good.
@@ -199,33 +199,33 @@
 	return written
 }
 
-// leaveUnread lets a request be answered at once although its body was not
+// allowEarlyReply lets a request be answered at once although its body was not
 // read: by itself the server would wait for the body first. readRest is due
 // once the answer is written.
-func leaveUnread(w http.ResponseWriter, request *http.Request) {
+func allowEarlyReply(w http.ResponseWriter, request *http.Request) {
 	if !hasBody(request) {
 		return
 	}
-	if expectsContinue(request) || request.ContentLength > unreadLimit {
+	if expectsContinue(request) || request.ContentLength > maxDiscardBytes {
 		w.Header().Set("Connection", "close")
 	}
 	_ = http.NewResponseController(w).EnableFullDuplex()
 }
 
-// readRest reads the body that leaveUnread left. When it does not come whole
+// discardRemainder reads the body that leaveUnread left. When it does not come whole
 // within a short time the connection is closed, since what follows on it might
 // be a rest of this request: a server in full duplex does not look. Over HTTP/2
 // there is nothing to do.
-func readRest(w http.ResponseWriter, request *http.Request) {
+func discardRemainder(w http.ResponseWriter, request *http.Request) {
 	if !hasBody(request) || request.ProtoMajor != 1 {
 		return
 	}
 	_ = http.NewResponseController(w).Flush()
-	boundUnread(w)
+	setDiscardDeadline(w)
 	if w.Header().Get("Connection") == "close" {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, request.Body, unreadLimit+1); err != io.EOF {
+	if _, err := io.CopyN(io.Discard, request.Body, maxDiscardBytes+1); err != io.EOF {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -235,15 +235,15 @@
 }
 
 const (
-	// unreadGrace is how long a server waits, after the answer, for the rest of
+	// discardTimeout is how long a server waits, after the answer, for the rest of
 	// a body that nobody wants, before it closes the connection.
-	unreadGrace = time.Second
-	// unreadLimit bounds such a rest, in bytes.
-	unreadLimit = 256 << 10
+	discardTimeout = time.Second
+	// maxDiscardBytes bounds such a rest, in bytes.
+	maxDiscardBytes = 256 << 10
 )
 
-func boundUnread(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadGrace))
+func setDiscardDeadline(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(discardTimeout))
 }
 
 func unblockOnDone(ctx context.Context, w http.ResponseWriter) (stop func()) {
