--- a/internal/proxy/forward/abandoned_test.go
+++ b/internal/proxy/forward/abandoned_test.go
@@ -14,10 +14,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestCancelledUploadResetsConnection: a peer that reads slowly does not get the rest of a body
-// whose caller has left, and learns so at once. Users saw uploads run 0.7 s after their
-// callers had gone: the whole body lay in the send buffer of a full link, and the end of the
-// connection behind it.
+// TestCancelledUploadResetsConnection verifies that cancelling an upload to a slow peer resets the
+// connection and drops the unsent body. Without the reset, a full link delivers the whole send
+// buffer before the FIN, so that uploads went on for 0.7 s after their callers had disconnected.
 func TestCancelledUploadResetsConnection(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +62,7 @@
 	g.Expect(got.bytes).To(BeNumerically("<", bodyBytes))
 }
 
-// dialSmallBuffer opens connections that send little ahead of what the peer has taken.
+// dialSmallBuffer opens connections with a send buffer smaller than the uploaded body.
 func dialSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err == nil {
@@ -72,8 +71,8 @@
 	return connection, err
 }
 
-// TestCompletedExchangeClosesWithoutReset: a connection that rests is closed, not reset, also when the
-// context of its last exchange has ended.
+// TestCompletedExchangeClosesWithoutReset verifies that an idle connection is closed without a
+// reset, even if the context of its last exchange has ended since.
 func TestCompletedExchangeClosesWithoutReset(t *testing.T) {
 	g := NewWithT(t)
 	connection := &lingerConn{}
@@ -97,7 +96,7 @@
 	}
 }
 
-// lingerConn notes whether its close is a reset.
+// lingerConn records whether SO_LINGER was set to 0, which makes Close send a reset.
 type lingerConn struct {
 	net.Conn
 	reset bool
--- a/internal/proxy/forward/caller.go
+++ b/internal/proxy/forward/caller.go
@@ -6,19 +6,19 @@
 	"runtime"
 )
 
-// ErrCallerDisconnected says that the caller had closed its connection before its request
-// was passed on.
-var ErrCallerDisconnected = errors.New("the caller has left")
+// ErrCallerDisconnected is returned when the caller closed its connection before its request
+// was forwarded.
+var ErrCallerDisconnected = errors.New("caller disconnected before its request was forwarded")
 
-// yieldCount is how often the processor is left to others: one time in 61 the scheduler
-// takes a goroutine that has yielded before one that is new.
+// yieldCount is how often CallerDisconnected yields. One yield is not enough: on every 61st
+// scheduling round the Go scheduler serves the global run queue, where yielded goroutines wait,
+// before newly runnable ones.
 const yieldCount = 2
 
-// CallerDisconnected reports whether the caller is no longer there, or the time of its request
-// is over. The server learns of it
-// by a goroutine that reads on while the request is served. On a process that did
-// not run for a while, request and end of the connection may be at hand together:
-// that goroutine gets its turn first.
+// CallerDisconnected reports whether the caller has closed its connection or the deadline of its
+// request has passed. The server detects the close in a background read that runs while the
+// request is served. After the process was suspended, the request and the end of the connection
+// may become readable together, so this function first yields to let the background read run.
 func CallerDisconnected(ctx context.Context) bool {
 	for range yieldCount {
 		runtime.Gosched()
--- a/internal/proxy/forward/conn.go
+++ b/internal/proxy/forward/conn.go
@@ -1,7 +1,8 @@
-// Package forward carries one request over one connection and its reply back.
-// It owns the connections: a pool per peer, each connection used by one
-// exchange at a time and pooled again only after a whole one. It never sends a
-// request twice, and it can tell whether any byte of a request was written.
+// Package forward sends a request to a peer over an HTTP/1.1 connection and
+// returns the reply. It keeps a connection pool per peer. A connection serves
+// one exchange at a time and returns to the pool only after a complete
+// exchange. The package never sends a request twice, and it knows whether any
+// byte of a request was written.
 package forward
 
 import (
@@ -10,50 +11,51 @@
 	"sync/atomic"
 )
 
-// The write state of a tracked connection during one exchange.
+// Write states of a tracked connection during one exchange.
 const (
-	// writeNone: no byte of the exchange was handed to the kernel.
+	// writeNone: no byte of the exchange has been passed to the kernel.
 	writeNone int32 = iota
-	// writeBusy: a write is going on.
+	// writeBusy: the first write is in progress.
 	writeBusy
-	// writeSome: at least one byte was written.
+	// writeSome: at least one byte has been written.
 	writeSome
-	// writeSealed: no byte will be written any more.
+	// writeSealed: writing is disabled.
 	writeSealed
 )
 
-// trackedConn knows whether the current exchange wrote anything. Writes come
-// from one goroutine at a time; begin and seal come from the exchange's owner.
+// trackedConn tracks whether the current exchange has written anything. Writes
+// come from one goroutine at a time; begin and seal are called by the owner of
+// the exchange.
 type trackedConn struct {
 	net.Conn
 	state atomic.Int32
-	// exchange is the context of the current exchange, nil between two.
+	// exchange is the context of the current exchange, nil while idle.
 	exchange atomic.Pointer[context.Context]
 }
 
-// begin starts an exchange within a context; the connection must be idle.
+// begin starts an exchange with the given context. The connection must be idle.
 func (c *trackedConn) begin(ctx context.Context) {
 	c.state.Store(writeNone)
 	c.exchange.Store(&ctx)
 }
 
-// finish ends an exchange that is whole.
+// finish marks the current exchange as complete.
 func (c *trackedConn) finish() { c.exchange.Store(nil) }
 
-// Close implements net.Conn. A connection whose exchange was given up is reset: what lies in
-// the send buffer is dropped. Over a link that is full the peer would otherwise get a whole
-// large body, and learn only behind it that nobody waits for the answer any more: uploads ran
-// 0.7 s after their callers had left.
+// Close implements net.Conn. If the exchange was cancelled, the connection is reset, which drops
+// the contents of the send buffer. On a saturated link the peer would otherwise receive the whole
+// buffered body before the FIN, so that uploads went on for 0.7 s after their callers had
+// disconnected.
 func (c *trackedConn) Close() error {
 	if ctx := c.exchange.Load(); ctx != nil && (*ctx).Err() != nil {
 		if resettable, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-			_ = resettable.SetLinger(0) // without it the connection closes in order
+			_ = resettable.SetLinger(0) // on an error the connection closes without a reset
 		}
 	}
 	return c.Conn.Close()
 }
 
-// Write implements net.Conn. After seal it writes nothing.
+// Write implements net.Conn. After seal it returns net.ErrClosed.
 func (c *trackedConn) Write(data []byte) (int, error) {
 	first := c.state.CompareAndSwap(writeNone, writeBusy)
 	if !first && c.state.Load() == writeSealed {
@@ -71,8 +73,8 @@
 	return written, err
 }
 
-// seal ends the exchange for good and reports whether it is proven that it
-// wrote nothing and never will. A write that is going on counts as written.
+// seal disables further writes and reports whether nothing was written. A write
+// in progress counts as written.
 func (c *trackedConn) seal() (nothingWritten bool) {
 	return c.state.Swap(writeSealed) == writeNone
 }
--- a/internal/proxy/forward/conn_test.go
+++ b/internal/proxy/forward/conn_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// scriptedConn calls write for each write.
+// scriptedConn replaces Write with a test function.
 type scriptedConn struct {
 	net.Conn
 	write func(data []byte) (int, error)
@@ -16,24 +16,26 @@
 
 func (c *scriptedConn) Write(data []byte) (int, error) { return c.write(data) }
 
-// TestSeal: the verdict "nothing written" holds before, during and after.
+// TestSeal checks the result of seal before, during and after a write, and that no write
+// reaches the connection afterwards.
 func TestSeal(t *testing.T) {
 	broken := errors.New("broken")
 	cases := []struct {
 		name string
-		// write brings its result; sealed inside when duringWrite.
+		// result and err are returned by the underlying Write; duringWrite calls seal
+		// inside it.
 		result      int
 		err         error
 		duringWrite bool
 		skip        bool
 		nothing     bool
 	}{
-		{name: "no write at all", skip: true, nothing: true},
-		{name: "a whole write", result: 4},
-		{name: "a part of a write", result: 1, err: broken},
-		{name: "a write that failed at its first byte", err: broken, nothing: true},
-		{name: "a write that is going on", result: 4, duringWrite: true},
-		{name: "a write that is going on and will fail", err: broken, duringWrite: true},
+		{name: "no write", skip: true, nothing: true},
+		{name: "a complete write", result: 4},
+		{name: "a partial write", result: 1, err: broken},
+		{name: "a write that failed before its first byte", err: broken, nothing: true},
+		{name: "a write in progress", result: 4, duringWrite: true},
+		{name: "a write in progress that fails", err: broken, duringWrite: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -60,7 +62,7 @@
 			before := writes
 			_, err := tracked.Write([]byte("late"))
 			g.Expect(err).To(MatchError(net.ErrClosed))
-			g.Expect(writes).To(Equal(before), "written after the verdict")
+			g.Expect(writes).To(Equal(before), "written after seal")
 		})
 	}
 }
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -13,24 +13,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// ErrUnframedReply says that a reply is neither counted nor chunked, so that
-// its end could not be told from a lost connection.
-var ErrUnframedReply = errors.New("forward: the reply has neither a length nor chunks")
+// ErrUnframedReply is returned for a reply with neither a Content-Length nor
+// chunked encoding: its end cannot be distinguished from a lost connection.
+var ErrUnframedReply = errors.New("forward: reply has neither a Content-Length nor chunked encoding")
 
-// ErrSwitchedProtocol says that the peer switched protocols unasked.
-var ErrSwitchedProtocol = errors.New("forward: the peer switched protocols")
+// ErrSwitchedProtocol is returned when the peer switched protocols without a
+// request to do so.
+var ErrSwitchedProtocol = errors.New("forward: peer switched protocols without being asked")
 
-// Error is an exchange that brought no reply.
+// Error reports an exchange that failed without a reply.
 type Error struct {
-	// Outcome is NotRun only when no byte of the request was written and none
-	// will be.
+	// Outcome is NotRun only if no byte of the request was written and none
+	// can be written later.
 	Outcome outcome.Outcome
 	Step    outcome.Step
 	Peer    string
 	Cause   error
 }
 
-// Error names outcome, step, peer and cause.
+// Error returns the outcome, step, peer and cause as text.
 func (e *Error) Error() string {
 	return string(e.Outcome) + ": step " + string(e.Step) + ", peer " + e.Peer + ": " + e.Cause.Error()
 }
@@ -38,15 +39,16 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// RoundTrip sends the request once, on one connection. The reply's body must
-// be closed; closing it before its end closes the connection. The request's
+// RoundTrip sends the request once, on one connection. The caller must close
+// the reply's body; closing it before EOF closes the connection. The request's
 // context bounds the whole exchange.
 func (p *Pool) RoundTrip(request *http.Request) (*http.Response, error) {
 	return p.roundTrip(request, math.MaxInt64)
 }
 
-// RoundTripNonRepeatable is RoundTrip for a request that may not be sent again: it uses
-// no connection that has rested for long, since the peer may have forgotten it.
+// RoundTripNonRepeatable is like RoundTrip, for a request that must not be
+// retried. It avoids connections that were idle for longer than
+// maxIdleNonRepeatable, since the peer may have dropped them.
 func (p *Pool) RoundTripNonRepeatable(request *http.Request) (*http.Response, error) {
 	return p.roundTrip(request, maxIdleNonRepeatable)
 }
@@ -76,7 +78,8 @@
 	return response, nil
 }
 
-// recordBreak takes in that a connection recordBreak without an answer after a rest.
+// recordBreak records that a connection failed without a reply after it was
+// idle for the given time.
 func (p *Pool) recordBreak(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -87,8 +90,9 @@
 	return &Error{Outcome: outcome.NotRun, Step: step, Peer: p.address, Cause: cause}
 }
 
-// fail closes the connection first and only then looks at what was written,
-// so that nothing can be written after the verdict.
+// fail seals and closes the connection and derives the outcome from whether
+// anything was written. Sealing first ensures that nothing is written after the
+// outcome is determined.
 func (p *Pool) fail(broken *connection, cause error) *Error {
 	nothingWritten := broken.tracked.seal()
 	p.discard(broken)
@@ -98,11 +102,13 @@
 	return &Error{Outcome: outcome.Unknown, Step: outcome.StepAwait, Peer: p.address, Cause: cause}
 }
 
-// keepAliveShare is the part of the idle time a peer grants that is made use of:
-// near its end the peer's close would cross a request.
+// keepAliveShare is the fraction of the peer's keep-alive timeout for which an
+// idle connection is reused. Close to the timeout, the peer's close could race
+// with a new request.
 const keepAliveShare = 0.7
 
-// applyKeepAlive takes in how long the peer says that it keeps the connection.
+// applyKeepAlive sets the idle timeout from the timeout parameter of the
+// peer's Keep-Alive header.
 func (c *connection) applyKeepAlive(header http.Header) {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -113,8 +119,8 @@
 	}
 }
 
-// checkReply refuses replies whose end cannot be proved, unless replies that
-// end with their connection are allowed.
+// checkReply rejects protocol switches and, unless unframed replies are
+// allowed, replies that are delimited only by the end of the connection.
 func (p *Pool) checkReply(request *http.Request, response *http.Response) error {
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return ErrSwitchedProtocol
@@ -129,7 +135,7 @@
 	return nil
 }
 
-// replyBody gives the connection back when the body was read to its end.
+// replyBody returns the connection to the pool after the body was read to EOF.
 type replyBody struct {
 	body       io.ReadCloser
 	pool       *Pool
@@ -147,7 +153,8 @@
 	return count, err
 }
 
-// Close ends the exchange. An unfinished one closes the connection.
+// Close ends the exchange. If the body was not read to EOF, it closes the
+// connection.
 func (b *replyBody) Close() error {
 	if b.closed {
 		return nil
--- a/internal/proxy/forward/exchange_test.go
+++ b/internal/proxy/forward/exchange_test.go
@@ -19,11 +19,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// scriptedPeer scripts the server's side of each connection, counted from one.
+// scriptedPeer runs a script as the server of each connection; connections are numbered from one.
 type scriptedPeer struct {
 	script      func(connection net.Conn, count int32)
 	connections atomic.Int32
-	// arrivals counts requests of which at least the first byte was read.
+	// arrivals counts the requests whose header was read.
 	arrivals atomic.Int32
 }
 
@@ -37,7 +37,7 @@
 	return client, nil
 }
 
-// read takes one whole request off the connection.
+// read reads one complete request from the connection.
 func (p *scriptedPeer) read(connection net.Conn) bool {
 	request, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
@@ -52,10 +52,10 @@
 	_, _ = io.WriteString(connection, text)
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeReply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// breakOnSecondRequest answers the first request and breaks at the second one on the same
-// connection; a third one, on another connection, is answered again.
+// breakOnSecondRequest returns a script that answers every request but the second, for which it
+// calls the given function and closes the connection.
 func breakOnSecondRequest(p *scriptedPeer, second func(connection net.Conn)) func(net.Conn, int32) {
 	return func(connection net.Conn, count int32) {
 		for p.read(connection) {
@@ -63,13 +63,13 @@
 				second(connection)
 				return
 			}
-			p.answer(connection, wholeAnswer)
+			p.answer(connection, completeReply)
 		}
 	}
 }
 
-// repeatable requests by the library's own rule, which it resends by itself
-// when a pooled connection dies.
+// replayableRequests returns requests that http.Transport would resend by itself after a pooled
+// connection fails.
 func replayableRequests() map[string]*http.Request {
 	requests := map[string]*http.Request{}
 	for name, method := range map[string]string{"GET": "GET", "Idempotency-Key": "POST", "X-Idempotency-Key": "POST"} {
@@ -139,43 +139,43 @@
 	cases := []struct {
 		name   string
 		script func(p *scriptedPeer) func(net.Conn, int32)
-		// outcome is that of RoundTrip; empty when headers arrive whole.
+		// outcome is that of the error from RoundTrip; empty if the complete header arrives.
 		outcome outcome.Outcome
 	}{
-		{"closed before a byte was read", func(*scriptedPeer) func(net.Conn, int32) {
+		{"closed before the first byte was read", func(*scriptedPeer) func(net.Conn, int32) {
 			return func(net.Conn, int32) {}
 		}, outcome.NotRun},
-		{"closed while the request was written", func(*scriptedPeer) func(net.Conn, int32) {
+		{"closed while the request was being written", func(*scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) { _, _ = connection.Read(make([]byte, 10)) }
 		}, outcome.Unknown},
 		{"closed after the request was written", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) { p.read(connection) }
 		}, outcome.Unknown},
-		{"closed in the headers", func(p *scriptedPeer) func(net.Conn, int32) {
+		{"closed within the reply header", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nContent-Le")
 			}
 		}, outcome.Unknown},
-		{"closed in a counted body", func(p *scriptedPeer) func(net.Conn, int32) {
+		{"closed within a body with Content-Length", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort")
 			}
 		}, ""},
-		{"closed in a chunked body", func(p *scriptedPeer) func(net.Conn, int32) {
+		{"closed within a chunked body", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n")
 			}
 		}, ""},
-		{"neither counted nor chunked", func(p *scriptedPeer) func(net.Conn, int32) {
+		{"neither Content-Length nor chunked", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 200 OK\r\n\r\nhalf of an ans")
 			}
 		}, outcome.Unknown},
-		{"protocol switched unasked", func(p *scriptedPeer) func(net.Conn, int32) {
+		{"unrequested protocol switch", func(p *scriptedPeer) func(net.Conn, int32) {
 			return func(connection net.Conn, _ int32) {
 				p.read(connection)
 				p.answer(connection, "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n")
@@ -202,7 +202,7 @@
 					g.Expect(err).To(HaveOccurred())
 					g.Expect(outcomeOf(err)).To(Equal(broken.outcome))
 					synctest.Wait()
-					g.Expect(pool.Open()).To(BeZero(), "the connection was kept")
+					g.Expect(pool.Open()).To(BeZero(), "the connection was returned to the pool")
 					g.Expect(served.connections.Load()).To(BeEquivalentTo(1))
 				})
 			})
@@ -216,7 +216,7 @@
 		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
-				served.answer(connection, wholeAnswer)
+				served.answer(connection, completeReply)
 			}
 		}
 		pool := newPool(served)
@@ -291,7 +291,7 @@
 		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
-				served.answer(connection, wholeAnswer)
+				served.answer(connection, completeReply)
 			}
 		}
 		limits := forward.Limits{Connections: 1, IdleTimeout: time.Minute, DialTimeout: time.Second}
@@ -320,7 +320,7 @@
 		served := &scriptedPeer{}
 		served.script = func(connection net.Conn, _ int32) {
 			for served.read(connection) {
-				served.answer(connection, wholeAnswer)
+				served.answer(connection, completeReply)
 			}
 		}
 		pool := newPool(served)
@@ -333,7 +333,7 @@
 		g.Expect(served.connections.Load()).To(BeEquivalentTo(2))
 
 		pool.Renew()
-		g.Expect(pool.Open()).To(Equal(1), "the idle one is closed, the one in use is not")
+		g.Expect(pool.Open()).To(Equal(1), "only the idle connection is closed")
 		body, err := io.ReadAll(inUse.Body)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(string(body)).To(Equal("ok"))
--- a/internal/proxy/forward/headers.go
+++ b/internal/proxy/forward/headers.go
@@ -7,8 +7,7 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// hopByHop lists the headers that concern one connection only, in canonical
-// form.
+// hopByHop lists the hop-by-hop headers in canonical form.
 var hopByHop = [...]string{
 	"Connection",
 	"Proxy-Connection",
@@ -21,9 +20,9 @@
 	"Upgrade",
 }
 
-// RemoveHopByHop removes the headers of one connection: the listed ones and
-// those that the Connection header names. "TE: trailers" stays, since
-// trailers are passed on.
+// RemoveHopByHop removes the hop-by-hop headers: those in hopByHop and those
+// named by the Connection header. "TE: trailers" is kept, since trailers are
+// forwarded.
 func RemoveHopByHop(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -39,8 +38,8 @@
 	}
 }
 
-// WantsUpgrade reports whether the request asks for another protocol on the
-// same connection.
+// WantsUpgrade reports whether the request is a CONNECT or asks for a protocol
+// upgrade.
 func WantsUpgrade(request *http.Request) bool {
 	return request.Method == http.MethodConnect ||
 		httpguts.HeaderValuesContainsToken(request.Header["Connection"], "Upgrade") ||
--- a/internal/proxy/forward/headers_test.go
+++ b/internal/proxy/forward/headers_test.go
@@ -29,11 +29,11 @@
 	g.Expect(forward.RequestHeader(received, 0)).To(Equal(http.Header{
 		"Te": {"trailers"}, "Accept": {"a", "b"}, "User-Agent": {""},
 	}))
-	g.Expect(received).To(HaveKey("Kestrel-Outcome"), "the received header stays as it was")
+	g.Expect(received).To(HaveKey("Kestrel-Outcome"), "the received header must not be modified")
 }
 
-// FuzzRequestHeader parses requests as a server does and checks that neither a
-// marker nor a header of the connection gets through.
+// FuzzRequestHeader parses requests as a server does and checks that no mesh marker and no
+// hop-by-hop header is forwarded.
 func FuzzRequestHeader(f *testing.F) {
 	for _, seed := range []string{
 		"Connection: close\r\n", "connection: kestrel-call-id\r\nkestrel-call-id: x\r\n", "KESTREL-OUTCOME: not-run\r\n",
@@ -55,13 +55,13 @@
 		for name, values := range forward.RequestHeader(request.Header, 0) {
 			switch {
 			case outcome.IsMarker(name) || strings.HasPrefix(strings.ToLower(name), "kestrel-"):
-				t.Fatalf("marker %q got through", name)
+				t.Fatalf("marker %q was forwarded", name)
 			case name == "Te" && (len(values) != 1 || values[0] != "trailers"):
-				t.Fatalf("TE got through as %q", values)
+				t.Fatalf("TE was forwarded as %q", values)
 			case name != "Te" && name != "User-Agent" && named[name]:
-				t.Fatalf("%q got through although the Connection header names it", name)
+				t.Fatalf("%q was forwarded although the Connection header names it", name)
 			case name == "Connection" || name == "Upgrade" || name == "Transfer-Encoding" || name == "Keep-Alive":
-				t.Fatalf("%q got through", name)
+				t.Fatalf("hop-by-hop header %q was forwarded", name)
 			}
 		}
 	})
--- a/internal/proxy/forward/outgoing.go
+++ b/internal/proxy/forward/outgoing.go
@@ -12,8 +12,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// NewRequest builds the request to a peer from the one received. The header
-// becomes part of the new request.
+// NewRequest builds the request to a peer from the received one. The new
+// request takes ownership of header. interim forwards 1xx replies and provides
+// storage for the trace and the URL.
 func NewRequest(ctx context.Context, received *http.Request, address string, header http.Header, interim *Interim) *http.Request {
 	interim.trace.Got1xxResponse = interim.forwardInterim
 	outgoing := new(http.Request).WithContext(httptrace.WithClientTrace(ctx, &interim.trace))
@@ -33,8 +34,8 @@
 	return outgoing
 }
 
-// KeepTarget has the outgoing request bear the received one's target byte for
-// byte instead of a normal form of it.
+// KeepTarget makes the outgoing request use the received request target byte
+// for byte instead of its normalized form.
 func KeepTarget(outgoing, received *http.Request) {
 	path, query, hasQuery := strings.Cut(received.RequestURI, "?")
 	outgoing.URL.Opaque = path
@@ -42,8 +43,8 @@
 	outgoing.URL.ForceQuery = hasQuery && query == ""
 }
 
-// RequestHeader copies a received header without what concerns one hop and
-// without the mesh's markers, leaving room for extra ones.
+// RequestHeader copies a received header without hop-by-hop headers and mesh
+// markers. extra is the number of headers to reserve room for.
 func RequestHeader(received http.Header, extra int) http.Header {
 	header := make(http.Header, len(received)+extra)
 	for name, values := range received {
@@ -58,13 +59,14 @@
 	return header
 }
 
-// noUserAgent keeps the library from adding a header of its own. It is never
-// modified.
+// noUserAgent keeps net/http from adding its default User-Agent. It must not
+// be modified.
 var noUserAgent = []string{""}
 
-// Interim passes 1xx replies on to the caller. They arrive on a goroutine of
-// the library, possibly after the exchange was given up. It belongs to one
-// exchange and keeps that one's parts, so that they are allocated at once.
+// Interim forwards 1xx replies to the caller. net/http delivers them on its own
+// goroutine, possibly after the exchange was cancelled. An Interim belongs to one
+// exchange and also holds the trace and the URL of its request, so that one
+// allocation serves all of them.
 type Interim struct {
 	trace   httptrace.ClientTrace
 	address url.URL
@@ -73,21 +75,22 @@
 	writer  http.ResponseWriter
 }
 
-// NewInterim returns an Interim that writes to w until Stop. hidden is as for
-// WriteReply.
+// NewInterim returns an Interim that writes to w until Stop is called. hidden is
+// as for WriteReply.
 func NewInterim(w http.ResponseWriter, hidden string) *Interim {
 	return &Interim{writer: w, hidden: hidden}
 }
 
-// Stop waits for a reply being passed on and drops all later ones. It is to be
-// called before the final reply is written.
+// Stop waits for a 1xx reply that is being written and drops all later ones. It
+// must be called before the final reply is written.
 func (i *Interim) Stop() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.writer = nil
 }
 
-// forwardInterim writes one 1xx reply. The server itself answers Expect headers.
+// forwardInterim writes one 1xx reply. 100 Continue is skipped, since the
+// server answers Expect headers itself.
 func (i *Interim) forwardInterim(code int, received textproto.MIMEHeader) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/proxy/forward/pool.go
+++ b/internal/proxy/forward/pool.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// ErrNoConnection says that the peer's connection limit is reached.
-var ErrNoConnection = errors.New("forward: all connections to the peer are in use")
+// ErrNoConnection is returned when the connection limit of the peer is reached.
+var ErrNoConnection = errors.New("forward: connection limit of the peer reached")
 
 // Limits bound the connections to one peer.
 type Limits struct {
-	// Connections is the most connections open at once.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// WarmIdle is how many idle connections are opened ahead of need.
+	// WarmIdle is how many idle connections the pool opens in advance.
 	WarmIdle int
-	// IdleTimeout closes connections unused for so long. It must be shorter
-	// than the peer's own, so that the peer is not the one to close.
+	// IdleTimeout is how long a connection may stay idle before it is closed. It
+	// must be shorter than the peer's idle timeout, so that the peer does not
+	// close a connection that is about to be reused.
 	IdleTimeout time.Duration
-	// DialTimeout bounds the opening of one connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// ReplyHeaderBytes bounds the headers of a reply.
+	// ReplyHeaderBytes bounds the size of a reply header.
 	ReplyHeaderBytes int64
-	// ExpectContinueTimeout is how long a peer may take to answer an Expect header
-	// before the body is sent without its consent; zero takes the default.
+	// ExpectContinueTimeout is how long to wait for 100 Continue before the body
+	// is sent anyway; zero selects defaultExpectContinueTimeout.
 	ExpectContinueTimeout time.Duration
-	// AllowUnframed takes replies that end with their connection; one that is
-	// reset is broken off. Without it such replies are errors.
+	// AllowUnframed accepts replies that are delimited by the end of the
+	// connection; a reset while reading one is an error. Otherwise such replies
+	// fail with ErrUnframedReply.
 	AllowUnframed bool
 }
 
@@ -51,9 +53,10 @@
 	closed  bool
 	// generation counts the calls of Renew.
 	generation uint64
-	// used says whether an exchange began since the last Sweep.
+	// used reports whether an exchange has started since the last Sweep.
 	used bool
-	// maxIdle bounds the maxIdle of connections, beside Limits.IdleTimeout.
+	// maxIdle bounds the idle time of connections in addition to
+	// Limits.IdleTimeout.
 	maxIdle idleBound
 }
 
@@ -64,16 +67,16 @@
 	tracked   *trackedConn
 	idleSince time.Time
 	reused    bool
-	// idleFor is how long it was idle before the exchange that it is used by.
+	// idleFor is how long it was idle before the current exchange.
 	idleFor time.Duration
-	// idleTimeout is what the peer said of this connection; zero when it said
-	// nothing.
+	// idleTimeout is derived from the peer's Keep-Alive header; zero if there
+	// was none.
 	idleTimeout time.Duration
-	// generation is the pool's when the connection was asked for.
+	// generation is the pool's generation when the dial started.
 	generation uint64
 }
 
-// NewPool returns an empty pool. A nil dialer opens TCP connections.
+// NewPool returns an empty pool. If dial is nil, it opens TCP connections.
 func NewPool(address string, limits Limits, dial Dialer) *Pool {
 	if dial == nil {
 		dial = (&net.Dialer{KeepAlive: 15 * time.Second}).DialContext
@@ -90,12 +93,12 @@
 	return pool
 }
 
-// connectionBufferBytes is the size of each of a connection's two buffers.
-// Most messages fit; a proxy holds thousands of connections.
+// connectionBufferBytes is the size of the read and of the write buffer of a
+// connection. Most messages fit, and the buffers must stay small because a
+// proxy holds thousands of connections.
 const connectionBufferBytes = 2 << 10
 
-// defaultExpectContinueTimeout is how long a peer may take to answer an Expect header
-// before the body is sent without its consent.
+// defaultExpectContinueTimeout applies when Limits.ExpectContinueTimeout is zero.
 const defaultExpectContinueTimeout = time.Second
 
 func (l Limits) expectContinueTimeout() time.Duration {
@@ -105,7 +108,8 @@
 	return l.ExpectContinueTimeout
 }
 
-// dialedConnKey is the context key under which a dial leaves its connection.
+// dialedConnKey is the context key of the pointer in which trackDials stores the
+// new connection.
 type dialedConnKey struct{}
 
 func trackDials(dial Dialer) Dialer {
@@ -125,22 +129,24 @@
 // Address returns the peer's address.
 func (p *Pool) Address() string { return p.address }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (p *Pool) Open() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.open
 }
 
-// SetLimits changes the bounds for connections opened from now on.
+// SetLimits replaces the limits, except for ReplyHeaderBytes,
+// ExpectContinueTimeout and AllowUnframed, which NewPool fixes. Connections above
+// a lowered limit are closed when their exchange ends.
 func (p *Pool) SetLimits(limits Limits) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.limits = limits
 }
 
-// get returns an idle connection or opens one. An idle one that has rested longer
-// than the given time is used only when none may be opened.
+// get returns an idle connection or opens one. A connection that was idle for
+// longer than maxIdle is used only if the limit allows no new one.
 func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*connection, error) {
 	for {
 		idle, mayOpen := p.takeIdle(maxIdle)
@@ -163,7 +169,7 @@
 }
 
 // expired reports whether the connection was idle for so long that the peer may
-// be closing it.
+// have closed it.
 func (p *Pool) expired(idle *connection, now time.Time) bool {
 	p.mutex.Lock()
 	limits, maxIdle := p.limits, p.maxIdle.allowed(now)
@@ -171,7 +177,8 @@
 	return now.Sub(idle.idleSince) >= min(idle.idleLimit(limits), maxIdle)
 }
 
-// idleLimit is the pool's idle time-out, or less if the peer said so.
+// idleLimit returns the lower of the pool's idle timeout and that announced by
+// the peer.
 func (c *connection) idleLimit(limits Limits) time.Duration {
 	if c.idleTimeout > 0 {
 		return min(c.idleTimeout, limits.IdleTimeout)
@@ -179,9 +186,10 @@
 	return limits.IdleTimeout
 }
 
-// takeIdle pops the connection used last, unless it has rested too long and one
-// may be opened. mayOpen says that a place for a new
-// connection is reserved: for the caller when it got none, else for a spare.
+// takeIdle pops the most recently used idle connection, unless it was idle for
+// longer than maxIdle and a new one may be opened. mayOpen reports that a slot
+// for a new connection is reserved: for the caller if taken is nil, otherwise
+// for a spare.
 func (p *Pool) takeIdle(maxIdle time.Duration) (taken *connection, mayOpen bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -199,7 +207,7 @@
 	return nil, p.reserve()
 }
 
-// reserve takes a place for a new connection; the caller holds the lock.
+// reserve reserves a slot for a new connection. The caller must hold the lock.
 func (p *Pool) reserve() bool {
 	if p.closed || p.open >= p.limits.Connections {
 		return false
@@ -208,8 +216,8 @@
 	return true
 }
 
-// reserveSpare takes a place for a connection ahead of need when the idle list
-// has run short; the caller holds the lock.
+// reserveSpare reserves a slot for a spare connection if there are fewer idle
+// connections than Limits.WarmIdle. The caller must hold the lock.
 func (p *Pool) reserveSpare() bool {
 	if p.warming || len(p.idle) >= p.limits.WarmIdle || !p.reserve() {
 		return false
@@ -218,7 +226,8 @@
 	return true
 }
 
-// dial opens a connection in a place that was reserved before.
+// dial opens a connection in a slot that the caller has reserved, and releases
+// the slot on failure.
 func (p *Pool) dial(ctx context.Context) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.dialTimeout())
 	defer cancel()
@@ -240,7 +249,9 @@
 	return p.limits.DialTimeout
 }
 
-// put takes back a connection whose exchange is whole.
+// put returns a connection to the pool after a complete exchange. It closes the
+// connection instead if the pool is closed or over its limit, or if Renew was called
+// since the connection was opened.
 func (p *Pool) put(returned *connection, now time.Time) {
 	returned.tracked.finish()
 	returned.idleSince = now
@@ -256,7 +267,7 @@
 	}
 }
 
-// discard closes a connection that is in no list.
+// discard closes a connection that is not in the idle list and releases its slot.
 func (p *Pool) discard(unwanted *connection) {
 	_ = unwanted.client.Close()
 	p.mutex.Lock()
@@ -264,7 +275,7 @@
 	p.mutex.Unlock()
 }
 
-// openSpare opens a connection in a place that reserveSpare took.
+// openSpare opens a connection in the slot reserved by reserveSpare.
 func (p *Pool) openSpare() {
 	spare, err := p.dial(context.Background())
 	p.mutex.Lock()
@@ -275,8 +286,8 @@
 	}
 }
 
-// Warm opens a spare connection in the background when the idle list has run
-// short.
+// Warm opens a spare connection in the background if there are fewer idle
+// connections than Limits.WarmIdle.
 func (p *Pool) Warm() {
 	p.mutex.Lock()
 	wanted := p.reserveSpare()
@@ -286,8 +297,9 @@
 	}
 }
 
-// Sweep closes connections idle for too long and those the peer has closed. A
-// pool in use is kept warm; one that is not loses its connections in time.
+// Sweep closes connections that exceeded their idle timeout or were closed by
+// the peer. It calls Warm if an exchange has started since the last Sweep; the
+// connections of an unused pool expire.
 func (p *Pool) Sweep(now time.Time) {
 	stale, inUse := p.takeStale(now)
 	for _, connection := range stale {
@@ -316,8 +328,8 @@
 	return stale, inUse
 }
 
-// Close closes idle connections and lets those in use end with their
-// exchange. No connection is opened any more.
+// Close closes idle connections; those in use are closed when their exchange
+// ends. No connections are opened afterwards.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -326,7 +338,8 @@
 }
 
 // Renew closes idle connections, and those in use once their exchange has
-// ended. It is for when a connection opened before proves less than a new one.
+// ended. It is called after the credentials were reloaded, since older
+// connections were verified with the previous ones.
 func (p *Pool) Renew() {
 	p.mutex.Lock()
 	p.generation++
@@ -340,7 +353,7 @@
 	return p.generation
 }
 
-// CloseIdle closes idle connections; the pool stays in use.
+// CloseIdle closes idle connections; the pool remains usable.
 func (p *Pool) CloseIdle() {
 	p.mutex.Lock()
 	idle := p.idle
--- a/internal/proxy/forward/reply.go
+++ b/internal/proxy/forward/reply.go
@@ -10,20 +10,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// copyBufferBytes bounds what one streaming reply holds in memory.
+// copyBufferBytes is the size of the buffer of a streamed reply.
 const copyBufferBytes = 16 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// ErrReplyWriteFailed says that the reply could not be written to the caller.
-var ErrReplyWriteFailed = errors.New("forward: the caller no longer reads the reply")
+// ErrReplyWriteFailed is returned when the reply could not be written to the
+// caller.
+var ErrReplyWriteFailed = errors.New("forward: cannot write the reply to the caller")
 
-// WriteReply passes a reply on to the caller, headers already adjusted, and
-// closes its body. An error means that the caller has seen only a part: the
-// handler must then abort the caller's connection. A caller that stops reading
-// cannot hold the exchange beyond the end of the context. hidden, when not
-// empty, is the canonical name of a header that is kept from the caller. So
-// are markers in the trailers, which are known only at the end.
+// WriteReply forwards a reply, whose header is already adjusted, to the caller
+// and closes its body. On an error the caller may have received only a part of
+// the reply, and the handler must abort the caller's connection. The context
+// bounds writing, so that a caller that stops reading cannot block the exchange.
+// hidden, if not empty, is the canonical name of a header that is not forwarded.
+// Mesh markers are removed from the trailers, which are known only at the end.
 func WriteReply(ctx context.Context, w http.ResponseWriter, response *http.Response, hidden string) error {
 	defer response.Body.Close()
 	delete(response.Header, hidden)
@@ -35,7 +36,8 @@
 	})
 	err := writeReply(w, response, hidden)
 	if inTime := stop(); !inTime && err == nil {
-		// What the server still holds back can no longer be written.
+		// The write deadline has passed, so that the server can no longer flush
+		// its buffer.
 		return errors.Join(ErrReplyWriteFailed, context.Cause(ctx))
 	}
 	return err
@@ -56,8 +58,8 @@
 	return response.Body.Close()
 }
 
-// serverBufferBytes is what a server holds back before it writes to the
-// caller's connection. Writing a shorter reply cannot block before the end.
+// serverBufferBytes is the size of the net/http server's write buffer. Writing a
+// reply that fits cannot block before the handler returns.
 const serverBufferBytes = 2 << 10
 
 func mayBlock(response *http.Response) bool {
@@ -75,8 +77,8 @@
 	}
 }
 
-// announceTrailers names the trailers known before the body and returns how
-// many there are.
+// announceTrailers adds a Trailer header for the trailers known before the body
+// and returns their number.
 func announceTrailers(header, trailer http.Header) int {
 	for name := range trailer {
 		header.Add("Trailer", name)
@@ -84,8 +86,8 @@
 	return len(trailer)
 }
 
-// writeTrailers sends trailers. Those that came unannounced use the library's
-// prefix form for all.
+// writeTrailers sends the trailers. If some were not announced, all of them are
+// sent with http.TrailerPrefix.
 func writeTrailers(w http.ResponseWriter, trailer http.Header, announced int) {
 	_ = http.NewResponseController(w).Flush()
 	prefix := ""
@@ -97,7 +99,8 @@
 	}
 }
 
-// copyBody streams: whatever arrived is flushed unless the body is complete.
+// copyBody streams the body and flushes after each read except the one that
+// completes it.
 func copyBody(w http.ResponseWriter, response *http.Response) error {
 	if response.Body == nil || response.ContentLength == 0 {
 		return nil
--- a/internal/proxy/forward/request.go
+++ b/internal/proxy/forward/request.go
@@ -14,30 +14,32 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// bufferedBodyBytes is the largest request body that is read whole before a
-// slot is taken: a slow upload then holds nothing, and the body can be sent
-// again. Longer ones and those of unknown length are streamed.
+// bufferedBodyBytes is the largest request body that is buffered before a slot
+// is taken. A slow upload then occupies no slot, and the body can be sent again.
+// Longer bodies and those of unknown length are streamed.
 const bufferedBodyBytes = 16 << 10
 
-// ErrBodyTooLarge says that a request body is longer than allowed.
+// ErrBodyTooLarge is returned for a request body that exceeds the limit.
 var ErrBodyTooLarge = errors.New("forward: request body too large")
 
-// Body is the body of a request on its way through a proxy.
+// Body is a request body that is forwarded by a proxy, buffered or streamed.
 type Body struct {
-	// buffered is the whole body, or of one that streams the part that was read before.
+	// buffered is the whole body, or the part of a streamed body that was read
+	// in advance.
 	buffered []byte
 	length   int64
 	trailer  http.Header
 	stream   *streamedBody
 }
 
-// emptyBody is shared by all requests without a body; nothing modifies it.
+// emptyBody is shared by all requests without a body and must not be modified.
 var emptyBody = &Body{}
 
-// ReadBody prepares the body of a request that a server received. Bodies
-// longer than maximum are refused, streamed ones when they get there. The
-// context bounds the reading of a short body. Trailers pass without markers
-// and without hidden, a header's canonical name or empty.
+// ReadBody returns the body of a request that a server received, buffered if it
+// is short. Bodies longer than maximum are rejected, streamed ones of unknown
+// length once they exceed it. The context bounds the reading of a short body.
+// Trailers are forwarded without mesh markers and without hidden, which is empty
+// or the canonical name of a header.
 func ReadBody(ctx context.Context, w http.ResponseWriter, request *http.Request, maximum int64, hidden string) (*Body, error) {
 	if request.ContentLength > maximum {
 		return nil, ErrBodyTooLarge
@@ -56,13 +58,12 @@
 	return &Body{length: request.ContentLength, trailer: request.Trailer, stream: stream}, nil
 }
 
-// BufferedBody returns a body that was read whole.
+// BufferedBody returns a body with the given content.
 func BufferedBody(content []byte) *Body {
 	return &Body{buffered: content, length: int64(len(content))}
 }
 
-// ContinuedBody returns a body of which a part was read and the rest still
-// streams in.
+// ContinuedBody returns a streamed body whose beginning has already been read.
 func ContinuedBody(read []byte, w http.ResponseWriter, request *http.Request) (*Body, error) {
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, fmt.Errorf("stream request body: %w", err)
@@ -75,8 +76,8 @@
 	return &Body{buffered: read, length: request.ContentLength, trailer: request.Trailer, stream: stream}, nil
 }
 
-// Held returns the part from the beginning that is held, which must not be changed, and
-// the length of the whole body; below zero when that is not known.
+// Held returns the buffered beginning of the body, which must not be modified, and the
+// length of the whole body, which is negative if unknown.
 func (b *Body) Held() (beginning []byte, length int64) { return b.buffered, b.length }
 
 func readShortBody(ctx context.Context, w http.ResponseWriter, request *http.Request) (*Body, error) {
@@ -89,8 +90,8 @@
 	return &Body{buffered: buffered, length: request.ContentLength}, nil
 }
 
-// readEOF reads the end mark, by which the server learns that it may watch
-// the connection for the caller's leaving.
+// readEOF reads the body up to io.EOF. Only then does the server start its
+// background read, which detects a client disconnect.
 func readEOF(body io.Reader) {
 	var end [1]byte
 	_, _ = body.Read(end[:])
@@ -100,7 +101,7 @@
 	return httpguts.HeaderValuesContainsToken(request.Header["Expect"], "100-continue")
 }
 
-// Attach gives the body to an outgoing request. It must not be called again
+// Attach sets the body of an outgoing request. It must not be called again
 // once Spent reports true.
 func (b *Body) Attach(outgoing *http.Request) {
 	outgoing.ContentLength = b.length
@@ -115,32 +116,33 @@
 	}
 }
 
-// Consumed reports whether the body can no longer be sent from its start.
+// Consumed reports whether the body can no longer be sent from its start,
+// because reading its stream has begun.
 func (b *Body) Consumed() bool { return b.stream != nil && b.stream.readStarted.Load() }
 
 // Replayable reports whether the body can be sent any number of times.
 func (b *Body) Replayable() bool { return b.stream == nil }
 
-// CloseUnlessRead has the server close the caller's connection after the reply
-// unless the body was read to its end before the reply's header is written.
-// What follows on the connection might otherwise be a rest of this request: a
-// server in full duplex does not look whether the body broke off.
+// CloseUnlessRead makes the server close the caller's connection after the reply
+// unless the body was read to EOF before the reply's header is written.
+// Otherwise the next bytes on the connection might be the remainder of this
+// body: a server in full-duplex mode does not check whether the body is complete.
 func (b *Body) CloseUnlessRead(header http.Header) {
 	if b != nil && b.stream != nil && b.stream.request.ProtoMajor == 1 && !b.stream.complete.Load() {
 		header.Set("Connection", "close")
 	}
 }
 
-// streamedBody reads from the caller's connection. Close leaves the source
-// open: the server that made it closes it.
+// streamedBody reads from the caller's connection. Close does not close the
+// source, which belongs to the server.
 type streamedBody struct {
 	source      io.Reader
 	remaining   int64
 	readStarted atomic.Bool
-	// complete: the source was read to its end.
+	// complete: the source was read to EOF.
 	complete atomic.Bool
-	// request is the one received: its trailers are known, and cleaned of
-	// hidden, at the end of the source.
+	// request is the received request. Its trailers are known, and filtered,
+	// at the end of the source.
 	request *http.Request
 	hidden  string
 }
@@ -163,13 +165,13 @@
 // Close implements io.Closer.
 func (s *streamedBody) Close() error { return nil }
 
-// pastDeadline makes reads of a connection return at once.
+// pastDeadline makes reads and writes of a connection fail immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// UnblockOnDone makes reads of a streamed body return when the context ends,
-// so that a caller that stops sending cannot hold the exchange beyond it.
-// The returned function must be called before the context is released; it
-// bounds what the server still waits for.
+// UnblockOnDone makes reads of a streamed body fail when the context ends, so
+// that a caller that stops sending cannot block the exchange any longer. The
+// returned function must be called before the context is cancelled by its owner;
+// it bounds how long the server waits for the unread remainder of the body.
 func (b *Body) UnblockOnDone(ctx context.Context, w http.ResponseWriter) (stop func()) {
 	if b.stream == nil {
 		return func() {}
@@ -181,10 +183,10 @@
 	}
 }
 
-// PrepareLocalReply readies the connection for a reply that the proxy makes
-// itself, before the reply is written. The context is the request's, nil when
-// none was made for it yet; the body is nil when its reading was never begun.
-// The returned function is due once the reply is written.
+// PrepareLocalReply prepares the connection for a reply that the proxy generates
+// itself. It must be called before the reply is written, and the returned
+// function afterwards. ctx is the request's context, or nil if there is none
+// yet; body is nil if reading it was never started.
 func PrepareLocalReply(ctx context.Context, w http.ResponseWriter, request *http.Request, body *Body) (written func()) {
 	written = func() {}
 	if body == nil {
@@ -192,16 +194,17 @@
 		written = func() { discardRemainder(w, request) }
 	}
 	if ctx != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		// Reads of the connection may have been unblocked for good.
+		// UnblockOnDone may have set a read deadline in the past, which makes
+		// the connection unusable.
 		w.Header().Set("Connection", "close")
 	}
 	body.CloseUnlessRead(w.Header())
 	return written
 }
 
-// allowEarlyReply lets a request be answered at once although its body was not
-// read: by itself the server would wait for the body first. readRest is due
-// once the answer is written.
+// allowEarlyReply allows a reply to a request whose body was not read: by default
+// the server reads the body first. discardRemainder must be called after the
+// reply is written.
 func allowEarlyReply(w http.ResponseWriter, request *http.Request) {
 	if !hasBody(request) {
 		return
@@ -212,10 +215,10 @@
 	_ = http.NewResponseController(w).EnableFullDuplex()
 }
 
-// discardRemainder reads the body that leaveUnread left. When it does not come whole
-// within a short time the connection is closed, since what follows on it might
-// be a rest of this request: a server in full duplex does not look. Over HTTP/2
-// there is nothing to do.
+// discardRemainder reads the body after an early reply. If the rest does not
+// arrive within discardTimeout, the connection is closed: the next bytes on it
+// might belong to this body, which a server in full-duplex mode does not check.
+// Over HTTP/2 there is nothing to do.
 func discardRemainder(w http.ResponseWriter, request *http.Request) {
 	if !hasBody(request) || request.ProtoMajor != 1 {
 		return
@@ -235,10 +238,10 @@
 }
 
 const (
-	// discardTimeout is how long a server waits, after the answer, for the rest of
-	// a body that nobody wants, before it closes the connection.
+	// discardTimeout is how long the server waits, after the reply, for the
+	// remainder of an unread body before it closes the connection.
 	discardTimeout = time.Second
-	// maxDiscardBytes bounds such a rest, in bytes.
+	// maxDiscardBytes bounds the size of that remainder.
 	maxDiscardBytes = 256 << 10
 )
 
--- a/internal/proxy/forward/rest.go
+++ b/internal/proxy/forward/rest.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// minIdleBound is the shortest rest that may be the reason for a connection that
-	// broke; shorter ones are never refused.
+	// minIdleBound is the shortest idle time that is considered as the cause of a
+	// failed connection; connections idle for less are always reused.
 	minIdleBound = 50 * time.Millisecond
-	// idleMargin is the part of the rest at which a connection broke that is still
-	// trusted.
+	// idleMargin is the fraction of the idle time after which a connection failed
+	// that becomes the new bound.
 	idleMargin = 0.5
-	// idleBoundDoubling is how fast trust comes back: the bound doubles in this time.
+	// idleBoundDoubling is the time in which the bound doubles.
 	idleBoundDoubling = 4 * time.Second
-	// maxIdleNonRepeatable is the longest rest of a connection that is used for a request that
-	// may not be sent again.
+	// maxIdleNonRepeatable is the longest idle time of a connection that is reused
+	// for a request that must not be retried.
 	maxIdleNonRepeatable = 150 * time.Millisecond
 )
 
-// idleBound is how long connections to one peer may have rested to be used again.
-// A peer may forget a resting connection without a word, and the next request
-// on it is lost. The zero value is no bound.
+// idleBound limits how long connections to a peer may have been idle to be
+// reused. A peer may drop an idle connection silently, and the next request on
+// it is lost. The bound is learned from such failures and grows back
+// exponentially. The zero value is no bound.
 type idleBound struct {
-	// limit is the bound at the moment it was set; zero when there is none.
+	// limit is the bound at setAt; zero if there is none.
 	limit time.Duration
 	setAt time.Time
 }
 
-// recordBreak takes in that a connection recordBreak at its first use after a rest.
+// recordBreak lowers the bound after a connection failed at its first use
+// following the given idle time.
 func (b *idleBound) recordBreak(idleFor time.Duration, now time.Time) {
 	if idleFor < minIdleBound {
 		return
@@ -39,7 +41,7 @@
 	}
 }
 
-// allowed returns the bound as it is now.
+// allowed returns the current bound.
 func (b *idleBound) allowed(now time.Time) time.Duration {
 	if b.limit == 0 {
 		return math.MaxInt64
--- a/internal/proxy/forward/rest_test.go
+++ b/internal/proxy/forward/rest_test.go
@@ -13,8 +13,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/forward"
 )
 
-// TestPeerDropsIdleConnections forgets connections that rested for some time and breaks them
-// at their next use.
+// TestPeerDropsIdleConnections uses a peer that silently drops connections after an idle time of
+// peerIdleTimeout, so that their next request fails, and checks how many requests are lost.
 func TestPeerDropsIdleConnections(t *testing.T) {
 	const peerIdleTimeout = 300 * time.Millisecond
 	cases := []struct {
@@ -24,11 +24,11 @@
 		lost          int
 		opens         int32
 	}{
-		{"short rests keep one connection", []time.Duration{peerIdleTimeout / 3, peerIdleTimeout / 3, peerIdleTimeout / 3}, false, 0, 1},
-		{"a lost one teaches not to trust such a rest", []time.Duration{peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3}, false, 1, 3},
-		{"trust comes back", []time.Duration{peerIdleTimeout * 4 / 3, 0, 20 * time.Second, peerIdleTimeout / 2, peerIdleTimeout / 2}, false, 1, 3},
-		{"one that may not be lost takes no risk", []time.Duration{peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3}, true, 0, 3},
-		{"unless the rest was short", []time.Duration{peerIdleTimeout / 3, peerIdleTimeout / 3}, true, 0, 1},
+		{"short idle times keep one connection", []time.Duration{peerIdleTimeout / 3, peerIdleTimeout / 3, peerIdleTimeout / 3}, false, 0, 1},
+		{"a lost request lowers the idle bound", []time.Duration{peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3}, false, 1, 3},
+		{"the idle bound grows back", []time.Duration{peerIdleTimeout * 4 / 3, 0, 20 * time.Second, peerIdleTimeout / 2, peerIdleTimeout / 2}, false, 1, 3},
+		{"a non-repeatable request avoids idle connections", []time.Duration{peerIdleTimeout * 4 / 3, peerIdleTimeout * 4 / 3}, true, 0, 3},
+		{"a non-repeatable request reuses a connection after a short idle time", []time.Duration{peerIdleTimeout / 3, peerIdleTimeout / 3}, true, 0, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 						if !server.read(connection) || time.Since(began) > peerIdleTimeout {
 							return
 						}
-						server.answer(connection, wholeAnswer)
+						server.answer(connection, completeReply)
 					}
 				}
 				pool := forward.NewPool("peer:80", forward.Limits{Connections: 8, IdleTimeout: time.Minute, DialTimeout: time.Second}, server.dial)
@@ -60,7 +60,7 @@
 	}
 }
 
-// exchangeSucceeds sends one request and reports whether it was answered.
+// exchangeSucceeds sends one request and reports whether it received a complete reply.
 func exchangeSucceeds(pool *forward.Pool, nonRepeatable bool) bool {
 	send := pool.RoundTrip
 	if nonRepeatable {
