--- a/internal/pipelining/connection.go
+++ b/internal/pipelining/connection.go
@@ -26,24 +26,24 @@
 	changed *sync.Cond
 	// unread was read ahead of the server.
 	unread bytes.Buffer
-	// failed is the error of a read that the server has not seen yet.
-	failed error
+	// readErr is the error of a read that the server has not seen yet.
+	readErr error
 	// reading: a read of the connection is under way; waiting: the server waits
 	// for bytes.
 	reading, waiting bool
 	scanner          scanner
-	// found counts the requests that are known, turns those that the server came
-	// to, done those that it has answered.
-	found, turns, done int
+	// parsed counts the requests that are known, started those that the server came
+	// to, finished those that it has answered.
+	parsed, started, finished int
 	// barrier is one more than the number of the last request that nothing behind
 	// may overtake.
 	barrier int
-	// ahead holds the requests begun before their turn, by number.
-	ahead map[int]*run
+	// early holds the requests begun before their turn, by number.
+	early map[int]*earlyRequest
 }
 
 func newConnection(accepted net.Conn, pipeline *Pipeline) *connection {
-	created := &connection{Conn: accepted, pipeline: pipeline, end: func() {}, ahead: map[int]*run{}}
+	created := &connection{Conn: accepted, pipeline: pipeline, end: func() {}, early: map[int]*earlyRequest{}}
 	created.changed = sync.NewCond(&created.mu)
 	return created
 }
@@ -63,58 +63,58 @@
 	single := len(p) == 1
 	for c.unread.Len() == 0 {
 		switch {
-		case c.failed != nil:
-			return 0, c.takeFailure()
+		case c.readErr != nil:
+			return 0, c.takeReadError()
 		case c.reading:
-			c.await(c.changed.Wait)
+			c.waitForBytes(c.changed.Wait)
 		case single:
-			c.await(func() { c.readAhead() })
+			c.waitForBytes(func() { c.readAhead() })
 		default:
 			n, err := c.read(p)
-			c.take(p[:n])
+			c.observe(p[:n])
 			return n, err
 		}
 	}
 	n, _ := c.unread.Read(p)
 	if single {
-		c.lookOn()
+		c.startReadAhead()
 	}
 	return n, nil
 }
 
-// await notes that the server waits for bytes.
-func (c *connection) await(wait func()) {
+// waitForBytes notes that the server waits for bytes.
+func (c *connection) waitForBytes(wait func()) {
 	c.waiting = true
 	wait()
 	c.waiting = false
 }
 
-// takeFailure returns the error of a read: a time that ran out once, an end ever
+// takeReadError returns the error of a read: a time that ran out once, an end ever
 // after.
-func (c *connection) takeFailure() error {
-	err := c.failed
+func (c *connection) takeReadError() error {
+	err := c.readErr
 	if isTimeout(err) {
-		c.failed = nil
+		c.readErr = nil
 	}
 	return err
 }
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// aheadChunks are the buffers of reads ahead of the server.
-var aheadChunks = sync.Pool{New: func() any { return new([2 << 10]byte) }}
+// readAheadBuffers are the buffers of reads ahead of the server.
+var readAheadBuffers = sync.Pool{New: func() any { return new([2 << 10]byte) }}
 
 // readAhead reads once into unread and reports whether it can go on. A time that
 // ran out while the server did not wait says nothing to it.
 func (c *connection) readAhead() bool {
-	chunk := aheadChunks.Get().(*[2 << 10]byte)
-	defer aheadChunks.Put(chunk)
+	chunk := readAheadBuffers.Get().(*[2 << 10]byte)
+	defer readAheadBuffers.Put(chunk)
 	n, err := c.read(chunk[:])
 	c.unread.Write(chunk[:n])
 	if err != nil && (!isTimeout(err) || c.waiting) {
-		c.failed = err
+		c.readErr = err
 	}
-	c.take(chunk[:n])
+	c.observe(chunk[:n])
 	return err == nil
 }
 
@@ -132,29 +132,29 @@
 	return n, err
 }
 
-// lookOn reads ahead while the server is busy with a request.
-func (c *connection) lookOn() {
-	if c.reading || !c.looksOn() {
+// startReadAhead reads ahead while the server is busy with a request.
+func (c *connection) startReadAhead() {
+	if c.reading || !c.mayReadAhead() {
 		return
 	}
 	c.reading = true
 	go func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for c.readAhead() && c.looksOn() && !c.waiting {
+		for c.readAhead() && c.mayReadAhead() && !c.waiting {
 		}
 	}()
 }
 
-func (c *connection) looksOn() bool {
-	return c.busy() && !c.scanner.lost && c.failed == nil && c.unread.Len() < unreadBytes
+func (c *connection) mayReadAhead() bool {
+	return c.serving() && !c.scanner.stopped && c.readErr == nil && c.unread.Len() < maxReadAheadBytes
 }
 
-// busy reports whether the server is at a request.
-func (c *connection) busy() bool { return c.turns > c.done }
+// serving reports whether the server is at a request.
+func (c *connection) serving() bool { return c.started > c.finished }
 
-// take notes what was read.
-func (c *connection) take(chunk []byte) {
+// observe notes what was read.
+func (c *connection) observe(chunk []byte) {
 	c.scanner.add(chunk)
 	c.scan()
 }
@@ -162,30 +162,30 @@
 // scan begins the requests behind the one that the server is at, as far as they
 // may be.
 func (c *connection) scan() {
-	for c.busy() && c.mayBegin() {
+	for c.serving() && c.mayStartEarly() {
 		next := c.scanner.next()
 		if next == nil {
 			return
 		}
-		number := c.found
-		c.note(next)
-		if c.mayBegin() {
-			c.ahead[number] = begin(c, next)
+		number := c.parsed
+		c.countRequest(next)
+		if c.mayStartEarly() {
+			c.early[number] = startEarly(c, next)
 		}
 	}
 }
 
-// mayBegin reports whether the next request may be begun early: nothing that it
+// mayStartEarly reports whether the next request may be begun early: nothing that it
 // must not overtake is before it, and there is room.
-func (c *connection) mayBegin() bool {
-	return c.barrier <= c.done && len(c.ahead) < aheadPerConnection
+func (c *connection) mayStartEarly() bool {
+	return c.barrier <= c.finished && len(c.early) < maxEarlyPerConnection
 }
 
-// note counts a request.
-func (c *connection) note(r *http.Request) {
-	c.found++
+// countRequest counts a request.
+func (c *connection) countRequest(r *http.Request) {
+	c.parsed++
 	if !c.mayOvertake(r) {
-		c.barrier = c.found
+		c.barrier = c.parsed
 	}
 }
 
@@ -196,56 +196,56 @@
 	return plain && c.pipeline.options.Ahead(r)
 }
 
-// turn takes in that the server has come to a request, and returns the run that
+// startTurn takes in that the server has come to a request, and returns the run that
 // was begun for it early, or nil.
-func (c *connection) turn(r *http.Request) *run {
+func (c *connection) startTurn(r *http.Request) *earlyRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	number := c.turns
-	c.turns++
-	if number == c.found {
-		c.scanner.pass(r.ContentLength)
-		c.note(r)
+	number := c.started
+	c.started++
+	if number == c.parsed {
+		c.scanner.skipRequest(r.ContentLength)
+		c.countRequest(r)
 		c.scan()
 		return nil
 	}
-	begun := c.ahead[number]
-	delete(c.ahead, number)
+	begun := c.early[number]
+	delete(c.early, number)
 	defer c.scan()
-	if begun != nil && !same(begun.request, r) {
+	if begun != nil && !sameRequest(begun.request, r) {
 		begun.cancel()
-		c.lose()
+		c.stop()
 		return nil
 	}
 	return begun
 }
 
-// lose ends the search for requests: the server counts otherwise.
-func (c *connection) lose() {
-	c.scanner.lose()
-	for number, begun := range c.ahead {
+// stop ends the search for requests: the server counts otherwise.
+func (c *connection) stop() {
+	c.scanner.stop()
+	for number, begun := range c.early {
 		begun.cancel()
-		delete(c.ahead, number)
+		delete(c.early, number)
 	}
 }
 
-// same reports whether the server read the request that was begun.
-func same(begun, read *http.Request) bool {
+// sameRequest reports whether the server read the request that was begun.
+func sameRequest(begun, read *http.Request) bool {
 	return begun.Method == read.Method && begun.RequestURI == read.RequestURI && begun.Host == read.Host &&
 		maps.EqualFunc(begun.Header, read.Header, slices.Equal[[]string])
 }
 
-// answered notes that the server has answered one more request.
-func (c *connection) answered() {
+// finishTurn notes that the server has finishTurn one more request.
+func (c *connection) finishTurn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.done++
+	c.finished++
 }
 
-// followed reports whether requests behind the present one were begun: they
+// hasEarlyRequests reports whether requests behind the present one were begun: they
 // would be lost if the connection closed after its answer.
-func (c *connection) followed() bool {
+func (c *connection) hasEarlyRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.ahead) > 0
+	return len(c.early) > 0
 }
--- a/internal/pipelining/pipelining.go
+++ b/internal/pipelining/pipelining.go
@@ -22,14 +22,14 @@
 }
 
 const (
-	// aheadPerConnection bounds the requests of a connection that are begun
+	// maxEarlyPerConnection bounds the requests of a connection that are begun
 	// before their turn.
-	aheadPerConnection = 8
-	// unreadBytes bounds what is read of a connection ahead of the server.
-	unreadBytes = 16 << 10
-	// heldBytes is how much of an answer is held until its turn; its sender waits
+	maxEarlyPerConnection = 8
+	// maxReadAheadBytes bounds what is read of a connection ahead of the server.
+	maxReadAheadBytes = 16 << 10
+	// maxBufferedBytes is how much of an answer is held until its turn; its sender waits
 	// with what is beyond.
-	heldBytes = 64 << 10
+	maxBufferedBytes = 64 << 10
 )
 
 // Pipeline connects the listener, the connections' contexts and the handler of
@@ -67,29 +67,29 @@
 
 // Context is the server's ConnContext: requests of a connection end with it.
 func (p *Pipeline) Context(ctx context.Context, accepted net.Conn) context.Context {
-	held, ours := accepted.(*connection)
-	if !ours {
+	conn, ok := accepted.(*connection)
+	if !ok {
 		return ctx
 	}
-	ctx, held.end = context.WithCancel(context.WithValue(ctx, connectionKey{}, held))
-	held.context = ctx
+	ctx, conn.end = context.WithCancel(context.WithValue(ctx, connectionKey{}, conn))
+	conn.context = ctx
 	return ctx
 }
 
 // ServeHTTP implements http.Handler. The server calls it for the requests of a
 // connection in order.
 func (p *Pipeline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	held, ours := r.Context().Value(connectionKey{}).(*connection)
-	if !ours {
+	conn, ok := r.Context().Value(connectionKey{}).(*connection)
+	if !ok {
 		p.handler.ServeHTTP(w, r)
 		return
 	}
-	begun := held.turn(r)
-	defer held.answered()
-	keeping := &keepingWriter{ResponseWriter: w, connection: held}
+	begun := conn.startTurn(r)
+	defer conn.finishTurn()
+	writer := &keepAliveWriter{ResponseWriter: w, connection: conn}
 	if begun == nil {
-		p.handler.ServeHTTP(keeping, r)
+		p.handler.ServeHTTP(writer, r)
 		return
 	}
-	begun.answer(keeping, r)
+	begun.answer(writer, r)
 }
--- a/internal/pipelining/pipelining_test.go
+++ b/internal/pipelining/pipelining_test.go
@@ -24,28 +24,28 @@
 type server struct {
 	t       *testing.T
 	address string
-	// begun is told of each request that is begun, gone of each whose client left.
-	begun, gone chan string
-	running     atomic.Int64
+	// begun is told of each request that is begun, cancelled of each whose client left.
+	begun, cancelled chan string
+	early            atomic.Int64
 
 	mu     sync.Mutex // guards answer
 	answer map[string]chan func(http.ResponseWriter)
 }
 
-func start(t *testing.T) *server {
+func startServer(t *testing.T) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	created := &server{
-		t: t, address: listener.Addr().String(), begun: make(chan string, 64), gone: make(chan string, 64),
+		t: t, address: listener.Addr().String(), begun: make(chan string, 64), cancelled: make(chan string, 64),
 		answer: map[string]chan func(http.ResponseWriter){},
 	}
 	options := &pipelining.Options{
 		Ahead: func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, "/free/") },
 		Begun: func() func() {
-			created.running.Add(1)
-			return func() { created.running.Add(-1) }
+			created.early.Add(1)
+			return func() { created.early.Add(-1) }
 		},
 	}
 	served := httpserver.New("test", listener, created, httpserver.Limits{Pipelining: options}, zap.NewNop())
@@ -58,7 +58,7 @@
 	return created
 }
 
-func (s *server) slot(path string) chan func(http.ResponseWriter) {
+func (s *server) pendingAnswer(path string) chan func(http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answer[path] == nil {
@@ -72,19 +72,21 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 	s.begun <- r.URL.Path
 	select {
-	case answer := <-s.slot(r.URL.Path):
+	case answer := <-s.pendingAnswer(r.URL.Path):
 		answer(w)
 	case <-r.Context().Done():
-		s.gone <- r.URL.Path
+		s.cancelled <- r.URL.Path
 	}
 }
 
-// allow has a request answered with its path.
-func (s *server) allow(path string) {
-	s.allowWith(path, func(w http.ResponseWriter) { _, _ = io.WriteString(w, path) })
+// release has a request answered with its path.
+func (s *server) release(path string) {
+	s.releaseWith(path, func(w http.ResponseWriter) { _, _ = io.WriteString(w, path) })
 }
 
-func (s *server) allowWith(path string, answer func(http.ResponseWriter)) { s.slot(path) <- answer }
+func (s *server) releaseWith(path string, answer func(http.ResponseWriter)) {
+	s.pendingAnswer(path) <- answer
+}
 
 // awaitBegun returns the next requests that are begun.
 func (s *server) awaitBegun(count int) []string {
@@ -133,9 +135,9 @@
 	}
 }
 
-// TestSideBySide: all requests of a connection are under way at once, and are
+// TestRequestsRunConcurrently: all requests of a connection are under way at once, and are
 // answered in the order in which they came whichever ends first.
-func TestSideBySide(t *testing.T) {
+func TestRequestsRunConcurrently(t *testing.T) {
 	cases := []struct {
 		name string
 		send func(c *client, s *server)
@@ -153,27 +155,27 @@
 			c.send("TP/1.1\r\nHost: h\r\n\r\n" + get("/free/3"))
 		}},
 	}
-	for _, played := range cases {
-		t.Run(played.name, func(t *testing.T) {
-			served := start(t)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			served := startServer(t)
 			connected := served.connect()
-			played.send(connected, served)
+			test.send(connected, served)
 			NewWithT(t).Expect(served.awaitBegun(3)).To(ConsistOf("/free/1", "/free/2", "/free/3"))
 			for _, path := range []string{"/free/3", "/free/2", "/free/1"} {
-				served.allow(path)
+				served.release(path)
 			}
 			connected.expect("/free/1", "/free/2", "/free/3")
 			// The connection goes on.
 			connected.send(get("/turn/4"))
-			served.allow("/turn/4")
+			served.release("/turn/4")
 			connected.expect("/turn/4")
-			NewWithT(t).Eventually(served.running.Load).Should(BeZero())
+			NewWithT(t).Eventually(served.early.Load).Should(BeZero())
 		})
 	}
 }
 
-// TestInTurn: what may not overtake waits, and so does all behind it.
-func TestInTurn(t *testing.T) {
+// TestOrderedRequestsWait: what may not overtake waits, and so does all behind it.
+func TestOrderedRequestsWait(t *testing.T) {
 	post := "POST /turn/b HTTP/1.1\r\nHost: h\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("GET / HT\r\n", 3)
 	chunked := "POST /turn/b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	cases := map[string]string{
@@ -185,35 +187,35 @@
 	for name, second := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			served := start(t)
+			served := startServer(t)
 			connected := served.connect()
 			connected.send(get("/free/a"), second, get("/free/c"))
 			g.Expect(served.awaitBegun(1)).To(Equal([]string{"/free/a"}))
 			g.Consistently(served.begun, "50ms").ShouldNot(Receive())
-			served.allow("/free/a")
+			served.release("/free/a")
 			connected.expect("/free/a")
 			path := served.awaitBegun(1)[0]
 			g.Expect(path).To(HaveSuffix("/b"))
 			g.Consistently(served.begun, "50ms").ShouldNot(Receive())
-			served.allow(path)
+			served.release(path)
 			connected.expect(path)
 			g.Expect(served.awaitBegun(1)).To(Equal([]string{"/free/c"}))
-			served.allow("/free/c")
+			served.release("/free/c")
 			connected.expect("/free/c")
 		})
 	}
 }
 
-// TestAnswersStayWhole: status, header, long bodies and trailers of an answer that
+// TestBufferedAnswersAreComplete: status, header, long bodies and trailers of an answer that
 // was ready before its turn.
-func TestAnswersStayWhole(t *testing.T) {
+func TestBufferedAnswersAreComplete(t *testing.T) {
 	g := NewWithT(t)
-	served := start(t)
+	served := startServer(t)
 	connected := served.connect()
 	connected.send(get("/free/1"), get("/free/2"))
 	served.awaitBegun(2)
 	long := strings.Repeat("0123456789", 30_000)
-	served.allowWith("/free/2", func(w http.ResponseWriter) {
+	served.releaseWith("/free/2", func(w http.ResponseWriter) {
 		w.Header().Set("X-Kept", "yes")
 		w.Header().Set("Trailer", "X-End")
 		w.WriteHeader(http.StatusEarlyHints)
@@ -222,7 +224,7 @@
 		_ = http.NewResponseController(w).Flush()
 		w.Header().Set("X-End", "whole")
 	})
-	served.allow("/free/1")
+	served.release("/free/1")
 	connected.expect("/free/1")
 	response, content := connected.receive()
 	g.Expect(response.StatusCode).To(Equal(http.StatusTeapot))
@@ -231,67 +233,67 @@
 	g.Expect(content).To(Equal(long))
 }
 
-// TestABrokenAnswerEndsTheConnection also when it broke before its turn.
-func TestABrokenAnswerEndsTheConnection(t *testing.T) {
-	served := start(t)
+// TestAbortedAnswerClosesConnection also when it broke before its turn.
+func TestAbortedAnswerClosesConnection(t *testing.T) {
+	served := startServer(t)
 	connected := served.connect()
 	connected.send(get("/free/1"), get("/free/2"), get("/free/3"))
 	served.awaitBegun(3)
-	served.allowWith("/free/2", func(w http.ResponseWriter) {
+	served.releaseWith("/free/2", func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "9")
 		_, _ = io.WriteString(w, "half")
 		panic(http.ErrAbortHandler)
 	})
-	served.allow("/free/1")
+	served.release("/free/1")
 	connected.expect("/free/1")
 	response, err := http.ReadResponse(connected.reader, nil)
 	if err == nil {
 		_, err = io.ReadAll(response.Body)
 	}
 	connected.g.Expect(err).To(HaveOccurred())
-	connected.g.Eventually(served.running.Load).Should(BeZero())
+	connected.g.Eventually(served.early.Load).Should(BeZero())
 }
 
-// TestAnAnswerKeepsTheConnectionForThoseBehind although it wants to close it.
-func TestAnAnswerKeepsTheConnectionForThoseBehind(t *testing.T) {
+// TestConnectionStaysOpenForEarlyRequests although it wants to close it.
+func TestConnectionStaysOpenForEarlyRequests(t *testing.T) {
 	closes := func(path string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) {
 			w.Header().Set("Connection", "close")
 			_, _ = io.WriteString(w, path)
 		}
 	}
-	served := start(t)
+	served := startServer(t)
 	connected := served.connect()
 	connected.send(get("/free/1"), get("/free/2"), get("/free/3"))
 	served.awaitBegun(3)
 	for _, path := range []string{"/free/1", "/free/2", "/free/3"} {
-		served.allowWith(path, closes(path))
+		served.releaseWith(path, closes(path))
 	}
 	connected.expect("/free/1", "/free/2")
 	response, _ := connected.receive()
 	connected.g.Expect(response.Close).To(BeTrue())
 }
 
-// TestAClientThatLeaves ends all of its requests.
-func TestAClientThatLeaves(t *testing.T) {
-	served := start(t)
+// TestClientDisconnectCancelsRequests ends all of its requests.
+func TestClientDisconnectCancelsRequests(t *testing.T) {
+	served := startServer(t)
 	connected := served.connect()
 	connected.send(get("/free/1"), get("/free/2"), get("/free/3"))
 	served.awaitBegun(3)
 	_ = connected.Close()
-	var gone []string
+	var cancelled []string
 	for range 3 {
-		gone = append(gone, <-served.gone)
+		cancelled = append(cancelled, <-served.cancelled)
 	}
-	connected.g.Expect(gone).To(ConsistOf("/free/1", "/free/2", "/free/3"))
-	connected.g.Eventually(served.running.Load).Should(BeZero())
+	connected.g.Expect(cancelled).To(ConsistOf("/free/1", "/free/2", "/free/3"))
+	connected.g.Eventually(served.early.Load).Should(BeZero())
 }
 
 // TestManyRequests: however many are sent ahead, each gets its own answer, and no
 // more than a bounded number is under way.
 func TestManyRequests(t *testing.T) {
 	const requests = 400
-	served := start(t)
+	served := startServer(t)
 	connected := served.connect()
 	go func() {
 		for number := range requests {
@@ -300,7 +302,7 @@
 	}()
 	go func() {
 		for range requests {
-			served.allow(<-served.begun)
+			served.release(<-served.begun)
 		}
 	}()
 	for number := range requests {
@@ -308,10 +310,10 @@
 	}
 }
 
-// TestRequestsBeyondTheBound are begun early as well, once there is room, and so
+// TestEarlyRequestLimit are begun early as well, once there is room, and so
 // are those behind one that was not to be overtaken.
-func TestRequestsBeyondTheBound(t *testing.T) {
-	served := start(t)
+func TestEarlyRequestLimit(t *testing.T) {
+	served := startServer(t)
 	connected := served.connect()
 	var sent []string
 	for number := range 12 {
@@ -321,28 +323,28 @@
 	// The first is served in its turn, eight are begun early.
 	begun := served.awaitBegun(9)
 	connected.g.Expect(begun).NotTo(ContainElement("/free/09"))
-	served.allow("/free/00")
+	served.release("/free/00")
 	connected.expect("/free/00")
 	connected.g.Expect(served.awaitBegun(1)).To(Equal([]string{"/free/09"}))
 	for number := 1; number < 12; number++ {
-		served.allow(fmt.Sprintf("/free/%02d", number))
+		served.release(fmt.Sprintf("/free/%02d", number))
 	}
 	for number := 1; number < 12; number++ {
 		connected.expect(fmt.Sprintf("/free/%02d", number))
 	}
 	connected.g.Expect(served.awaitBegun(3)).To(ConsistOf("/free/10", "/free/11", "/turn/12"))
-	served.allow("/turn/12")
+	served.release("/turn/12")
 	connected.expect("/turn/12")
 	connected.g.Expect(served.awaitBegun(2)).To(ConsistOf("/free/13", "/free/14"))
-	served.allow("/free/14")
-	served.allow("/free/13")
+	served.release("/free/14")
+	served.release("/free/13")
 	connected.expect("/free/13", "/free/14")
 }
 
-// TestTheServersOwnBounds still hold: an idle connection ends, a head without an
+// TestMalformedRequestsAreRejected still hold: an idle connection ends, a head without an
 // end does too.
-func TestTheServersOwnBounds(t *testing.T) {
-	served := start(t)
+func TestMalformedRequestsAreRejected(t *testing.T) {
+	served := startServer(t)
 	for _, sent := range []string{"GET / HTTP/1.1\r\nHost: h\r\nno field\r\n\r\n", "nonsense\r\n\r\n"} {
 		connected := served.connect()
 		connected.send(sent)
--- a/internal/pipelining/run.go
+++ b/internal/pipelining/run.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// run is a request that was begun before its turn.
-type run struct {
+// earlyRequest is a request that was begun before its turn.
+type earlyRequest struct {
 	request *http.Request
 	cancel  context.CancelFunc
-	writer  *heldWriter
+	writer  *bufferedWriter
 	// ended is closed when the handler is through.
 	ended chan struct{}
 	// panicked is what the handler panicked with, its way to break an answer off;
@@ -19,13 +19,13 @@
 	released chan struct{}
 }
 
-// begin starts the handler for a request.
-func begin(c *connection, r *http.Request) *run {
+// startEarly starts the handler for a request.
+func startEarly(c *connection, r *http.Request) *earlyRequest {
 	ctx, cancel := context.WithCancel(c.context)
 	r = r.WithContext(ctx)
 	r.RemoteAddr = c.RemoteAddr().String()
-	created := &run{
-		request: r, cancel: cancel, writer: newHeldWriter(ctx),
+	created := &earlyRequest{
+		request: r, cancel: cancel, writer: newBufferedWriter(ctx),
 		ended: make(chan struct{}), released: make(chan struct{}),
 	}
 	finished := c.pipeline.options.Begun()
@@ -42,14 +42,14 @@
 }
 
 // handle runs the handler.
-func (r *run) handle(handler http.Handler) {
+func (r *earlyRequest) handle(handler http.Handler) {
 	defer close(r.ended)
 	defer func() { r.panicked = recover() }()
 	handler.ServeHTTP(r.writer, r.request)
 }
 
 // answer gives the run's answer to the server, which has come to the request.
-func (r *run) answer(w http.ResponseWriter, received *http.Request) {
+func (r *earlyRequest) answer(w http.ResponseWriter, received *http.Request) {
 	defer close(r.released)
 	r.writer.attach(w)
 	select {
--- a/internal/pipelining/scanner.go
+++ b/internal/pipelining/scanner.go
@@ -14,15 +14,15 @@
 	pending []byte
 	// body is how many bytes of that request's body are still to come.
 	body int64
-	// lost: the bounds of requests are not known any more. Nothing is begun early on
+	// stopped: the bounds of requests are not known any more. Nothing is begun early on
 	// the connection from then on.
-	lost bool
+	stopped bool
 }
 
-// pendingBytes bounds what waits for the server to come to it: what was read ahead
+// maxPendingBytes bounds what waits for the server to come to it: what was read ahead
 // of it and what it holds itself. More than that, or a body without a length, ends
 // the search.
-const pendingBytes = 2 * unreadBytes
+const maxPendingBytes = 2 * maxReadAheadBytes
 
 var headEnd = []byte("\r\n\r\n")
 
@@ -33,30 +33,30 @@
 	skipped := min(s.body, int64(len(chunk)))
 	s.body -= skipped
 	chunk = chunk[skipped:]
-	if s.lost || len(chunk) == 0 {
+	if s.stopped || len(chunk) == 0 {
 		return
 	}
-	if len(s.pending)+len(chunk) > pendingBytes {
-		s.lose()
+	if len(s.pending)+len(chunk) > maxPendingBytes {
+		s.stop()
 		return
 	}
 	s.pending = append(s.pending, chunk...)
 }
 
-func (s *scanner) lose() {
-	s.lost = true
+func (s *scanner) stop() {
+	s.stopped = true
 	s.pending = nil
 }
 
-// pass goes beyond a request that the server has parsed; its body has that
+// skipRequest goes beyond a request that the server has parsed; its body has that
 // length, below zero for an unknown one.
-func (s *scanner) pass(length int64) {
+func (s *scanner) skipRequest(length int64) {
 	head := s.cutHead()
 	if head == nil || length < 0 {
-		s.lose()
+		s.stop()
 		return
 	}
-	s.skip(length)
+	s.skipBody(length)
 }
 
 // next parses the request behind those that were passed; nil while its head is
@@ -71,16 +71,16 @@
 	reader.Reset(bytes.NewReader(head))
 	parsed, err := http.ReadRequest(reader)
 	if err != nil || parsed.ContentLength < 0 {
-		s.lose()
+		s.stop()
 		return nil
 	}
-	s.skip(parsed.ContentLength)
+	s.skipBody(parsed.ContentLength)
 	return parsed
 }
 
 // cutHead takes a complete head out of what is pending, or returns nil.
 func (s *scanner) cutHead() []byte {
-	if s.lost || s.body > 0 {
+	if s.stopped || s.body > 0 {
 		return nil
 	}
 	end := bytes.Index(s.pending, headEnd)
@@ -96,8 +96,8 @@
 	return head
 }
 
-// skip goes beyond a body.
-func (s *scanner) skip(length int64) {
+// skipBody goes beyond a body.
+func (s *scanner) skipBody(length int64) {
 	pending := min(length, int64(len(s.pending)))
 	s.pending = s.pending[pending:]
 	s.body = length - pending
--- a/internal/pipelining/writer.go
+++ b/internal/pipelining/writer.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// heldWriter holds an answer until the server has come to its request; from then
+// bufferedWriter holds an answer until the server has come to its request; from then
 // on it passes everything on.
-type heldWriter struct {
+type bufferedWriter struct {
 	context context.Context
 	header  http.Header
 	// attached is closed when there is a server's writer.
@@ -17,32 +17,32 @@
 
 	mu     sync.Mutex // guards all below
 	status int
-	// sent is the header as it was when the status was set.
-	sent   http.Header
-	held   []byte
-	server http.ResponseWriter
+	// sentHeader is the header as it was when the status was set.
+	sentHeader http.Header
+	buffered   []byte
+	server     http.ResponseWriter
 }
 
-func newHeldWriter(ctx context.Context) *heldWriter {
-	return &heldWriter{context: ctx, header: http.Header{}, attached: make(chan struct{})}
+func newBufferedWriter(ctx context.Context) *bufferedWriter {
+	return &bufferedWriter{context: ctx, header: http.Header{}, attached: make(chan struct{})}
 }
 
 // Header implements http.ResponseWriter.
-func (w *heldWriter) Header() http.Header { return w.header }
+func (w *bufferedWriter) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter. Interim answers are dropped.
-func (w *heldWriter) WriteHeader(status int) {
+func (w *bufferedWriter) WriteHeader(status int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setStatus(status)
 }
 
-func (w *heldWriter) setStatus(status int) {
+func (w *bufferedWriter) setStatus(status int) {
 	if status < http.StatusOK || w.status != 0 {
 		return
 	}
 	w.status = status
-	w.sent = w.header.Clone()
+	w.sentHeader = w.header.Clone()
 	if w.server != nil {
 		w.passHeader()
 	}
@@ -50,17 +50,17 @@
 
 // Write implements http.ResponseWriter. What is beyond the bound waits for the
 // turn of the request.
-func (w *heldWriter) Write(p []byte) (int, error) {
+func (w *bufferedWriter) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.setStatus(http.StatusOK)
-	if w.server == nil && len(w.held)+len(p) <= heldBytes {
-		w.held = append(w.held, p...)
+	if w.server == nil && len(w.buffered)+len(p) <= maxBufferedBytes {
+		w.buffered = append(w.buffered, p...)
 		return len(p), nil
 	}
 	if w.server == nil {
 		w.mu.Unlock()
-		err := w.await()
+		err := w.awaitTurn()
 		w.mu.Lock()
 		if err != nil {
 			return 0, err
@@ -69,7 +69,7 @@
 	return w.server.Write(p)
 }
 
-func (w *heldWriter) await() error {
+func (w *bufferedWriter) awaitTurn() error {
 	select {
 	case <-w.attached:
 		return nil
@@ -79,7 +79,7 @@
 }
 
 // FlushError is what http.ResponseController calls.
-func (w *heldWriter) FlushError() error {
+func (w *bufferedWriter) FlushError() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.server == nil {
@@ -89,14 +89,14 @@
 }
 
 // Unwrap lets http.ResponseController find the server's writer.
-func (w *heldWriter) Unwrap() http.ResponseWriter {
+func (w *bufferedWriter) Unwrap() http.ResponseWriter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.server
 }
 
 // attach passes on what is held, and whatever follows.
-func (w *heldWriter) attach(server http.ResponseWriter) {
+func (w *bufferedWriter) attach(server http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.server = server
@@ -105,33 +105,33 @@
 		return
 	}
 	w.passHeader()
-	if len(w.held) > 0 {
-		_, _ = server.Write(w.held)
-		w.held = nil
+	if len(w.buffered) > 0 {
+		_, _ = server.Write(w.buffered)
+		w.buffered = nil
 	}
 }
 
-func (w *heldWriter) passHeader() {
-	maps.Copy(w.server.Header(), w.sent)
+func (w *bufferedWriter) passHeader() {
+	maps.Copy(w.server.Header(), w.sentHeader)
 	w.server.WriteHeader(w.status)
 }
 
 // finish passes on the trailers, once the handler is through.
-func (w *heldWriter) finish() { maps.Copy(w.server.Header(), w.header) }
+func (w *bufferedWriter) finish() { maps.Copy(w.server.Header(), w.header) }
 
-// keepingWriter keeps the connection open after an answer while requests behind
+// keepAliveWriter keeps the connection open after an answer while requests behind
 // it are under way.
-type keepingWriter struct {
+type keepAliveWriter struct {
 	http.ResponseWriter
-	connection *connection
-	begun      bool
+	connection  *connection
+	wroteHeader bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *keepingWriter) WriteHeader(status int) {
-	if status >= http.StatusOK && !w.begun {
-		w.begun = true
-		if w.connection.followed() {
+func (w *keepAliveWriter) WriteHeader(status int) {
+	if status >= http.StatusOK && !w.wroteHeader {
+		w.wroteHeader = true
+		if w.connection.hasEarlyRequests() {
 			w.Header().Del("Connection")
 		}
 	}
@@ -139,12 +139,12 @@
 }
 
 // Write implements http.ResponseWriter.
-func (w *keepingWriter) Write(p []byte) (int, error) {
-	if !w.begun {
+func (w *keepAliveWriter) Write(p []byte) (int, error) {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(p)
 }
 
 // Unwrap lets http.ResponseController find the server's writer.
-func (w *keepingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *keepAliveWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
