--- a/internal/pipelining/connection.go
+++ b/internal/pipelining/connection.go
@@ -12,33 +12,34 @@
 	"sync"
 )
 
-// connection is a client's connection as the server reads it.
+// connection wraps a client's connection. It parses what the server reads, and
+// reads ahead of the server to start pipelined requests early.
 type connection struct {
 	net.Conn
 	pipeline *Pipeline
-	// context ends with the connection; end ends it. Both are set before the first
-	// read.
+	// context is cancelled by end when the connection closes. Both are set before
+	// the first read.
 	context context.Context
 	end     context.CancelFunc
 
 	mu sync.Mutex // guards all below
-	// changed is told when reading or what was read changes.
+	// changed is broadcast after each read of the connection.
 	changed *sync.Cond
-	// unread was read ahead of the server.
+	// unread holds the bytes read ahead of the server.
 	unread bytes.Buffer
-	// readErr is the error of a read that the server has not seen yet.
+	// readErr is a read error not yet returned to the server.
 	readErr error
-	// reading: a read of the connection is under way; waiting: the server waits
-	// for bytes.
+	// reading: a read of the connection is in progress; waiting: the server is
+	// waiting for bytes.
 	reading, waiting bool
 	scanner          scanner
-	// parsed counts the requests that are known, started those that the server came
-	// to, finished those that it has answered.
+	// parsed counts the requests known so far, started those that the server has
+	// passed to its handler, finished those that it has answered.
 	parsed, started, finished int
-	// barrier is one more than the number of the last request that nothing behind
-	// may overtake.
+	// barrier is the number of requests up to and including the last one that
+	// must be answered before later ones may start.
 	barrier int
-	// early holds the requests begun before their turn, by number.
+	// early holds the requests that were started early, by number.
 	early map[int]*earlyRequest
 }
 
@@ -54,9 +55,9 @@
 	return c.Conn.Close()
 }
 
-// Read implements net.Conn. The server reads single bytes only while a handler
-// runs, to learn whether the client is still there; from the first such byte on
-// what follows is read as it comes.
+// Read implements net.Conn. The server reads a single byte only in the
+// background while a handler runs, to detect a client disconnect. After the
+// first such byte, the connection is read ahead of the server.
 func (c *connection) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,15 +83,15 @@
 	return n, nil
 }
 
-// waitForBytes notes that the server waits for bytes.
+// waitForBytes calls wait with waiting set.
 func (c *connection) waitForBytes(wait func()) {
 	c.waiting = true
 	wait()
 	c.waiting = false
 }
 
-// takeReadError returns the error of a read: a time that ran out once, an end ever
-// after.
+// takeReadError returns the pending read error. A timeout is returned once, any
+// other error by every later read too.
 func (c *connection) takeReadError() error {
 	err := c.readErr
 	if isTimeout(err) {
@@ -101,11 +102,11 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// readAheadBuffers are the buffers of reads ahead of the server.
+// readAheadBuffers pools the buffers for reading ahead of the server.
 var readAheadBuffers = sync.Pool{New: func() any { return new([2 << 10]byte) }}
 
-// readAhead reads once into unread and reports whether it can go on. A time that
-// ran out while the server did not wait says nothing to it.
+// readAhead reads once into unread and reports whether reading can continue. A
+// timeout is dropped if the server was not waiting.
 func (c *connection) readAhead() bool {
 	chunk := readAheadBuffers.Get().(*[2 << 10]byte)
 	defer readAheadBuffers.Put(chunk)
@@ -118,7 +119,7 @@
 	return err == nil
 }
 
-// read reads from the connection. The lock is not held meanwhile.
+// read reads from the connection, with the lock released during the read.
 func (c *connection) read(p []byte) (int, error) {
 	c.reading = true
 	c.mu.Unlock()
@@ -132,7 +133,8 @@
 	return n, err
 }
 
-// startReadAhead reads ahead while the server is busy with a request.
+// startReadAhead reads ahead in the background while the server is serving a
+// request.
 func (c *connection) startReadAhead() {
 	if c.reading || !c.mayReadAhead() {
 		return
@@ -150,17 +152,17 @@
 	return c.serving() && !c.scanner.stopped && c.readErr == nil && c.unread.Len() < maxReadAheadBytes
 }
 
-// serving reports whether the server is at a request.
+// serving reports whether the server is serving a request.
 func (c *connection) serving() bool { return c.started > c.finished }
 
-// observe notes what was read.
+// observe passes bytes that were read to the scanner and starts requests.
 func (c *connection) observe(chunk []byte) {
 	c.scanner.add(chunk)
 	c.scan()
 }
 
-// scan begins the requests behind the one that the server is at, as far as they
-// may be.
+// scan parses the requests after the one that the server is serving and starts
+// those that may start early.
 func (c *connection) scan() {
 	for c.serving() && c.mayStartEarly() {
 		next := c.scanner.next()
@@ -175,13 +177,13 @@
 	}
 }
 
-// mayStartEarly reports whether the next request may be begun early: nothing that it
-// must not overtake is before it, and there is room.
+// mayStartEarly reports whether the next request may start early: no unanswered
+// request before it requires ordering, and the limit is not reached.
 func (c *connection) mayStartEarly() bool {
 	return c.barrier <= c.finished && len(c.early) < maxEarlyPerConnection
 }
 
-// countRequest counts a request.
+// countRequest counts a parsed request and updates the barrier.
 func (c *connection) countRequest(r *http.Request) {
 	c.parsed++
 	if !c.mayOvertake(r) {
@@ -189,15 +191,15 @@
 	}
 }
 
-// mayOvertake reports whether the request may be begun early, and others while it
-// is under way.
+// mayOvertake reports whether the request may run concurrently with the other
+// requests of the connection.
 func (c *connection) mayOvertake(r *http.Request) bool {
 	plain := r.ContentLength == 0 && !r.Close && r.ProtoAtLeast(1, 1) && r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == ""
 	return plain && c.pipeline.options.Ahead(r)
 }
 
-// startTurn takes in that the server has come to a request, and returns the run that
-// was begun for it early, or nil.
+// startTurn records that the server has started to serve a request. It returns the
+// early request started for it, or nil.
 func (c *connection) startTurn(r *http.Request) *earlyRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,7 +222,8 @@
 	return begun
 }
 
-// stop ends the search for requests: the server counts otherwise.
+// stop ends the parsing of requests and cancels the early ones, after the
+// server read a different request than the scanner.
 func (c *connection) stop() {
 	c.scanner.stop()
 	for number, begun := range c.early {
@@ -229,21 +232,22 @@
 	}
 }
 
-// sameRequest reports whether the server read the request that was begun.
+// sameRequest reports whether the request read by the server equals the one that
+// was started early.
 func sameRequest(begun, read *http.Request) bool {
 	return begun.Method == read.Method && begun.RequestURI == read.RequestURI && begun.Host == read.Host &&
 		maps.EqualFunc(begun.Header, read.Header, slices.Equal[[]string])
 }
 
-// finishTurn notes that the server has finishTurn one more request.
+// finishTurn records that the server has answered a request.
 func (c *connection) finishTurn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finished++
 }
 
-// hasEarlyRequests reports whether requests behind the present one were begun: they
-// would be lost if the connection closed after its answer.
+// hasEarlyRequests reports whether requests after the current one were started
+// early. They would be lost if the connection closed after its answer.
 func (c *connection) hasEarlyRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/pipelining/pipelining.go
+++ b/internal/pipelining/pipelining.go
@@ -1,8 +1,7 @@
-// Package pipelining serves requests that a client sent ahead of the answers to
-// earlier ones side by side. The server of net/http reads, frames and answers
-// the requests of a connection one after the other; this package looks at what it
-// reads, begins requests that wait for their turn, and gives the server their
-// answers when it comes to them.
+// Package pipelining serves pipelined HTTP/1.1 requests concurrently. The
+// net/http server reads and answers the requests of a connection one at a time;
+// this package parses what the server reads, starts the handlers of pipelined
+// requests early, and buffers their answers until the server serves the requests.
 package pipelining
 
 import (
@@ -11,35 +10,36 @@
 	"net/http"
 )
 
-// Options say what may be served before its turn.
+// Options configure which requests may start early.
 type Options struct {
-	// Ahead reports whether a request may be begun before those sent earlier are
-	// answered, and may be dropped: it is safe to repeat.
+	// Ahead reports whether a request may start before earlier ones are answered.
+	// Its answer may be dropped, so the request must be safe to repeat.
 	Ahead func(*http.Request) bool
-	// Begun is told that a request is begun before its turn. What it returns is
-	// called when the answer was given or dropped.
+	// Begun is called when a request starts early. The returned function is called
+	// once the answer was written or dropped.
 	Begun func() (ended func())
 }
 
 const (
-	// maxEarlyPerConnection bounds the requests of a connection that are begun
-	// before their turn.
+	// maxEarlyPerConnection bounds the requests of a connection that are started
+	// early.
 	maxEarlyPerConnection = 8
-	// maxReadAheadBytes bounds what is read of a connection ahead of the server.
+	// maxReadAheadBytes is the amount of data read ahead of the server beyond which
+	// reading pauses.
 	maxReadAheadBytes = 16 << 10
-	// maxBufferedBytes is how much of an answer is held until its turn; its sender waits
-	// with what is beyond.
+	// maxBufferedBytes bounds the buffered part of an answer; a handler that writes
+	// more blocks until the server serves its request.
 	maxBufferedBytes = 64 << 10
 )
 
-// Pipeline connects the listener, the connections' contexts and the handler of
-// one server.
+// Pipeline provides the listener, the ConnContext hook and the handler of a
+// server.
 type Pipeline struct {
 	options Options
 	handler http.Handler
 }
 
-// New returns a pipeline before a handler.
+// New returns a Pipeline that serves requests with the handler.
 func New(options Options, handler http.Handler) *Pipeline {
 	return &Pipeline{options: options, handler: handler}
 }
@@ -65,7 +65,8 @@
 
 type connectionKey struct{}
 
-// Context is the server's ConnContext: requests of a connection end with it.
+// Context is the ConnContext hook of http.Server. The context is cancelled when
+// the connection closes.
 func (p *Pipeline) Context(ctx context.Context, accepted net.Conn) context.Context {
 	conn, ok := accepted.(*connection)
 	if !ok {
@@ -76,8 +77,8 @@
 	return ctx
 }
 
-// ServeHTTP implements http.Handler. The server calls it for the requests of a
-// connection in order.
+// ServeHTTP implements http.Handler. The server calls it once per request of a
+// connection, in order.
 func (p *Pipeline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, ok := r.Context().Value(connectionKey{}).(*connection)
 	if !ok {
--- a/internal/pipelining/pipelining_test.go
+++ b/internal/pipelining/pipelining_test.go
@@ -19,12 +19,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/pipelining"
 )
 
-// server serves /free/ side by side and everything else in turn. The test says
-// when each request is answered.
+// server serves requests for /free/ concurrently and all others in order. The test
+// controls when each request is answered.
 type server struct {
 	t       *testing.T
 	address string
-	// begun is told of each request that is begun, cancelled of each whose client left.
+	// begun receives the path of each request that starts, cancelled that of each
+	// request whose context ends.
 	begun, cancelled chan string
 	early            atomic.Int64
 
@@ -79,7 +80,7 @@
 	}
 }
 
-// release has a request answered with its path.
+// release lets the handler answer a request with its path.
 func (s *server) release(path string) {
 	s.releaseWith(path, func(w http.ResponseWriter) { _, _ = io.WriteString(w, path) })
 }
@@ -88,7 +89,7 @@
 	s.pendingAnswer(path) <- answer
 }
 
-// awaitBegun returns the next requests that are begun.
+// awaitBegun waits for the given number of requests to start and returns their paths.
 func (s *server) awaitBegun(count int) []string {
 	var begun []string
 	for range count {
@@ -99,7 +100,7 @@
 	return begun
 }
 
-// client is one connection.
+// client is a client with one connection.
 type client struct {
 	net.Conn
 	g      Gomega
@@ -119,7 +120,7 @@
 
 func (c *client) send(requests ...string) { _, _ = io.WriteString(c, strings.Join(requests, "")) }
 
-// receive reads one answer.
+// receive reads one answer and returns its body as well.
 func (c *client) receive() (*http.Response, string) {
 	response, err := http.ReadResponse(c.reader, nil)
 	c.g.ExpectWithOffset(1, err).NotTo(HaveOccurred())
@@ -135,21 +136,21 @@
 	}
 }
 
-// TestRequestsRunConcurrently: all requests of a connection are under way at once, and are
-// answered in the order in which they came whichever ends first.
+// TestRequestsRunConcurrently checks that the requests of a connection run concurrently and are
+// answered in order of arrival, whichever ends first.
 func TestRequestsRunConcurrently(t *testing.T) {
 	cases := []struct {
 		name string
 		send func(c *client, s *server)
 	}{
-		{"in one piece", func(c *client, _ *server) { c.send(get("/free/1"), get("/free/2"), get("/free/3")) }},
+		{"in one write", func(c *client, _ *server) { c.send(get("/free/1"), get("/free/2"), get("/free/3")) }},
 		{"one after the other", func(c *client, s *server) {
 			for number := range 3 {
 				c.send(get(fmt.Sprintf("/free/%d", number+1)))
-				s.begun <- <-s.begun // the next is sent when this one is under way
+				s.begun <- <-s.begun // the next one is sent once this one has started
 			}
 		}},
-		{"cut inside of a head", func(c *client, s *server) {
+		{"split within a header", func(c *client, s *server) {
 			c.send(get("/free/1") + "GET /free/2 HT")
 			s.begun <- <-s.begun
 			c.send("TP/1.1\r\nHost: h\r\n\r\n" + get("/free/3"))
@@ -165,7 +166,7 @@
 				served.release(path)
 			}
 			connected.expect("/free/1", "/free/2", "/free/3")
-			// The connection goes on.
+			// The connection remains usable.
 			connected.send(get("/turn/4"))
 			served.release("/turn/4")
 			connected.expect("/turn/4")
@@ -174,15 +175,16 @@
 	}
 }
 
-// TestOrderedRequestsWait: what may not overtake waits, and so does all behind it.
+// TestOrderedRequestsWait checks that a request that must not run concurrently waits for the
+// earlier ones, and that all later ones wait for it.
 func TestOrderedRequestsWait(t *testing.T) {
 	post := "POST /turn/b HTTP/1.1\r\nHost: h\r\nContent-Length: 30\r\n\r\n" + strings.Repeat("GET / HT\r\n", 3)
 	chunked := "POST /turn/b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	cases := map[string]string{
-		"not to be overtaken":   get("/turn/b"),
-		"with a body":           post,
-		"a body without length": chunked,
-		"consent is asked":      "GET /free/b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n\r\n",
+		"not allowed early":    get("/turn/b"),
+		"with a body":          post,
+		"chunked body":         chunked,
+		"expects 100-continue": "GET /free/b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n\r\n",
 	}
 	for name, second := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -206,8 +208,8 @@
 	}
 }
 
-// TestBufferedAnswersAreComplete: status, header, long bodies and trailers of an answer that
-// was ready before its turn.
+// TestBufferedAnswersAreComplete checks the status, header, long body and trailers of an answer
+// that was written before the server served the request.
 func TestBufferedAnswersAreComplete(t *testing.T) {
 	g := NewWithT(t)
 	served := startServer(t)
@@ -233,7 +235,8 @@
 	g.Expect(content).To(Equal(long))
 }
 
-// TestAbortedAnswerClosesConnection also when it broke before its turn.
+// TestAbortedAnswerClosesConnection aborts the answer of an early request before the server
+// serves the request.
 func TestAbortedAnswerClosesConnection(t *testing.T) {
 	served := startServer(t)
 	connected := served.connect()
@@ -254,7 +257,8 @@
 	connected.g.Eventually(served.early.Load).Should(BeZero())
 }
 
-// TestConnectionStaysOpenForEarlyRequests although it wants to close it.
+// TestConnectionStaysOpenForEarlyRequests checks that "Connection: close" of an answer is not
+// applied while later requests have started early.
 func TestConnectionStaysOpenForEarlyRequests(t *testing.T) {
 	closes := func(path string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) {
@@ -274,7 +278,8 @@
 	connected.g.Expect(response.Close).To(BeTrue())
 }
 
-// TestClientDisconnectCancelsRequests ends all of its requests.
+// TestClientDisconnectCancelsRequests checks that a disconnect cancels all requests of the
+// connection.
 func TestClientDisconnectCancelsRequests(t *testing.T) {
 	served := startServer(t)
 	connected := served.connect()
@@ -289,8 +294,7 @@
 	connected.g.Eventually(served.early.Load).Should(BeZero())
 }
 
-// TestManyRequests: however many are sent ahead, each gets its own answer, and no
-// more than a bounded number is under way.
+// TestManyRequests checks that each of many pipelined requests receives its own answer.
 func TestManyRequests(t *testing.T) {
 	const requests = 400
 	served := startServer(t)
@@ -310,8 +314,8 @@
 	}
 }
 
-// TestEarlyRequestLimit are begun early as well, once there is room, and so
-// are those behind one that was not to be overtaken.
+// TestEarlyRequestLimit checks that requests beyond the limit start early once earlier ones are
+// answered, and so do those after a request that had to be answered in order.
 func TestEarlyRequestLimit(t *testing.T) {
 	served := startServer(t)
 	connected := served.connect()
@@ -320,7 +324,7 @@
 		sent = append(sent, get(fmt.Sprintf("/free/%02d", number)))
 	}
 	connected.send(append(sent, get("/turn/12"), get("/free/13"), get("/free/14"))...)
-	// The first is served in its turn, eight are begun early.
+	// The first is served by the server, eight are started early.
 	begun := served.awaitBegun(9)
 	connected.g.Expect(begun).NotTo(ContainElement("/free/09"))
 	served.release("/free/00")
@@ -341,8 +345,8 @@
 	connected.expect("/free/13", "/free/14")
 }
 
-// TestMalformedRequestsAreRejected still hold: an idle connection ends, a head without an
-// end does too.
+// TestMalformedRequestsAreRejected checks that the server still answers malformed headers with
+// status 400.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	served := startServer(t)
 	for _, sent := range []string{"GET / HTTP/1.1\r\nHost: h\r\nno field\r\n\r\n", "nonsense\r\n\r\n"} {
--- a/internal/pipelining/run.go
+++ b/internal/pipelining/run.go
@@ -5,21 +5,22 @@
 	"net/http"
 )
 
-// earlyRequest is a request that was begun before its turn.
+// earlyRequest is a request whose handler was started before the server serves
+// the request.
 type earlyRequest struct {
 	request *http.Request
 	cancel  context.CancelFunc
 	writer  *bufferedWriter
-	// ended is closed when the handler is through.
+	// ended is closed when the handler has returned.
 	ended chan struct{}
-	// panicked is what the handler panicked with, its way to break an answer off;
-	// read after ended.
+	// panicked is the value that the handler panicked with, usually
+	// http.ErrAbortHandler. It may be read after ended is closed.
 	panicked any
-	// released is closed when the answer was given.
+	// released is closed when the answer has been written.
 	released chan struct{}
 }
 
-// startEarly starts the handler for a request.
+// startEarly starts the handler for a request in a new goroutine.
 func startEarly(c *connection, r *http.Request) *earlyRequest {
 	ctx, cancel := context.WithCancel(c.context)
 	r = r.WithContext(ctx)
@@ -41,14 +42,15 @@
 	return created
 }
 
-// handle runs the handler.
+// handle runs the handler and records its panic.
 func (r *earlyRequest) handle(handler http.Handler) {
 	defer close(r.ended)
 	defer func() { r.panicked = recover() }()
 	handler.ServeHTTP(r.writer, r.request)
 }
 
-// answer gives the run's answer to the server, which has come to the request.
+// answer writes the answer to the server's writer and waits for the handler. A
+// panic of the handler is repeated in the server's goroutine.
 func (r *earlyRequest) answer(w http.ResponseWriter, received *http.Request) {
 	defer close(r.released)
 	r.writer.attach(w)
--- a/internal/pipelining/scanner.go
+++ b/internal/pipelining/scanner.go
@@ -7,28 +7,29 @@
 	"sync"
 )
 
-// scanner follows the requests in the bytes of a connection. What the server has
-// parsed itself is not parsed again.
+// scanner finds the requests in the bytes of a connection. Requests already
+// parsed by the server are skipped without parsing.
 type scanner struct {
-	// pending holds the bytes behind the last request that was passed.
+	// pending holds the bytes after the header of the last request, without its
+	// body.
 	pending []byte
-	// body is how many bytes of that request's body are still to come.
+	// body is the number of bytes of that request's body still to be received.
 	body int64
-	// stopped: the bounds of requests are not known any more. Nothing is begun early on
-	// the connection from then on.
+	// stopped: request boundaries are no longer known, so that no more requests of
+	// the connection are started early.
 	stopped bool
 }
 
-// maxPendingBytes bounds what waits for the server to come to it: what was read ahead
-// of it and what it holds itself. More than that, or a body without a length, ends
-// the search.
+// maxPendingBytes bounds the bytes not parsed yet: those read ahead of the server
+// and those in the server's own buffer. More than that, or a body of unknown
+// length, stops the scanner.
 const maxPendingBytes = 2 * maxReadAheadBytes
 
 var headEnd = []byte("\r\n\r\n")
 
 var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 1<<10) }}
 
-// add takes in the next bytes.
+// add appends the next bytes of the connection.
 func (s *scanner) add(chunk []byte) {
 	skipped := min(s.body, int64(len(chunk)))
 	s.body -= skipped
@@ -48,8 +49,8 @@
 	s.pending = nil
 }
 
-// skipRequest goes beyond a request that the server has parsed; its body has that
-// length, below zero for an unknown one.
+// skipRequest skips a request that the server has parsed. length is that of its
+// body, negative if unknown.
 func (s *scanner) skipRequest(length int64) {
 	head := s.cutHead()
 	if head == nil || length < 0 {
@@ -59,8 +60,8 @@
 	s.skipBody(length)
 }
 
-// next parses the request behind those that were passed; nil while its head is
-// not complete.
+// next parses the next request. It returns nil if its header is incomplete or
+// cannot be parsed.
 func (s *scanner) next() *http.Request {
 	head := s.cutHead()
 	if head == nil {
@@ -78,7 +79,7 @@
 	return parsed
 }
 
-// cutHead takes a complete head out of what is pending, or returns nil.
+// cutHead removes a complete request header from pending and returns it, or nil.
 func (s *scanner) cutHead() []byte {
 	if s.stopped || s.body > 0 {
 		return nil
@@ -90,13 +91,14 @@
 	head := s.pending[:end+len(headEnd)]
 	s.pending = s.pending[len(head):]
 	if len(s.pending) == 0 {
-		// The next bytes begin a buffer of their own: the head is still in use.
+		// The returned header still uses this buffer, so the next bytes need a
+		// new one.
 		s.pending = nil
 	}
 	return head
 }
 
-// skipBody goes beyond a body.
+// skipBody skips a body of the given length.
 func (s *scanner) skipBody(length int64) {
 	pending := min(length, int64(len(s.pending)))
 	s.pending = s.pending[pending:]
--- a/internal/pipelining/writer.go
+++ b/internal/pipelining/writer.go
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-// bufferedWriter holds an answer until the server has come to its request; from then
-// on it passes everything on.
+// bufferedWriter buffers an answer until the server serves the request. After that
+// it writes through to the server's writer.
 type bufferedWriter struct {
 	context context.Context
 	header  http.Header
-	// attached is closed when there is a server's writer.
+	// attached is closed when server is set.
 	attached chan struct{}
 
 	mu     sync.Mutex // guards all below
 	status int
-	// sentHeader is the header as it was when the status was set.
+	// sentHeader is a copy of the header from when the status was set.
 	sentHeader http.Header
 	buffered   []byte
 	server     http.ResponseWriter
@@ -30,7 +30,7 @@
 // Header implements http.ResponseWriter.
 func (w *bufferedWriter) Header() http.Header { return w.header }
 
-// WriteHeader implements http.ResponseWriter. Interim answers are dropped.
+// WriteHeader implements http.ResponseWriter. 1xx answers are dropped.
 func (w *bufferedWriter) WriteHeader(status int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,8 +48,8 @@
 	}
 }
 
-// Write implements http.ResponseWriter. What is beyond the bound waits for the
-// turn of the request.
+// Write implements http.ResponseWriter. Beyond maxBufferedBytes it blocks until
+// the server serves the request.
 func (w *bufferedWriter) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// FlushError is what http.ResponseController calls.
+// FlushError is called by http.ResponseController.Flush.
 func (w *bufferedWriter) FlushError() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,14 +88,14 @@
 	return http.NewResponseController(w.server).Flush()
 }
 
-// Unwrap lets http.ResponseController find the server's writer.
+// Unwrap returns the server's writer to http.ResponseController.
 func (w *bufferedWriter) Unwrap() http.ResponseWriter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.server
 }
 
-// attach passes on what is held, and whatever follows.
+// attach sets the server's writer and writes the buffered answer to it.
 func (w *bufferedWriter) attach(server http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,11 +116,12 @@
 	w.server.WriteHeader(w.status)
 }
 
-// finish passes on the trailers, once the handler is through.
+// finish copies the trailers to the server's writer. It is called after the
+// handler has returned.
 func (w *bufferedWriter) finish() { maps.Copy(w.server.Header(), w.header) }
 
-// keepAliveWriter keeps the connection open after an answer while requests behind
-// it are under way.
+// keepAliveWriter removes "Connection: close" from an answer if later requests of
+// the connection have started early.
 type keepAliveWriter struct {
 	http.ResponseWriter
 	connection  *connection
@@ -146,5 +147,5 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController find the server's writer.
+// Unwrap returns the server's writer to http.ResponseController.
 func (w *keepAliveWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
