--- a/internal/pipelining/run.go
+++ b/internal/pipelining/run.go
@@ -5,27 +5,28 @@
 	"net/http"
 )
 
-// run is a request that was begun before its turn.
-type run struct {
+// earlyRequest is a request whose handler was started before the server serves
+// the request.
+type earlyRequest struct {
 	request *http.Request
 	cancel  context.CancelFunc
-	writer  *heldWriter
-	// ended is closed when the handler is through.
+	writer  *bufferedWriter
+	// ended is closed when the handler has returned.
 	ended chan struct{}
-	// panicked is what the handler panicked with, its way to break an answer off;
-	// read after ended.
+	// panicked is the value that the handler panicked with, usually
+	// http.ErrAbortHandler. It may be read after ended is closed.
 	panicked any
-	// released is closed when the answer was given.
+	// released is closed when the answer has been written.
 	released chan struct{}
 }
 
-// begin starts the handler for a request.
-func begin(c *connection, r *http.Request) *run {
+// startEarly starts the handler for a request in a new goroutine.
+func startEarly(c *connection, r *http.Request) *earlyRequest {
 	ctx, cancel := context.WithCancel(c.context)
 	r = r.WithContext(ctx)
 	r.RemoteAddr = c.RemoteAddr().String()
-	created := &run{
-		request: r, cancel: cancel, writer: newHeldWriter(ctx),
+	created := &earlyRequest{
+		request: r, cancel: cancel, writer: newBufferedWriter(ctx),
 		ended: make(chan struct{}), released: make(chan struct{}),
 	}
 	finished := c.pipeline.options.Begun()
@@ -41,15 +42,16 @@
 	return created
 }
 
-// handle runs the handler.
-func (r *run) handle(handler http.Handler) {
+// handle runs the handler and records its panic.
+func (r *earlyRequest) handle(handler http.Handler) {
 	defer close(r.ended)
 	defer func() { r.panicked = recover() }()
 	handler.ServeHTTP(r.writer, r.request)
 }
 
-// answer gives the run's answer to the server, which has come to the request.
-func (r *run) answer(w http.ResponseWriter, received *http.Request) {
+// answer writes the answer to the server's writer and waits for the handler. A
+// panic of the handler is repeated in the server's goroutine.
+func (r *earlyRequest) answer(w http.ResponseWriter, received *http.Request) {
 	defer close(r.released)
 	r.writer.attach(w)
 	select {
--- a/internal/pipelining/scanner.go
+++ b/internal/pipelining/scanner.go
@@ -7,60 +7,61 @@
 	"sync"
 )
 
-// scanner follows the requests in the bytes of a connection. What the server has
-// parsed itself is not parsed again.
+// scanner finds the requests in the bytes of a connection. Requests already
+// parsed by the server are skipped without parsing.
 type scanner struct {
-	// pending holds the bytes behind the last request that was passed.
+	// pending holds the bytes after the header of the last request, without its
+	// body.
 	pending []byte
-	// body is how many bytes of that request's body are still to come.
+	// body is the number of bytes of that request's body still to be received.
 	body int64
-	// lost: the bounds of requests are not known any more. Nothing is begun early on
-	// the connection from then on.
-	lost bool
+	// stopped: request boundaries are no longer known, so that no more requests of
+	// the connection are started early.
+	stopped bool
 }
 
-// pendingBytes bounds what waits for the server to come to it: what was read ahead
-// of it and what it holds itself. More than that, or a body without a length, ends
-// the search.
-const pendingBytes = 2 * unreadBytes
+// maxPendingBytes bounds the bytes not parsed yet: those read ahead of the server
+// and those in the server's own buffer. More than that, or a body of unknown
+// length, stops the scanner.
+const maxPendingBytes = 2 * maxReadAheadBytes
 
 var headEnd = []byte("\r\n\r\n")
 
 var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 1<<10) }}
 
-// add takes in the next bytes.
+// add appends the next bytes of the connection.
 func (s *scanner) add(chunk []byte) {
 	skipped := min(s.body, int64(len(chunk)))
 	s.body -= skipped
 	chunk = chunk[skipped:]
-	if s.lost || len(chunk) == 0 {
+	if s.stopped || len(chunk) == 0 {
 		return
 	}
-	if len(s.pending)+len(chunk) > pendingBytes {
-		s.lose()
+	if len(s.pending)+len(chunk) > maxPendingBytes {
+		s.stop()
 		return
 	}
 	s.pending = append(s.pending, chunk...)
 }
 
-func (s *scanner) lose() {
-	s.lost = true
+func (s *scanner) stop() {
+	s.stopped = true
 	s.pending = nil
 }
 
-// pass goes beyond a request that the server has parsed; its body has that
-// length, below zero for an unknown one.
-func (s *scanner) pass(length int64) {
+// skipRequest skips a request that the server has parsed. length is that of its
+// body, negative if unknown.
+func (s *scanner) skipRequest(length int64) {
 	head := s.cutHead()
 	if head == nil || length < 0 {
-		s.lose()
+		s.stop()
 		return
 	}
-	s.skip(length)
+	s.skipBody(length)
 }
 
-// next parses the request behind those that were passed; nil while its head is
-// not complete.
+// next parses the next request. It returns nil if its header is incomplete or
+// cannot be parsed.
 func (s *scanner) next() *http.Request {
 	head := s.cutHead()
 	if head == nil {
@@ -71,16 +72,16 @@
 	reader.Reset(bytes.NewReader(head))
 	parsed, err := http.ReadRequest(reader)
 	if err != nil || parsed.ContentLength < 0 {
-		s.lose()
+		s.stop()
 		return nil
 	}
-	s.skip(parsed.ContentLength)
+	s.skipBody(parsed.ContentLength)
 	return parsed
 }
 
-// cutHead takes a complete head out of what is pending, or returns nil.
+// cutHead removes a complete request header from pending and returns it, or nil.
 func (s *scanner) cutHead() []byte {
-	if s.lost || s.body > 0 {
+	if s.stopped || s.body > 0 {
 		return nil
 	}
 	end := bytes.Index(s.pending, headEnd)
@@ -90,14 +91,15 @@
 	head := s.pending[:end+len(headEnd)]
 	s.pending = s.pending[len(head):]
 	if len(s.pending) == 0 {
-		// The next bytes begin a buffer of their own: the head is still in use.
+		// The returned header still uses this buffer, so the next bytes need a
+		// new one.
 		s.pending = nil
 	}
 	return head
 }
 
-// skip goes beyond a body.
-func (s *scanner) skip(length int64) {
+// skipBody skips a body of the given length.
+func (s *scanner) skipBody(length int64) {
 	pending := min(length, int64(len(s.pending)))
 	s.pending = s.pending[pending:]
 	s.body = length - pending
--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -27,7 +27,7 @@
 	lastAnswer atomic.Int64
 
 	mutex     sync.Mutex // guards all below
-	core      *health.Core
+	core      *health.Tracker
 	announced endpoint.Update
 	observers []func(endpoint.Update)
 }
@@ -61,7 +61,7 @@
 }
 
 // change lets the core take something in and announces what follows.
-func (a *announcer) change(apply func(core *health.Core)) {
+func (a *announcer) change(apply func(core *health.Tracker)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	apply(a.core)
@@ -75,8 +75,8 @@
 	}
 }
 
-func (a *announcer) leave()    { a.change((*health.Core).Leave) }
-func (a *announcer) comeBack() { a.change((*health.Core).Return) }
+func (a *announcer) leave()    { a.change((*health.Tracker).BeginDrain) }
+func (a *announcer) comeBack() { a.change((*health.Tracker).EndDrain) }
 
 // answered is on the path of every request, so that it mostly only reads.
 func (a *announcer) answered() {
@@ -85,11 +85,11 @@
 	if now.UnixNano()-last < int64(answeredEvery) || !a.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	a.change(func(core *health.Core) { core.Answered(now) })
+	a.change(func(core *health.Tracker) { core.RecordAnswer(now) })
 }
 
 func (a *announcer) unreachable() {
-	a.change(func(core *health.Core) { core.Refused(time.Now()) })
+	a.change(func(core *health.Tracker) { core.RecordConnectFailure(time.Now()) })
 }
 
 // run polls until the context ends.
@@ -101,7 +101,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.change(func(core *health.Core) { core.Polled(time.Now(), says) })
+		a.change(func(core *health.Tracker) { core.RecordPoll(time.Now(), says) })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -112,16 +112,16 @@
 
 // healthBody is the part of a health reply that is understood.
 type healthBody struct {
-	State health.Statement `json:"state"`
+	State health.PollResult `json:"state"`
 }
 
 // healthBodyLimit bounds what is read of a health reply, in bytes.
 const healthBodyLimit = 4 << 10
 
-func (a *announcer) poll(ctx context.Context) health.Statement {
+func (a *announcer) poll(ctx context.Context) health.PollResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.options.Backend.Address+a.options.Backend.HealthPath, nil)
 	if err != nil {
-		return health.Unreachable
+		return health.PollUnreachable
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
@@ -129,33 +129,33 @@
 	}
 	defer response.Body.Close()
 	if a.options.Backend.HealthPath == "" {
-		return health.SaysReady
+		return health.PollReady
 	}
 	return statementOfReply(response)
 }
 
-func statementOfError(err error) health.Statement {
+func statementOfError(err error) health.PollResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return health.Unreachable
+		return health.PollUnreachable
 	}
-	return health.SaysDown
+	return health.PollDown
 }
 
 // statementOfReply believes the body where it names a state that fits the
 // status, else the status alone.
-func statementOfReply(response *http.Response) health.Statement {
+func statementOfReply(response *http.Response) health.PollResult {
 	var body healthBody
 	_ = json.NewDecoder(io.LimitReader(response.Body, healthBodyLimit)).Decode(&body)
 	success := response.StatusCode < http.StatusMultipleChoices
 	switch {
-	case body.State == health.SaysDraining:
-		return health.SaysDraining
-	case success && body.State == health.SaysWarming:
-		return health.SaysWarming
+	case body.State == health.PollDraining:
+		return health.PollDraining
+	case success && body.State == health.PollWarming:
+		return health.PollWarming
 	case success:
-		return health.SaysReady
+		return health.PollReady
 	default:
-		return health.SaysDown
+		return health.PollDown
 	}
 }
--- a/internal/proxy/calls/calls.go
+++ b/internal/proxy/calls/calls.go
@@ -1,6 +1,6 @@
-// Package calls remembers which calls have been passed on to a back end, so
-// that a second arrival is recognised. The memory is bounded; it never forgets
-// a call before its retention is over, it rather takes no further one.
+// Package calls detects duplicate calls to a back end by the IDs of the calls
+// that were already forwarded. Its capacity is bounded: a call is never evicted
+// before its retention ends; new calls are rejected instead.
 package calls
 
 import (
@@ -13,76 +13,78 @@
 
 // Errors of Record.
 var (
-	// ErrSecondArrival: the call was passed on before.
-	ErrSecondArrival = errors.New("calls: this call was passed on before")
-	// ErrFull: every remembered call is still within its retention.
-	ErrFull = errors.New("calls: memory is full")
+	// ErrDuplicate: the call has already been forwarded.
+	ErrDuplicate = errors.New("calls: duplicate call")
+	// ErrFull: there is no free entry and the oldest one is still retained.
+	ErrFull = errors.New("calls: too many calls are retained")
 )
 
-// shardCount is a power of two.
+// shardCount is a power of two, which makes the modulo cheap.
 const shardCount = 64
 
-// Memory is safe for concurrent use. Its locks are per shard.
-type Memory struct {
+// Deduplicator records call IDs for a retention time. It is safe for concurrent
+// use; each shard has its own lock.
+type Deduplicator struct {
 	shards [shardCount]shard
 }
 
-// shard holds keys in a ring in the order of arrival.
+// shard holds the hashes of call IDs in a ring buffer, in order of arrival.
 type shard struct {
-	mutex sync.Mutex // guards all below
-	held  map[uint64]time.Time
-	ring  []uint64
-	start int
-	count int
+	mutex    sync.Mutex // guards all below
+	retained map[uint64]time.Time
+	ring     []uint64
+	start    int
+	count    int
 }
 
-// NewMemory returns a memory of about that many calls.
-func NewMemory(capacity int) *Memory {
-	memory := &Memory{}
+// NewDeduplicator returns a Deduplicator for about capacity calls.
+func NewDeduplicator(capacity int) *Deduplicator {
+	created := &Deduplicator{}
 	perShard := max(capacity/shardCount, 1)
-	for index := range memory.shards {
-		memory.shards[index].held = map[uint64]time.Time{}
-		memory.shards[index].ring = make([]uint64, perShard)
+	for index := range created.shards {
+		created.shards[index].retained = map[uint64]time.Time{}
+		created.shards[index].ring = make([]uint64, perShard)
 	}
-	return memory
+	return created
 }
 
-// Record remembers the call until the given time at least. It returns an error
-// when the call must not be passed on.
-func (m *Memory) Record(now time.Time, call string, until time.Time) error {
+// Record retains the call at least until the given time. It returns ErrDuplicate
+// or ErrFull if the call must not be forwarded.
+func (d *Deduplicator) Record(now time.Time, call string, until time.Time) error {
 	key := xxhash.Sum64String(call)
-	part := &m.shards[key%shardCount]
+	part := &d.shards[key%shardCount]
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	if _, known := part.held[key]; known {
-		return ErrSecondArrival
+	if _, known := part.retained[key]; known {
+		return ErrDuplicate
 	}
 	if part.count == len(part.ring) && !part.dropOldest(now) {
 		return ErrFull
 	}
 	part.ring[(part.start+part.count)%len(part.ring)] = key
 	part.count++
-	part.held[key] = until
+	part.retained[key] = until
 	return nil
 }
 
-// Forget removes a call that provably was not passed on after all. Its place
-// in the ring stays taken until its turn comes.
-func (m *Memory) Forget(call string) {
+// Forget removes a call that was provably not forwarded. Its slot in the ring
+// stays occupied until it is the oldest one.
+func (d *Deduplicator) Forget(call string) {
 	key := xxhash.Sum64String(call)
-	part := &m.shards[key%shardCount]
+	part := &d.shards[key%shardCount]
 	part.mutex.Lock()
 	defer part.mutex.Unlock()
-	delete(part.held, key)
+	delete(part.retained, key)
 }
 
-// dropOldest frees the oldest place if its retention is over.
+// dropOldest frees the oldest slot if its call is no longer retained, and reports
+// whether it did.
 func (s *shard) dropOldest(now time.Time) bool {
 	oldest := s.ring[s.start]
-	if until, held := s.held[oldest]; held && now.Before(until) {
+	if until, retained := s.retained[oldest]; retained && now.Before(until) {
 		return false
 	}
-	delete(s.held, oldest)
+	delete(s.retained, oldest)
 	s.start = (s.start + 1) % len(s.ring)
 	s.count--
 	return true
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -13,24 +13,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// ErrUnprovenLength says that a reply is neither counted nor chunked, so that
-// its end could not be told from a lost connection.
-var ErrUnprovenLength = errors.New("forward: the reply has neither a length nor chunks")
+// ErrUnframedReply is returned for a reply with neither a Content-Length nor
+// chunked encoding: its end cannot be distinguished from a lost connection.
+var ErrUnframedReply = errors.New("forward: reply has neither a Content-Length nor chunked encoding")
 
-// ErrSwitchedProtocol says that the peer switched protocols unasked.
-var ErrSwitchedProtocol = errors.New("forward: the peer switched protocols")
+// ErrSwitchedProtocol is returned when the peer switched protocols without a
+// request to do so.
+var ErrSwitchedProtocol = errors.New("forward: peer switched protocols without being asked")
 
-// Error is an exchange that brought no reply.
+// Error reports an exchange that failed without a reply.
 type Error struct {
-	// Outcome is NotRun only when no byte of the request was written and none
-	// will be.
+	// Outcome is NotRun only if no byte of the request was written and none
+	// can be written later.
 	Outcome outcome.Outcome
 	Step    outcome.Step
 	Peer    string
 	Cause   error
 }
 
-// Error names outcome, step, peer and cause.
+// Error returns the outcome, step, peer and cause as text.
 func (e *Error) Error() string {
 	return string(e.Outcome) + ": step " + string(e.Step) + ", peer " + e.Peer + ": " + e.Cause.Error()
 }
@@ -38,57 +39,60 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// RoundTrip sends the request once, on one connection. The reply's body must
-// be closed; closing it before its end closes the connection. The request's
+// RoundTrip sends the request once, on one connection. The caller must close
+// the reply's body; closing it before EOF closes the connection. The request's
 // context bounds the whole exchange.
 func (p *Pool) RoundTrip(request *http.Request) (*http.Response, error) {
 	return p.roundTrip(request, math.MaxInt64)
 }
 
-// RoundTripOnce is RoundTrip for a request that may not be sent again: it uses
-// no connection that has rested for long, since the peer may have forgotten it.
-func (p *Pool) RoundTripOnce(request *http.Request) (*http.Response, error) {
-	return p.roundTrip(request, restOnce)
+// RoundTripNonRepeatable is like RoundTrip, for a request that must not be
+// retried. It avoids connections that were idle for longer than
+// maxIdleNonRepeatable, since the peer may have dropped them.
+func (p *Pool) RoundTripNonRepeatable(request *http.Request) (*http.Response, error) {
+	return p.roundTrip(request, maxIdleNonRepeatable)
 }
 
-func (p *Pool) roundTrip(request *http.Request, longest time.Duration) (*http.Response, error) {
+func (p *Pool) roundTrip(request *http.Request, maxIdle time.Duration) (*http.Response, error) {
 	if err := request.Context().Err(); err != nil {
 		return nil, p.notRun(outcome.StepDeadline, context.Cause(request.Context()))
 	}
-	taken, err := p.get(request.Context(), longest)
+	conn, err := p.get(request.Context(), maxIdle)
 	if err != nil {
 		return nil, p.notRun(outcome.StepConnect, err)
 	}
-	taken.tracked.begin(request.Context())
-	response, err := taken.client.RoundTrip(request)
+	conn.tracked.begin(request.Context())
+	response, err := conn.client.RoundTrip(request)
 	if err != nil {
-		if taken.reused && request.Context().Err() == nil {
-			p.broke(taken.rested)
+		if conn.reused && request.Context().Err() == nil {
+			p.recordBreak(conn.idleFor)
 		}
-		return nil, p.fail(taken, err)
+		return nil, p.fail(conn, err)
 	}
 	if err := p.checkReply(request, response); err != nil {
 		_ = response.Body.Close()
-		return nil, p.fail(taken, err)
+		return nil, p.fail(conn, err)
 	}
-	taken.heed(response.Header)
-	response.Body = &replyBody{body: response.Body, pool: p, connection: taken, whole: response.Body == http.NoBody}
+	conn.applyKeepAlive(response.Header)
+	response.Body = &replyBody{body: response.Body, pool: p, connection: conn, complete: response.Body == http.NoBody}
 	return response, nil
 }
 
-// broke takes in that a connection broke without an answer after a rest.
-func (p *Pool) broke(rested time.Duration) {
+// recordBreak records that a connection failed without a reply after it was
+// idle for the given time.
+func (p *Pool) recordBreak(idleFor time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.rest.broke(rested, time.Now())
+	p.maxIdle.recordBreak(idleFor, time.Now())
 }
 
 func (p *Pool) notRun(step outcome.Step, cause error) *Error {
 	return &Error{Outcome: outcome.NotRun, Step: step, Peer: p.address, Cause: cause}
 }
 
-// fail closes the connection first and only then looks at what was written,
-// so that nothing can be written after the verdict.
+// fail seals and closes the connection and derives the outcome from whether
+// anything was written. Sealing first ensures that nothing is written after the
+// outcome is determined.
 func (p *Pool) fail(broken *connection, cause error) *Error {
 	nothingWritten := broken.tracked.seal()
 	p.discard(broken)
@@ -98,12 +102,14 @@
 	return &Error{Outcome: outcome.Unknown, Step: outcome.StepAwait, Peer: p.address, Cause: cause}
 }
 
-// keepAliveShare is the part of the idle time a peer grants that is made use of:
-// near its end the peer's close would cross a request.
+// keepAliveShare is the fraction of the peer's keep-alive timeout for which an
+// idle connection is reused. Close to the timeout, the peer's close could race
+// with a new request.
 const keepAliveShare = 0.7
 
-// heed takes in how long the peer says that it keeps the connection.
-func (c *connection) heed(header http.Header) {
+// applyKeepAlive sets the idle timeout from the timeout parameter of the
+// peer's Keep-Alive header.
+func (c *connection) applyKeepAlive(header http.Header) {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
@@ -113,8 +119,8 @@
 	}
 }
 
-// checkReply refuses replies whose end cannot be proved, unless replies that
-// end with their connection are allowed.
+// checkReply rejects protocol switches and, unless unframed replies are
+// allowed, replies that are delimited only by the end of the connection.
 func (p *Pool) checkReply(request *http.Request, response *http.Response) error {
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		return ErrSwitchedProtocol
@@ -124,17 +130,17 @@
 	}
 	counted := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if !counted && request.Method != http.MethodHead && response.Body != http.NoBody {
-		return ErrUnprovenLength
+		return ErrUnframedReply
 	}
 	return nil
 }
 
-// replyBody gives the connection back when the body was read to its end.
+// replyBody returns the connection to the pool after the body was read to EOF.
 type replyBody struct {
 	body       io.ReadCloser
 	pool       *Pool
 	connection *connection
-	whole      bool
+	complete   bool
 	closed     bool
 }
 
@@ -142,18 +148,19 @@
 func (b *replyBody) Read(data []byte) (int, error) {
 	count, err := b.body.Read(data)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return count, err
 }
 
-// Close ends the exchange. An unfinished one closes the connection.
+// Close ends the exchange. If the body was not read to EOF, it closes the
+// connection.
 func (b *replyBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	if b.whole && b.connection.client.Available() > 0 {
+	if b.complete && b.connection.client.Available() > 0 {
 		b.pool.put(b.connection, time.Now())
 		return nil
 	}
--- a/internal/proxy/forward/reply.go
+++ b/internal/proxy/forward/reply.go
@@ -10,20 +10,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// copyBufferBytes bounds what one streaming reply holds in memory.
+// copyBufferBytes is the size of the buffer of a streamed reply.
 const copyBufferBytes = 16 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// ErrCallerGone says that the reply could not be written to the caller.
-var ErrCallerGone = errors.New("forward: the caller no longer reads the reply")
+// ErrReplyWriteFailed is returned when the reply could not be written to the
+// caller.
+var ErrReplyWriteFailed = errors.New("forward: cannot write the reply to the caller")
 
-// WriteReply passes a reply on to the caller, headers already adjusted, and
-// closes its body. An error means that the caller has seen only a part: the
-// handler must then abort the caller's connection. A caller that stops reading
-// cannot hold the exchange beyond the end of the context. hidden, when not
-// empty, is the canonical name of a header that is kept from the caller. So
-// are markers in the trailers, which are known only at the end.
+// WriteReply forwards a reply, whose header is already adjusted, to the caller
+// and closes its body. On an error the caller may have received only a part of
+// the reply, and the handler must abort the caller's connection. The context
+// bounds writing, so that a caller that stops reading cannot block the exchange.
+// hidden, if not empty, is the canonical name of a header that is not forwarded.
+// Mesh markers are removed from the trailers, which are known only at the end.
 func WriteReply(ctx context.Context, w http.ResponseWriter, response *http.Response, hidden string) error {
 	defer response.Body.Close()
 	delete(response.Header, hidden)
@@ -35,36 +36,37 @@
 	})
 	err := writeReply(w, response, hidden)
 	if inTime := stop(); !inTime && err == nil {
-		// What the server still holds back can no longer be written.
-		return errors.Join(ErrCallerGone, context.Cause(ctx))
+		// The write deadline has passed, so that the server can no longer flush
+		// its buffer.
+		return errors.Join(ErrReplyWriteFailed, context.Cause(ctx))
 	}
 	return err
 }
 
 func writeReply(w http.ResponseWriter, response *http.Response, hidden string) error {
 	copyHeader(w.Header(), response.Header)
-	removeHidden(response.Trailer, hidden)
+	filterTrailer(response.Trailer, hidden)
 	announced := announceTrailers(w.Header(), response.Trailer)
 	w.WriteHeader(response.StatusCode)
 	if err := copyBody(w, response); err != nil {
 		return err
 	}
-	removeHidden(response.Trailer, hidden)
+	filterTrailer(response.Trailer, hidden)
 	if len(response.Trailer) > 0 {
 		writeTrailers(w, response.Trailer, announced)
 	}
 	return response.Body.Close()
 }
 
-// serverBufferBytes is what a server holds back before it writes to the
-// caller's connection. Writing a shorter reply cannot block before the end.
+// serverBufferBytes is the size of the net/http server's write buffer. Writing a
+// reply that fits cannot block before the handler returns.
 const serverBufferBytes = 2 << 10
 
 func mayBlock(response *http.Response) bool {
 	return response.ContentLength < 0 || response.ContentLength > serverBufferBytes
 }
 
-func removeHidden(trailer http.Header, hidden string) {
+func filterTrailer(trailer http.Header, hidden string) {
 	outcome.StripMarkers(trailer)
 	delete(trailer, hidden)
 }
@@ -75,8 +77,8 @@
 	}
 }
 
-// announceTrailers names the trailers known before the body and returns how
-// many there are.
+// announceTrailers adds a Trailer header for the trailers known before the body
+// and returns their number.
 func announceTrailers(header, trailer http.Header) int {
 	for name := range trailer {
 		header.Add("Trailer", name)
@@ -84,8 +86,8 @@
 	return len(trailer)
 }
 
-// writeTrailers sends trailers. Those that came unannounced use the library's
-// prefix form for all.
+// writeTrailers sends the trailers. If some were not announced, all of them are
+// sent with http.TrailerPrefix.
 func writeTrailers(w http.ResponseWriter, trailer http.Header, announced int) {
 	_ = http.NewResponseController(w).Flush()
 	prefix := ""
@@ -97,7 +99,8 @@
 	}
 }
 
-// copyBody streams: whatever arrived is flushed unless the body is complete.
+// copyBody streams the body and flushes after each read except the one that
+// completes it.
 func copyBody(w http.ResponseWriter, response *http.Response) error {
 	if response.Body == nil || response.ContentLength == 0 {
 		return nil
@@ -109,7 +112,7 @@
 		count, readErr := response.Body.Read(buffer[:])
 		if count > 0 {
 			if _, err := w.Write(buffer[:count]); err != nil {
-				return errors.Join(ErrCallerGone, err)
+				return errors.Join(ErrReplyWriteFailed, err)
 			}
 		}
 		remaining -= int64(count)
@@ -121,7 +124,7 @@
 		}
 		if remaining != 0 && count > 0 {
 			if err := http.NewResponseController(w).Flush(); err != nil {
-				return errors.Join(ErrCallerGone, err)
+				return errors.Join(ErrReplyWriteFailed, err)
 			}
 		}
 	}
--- a/internal/proxy/forward/rest.go
+++ b/internal/proxy/forward/rest.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	// leastRest is the shortest rest that may be the reason for a connection that
-	// broke; shorter ones are never refused.
-	leastRest = 50 * time.Millisecond
-	// restMargin is the part of the rest at which a connection broke that is still
-	// trusted.
-	restMargin = 0.5
-	// restDoubles is how fast trust comes back: the bound doubles in this time.
-	restDoubles = 4 * time.Second
-	// restOnce is the longest rest of a connection that is used for a request that
-	// may not be sent again.
-	restOnce = 150 * time.Millisecond
+	// minIdleBound is the shortest idle time that is considered as the cause of a
+	// failed connection; connections idle for less are always reused.
+	minIdleBound = 50 * time.Millisecond
+	// idleMargin is the fraction of the idle time after which a connection failed
+	// that becomes the new bound.
+	idleMargin = 0.5
+	// idleBoundDoubling is the time in which the bound doubles.
+	idleBoundDoubling = 4 * time.Second
+	// maxIdleNonRepeatable is the longest idle time of a connection that is reused
+	// for a request that must not be retried.
+	maxIdleNonRepeatable = 150 * time.Millisecond
 )
 
-// restBound is how long connections to one peer may have rested to be used again.
-// A peer may forget a resting connection without a word, and the next request
-// on it is lost. The zero value is no bound.
-type restBound struct {
-	// limit is the bound at the moment it was set; zero when there is none.
+// idleBound limits how long connections to a peer may have been idle to be
+// reused. A peer may drop an idle connection silently, and the next request on
+// it is lost. The bound is learned from such failures and grows back
+// exponentially. The zero value is no bound.
+type idleBound struct {
+	// limit is the bound at setAt; zero if there is none.
 	limit time.Duration
-	set   time.Time
+	setAt time.Time
 }
 
-// broke takes in that a connection broke at its first use after a rest.
-func (b *restBound) broke(rested time.Duration, now time.Time) {
-	if rested < leastRest {
+// recordBreak lowers the bound after a connection failed at its first use
+// following the given idle time.
+func (b *idleBound) recordBreak(idleFor time.Duration, now time.Time) {
+	if idleFor < minIdleBound {
 		return
 	}
-	trusted := max(time.Duration(float64(rested)*restMargin), leastRest)
-	if trusted < b.allowed(now) {
-		b.limit, b.set = trusted, now
+	bound := max(time.Duration(float64(idleFor)*idleMargin), minIdleBound)
+	if bound < b.allowed(now) {
+		b.limit, b.setAt = bound, now
 	}
 }
 
-// allowed returns the bound as it is now.
-func (b *restBound) allowed(now time.Time) time.Duration {
+// allowed returns the current bound.
+func (b *idleBound) allowed(now time.Time) time.Duration {
 	if b.limit == 0 {
 		return math.MaxInt64
 	}
-	grown := float64(b.limit) * math.Exp2(float64(now.Sub(b.set))/float64(restDoubles))
+	grown := float64(b.limit) * math.Exp2(float64(now.Sub(b.setAt))/float64(idleBoundDoubling))
 	if grown >= math.MaxInt64 {
 		return math.MaxInt64
 	}
--- a/internal/proxy/health/health.go
+++ b/internal/proxy/health/health.go
@@ -1,8 +1,8 @@
-// Package health decides in which state the back end beside a proxy is
-// announced. Its core is pure: it combines what the back end says of itself
-// with what was observed on real requests. Statements that lie or lag do no
-// harm: a claim of being down is not believed while requests are answered, and
-// a claim of being ready is not believed while no connection can be opened.
+// Package health determines the state in which the back end beside a proxy is
+// announced. It performs no I/O: it combines the results of health polls with
+// observations of real requests. Wrong or outdated poll results do no harm: a
+// back end that reports down stays in use while it answers requests, and one
+// that reports ready is not used while no connection to it can be opened.
 package health
 
 import (
@@ -11,103 +11,104 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// Statement is what one health poll brought.
-type Statement string
+// PollResult is the result of a health poll.
+type PollResult string
 
-// The statements of a back end about itself.
+// The results of a health poll.
 const (
-	// SaysReady: a success status, or a statement of readiness.
-	SaysReady Statement = "ready"
-	// SaysWarming: the back end is starting.
-	SaysWarming Statement = "warming"
-	// SaysDraining: the back end is leaving. It is always believed.
-	SaysDraining Statement = "draining"
-	// SaysDown: an error status, or no answer to the poll on an open
-	// connection.
-	SaysDown Statement = "down"
-	// Unreachable: no connection could be opened.
-	Unreachable Statement = "unreachable"
+	// PollReady: a success status, or a body that reports readiness.
+	PollReady PollResult = "ready"
+	// PollWarming: the back end reports that it is starting.
+	PollWarming PollResult = "warming"
+	// PollDraining: the back end reports that it is shutting down. This takes
+	// effect immediately.
+	PollDraining PollResult = "draining"
+	// PollDown: an error status, or no reply on an open connection.
+	PollDown PollResult = "down"
+	// PollUnreachable: the connection could not be opened.
+	PollUnreachable PollResult = "unreachable"
 )
 
 const (
-	// confirmations is how many equal bad polls in a row are needed.
-	confirmations = 2
-	// evidenceLifetime is how long an answered request contradicts a claim
-	// of being down.
-	evidenceLifetime = 2 * time.Second
-	// warmup is how long a back end that came up is announced as warming.
-	warmup = 10 * time.Second
+	// failureThreshold is the number of consecutive equal failed polls after
+	// which the back end is down.
+	failureThreshold = 2
+	// answerEvidenceLifetime is how long an answered request overrides PollDown.
+	answerEvidenceLifetime = 2 * time.Second
+	// warmupPeriod is how long a back end is announced as warming after it came up.
+	warmupPeriod = 10 * time.Second
 )
 
-// Core holds what is known of one back end. It is not safe for concurrent use.
-type Core struct {
+// Tracker tracks the health of one back end. It is not safe for concurrent use.
+type Tracker struct {
 	state endpoint.State
-	// leaving is set by the operator's drain; it overrides everything.
-	leaving bool
-	// bad counts equal bad statements in a row.
-	bad      int
-	badSays  Statement
-	warmFrom time.Time
-	// answered is when the back end last answered a request.
-	answered time.Time
+	// operatorDrain reports a drain by the operator, which overrides state.
+	operatorDrain bool
+	// consecutiveFailures counts consecutive failed polls with result
+	// lastFailure.
+	consecutiveFailures int
+	lastFailure         PollResult
+	warmingSince        time.Time
+	// lastAnswer is the time of the last request that the back end answered.
+	lastAnswer time.Time
 }
 
-// New returns a core of a back end of which nothing is known: it is down.
-func New() *Core { return &Core{state: endpoint.Down} }
+// New returns a Tracker whose initial state is down.
+func New() *Tracker { return &Tracker{state: endpoint.Down} }
 
 // State returns the state to announce.
-func (c *Core) State() endpoint.State {
-	if c.leaving {
+func (t *Tracker) State() endpoint.State {
+	if t.operatorDrain {
 		return endpoint.Draining
 	}
-	return c.state
+	return t.state
 }
 
-// Leave begins, Return ends the operator's drain.
-func (c *Core) Leave() { c.leaving = true }
+// BeginDrain begins a drain by the operator.
+func (t *Tracker) BeginDrain() { t.operatorDrain = true }
 
-// Return ends the operator's drain.
-func (c *Core) Return() { c.leaving = false }
+// EndDrain ends the drain by the operator.
+func (t *Tracker) EndDrain() { t.operatorDrain = false }
 
-// Answered notes that the back end answered a request.
-func (c *Core) Answered(now time.Time) { c.answered = now }
+// RecordAnswer records that the back end answered a request.
+func (t *Tracker) RecordAnswer(now time.Time) { t.lastAnswer = now }
 
-// Refused notes that no connection to the back end could be opened for a
-// request. It counts like a poll that was refused.
-func (c *Core) Refused(now time.Time) { c.Polled(now, Unreachable) }
+// RecordConnectFailure records that no connection to the back end could be
+// opened for a request. It counts as a poll with result PollUnreachable.
+func (t *Tracker) RecordConnectFailure(now time.Time) { t.RecordPoll(now, PollUnreachable) }
 
-// Polled takes in the result of a health poll.
-func (c *Core) Polled(now time.Time, says Statement) {
-	switch says {
-	case SaysReady, SaysWarming:
-		c.bad = 0
-		c.up(now, says)
-	case SaysDraining:
-		c.bad = 0
-		c.state = endpoint.Draining
+// RecordPoll records the result of a health poll.
+func (t *Tracker) RecordPoll(now time.Time, result PollResult) {
+	switch result {
+	case PollReady, PollWarming:
+		t.consecutiveFailures = 0
+		t.recordSuccess(now, result)
+	case PollDraining:
+		t.consecutiveFailures = 0
+		t.state = endpoint.Draining
 	default:
-		c.down(now, says)
+		t.recordFailure(now, result)
 	}
 }
 
-func (c *Core) up(now time.Time, says Statement) {
-	if !c.state.AcceptsWork() {
-		c.state = endpoint.Warming
-		c.warmFrom = now
+func (t *Tracker) recordSuccess(now time.Time, result PollResult) {
+	if !t.state.AcceptsWork() {
+		t.state = endpoint.Warming
+		t.warmingSince = now
 		return
 	}
-	if says == SaysReady && now.Sub(c.warmFrom) >= warmup {
-		c.state = endpoint.Ready
+	if result == PollReady && now.Sub(t.warmingSince) >= warmupPeriod {
+		t.state = endpoint.Ready
 	}
 }
 
-func (c *Core) down(now time.Time, says Statement) {
-	if c.bad == 0 || c.badSays != says {
-		c.bad, c.badSays = 0, says
+func (t *Tracker) recordFailure(now time.Time, result PollResult) {
+	if t.consecutiveFailures == 0 || t.lastFailure != result {
+		t.consecutiveFailures, t.lastFailure = 0, result
 	}
-	c.bad++
-	contradicted := says == SaysDown && now.Sub(c.answered) < evidenceLifetime
-	if c.bad >= confirmations && !contradicted {
-		c.state = endpoint.Down
+	t.consecutiveFailures++
+	contradicted := result == PollDown && now.Sub(t.lastAnswer) < answerEvidenceLifetime
+	if t.consecutiveFailures >= failureThreshold && !contradicted {
+		t.state = endpoint.Down
 	}
 }
--- a/internal/proxy/health/health_test.go
+++ b/internal/proxy/health/health_test.go
@@ -10,48 +10,48 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/health"
 )
 
-// event happens one second after the one before.
-type event func(core *health.Core, now time.Time)
+// event is an observation; the test applies one per second.
+type event func(tracker *health.Tracker, now time.Time)
 
-func polled(says health.Statement) event {
-	return func(core *health.Core, now time.Time) { core.Polled(now, says) }
+func poll(result health.PollResult) event {
+	return func(tracker *health.Tracker, now time.Time) { tracker.RecordPoll(now, result) }
 }
 
-func answered(core *health.Core, now time.Time) { core.Answered(now) }
-func refused(core *health.Core, now time.Time)  { core.Refused(now) }
-func leave(core *health.Core, _ time.Time)      { core.Leave() }
-func back(core *health.Core, _ time.Time)       { core.Return() }
+func answered(tracker *health.Tracker, now time.Time)      { tracker.RecordAnswer(now) }
+func connectFailed(tracker *health.Tracker, now time.Time) { tracker.RecordConnectFailure(now) }
+func beginDrain(tracker *health.Tracker, _ time.Time)      { tracker.BeginDrain() }
+func endDrain(tracker *health.Tracker, _ time.Time)        { tracker.EndDrain() }
 
-func warm() []event {
+func warmUp() []event {
 	events := make([]event, 12)
 	for index := range events {
-		events[index] = polled(health.SaysReady)
+		events[index] = poll(health.PollReady)
 	}
 	return events
 }
 
 var _ = DescribeTable("Core",
 	func(before []event, events []event, want endpoint.State) {
-		core, now := health.New(), time.Unix(1000, 0)
+		tracker, now := health.New(), time.Unix(1000, 0)
 		for _, apply := range append(before, events...) {
 			now = now.Add(time.Second)
-			apply(core, now)
+			apply(tracker, now)
 		}
-		Expect(core.State()).To(Equal(want))
+		Expect(tracker.State()).To(Equal(want))
 	},
 	Entry("nothing known", nil, nil, endpoint.Down),
-	Entry("first good poll", nil, []event{polled(health.SaysReady)}, endpoint.Warming),
-	Entry("good for long enough", warm(), nil, endpoint.Ready),
-	Entry("says it is still starting", nil, []event{polled(health.SaysWarming), polled(health.SaysWarming)}, endpoint.Warming),
-	Entry("one bad poll", warm(), []event{polled(health.SaysDown)}, endpoint.Ready),
-	Entry("two bad polls", warm(), []event{polled(health.SaysDown), polled(health.SaysDown)}, endpoint.Down),
-	Entry("two different bad polls", warm(), []event{polled(health.SaysDown), polled(health.Unreachable)}, endpoint.Ready),
-	Entry("a good one between", warm(), []event{polled(health.SaysDown), polled(health.SaysReady), polled(health.SaysDown)}, endpoint.Ready),
-	Entry("says down while it answers", warm(), []event{polled(health.SaysDown), answered, polled(health.SaysDown)}, endpoint.Ready),
-	Entry("says down and answers no more", warm(), []event{answered, polled(health.SaysDown), polled(health.SaysDown), polled(health.SaysDown)}, endpoint.Down),
-	Entry("unreachable although it answered", warm(), []event{answered, polled(health.Unreachable), refused}, endpoint.Down),
-	Entry("draining is believed at once", warm(), []event{answered, polled(health.SaysDraining)}, endpoint.Draining),
-	Entry("back from down starts slowly", warm(), []event{refused, refused, polled(health.SaysReady)}, endpoint.Warming),
-	Entry("operator's drain overrides", warm(), []event{leave, polled(health.SaysReady)}, endpoint.Draining),
-	Entry("operator's drain ended", warm(), []event{leave, back}, endpoint.Ready),
+	Entry("first successful poll", nil, []event{poll(health.PollReady)}, endpoint.Warming),
+	Entry("ready after the warm-up period", warmUp(), nil, endpoint.Ready),
+	Entry("reports that it is still starting", nil, []event{poll(health.PollWarming), poll(health.PollWarming)}, endpoint.Warming),
+	Entry("one failed poll", warmUp(), []event{poll(health.PollDown)}, endpoint.Ready),
+	Entry("two failed polls", warmUp(), []event{poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("two different failed polls", warmUp(), []event{poll(health.PollDown), poll(health.PollUnreachable)}, endpoint.Ready),
+	Entry("a successful poll in between", warmUp(), []event{poll(health.PollDown), poll(health.PollReady), poll(health.PollDown)}, endpoint.Ready),
+	Entry("reports down while it answers requests", warmUp(), []event{poll(health.PollDown), answered, poll(health.PollDown)}, endpoint.Ready),
+	Entry("reports down and no longer answers requests", warmUp(), []event{answered, poll(health.PollDown), poll(health.PollDown), poll(health.PollDown)}, endpoint.Down),
+	Entry("unreachable after it answered a request", warmUp(), []event{answered, poll(health.PollUnreachable), connectFailed}, endpoint.Down),
+	Entry("draining takes effect immediately", warmUp(), []event{answered, poll(health.PollDraining)}, endpoint.Draining),
+	Entry("warms up again after down", warmUp(), []event{connectFailed, connectFailed, poll(health.PollReady)}, endpoint.Warming),
+	Entry("operator's drain overrides polls", warmUp(), []event{beginDrain, poll(health.PollReady)}, endpoint.Draining),
+	Entry("operator's drain ended", warmUp(), []event{beginDrain, endDrain}, endpoint.Ready),
 )
--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -145,7 +145,7 @@
 		return nil
 	}
 	err := a.handler.memory.Record(time.Now(), a.call, a.deadline.Add(retention))
-	if errors.Is(err, calls.ErrSecondArrival) {
+	if errors.Is(err, calls.ErrDuplicate) {
 		return &outcome.Failure{Outcome: outcome.Unknown, Status: http.StatusConflict, Step: outcome.StepDuplicate, Cause: err}
 	}
 	if err != nil {
@@ -242,7 +242,7 @@
 // reply sends a failure that the proxy answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
 	a.status, a.outcome = failure.Status, failure.Outcome
-	defer forward.PrepareOwnReply(a.context, a.writer, a.request, a.body)()
+	defer forward.PrepareLocalReply(a.context, a.writer, a.request, a.body)()
 	if failure.Peer == "" {
 		failure.Peer = a.handler.options.Service + "/" + a.handler.options.Endpoint
 	}
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -236,7 +236,7 @@
 	c.cleanReply(response)
 	response.Header.Set(outcome.HeaderError, short)
 	if c.outcome == outcome.NotRun {
-		outcome.SuggestRetry(response.Header, retrySoon)
+		outcome.EnsureRetryAfter(response.Header, retrySoon)
 	}
 	c.body.CloseUnlessRead(c.writer.Header())
 	if err := forward.WriteReply(c.context, c.writer, response, c.hiddenHeader()); err != nil {
@@ -264,7 +264,7 @@
 // reply sends a failure that the proxy answers itself.
 func (c *call) reply(failure *outcome.Failure) {
 	c.status, c.outcome = failure.Status, failure.Outcome
-	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
+	defer forward.PrepareLocalReply(c.context, c.writer, c.request, c.body)()
 	if failure.Peer == "" && c.route != nil {
 		failure.Peer = c.route.service.name
 	}
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -148,7 +148,7 @@
 		return c.limitRefusal(err)
 	}
 	defer service.shared.limiter.Release()
-	service.shared.budget.First()
+	service.shared.budget.Deposit()
 	c.id = c.handler.callPrefix + strconv.FormatUint(c.handler.callCount.Add(1), 36)
 	return c.attempts()
 }
@@ -197,11 +197,11 @@
 		Outcome:         last,
 		Repeatable:      c.repeatable,
 		RetriedUpstream: c.retriedUpstream,
-		BodySpent:       c.body.Spent(),
+		BodyConsumed:    c.body.Consumed(),
 		Remaining:       time.Until(deadline),
 		Random:          rand.Uint64(),
 	})
-	if !decision.Again || c.context.Err() != nil || !c.route.service.shared.budget.Spend() {
+	if !decision.Retry || c.context.Err() != nil || !c.route.service.shared.budget.Withdraw() {
 		return false
 	}
 	c.handler.options.Observer.Retried(c.route.service.name)
@@ -232,7 +232,7 @@
 		c.ended()
 		return nil
 	}
-	if !errors.Is(err, forward.ErrCallerGone) && !c.endedByCaller() {
+	if !errors.Is(err, forward.ErrReplyWriteFailed) && !c.endedByCaller() {
 		c.observeBroken(from, balance.FailureBroken)
 	}
 	c.abort(from, err)
--- a/internal/proxy/retry/retry_test.go
+++ b/internal/proxy/retry/retry_test.go
@@ -15,7 +15,7 @@
 		attempt := retry.Attempt{Number: 1, Outcome: outcome.NotRun, Remaining: time.Second, Random: 1_500_000}
 		change(&attempt)
 		decision := retry.Policy{Attempts: 3}.Decide(attempt)
-		Expect(decision.Again).To(Equal(again))
+		Expect(decision.Retry).To(Equal(again))
 		Expect(decision.Wait).To(BeNumerically("<", attempt.Remaining))
 	},
 	Entry("not run", func(*retry.Attempt) {}, true),
@@ -24,13 +24,13 @@
 	Entry("no outcome, not repeatable", func(a *retry.Attempt) { a.Outcome = "" }, false),
 	Entry("second attempt", func(a *retry.Attempt) { a.Number = 2 }, true),
 	Entry("last attempt", func(a *retry.Attempt) { a.Number = 3 }, false),
-	Entry("repeated upstream", func(a *retry.Attempt) { a.RetriedUpstream = true }, false),
-	Entry("body spent", func(a *retry.Attempt) { a.BodySpent = true }, false),
-	Entry("no time for the wait", func(a *retry.Attempt) { a.Remaining = 1_500_000 }, false),
-	Entry("just enough time", func(a *retry.Attempt) { a.Remaining = 1_500_001 }, true),
+	Entry("retried upstream", func(a *retry.Attempt) { a.RetriedUpstream = true }, false),
+	Entry("body consumed", func(a *retry.Attempt) { a.BodyConsumed = true }, false),
+	Entry("wait not shorter than the remaining time", func(a *retry.Attempt) { a.Remaining = 1_500_000 }, false),
+	Entry("wait just shorter than the remaining time", func(a *retry.Attempt) { a.Remaining = 1_500_001 }, true),
 )
 
-var _ = It("bounds the wait, twice as high with each attempt", func() {
+var _ = It("doubles the bound of the wait with each attempt up to a maximum", func() {
 	policy := retry.Policy{Attempts: 100}
 	longest := func(number int) time.Duration {
 		bound := 2 * time.Millisecond << min(number-1, 10)
@@ -46,25 +46,25 @@
 
 var _ = Describe("Budget", func() {
 	spend := func(budget *retry.Budget) (repeats int) {
-		for budget.Spend() {
+		for budget.Withdraw() {
 			repeats++
 		}
 		return repeats
 	}
 
-	It("allows its share of first attempts after an initial few", func() {
+	It("allows its percentage of first attempts after the initial balance", func() {
 		budget := retry.NewBudget(20)
 		Expect(spend(budget)).To(Equal(10))
 		for range 100 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(Equal(20))
 	})
 
-	It("saves up no more than the share of a window", func() {
+	It("bounds the balance", func() {
 		budget := retry.NewBudget(20)
 		for range 100_000 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(Equal(200))
 	})
@@ -73,7 +73,7 @@
 		budget := retry.NewBudget(0)
 		spend(budget)
 		for range 1000 {
-			budget.First()
+			budget.Deposit()
 		}
 		Expect(spend(budget)).To(BeZero())
 	})
--- a/internal/sidecar/egress/visit.go
+++ b/internal/sidecar/egress/visit.go
@@ -46,8 +46,8 @@
 // sendOnce chooses a node, sends the request there once and waits for the result. A detached
 // attempt may answer first.
 func (c *call) sendOnce() result {
-	if forward.CallerLeft(c.context) {
-		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerLeft)}
+	if forward.CallerDisconnected(c.context) {
+		return result{failure: outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, 0, forward.ErrCallerDisconnected)}
 	}
 	chosen, failure := c.choose()
 	if failure != nil {
@@ -188,7 +188,7 @@
 
 // retry decides whether another attempt follows a failed one.
 func (c *call) retry(last result) bool {
-	if last.target == nil || c.context.Err() != nil || c.body.Spent() {
+	if last.target == nil || c.context.Err() != nil || c.body.Consumed() {
 		return false
 	}
 	if c.crashes >= maxCrashes {
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -119,8 +119,8 @@
 	if failure := a.checkQuarantine(); failure != nil {
 		return failure
 	}
-	if forward.CallerLeft(a.context) {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerLeft)
+	if forward.CallerDisconnected(a.context) {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, 0, forward.ErrCallerDisconnected)
 	}
 	a.sent, sent = clock.Now(), true
 	a.handler.activeRequests.begin(a)
@@ -272,7 +272,7 @@
 
 // reply sends a failure that this node answers itself.
 func (a *arrival) reply(failure *outcome.Failure) {
-	defer forward.PrepareOwnReply(a.context, a.writer, a.request, nil)()
+	defer forward.PrepareLocalReply(a.context, a.writer, a.request, nil)()
 	a.setReplyHeaders(0)
 	header := a.writer.Header()
 	header[outcome.HeaderOutcome] = []string{string(failure.Outcome)}
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -54,7 +54,7 @@
 		}
 		a.countFailure(failure)
 		again := failure.Outcome == outcome.NotRun && failure.Step == outcome.StepWrite && a.context.Err() == nil
-		if !again || send == maximumSends || sent.Spent() {
+		if !again || send == maximumSends || sent.Consumed() {
 			return failure
 		}
 	}
@@ -64,7 +64,7 @@
 // retried by the pool.
 func (a *arrival) roundTrip(outgoing *http.Request) (*http.Response, error) {
 	if a.expectsContinue {
-		return a.handler.pool.RoundTripOnce(outgoing)
+		return a.handler.pool.RoundTripNonRepeatable(outgoing)
 	}
 	return a.handler.pool.RoundTrip(outgoing)
 }
