--- a/internal/agent/providers.go
+++ b/internal/agent/providers.go
@@ -85,7 +85,7 @@
 			CallerIdleTimeout: time.Duration(loaded.Limits.IdleTimeout),
 			RememberedCalls:   loaded.Limits.CallMemory,
 		},
-		Announcement: time.Duration(loaded.Drain.Announce),
+		AnnouncePeriod: time.Duration(loaded.Drain.Announce),
 		Logger:       logger,
 		Metrics:      registry,
 		Dial:         forward.Dialer(options.Dial),
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -17,9 +17,9 @@
 	// Backend is the back end beside the proxy; nil when there is none.
 	Backend *Backend
 	Limits  Limits
-	// Announcement is how long a draining proxy goes on taking work, so that
+	// AnnouncePeriod is how long a draining proxy goes on taking work, so that
 	// callers learn of the drain first.
-	Announcement time.Duration
+	AnnouncePeriod time.Duration
 	Logger       *zap.Logger
 	// Metrics receives the proxy's metrics; nil registers none.
 	Metrics prometheus.Registerer
@@ -88,7 +88,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	o.Announcement = orDefault(o.Announcement, DefaultAnnouncement)
+	o.AnnouncePeriod = orDefault(o.AnnouncePeriod, DefaultAnnouncement)
 	o.Limits = o.Limits.withDefaults()
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -31,7 +31,7 @@
 // are to be closed only after that.
 func (p *Proxy) Drain(ctx context.Context) error {
 	var group errgroup.Group
-	p.outboundGate.Begin(p.options.Announcement)
+	p.outboundGate.Begin(p.options.AnnouncePeriod)
 	group.Go(func() error { return p.outboundGate.Wait(ctx) })
 	group.Go(func() error { return p.DrainBackend(ctx) })
 	if err := group.Wait(); err != nil {
@@ -51,7 +51,7 @@
 		return nil
 	}
 	p.announcer.leave()
-	p.inboundGate.Begin(p.options.Announcement)
+	p.inboundGate.Begin(p.options.AnnouncePeriod)
 	if err := p.inboundGate.Wait(ctx); err != nil {
 		return p.cutOff()
 	}
@@ -70,7 +70,7 @@
 // the back end says so no longer.
 func (p *Proxy) followState(update endpoint.Update) {
 	if update.State == endpoint.Draining {
-		p.inboundGate.Begin(p.options.Announcement)
+		p.inboundGate.Begin(p.options.AnnouncePeriod)
 	} else {
 		p.inboundGate.Resume()
 	}
