--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -87,7 +87,7 @@
 				time.Sleep(after)
 				synctest.Wait()
 				got := running.call("POST", "racing")
-				if after < proxy.DefaultAnnouncement {
+				if after < proxy.DefaultAnnouncePeriod {
 					g.Expect(got.body).To(Equal("ok"))
 				} else {
 					g.Expect(got.status).To(Equal(503))
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -67,7 +67,7 @@
 
 // Defaults of Options and Limits.
 const (
-	DefaultAnnouncement      = 1500 * time.Millisecond
+	DefaultAnnouncePeriod      = 1500 * time.Millisecond
 	DefaultHealthInterval    = 500 * time.Millisecond
 	DefaultHeaderBytes       = 64 << 10
 	DefaultBodyBytes         = 256 << 20
@@ -88,7 +88,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	o.AnnouncePeriod = orDefault(o.AnnouncePeriod, DefaultAnnouncement)
+	o.AnnouncePeriod = orDefault(o.AnnouncePeriod, DefaultAnnouncePeriod)
 	o.Limits = o.Limits.withDefaults()
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
