--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -179,9 +179,9 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		err := running.backends[0].proxy.Drain(ctx)
-		var cut *proxy.CutOffError
+		var cut *proxy.ForcedStopError
 		g.Expect(err).To(BeAssignableToTypeOf(cut))
-		g.Expect(err.(*proxy.CutOffError).Inbound).To(Equal(1))
+		g.Expect(err.(*proxy.ForcedStopError).Inbound).To(Equal(1))
 		close(release)
 		g.Expect((<-held).body).To(Equal("ok"))
 	})
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -13,14 +13,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// CutOffError says what a forced stop cuts off.
-type CutOffError struct {
+// ForcedStopError says what a forced stop cuts off.
+type ForcedStopError struct {
 	// Outbound and Inbound count the requests still in flight.
 	Outbound, Inbound int
 }
 
 // Error names the counts.
-func (e *CutOffError) Error() string {
+func (e *ForcedStopError) Error() string {
 	return fmt.Sprintf("stop forced with %d outbound and %d inbound requests in flight", e.Outbound, e.Inbound)
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (p *Proxy) cutOff() error {
-	cut := &CutOffError{Outbound: p.outboundGate.InFlight()}
+	cut := &ForcedStopError{Outbound: p.outboundGate.InFlight()}
 	if p.inboundGate != nil {
 		cut.Inbound = p.inboundGate.InFlight()
 	}
