--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -75,13 +75,13 @@
 	p.announcer.observe(p.followState)
 }
 
-// VersionError says that a snapshot is not newer than the one in force.
-type VersionError struct {
+// StaleVersionError says that a snapshot is not newer than the one in force.
+type StaleVersionError struct {
 	Held, Offered uint64
 }
 
 // Error names both versions.
-func (e *VersionError) Error() string {
+func (e *StaleVersionError) Error() string {
 	return fmt.Sprintf("version %d is not above version %d, which is in force", e.Offered, e.Held)
 }
 
@@ -92,7 +92,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if held, _ := p.Version(); snapshot.Version <= held {
-		return trace.Wrap(&VersionError{Held: held, Offered: snapshot.Version}, "apply snapshot")
+		return trace.Wrap(&StaleVersionError{Held: held, Offered: snapshot.Version}, "apply snapshot")
 	}
 	if err := snapshot.Verify(); err != nil {
 		return trace.Wrap(err, "apply snapshot: check digest")
