--- a/internal/proxy/memory_bench_test.go
+++ b/internal/proxy/memory_bench_test.go
@@ -91,7 +91,7 @@
 // ends of all connections are in the same process and count too.
 func BenchmarkMemory(b *testing.B) {
 	address := holdAll(b)
-	caller := proxy.New(proxy.Options{Limits: proxy.Limits{WarmConnections: -1}})
+	caller := proxy.New(proxy.Options{Limits: proxy.Limits{MinIdleConnections: -1}})
 	if err := caller.Apply(largeSnapshot(address)); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -59,8 +59,8 @@
 	PeerIdleTimeout time.Duration
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// WarmConnections is how many idle connections are kept per peer.
-	WarmConnections int
+	// MinIdleConnections is how many idle connections are kept per peer.
+	MinIdleConnections int
 	// RememberedCalls is how many call ids the inbound side remembers.
 	RememberedCalls int
 }
@@ -117,14 +117,14 @@
 		CallerIdleTimeout: orDefault(l.CallerIdleTimeout, DefaultCallerIdleTimeout),
 		PeerIdleTimeout:   orDefault(l.PeerIdleTimeout, DefaultPeerIdleTimeout),
 		DialTimeout:       orDefault(l.DialTimeout, DefaultDialTimeout),
-		WarmConnections:   orDefault(l.WarmConnections, DefaultWarmConnections),
+		MinIdleConnections:   orDefault(l.MinIdleConnections, DefaultWarmConnections),
 		RememberedCalls:   orDefault(l.RememberedCalls, DefaultRememberedCalls),
 	}
 }
 
 func (l Limits) connections() forward.Limits {
 	return forward.Limits{
-		WarmIdle:         l.WarmConnections,
+		WarmIdle:         l.MinIdleConnections,
 		IdleTimeout:      l.PeerIdleTimeout,
 		DialTimeout:      l.DialTimeout,
 		ReplyHeaderBytes: int64(l.HeaderBytes),
