--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -75,7 +75,7 @@
 	DefaultCallerIdleTimeout = 90 * time.Second
 	DefaultPeerIdleTimeout   = 45 * time.Second
 	DefaultDialTimeout       = time.Second
-	DefaultWarmConnections   = 2
+	DefaultMinIdleConnections   = 2
 	DefaultRememberedCalls   = 1 << 16
 )
 
@@ -117,7 +117,7 @@
 		CallerIdleTimeout: orDefault(l.CallerIdleTimeout, DefaultCallerIdleTimeout),
 		PeerIdleTimeout:   orDefault(l.PeerIdleTimeout, DefaultPeerIdleTimeout),
 		DialTimeout:       orDefault(l.DialTimeout, DefaultDialTimeout),
-		MinIdleConnections:   orDefault(l.MinIdleConnections, DefaultWarmConnections),
+		MinIdleConnections:   orDefault(l.MinIdleConnections, DefaultMinIdleConnections),
 		RememberedCalls:   orDefault(l.RememberedCalls, DefaultRememberedCalls),
 	}
 }
