--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -106,7 +106,7 @@
 
 // subscribe gives the running subscription its parents and what it reports.
 func (a *Agent) subscribe(ctx context.Context) error {
-	a.proxy.Observe(func(update endpoint.Update) { a.announcer.Set(update.State) })
+	a.proxy.ObserveBackend(func(update endpoint.Update) { a.announcer.Set(update.State) })
 	if err := a.subscription.Parents(ctx, a.parents.rank(nil)); err != nil {
 		a.logger.Error("parents not set", telemetry.Error(err))
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -20,7 +20,7 @@
 // connect spreads the back ends' states to the caller's proxy after a delay.
 func (m *mesh) connect(delay time.Duration) {
 	for _, served := range m.backends {
-		served.proxy.Observe(func(update endpoint.Update) {
+		served.proxy.ObserveBackend(func(update endpoint.Update) {
 			time.AfterFunc(delay, func() { m.caller.UpdateEndpoints([]endpoint.Update{update}) })
 		})
 	}
@@ -120,7 +120,7 @@
 		})
 		served := running.backends[0]
 		var states []endpoint.State
-		served.proxy.Observe(func(update endpoint.Update) { states = append(states, update.State) })
+		served.proxy.ObserveBackend(func(update endpoint.Update) { states = append(states, update.State) })
 		ctx, cancel := context.WithCancel(t.Context())
 		go served.proxy.Run(ctx)
 		defer func() { cancel(); synctest.Wait() }()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -140,9 +140,9 @@
 	return p.inbound
 }
 
-// Observe calls the function with the state of the back end now and at each
+// ObserveBackend calls the function with the state of the back end now and at each
 // change. Without a back end it never does.
-func (p *Proxy) Observe(observer func(endpoint.Update)) {
+func (p *Proxy) ObserveBackend(observer func(endpoint.Update)) {
 	if p.announcer != nil {
 		p.announcer.observe(observer)
 	}
