--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -77,12 +77,12 @@
 
 // StaleVersionError says that a snapshot is not newer than the one in force.
 type StaleVersionError struct {
-	Held, Offered uint64
+	Current, Offered uint64
 }
 
 // Error names both versions.
 func (e *StaleVersionError) Error() string {
-	return fmt.Sprintf("version %d is not above version %d, which is in force", e.Offered, e.Held)
+	return fmt.Sprintf("version %d is not above version %d, which is in force", e.Offered, e.Current)
 }
 
 // Apply checks and compiles the whole snapshot and puts it in force at once.
@@ -92,7 +92,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if held, _ := p.Version(); snapshot.Version <= held {
-		return trace.Wrap(&StaleVersionError{Held: held, Offered: snapshot.Version}, "apply snapshot")
+		return trace.Wrap(&StaleVersionError{Current: held, Offered: snapshot.Version}, "apply snapshot")
 	}
 	if err := snapshot.Verify(); err != nil {
 		return trace.Wrap(err, "apply snapshot: check digest")
