--- a/internal/agent/providers.go
+++ b/internal/agent/providers.go
@@ -86,10 +86,10 @@
 			RememberedCalls:   loaded.Limits.CallMemory,
 		},
 		AnnouncePeriod: time.Duration(loaded.Drain.Announce),
-		Logger:       logger,
-		Metrics:      registry,
-		Dial:         forward.Dialer(options.Dial),
-		PeerDial:     peerDial(credentials),
+		Logger:         logger,
+		Metrics:        registry,
+		Dial:           forward.Dialer(options.Dial),
+		PeerDial:       peerDial(credentials),
 	})
 	credentials.OnReload(created.RenewConnections)
 	return created
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -20,7 +20,7 @@
 	// AnnouncePeriod is how long a draining proxy goes on taking work, so that
 	// callers learn of the drain first.
 	AnnouncePeriod time.Duration
-	Logger       *zap.Logger
+	Logger         *zap.Logger
 	// Metrics receives the proxy's metrics; nil registers none.
 	Metrics prometheus.Registerer
 	// Dial opens connections to endpoints and to the back end; nil means TCP.
@@ -67,16 +67,16 @@
 
 // Defaults of Options and Limits.
 const (
-	DefaultAnnouncePeriod      = 1500 * time.Millisecond
-	DefaultHealthInterval    = 500 * time.Millisecond
-	DefaultHeaderBytes       = 64 << 10
-	DefaultBodyBytes         = 256 << 20
-	DefaultHeaderTimeout     = 10 * time.Second
-	DefaultCallerIdleTimeout = 90 * time.Second
-	DefaultPeerIdleTimeout   = 45 * time.Second
-	DefaultDialTimeout       = time.Second
-	DefaultMinIdleConnections   = 2
-	DefaultRememberedCalls   = 1 << 16
+	DefaultAnnouncePeriod     = 1500 * time.Millisecond
+	DefaultHealthInterval     = 500 * time.Millisecond
+	DefaultHeaderBytes        = 64 << 10
+	DefaultBodyBytes          = 256 << 20
+	DefaultHeaderTimeout      = 10 * time.Second
+	DefaultCallerIdleTimeout  = 90 * time.Second
+	DefaultPeerIdleTimeout    = 45 * time.Second
+	DefaultDialTimeout        = time.Second
+	DefaultMinIdleConnections = 2
+	DefaultRememberedCalls    = 1 << 16
 )
 
 func orDefault[T comparable](value, fallback T) T {
@@ -111,14 +111,14 @@
 
 func (l Limits) withDefaults() Limits {
 	return Limits{
-		HeaderBytes:       orDefault(l.HeaderBytes, DefaultHeaderBytes),
-		BodyBytes:         orDefault(l.BodyBytes, DefaultBodyBytes),
-		HeaderTimeout:     orDefault(l.HeaderTimeout, DefaultHeaderTimeout),
-		CallerIdleTimeout: orDefault(l.CallerIdleTimeout, DefaultCallerIdleTimeout),
-		PeerIdleTimeout:   orDefault(l.PeerIdleTimeout, DefaultPeerIdleTimeout),
-		DialTimeout:       orDefault(l.DialTimeout, DefaultDialTimeout),
-		MinIdleConnections:   orDefault(l.MinIdleConnections, DefaultMinIdleConnections),
-		RememberedCalls:   orDefault(l.RememberedCalls, DefaultRememberedCalls),
+		HeaderBytes:        orDefault(l.HeaderBytes, DefaultHeaderBytes),
+		BodyBytes:          orDefault(l.BodyBytes, DefaultBodyBytes),
+		HeaderTimeout:      orDefault(l.HeaderTimeout, DefaultHeaderTimeout),
+		CallerIdleTimeout:  orDefault(l.CallerIdleTimeout, DefaultCallerIdleTimeout),
+		PeerIdleTimeout:    orDefault(l.PeerIdleTimeout, DefaultPeerIdleTimeout),
+		DialTimeout:        orDefault(l.DialTimeout, DefaultDialTimeout),
+		MinIdleConnections: orDefault(l.MinIdleConnections, DefaultMinIdleConnections),
+		RememberedCalls:    orDefault(l.RememberedCalls, DefaultRememberedCalls),
 	}
 }
 
