--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -15,16 +15,16 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/health"
 )
 
-// answeredEvery bounds how often an answered request is told to the core.
-const answeredEvery = 100 * time.Millisecond
+// answerReportInterval bounds how often an answered request is told to the core.
+const answerReportInterval = 100 * time.Millisecond
 
 // announcer is the authority on the state of the back end beside the proxy. It
 // polls the back end's health and tells observers of changes.
 type announcer struct {
 	options Options
 	client  *http.Client
-	// lastAnswer is Unix nanoseconds of the last answer told to the core.
-	lastAnswer atomic.Int64
+	// lastReported is Unix nanoseconds of the last answer told to the core.
+	lastReported atomic.Int64
 
 	mutex     sync.Mutex // guards all below
 	core      *health.Core
@@ -60,8 +60,8 @@
 	observer(a.announced)
 }
 
-// change lets the core take something in and announces what follows.
-func (a *announcer) change(apply func(core *health.Core)) {
+// updateCore lets the core take something in and announces what follows.
+func (a *announcer) updateCore(apply func(core *health.Core)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	apply(a.core)
@@ -75,21 +75,21 @@
 	}
 }
 
-func (a *announcer) leave()    { a.change((*health.Core).Leave) }
-func (a *announcer) comeBack() { a.change((*health.Core).Return) }
+func (a *announcer) beginDrain() { a.updateCore((*health.Core).Leave) }
+func (a *announcer) endDrain()   { a.updateCore((*health.Core).Return) }
 
-// answered is on the path of every request, so that it mostly only reads.
-func (a *announcer) answered() {
+// recordAnswer is on the path of every request, so that it mostly only reads.
+func (a *announcer) recordAnswer() {
 	now := time.Now()
-	last := a.lastAnswer.Load()
-	if now.UnixNano()-last < int64(answeredEvery) || !a.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
+	last := a.lastReported.Load()
+	if now.UnixNano()-last < int64(answerReportInterval) || !a.lastReported.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	a.change(func(core *health.Core) { core.Answered(now) })
+	a.updateCore(func(core *health.Core) { core.Answered(now) })
 }
 
-func (a *announcer) unreachable() {
-	a.change(func(core *health.Core) { core.Refused(time.Now()) })
+func (a *announcer) recordUnreachable() {
+	a.updateCore(func(core *health.Core) { core.Refused(time.Now()) })
 }
 
 // run polls until the context ends.
@@ -97,11 +97,11 @@
 	ticker := time.NewTicker(a.options.Backend.HealthInterval)
 	defer ticker.Stop()
 	for {
-		says := a.poll(ctx)
+		statement := a.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		a.change(func(core *health.Core) { core.Polled(time.Now(), says) })
+		a.updateCore(func(core *health.Core) { core.Polled(time.Now(), statement) })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -115,8 +115,8 @@
 	State health.Statement `json:"state"`
 }
 
-// healthBodyLimit bounds what is read of a health reply, in bytes.
-const healthBodyLimit = 4 << 10
+// maxHealthBodyBytes bounds what is read of a health reply, in bytes.
+const maxHealthBodyBytes = 4 << 10
 
 func (a *announcer) poll(ctx context.Context) health.Statement {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.options.Backend.Address+a.options.Backend.HealthPath, nil)
@@ -125,16 +125,16 @@
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
-		return statementOfError(err)
+		return statementFromError(err)
 	}
 	defer response.Body.Close()
 	if a.options.Backend.HealthPath == "" {
 		return health.SaysReady
 	}
-	return statementOfReply(response)
+	return statementFromResponse(response)
 }
 
-func statementOfError(err error) health.Statement {
+func statementFromError(err error) health.Statement {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return health.Unreachable
@@ -142,11 +142,11 @@
 	return health.SaysDown
 }
 
-// statementOfReply believes the body where it names a state that fits the
+// statementFromResponse believes the body where it names a state that fits the
 // status, else the status alone.
-func statementOfReply(response *http.Response) health.Statement {
+func statementFromResponse(response *http.Response) health.Statement {
 	var body healthBody
-	_ = json.NewDecoder(io.LimitReader(response.Body, healthBodyLimit)).Decode(&body)
+	_ = json.NewDecoder(io.LimitReader(response.Body, maxHealthBodyBytes)).Decode(&body)
 	success := response.StatusCode < http.StatusMultipleChoices
 	switch {
 	case body.State == health.SaysDraining:
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -18,9 +18,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// listenTCP serves a handler on loopback and returns its address.
-func listenTCP(b *testing.B, handler http.Handler, configure func(*http.Server)) string {
-	listening, err := net.Listen("tcp", "127.0.0.1:0")
+// serveTCP serves a handler on loopback and returns its address.
+func serveTCP(b *testing.B, handler http.Handler, configure func(*http.Server)) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -28,23 +28,23 @@
 	if configure != nil {
 		configure(server)
 	}
-	go func() { _ = server.Serve(listening) }()
+	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() { _ = server.Close() })
-	return listening.Addr().String()
+	return listener.Addr().String()
 }
 
-// loopback returns the addresses of a back end and of the outbound proxy that
+// startProxies returns the addresses of a back end and of the outbound proxy that
 // leads to it over its inbound proxy.
-func loopback(b *testing.B) (direct, path string) {
-	direct = listenTCP(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func startProxies(b *testing.B) (direct, path string) {
+	direct = serveTCP(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		answerOK(w, r)
 	}), nil)
-	beside := proxy.New(proxy.Options{
+	backendProxy := proxy.New(proxy.Options{
 		Node:    distribution.Node{Name: "beside", Zone: zoneName},
 		Backend: &proxy.Backend{Service: serviceName, Endpoint: "a", Address: direct},
 	})
-	inbound := listenTCP(b, beside.Inbound(), beside.ConfigureServer)
+	inbound := serveTCP(b, backendProxy.Inbound(), backendProxy.ConfigureServer)
 	caller := proxy.New(proxy.Options{Node: distribution.Node{Name: "caller", Zone: zoneName}})
 	snapshot := &projection.Snapshot{
 		Version: 1,
@@ -56,12 +56,12 @@
 		Routes: map[string]*resource.RouteSpec{"r": {Host: hostName, PathPrefix: "/", Service: serviceName, Consumers: []string{"*"}}},
 	}
 	snapshot.Digest = snapshot.ComputeDigest()
-	for _, target := range []*proxy.Proxy{beside, caller} {
+	for _, target := range []*proxy.Proxy{backendProxy, caller} {
 		if err := target.Apply(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
-	return direct, listenTCP(b, caller.Outbound(), caller.ConfigureServer)
+	return direct, serveTCP(b, caller.Outbound(), caller.ConfigureServer)
 }
 
 func newClient(connections int) *http.Client {
@@ -98,27 +98,27 @@
 // BenchmarkForward compares one call at a time, and many at once, to the back
 // end directly and over both proxies.
 func BenchmarkForward(b *testing.B) {
-	direct, path := loopback(b)
+	direct, path := startProxies(b)
 	for _, target := range []struct{ name, address string }{{"direct", direct}, {"path", path}} {
 		b.Run("one/"+target.name, func(b *testing.B) {
 			client := newClient(1)
 			b.ReportAllocs()
-			before := processorTime()
+			before := cpuTime()
 			for b.Loop() {
 				if err := get(client, target.address); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64((processorTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 		b.Run("many/"+target.name, func(b *testing.B) {
 			client := newClient(1000)
 			var failed atomic.Int64
 			b.ReportAllocs()
 			b.SetParallelism(8)
-			before := processorTime()
-			b.RunParallel(func(each *testing.PB) {
-				for each.Next() {
+			before := cpuTime()
+			b.RunParallel(func(pb *testing.PB) {
+				for pb.Next() {
 					if get(client, target.address) != nil {
 						failed.Add(1)
 					}
@@ -128,13 +128,13 @@
 				b.Fatalf("%d calls failed", failed.Load())
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
-			b.ReportMetric(float64((processorTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
+			b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 		})
 	}
 }
 
-// processorTime is what this process, callers and back end included, used.
-func processorTime() time.Duration {
+// cpuTime is what this process, callers and back end included, used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -147,7 +147,7 @@
 // call's time counts from its place in the schedule.
 func BenchmarkAddedLatency(b *testing.B) {
 	const interval = 500 * time.Microsecond
-	direct, path := loopback(b)
+	direct, path := startProxies(b)
 	client := newClient(1000)
 	var samples [2][]time.Duration
 	var mutex sync.Mutex // guards samples
@@ -157,10 +157,10 @@
 		if err := get(client, address); err != nil {
 			b.Error(err)
 		}
-		taken := time.Since(due)
+		elapsed := time.Since(due)
 		mutex.Lock()
 		defer mutex.Unlock()
-		samples[kind] = append(samples[kind], taken)
+		samples[kind] = append(samples[kind], elapsed)
 	}
 	started := time.Now()
 	for index := range b.N {
@@ -172,12 +172,12 @@
 	for kind, name := range []string{"direct", "path"} {
 		slices.Sort(samples[kind])
 		for _, percent := range []int{50, 99} {
-			b.ReportMetric(quantile(samples[kind], percent), fmt.Sprintf("%s-p%d-us", name, percent))
+			b.ReportMetric(percentile(samples[kind], percent), fmt.Sprintf("%s-p%d-us", name, percent))
 		}
 	}
 }
 
-func quantile(sorted []time.Duration, percent int) float64 {
+func percentile(sorted []time.Duration, percent int) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -17,42 +17,42 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// connect spreads the back ends' states to the caller's proxy after a delay.
-func (m *mesh) connect(delay time.Duration) {
-	for _, served := range m.backends {
-		served.proxy.ObserveBackend(func(update endpoint.Update) {
+// forwardStates spreads the back ends' states to the caller's proxy after a delay.
+func (m *mesh) forwardStates(delay time.Duration) {
+	for _, backend := range m.backends {
+		backend.proxy.ObserveBackend(func(update endpoint.Update) {
 			time.AfterFunc(delay, func() { m.caller.UpdateEndpoints([]endpoint.Update{update}) })
 		})
 	}
 }
 
-// TestPlannedStopCutsNothingOff drains one of two back ends under calls, with
+// TestDrainCompletesRequestsInFlight drains one of two back ends under calls, with
 // announcements that take a second to arrive.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, served := range running.backends {
-			go served.proxy.Run(ctx)
+		for _, backend := range testMesh.backends {
+			go backend.proxy.Run(ctx)
 		}
 		defer func() { cancel(); synctest.Wait() }()
-		running.connect(time.Second)
+		testMesh.forwardStates(time.Second)
 		time.Sleep(5 * time.Second)
-		leaving := running.backends[0]
+		draining := testMesh.backends[0]
 		release := make(chan struct{})
-		running.handleAll(holding(release))
+		testMesh.setHandlers(answerAfter(release))
 		var held []<-chan result
 		for index := range 8 {
-			held = append(held, running.start(running.request("POST", fmt.Sprint("held", index))))
+			held = append(held, testMesh.startCall(testMesh.request("POST", fmt.Sprint("held", index))))
 		}
 		synctest.Wait()
-		_, inFlight := leaving.proxy.InFlight()
+		_, inFlight := draining.proxy.InFlight()
 		g.Expect(inFlight).To(Equal(4))
 		drained := make(chan error, 1)
 		drainStart := time.Now()
-		go func() { drained <- leaving.proxy.Drain(ctx) }()
+		go func() { drained <- draining.proxy.Drain(ctx) }()
 		time.Sleep(1800 * time.Millisecond)
 		synctest.Wait()
 		g.Expect(drained).NotTo(Receive())
@@ -62,102 +62,102 @@
 		}
 		g.Expect(<-drained).To(Succeed())
 		g.Expect(time.Since(drainStart)).To(Equal(1800 * time.Millisecond))
-		leaving.stop()
+		draining.stop()
 		for index := range 20 {
 			call := fmt.Sprint("late", index)
-			g.Expect(running.call("POST", call).body).To(Equal("ok"))
-			g.Expect(leaving.ran(call)).To(BeZero())
+			g.Expect(testMesh.call("POST", call).body).To(Equal("ok"))
+			g.Expect(draining.ran(call)).To(BeZero())
 		}
 	})
 }
 
-// TestDrainRacingKeepAlive: a request on a connection that was idle when the
+// TestDrainRacesIdleConnection: a request on a connection that was idle when the
 // drain began is run, or refused as not run and moved on, never lost.
-func TestDrainRacingKeepAlive(t *testing.T) {
+func TestDrainRacesIdleConnection(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Second, 1499 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				g.Expect(running.call("POST", "warm").body).To(Equal("ok"))
-				leaving := running.backends[0]
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				g.Expect(testMesh.call("POST", "warm").body).To(Equal("ok"))
+				draining := testMesh.backends[0]
 				drained := make(chan error, 1)
-				go func() { drained <- leaving.proxy.DrainBackend(t.Context()) }()
+				go func() { drained <- draining.proxy.DrainBackend(t.Context()) }()
 				time.Sleep(after)
 				synctest.Wait()
-				got := running.call("POST", "racing")
+				got := testMesh.call("POST", "racing")
 				if after < proxy.DefaultAnnouncePeriod {
 					g.Expect(got.body).To(Equal("ok"))
 				} else {
 					g.Expect(got.status).To(Equal(503))
 					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-					g.Expect(leaving.ran("racing")).To(BeZero())
+					g.Expect(draining.ran("racing")).To(BeZero())
 				}
 				g.Expect(<-drained).To(Succeed())
-				leaving.proxy.ResumeBackend()
-				g.Expect(running.call("POST", "back").body).To(Equal("ok"))
+				draining.proxy.ResumeBackend()
+				g.Expect(testMesh.call("POST", "back").body).To(Equal("ok"))
 			})
 		})
 	}
 }
 
-// TestBackendThatSaysItIsLeaving: its own word stops new work, first by the
+// TestBackendReportsDraining: its own word stops new work, first by the
 // announcement, then at its proxy for callers that missed it.
-func TestBackendThatSaysItIsLeaving(t *testing.T) {
+func TestBackendReportsDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		var leaving atomic.Bool
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path == "/health" && leaving.Load() {
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		var draining atomic.Bool
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
+			if r.URL.Path == "/health" && draining.Load() {
 				w.WriteHeader(503)
 				_, _ = w.Write([]byte(`{"state":"draining"}`))
 				return
 			}
 			answerOK(w, r)
 		})
-		served := running.backends[0]
+		backend := testMesh.backends[0]
 		var states []endpoint.State
-		served.proxy.ObserveBackend(func(update endpoint.Update) { states = append(states, update.State) })
+		backend.proxy.ObserveBackend(func(update endpoint.Update) { states = append(states, update.State) })
 		ctx, cancel := context.WithCancel(t.Context())
-		go served.proxy.Run(ctx)
+		go backend.proxy.Run(ctx)
 		defer func() { cancel(); synctest.Wait() }()
 		time.Sleep(20 * time.Second)
-		leaving.Store(true)
+		draining.Store(true)
 		time.Sleep(time.Second)
-		g.Expect(running.call("POST", "early").body).To(Equal("ok"))
+		g.Expect(testMesh.call("POST", "early").body).To(Equal("ok"))
 		time.Sleep(time.Second)
-		late := running.call("POST", "late")
+		late := testMesh.call("POST", "late")
 		g.Expect(late.header.Get("Kestrel-Error")).To(HavePrefix("step=drain"))
-		g.Expect(served.ran("late")).To(BeZero())
-		leaving.Store(false)
+		g.Expect(backend.ran("late")).To(BeZero())
+		draining.Store(false)
 		time.Sleep(time.Second)
-		g.Expect(running.call("POST", "back").body).To(Equal("ok"))
+		g.Expect(testMesh.call("POST", "back").body).To(Equal("ok"))
 		g.Expect(states).To(Equal([]endpoint.State{endpoint.Down, endpoint.Warming, endpoint.Ready, endpoint.Draining, endpoint.Warming}))
 	})
 }
 
-// TestHurriedCallersDoNotEjectEndpoints: a caller that allows too little time
+// TestShortDeadlinesDoNotEjectEndpoints: a caller that allows too little time
 // must not take an endpoint away from the others.
-func TestHurriedCallersDoNotEjectEndpoints(t *testing.T) {
+func TestShortDeadlinesDoNotEjectEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
-		slow := running.backends[0]
-		slow.handle(func(w http.ResponseWriter, r *http.Request) {
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
+		slow := testMesh.backends[0]
+		slow.setHandler(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(100 * time.Millisecond)
 			answerOK(w, r)
 		})
 		for index := range 40 {
-			hurried := running.request("POST", fmt.Sprint("hurried", index))
+			hurried := testMesh.request("POST", fmt.Sprint("hurried", index))
 			hurried.Header.Set("Kestrel-Deadline-Ms", "50")
-			running.do(hurried)
+			testMesh.do(hurried)
 		}
 		for index := range 20 {
-			running.call("POST", fmt.Sprint("patient", index))
+			testMesh.call("POST", fmt.Sprint("patient", index))
 		}
 		patient := 0
 		for index := range 20 {
@@ -167,18 +167,18 @@
 	})
 }
 
-func TestForcedStopSaysWhatItCutsOff(t *testing.T) {
+func TestForcedStopReportsRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
-		held := running.start(running.request("POST", "one"))
+		testMesh.setHandlers(answerAfter(release))
+		held := testMesh.startCall(testMesh.request("POST", "one"))
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		err := running.backends[0].proxy.Drain(ctx)
+		err := testMesh.backends[0].proxy.Drain(ctx)
 		var cut *proxy.ForcedStopError
 		g.Expect(err).To(BeAssignableToTypeOf(cut))
 		g.Expect(err.(*proxy.ForcedStopError).Inbound).To(Equal(1))
@@ -187,125 +187,125 @@
 	})
 }
 
-func TestReloadDuringACall(t *testing.T) {
+func TestReloadDuringCall(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*projection.Snapshot)
 		status int
 		step   string
 	}{
-		{"route removed", func(view *projection.Snapshot) { view.Routes = nil }, 404, "match"},
-		{"endpoints removed", func(view *projection.Snapshot) { view.Services[serviceName].Endpoints = nil }, 503, "choose"},
-		{"zone no longer allowed", func(view *projection.Snapshot) { view.Services[serviceName].AllowedZones = []string{"south"} }, 503, "choose"},
+		{"route removed", func(config *projection.Snapshot) { config.Routes = nil }, 404, "match"},
+		{"endpoints removed", func(config *projection.Snapshot) { config.Services[serviceName].Endpoints = nil }, 503, "choose"},
+		{"zone no longer allowed", func(config *projection.Snapshot) { config.Services[serviceName].AllowedZones = []string{"south"} }, 503, "choose"},
 	}
 	for _, reload := range cases {
 		t.Run(reload.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(2, nil)
-				defer running.close()
+				testMesh := newMesh(2, nil)
+				defer testMesh.close()
 				release := make(chan struct{})
-				running.handleAll(holding(release))
-				held := running.start(running.request("POST", "held"))
+				testMesh.setHandlers(answerAfter(release))
+				held := testMesh.startCall(testMesh.request("POST", "held"))
 				synctest.Wait()
-				service := *running.view.Services[serviceName]
-				running.view.Services = map[string]*projection.Service{serviceName: &service}
-				reload.change(&running.view)
-				running.apply()
-				got := running.call("POST", "new")
+				service := *testMesh.config.Services[serviceName]
+				testMesh.config.Services = map[string]*projection.Service{serviceName: &service}
+				reload.change(&testMesh.config)
+				testMesh.apply()
+				got := testMesh.call("POST", "new")
 				g.Expect(got.status).To(Equal(reload.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
 				g.Expect(got.header.Get("Kestrel-Error")).To(HavePrefix("step=" + reload.step))
 				close(release)
 				g.Expect((<-held).body).To(Equal("ok"))
-				g.Expect(running.ran("new")).To(BeZero())
+				g.Expect(testMesh.ran("new")).To(BeZero())
 			})
 		})
 	}
 }
 
-// TestAnEndpointThatStartedAnewIsUsedAtOnce: its predecessor's failures do not
+// TestRestartedEndpointIsUsedAtOnce: its predecessor's failures do not
 // count against it.
-func TestAnEndpointThatStartedAnewIsUsedAtOnce(t *testing.T) {
+func TestRestartedEndpointIsUsedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
-		died := running.backends[0]
-		died.stopInbound()
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
+		restarted := testMesh.backends[0]
+		restarted.stopInbound()
 		for index := range 20 {
-			g.Expect(running.call("POST", fmt.Sprint("without", index)).body).To(Equal("ok"))
+			g.Expect(testMesh.call("POST", fmt.Sprint("without", index)).body).To(Equal("ok"))
 		}
-		defer running.network.serve("a-inbound:80", died.proxy.Inbound())()
+		defer testMesh.network.serve("a-inbound:80", restarted.proxy.Inbound())()
 		reached := func(name string) (runs int) {
 			for index := range 40 {
 				call := fmt.Sprint(name, index)
-				g.Expect(running.call("POST", call).body).To(Equal("ok"))
-				runs += died.ran(call)
+				g.Expect(testMesh.call("POST", call).body).To(Equal("ok"))
+				runs += restarted.ran(call)
 			}
 			return runs
 		}
 		g.Expect(reached("ejected")).To(BeZero())
-		running.caller.UpdateEndpoints([]endpoint.Update{{
+		testMesh.caller.UpdateEndpoints([]endpoint.Update{{
 			ID: endpoint.ID{Service: serviceName, Name: "a"}, Incarnation: 2, Sequence: 1, State: endpoint.Ready, Zone: zoneName,
 		}})
 		g.Expect(reached("anew")).To(BeNumerically(">", 0))
 	})
 }
 
-// TestACallKeepsItsConfiguration: a reload between two attempts of a call does
+// TestCallKeepsItsConfiguration: a reload between two attempts of a call does
 // not mix two versions.
-func TestACallKeepsItsConfiguration(t *testing.T) {
+func TestCallKeepsItsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
-			running.handleAll(answerOK)
-			service := *running.view.Services[serviceName]
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
+			testMesh.setHandlers(answerOK)
+			service := *testMesh.config.Services[serviceName]
 			service.Endpoints = nil
-			running.view.Services = map[string]*projection.Service{serviceName: &service}
-			running.apply()
-			shedMarked(w, r)
+			testMesh.config.Services = map[string]*projection.Service{serviceName: &service}
+			testMesh.apply()
+			shedWithMarker(w, r)
 		})
-		g.Expect(running.call("POST", "one").body).To(Equal("ok"))
-		g.Expect(running.call("POST", "two").header.Get("Kestrel-Error")).To(HavePrefix("step=choose"))
+		g.Expect(testMesh.call("POST", "one").body).To(Equal("ok"))
+		g.Expect(testMesh.call("POST", "two").header.Get("Kestrel-Error")).To(HavePrefix("step=choose"))
 	})
 }
 
-func TestApplyIsAllOrNothing(t *testing.T) {
+func TestApplyIsAtomic(t *testing.T) {
 	g := NewWithT(t)
-	running := proxy.New(proxy.Options{})
+	testMesh := proxy.New(proxy.Options{})
 	valid := func(version uint64) *projection.Snapshot {
 		snapshot := &projection.Snapshot{Version: version, Services: map[string]*projection.Service{"s": {Slots: 1}}}
 		snapshot.Digest = snapshot.ComputeDigest()
 		return snapshot
 	}
-	g.Expect(running.Apply(valid(5))).To(Succeed())
-	open := valid(6)
-	open.Routes = map[string]*resource.RouteSpec{"r": {Service: "unknown"}}
-	open.Digest = open.ComputeDigest()
+	g.Expect(testMesh.Apply(valid(5))).To(Succeed())
+	unresolved := valid(6)
+	unresolved.Routes = map[string]*resource.RouteSpec{"r": {Service: "unknown"}}
+	unresolved.Digest = unresolved.ComputeDigest()
 	forged := valid(6)
 	forged.Digest = "0000000000000000"
-	for _, refused := range []*projection.Snapshot{valid(4), valid(5), open, forged} {
-		g.Expect(running.Apply(refused)).NotTo(Succeed())
-		version, digest := running.Version()
+	for _, refused := range []*projection.Snapshot{valid(4), valid(5), unresolved, forged} {
+		g.Expect(testMesh.Apply(refused)).NotTo(Succeed())
+		version, digest := testMesh.Version()
 		g.Expect(version).To(BeEquivalentTo(5))
 		g.Expect(digest).To(Equal(valid(5).Digest))
 	}
-	g.Expect(running.Apply(valid(6))).To(Succeed())
+	g.Expect(testMesh.Apply(valid(6))).To(Succeed())
 }
 
 func TestAnnouncedEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, func(view *projection.Snapshot) {
-			service := view.Services[serviceName]
+		testMesh := newMesh(2, func(snapshot *projection.Snapshot) {
+			service := snapshot.Services[serviceName]
 			service.Endpoints = nil
 			service.Selector = &resource.EndpointSelector{Labels: map[string]string{"tier": "gold"}}
 		})
-		defer running.close()
-		g.Expect(running.call("POST", "none").header.Get("Kestrel-Error")).To(HavePrefix("step=choose"))
+		defer testMesh.close()
+		g.Expect(testMesh.call("POST", "none").header.Get("Kestrel-Error")).To(HavePrefix("step=choose"))
 		update := endpoint.Update{
 			ID: endpoint.ID{Service: serviceName, Name: "a"}, Incarnation: 1, Sequence: 1, State: endpoint.Ready,
 			Zone: zoneName, Address: "a-inbound:80", Labels: map[string]string{"tier": "gold"},
@@ -326,13 +326,13 @@
 			announced := update
 			announced.Sequence = uint64(index + 1)
 			step.change(&announced)
-			running.caller.UpdateEndpoints([]endpoint.Update{announced, update})
+			testMesh.caller.UpdateEndpoints([]endpoint.Update{announced, update})
 			want := 503
 			if step.usable {
 				want = 200
 			}
-			g.Expect(running.call("POST", step.name).status).To(Equal(want), step.name)
-			g.Expect(running.backends[1].ran(step.name)).To(BeZero())
+			g.Expect(testMesh.call("POST", step.name).status).To(Equal(want), step.name)
+			g.Expect(testMesh.backends[1].ran(step.name)).To(BeZero())
 		}
 	})
 }
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -34,16 +34,16 @@
 
 func (m *mesh) call(method, call string) result { return m.do(m.request(method, call)) }
 
-func (m *mesh) handleAll(handler http.HandlerFunc) {
-	for _, served := range m.backends {
-		served.handle(handler)
+func (m *mesh) setHandlers(handler http.HandlerFunc) {
+	for _, backend := range m.backends {
+		backend.setHandler(handler)
 	}
 }
 
 func (m *mesh) ran(call string) int {
 	total := 0
-	for _, served := range m.backends {
-		total += served.ran(call)
+	for _, backend := range m.backends {
+		total += backend.ran(call)
 	}
 	return total
 }
@@ -78,17 +78,17 @@
 	killConnection(w)
 }
 
-func shedMarked(w http.ResponseWriter, _ *http.Request) {
+func shedWithMarker(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Shed", "1")
 	http.Error(w, "no room", http.StatusServiceUnavailable)
 }
 
-func failUnmarked(w http.ResponseWriter, _ *http.Request) {
+func rejectWithoutMarker(w http.ResponseWriter, _ *http.Request) {
 	http.Error(w, "no room", http.StatusServiceUnavailable)
 }
 
-// TestFaultsOfBackends lets every back end break each call in one way.
-func TestFaultsOfBackends(t *testing.T) {
+// TestBackendFailures lets every back end break each call in one way.
+func TestBackendFailures(t *testing.T) {
 	const aborted = 0
 	cases := []struct {
 		name      string
@@ -107,72 +107,72 @@
 		{name: "killed in a counted body", handler: killInBody, method: "POST", status: aborted, minimum: 1, maximum: 1},
 		{name: "killed in a counted body", handler: killInBody, method: "GET", status: aborted, minimum: 1, maximum: 1},
 		{name: "killed in a chunked body", handler: killInChunks, method: "POST", status: aborted, minimum: 1, maximum: 1},
-		{name: "shed with the marker", handler: shedMarked, method: "POST", status: 503, outcome: "not-run", minimum: 3, maximum: 3},
-		{name: "refused without the marker", handler: failUnmarked, method: "POST", status: 503, outcome: "", minimum: 1, maximum: 1},
+		{name: "shed with the marker", handler: shedWithMarker, method: "POST", status: 503, outcome: "not-run", minimum: 3, maximum: 3},
+		{name: "refused without the marker", handler: rejectWithoutMarker, method: "POST", status: 503, outcome: "", minimum: 1, maximum: 1},
 		{name: "nobody listens", absent: true, method: "POST", status: 503, outcome: "not-run"},
 	}
-	for _, broken := range cases {
-		t.Run(broken.method+" "+broken.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.method+" "+test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(2, nil)
-				defer running.close()
-				if broken.absent {
-					for _, served := range running.backends {
-						served.stop()
+				testMesh := newMesh(2, nil)
+				defer testMesh.close()
+				if test.absent {
+					for _, backend := range testMesh.backends {
+						backend.stop()
 					}
 				} else {
-					running.handleAll(broken.handler)
+					testMesh.setHandlers(test.handler)
 				}
-				got := running.call(broken.method, "one")
-				if broken.status == aborted {
+				got := testMesh.call(test.method, "one")
+				if test.status == aborted {
 					g.Expect(got.err).To(HaveOccurred())
 				} else {
 					g.Expect(got.err).NotTo(HaveOccurred())
-					g.Expect(got.status).To(Equal(broken.status))
-					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(broken.outcome))
+					g.Expect(got.status).To(Equal(test.status))
+					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(test.outcome))
 				}
-				if broken.outcome == "not-run" {
+				if test.outcome == "not-run" {
 					g.Expect(got.header.Get("Retry-After")).To(Equal("1"))
 				}
-				if broken.outcome != "" {
+				if test.outcome != "" {
 					g.Expect(got.header.Get("Kestrel-Error")).To(MatchRegexp(`^step=[a-z]+; peer=\S+$`))
 				}
-				g.Expect(running.ran("one")).To(BeNumerically(">=", broken.minimum))
-				g.Expect(running.ran("one")).To(BeNumerically("<=", broken.maximum))
+				g.Expect(testMesh.ran("one")).To(BeNumerically(">=", test.minimum))
+				g.Expect(testMesh.ran("one")).To(BeNumerically("<=", test.maximum))
 			})
 		})
 	}
 }
 
-func TestNotRunMovesOnToAnotherEndpoint(t *testing.T) {
+func TestNotRunIsRetriedOnAnotherEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
-		running.backends[0].stop()
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
+		testMesh.backends[0].stop()
 		for index := range 20 {
 			call := fmt.Sprint(index)
-			got := running.call("POST", call)
+			got := testMesh.call("POST", call)
 			g.Expect(got.body).To(Equal("ok"))
-			g.Expect(running.ran(call)).To(Equal(1))
+			g.Expect(testMesh.ran(call)).To(Equal(1))
 		}
 	})
 }
 
-// TestLaterRefusalDoesNotHideAnUnknownRun: an attempt that may have run makes
+// TestLaterRefusalKeepsUnknownOutcome: an attempt that may have run makes
 // the call unknown, whatever a later attempt brings.
-func TestLaterRefusalDoesNotHideAnUnknownRun(t *testing.T) {
+func TestLaterRefusalKeepsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		served := running.backends[0]
-		served.handle(func(w http.ResponseWriter, r *http.Request) {
-			served.handle(shedMarked)
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		backend := testMesh.backends[0]
+		backend.setHandler(func(w http.ResponseWriter, r *http.Request) {
+			backend.setHandler(shedWithMarker)
 			killConnection(w)
 		})
-		got := running.call("GET", "one")
+		got := testMesh.call("GET", "one")
 		g.Expect(got.status).To(Equal(503))
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("unknown"))
 		g.Expect(got.header).NotTo(HaveKey("Shed"))
@@ -193,7 +193,7 @@
 	return request
 }
 
-func TestArrivalsAtTheInboundProxy(t *testing.T) {
+func TestInboundRequestChecks(t *testing.T) {
 	set := func(name, value string) func(http.Header) {
 		return func(header http.Header) { header[name] = []string{value} }
 	}
@@ -225,46 +225,46 @@
 		t.Run(arrival.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				g.Expect(running.do(running.inboundRequest("one", arrival.first)).status).To(Equal(200))
-				got := running.do(running.inboundRequest("one", arrival.second))
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				g.Expect(testMesh.do(testMesh.inboundRequest("one", arrival.first)).status).To(Equal(200))
+				got := testMesh.do(testMesh.inboundRequest("one", arrival.second))
 				g.Expect(got.status).To(Equal(arrival.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(arrival.outcome))
-				g.Expect(running.ran("one")).To(Equal(arrival.runs))
+				g.Expect(testMesh.ran("one")).To(Equal(arrival.runs))
 			})
 		})
 	}
 }
 
-// TestRefusedCallMayArriveAgain: a call that was proven not run is forgotten.
-func TestRefusedCallMayArriveAgain(t *testing.T) {
+// TestCallProvenNotRunMayBeRepeated: a call that was proven not run is forgotten.
+func TestCallProvenNotRunMayBeRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		served := running.backends[0]
-		served.handle(shedMarked)
-		g.Expect(running.do(running.inboundRequest("one", nil)).header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-		served.handle(answerOK)
-		g.Expect(running.do(running.inboundRequest("one", nil)).status).To(Equal(200))
-		g.Expect(running.do(running.inboundRequest("one", nil)).status).To(Equal(409))
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		backend := testMesh.backends[0]
+		backend.setHandler(shedWithMarker)
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).header.Get("Kestrel-Outcome")).To(Equal("not-run"))
+		backend.setHandler(answerOK)
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).status).To(Equal(200))
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).status).To(Equal(409))
 	})
 }
 
-// TestRetriesDoNotMultiplyAlongAChain: twelve services call one another, the
+// TestRetriesDoNotMultiplyAcrossHops: twelve services call one another, the
 // last one sheds, and everyone hands the refusal and the attempt marker on.
-func TestRetriesDoNotMultiplyAlongAChain(t *testing.T) {
+func TestRetriesDoNotMultiplyAcrossHops(t *testing.T) {
 	const depth, attempts = 12, 3
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		hops := make([]*mesh, depth)
 		for index := range hops {
-			hops[index] = newMesh(1, func(view *projection.Snapshot) { view.Services[serviceName].Slots = 1000 })
+			hops[index] = newMesh(1, func(snapshot *projection.Snapshot) { snapshot.Services[serviceName].Slots = 1000 })
 			defer hops[index].close()
 		}
 		for index := range depth - 1 {
-			hops[index].handleAll(func(w http.ResponseWriter, r *http.Request) {
+			hops[index].setHandlers(func(w http.ResponseWriter, r *http.Request) {
 				next := hops[index+1].request("GET", "one")
 				next.Header.Set("Kestrel-Attempt", r.Header.Get("Kestrel-Attempt"))
 				got := hops[index+1].do(next)
@@ -275,7 +275,7 @@
 				_, _ = io.WriteString(w, got.body)
 			})
 		}
-		hops[depth-1].handleAll(shedMarked)
+		hops[depth-1].setHandlers(shedWithMarker)
 		started := time.Now()
 		got := hops[0].call("GET", "one")
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
--- a/internal/proxy/features_test.go
+++ b/internal/proxy/features_test.go
@@ -15,12 +15,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStreamsBothWays(t *testing.T) {
+func TestBidirectionalStreaming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).EnableFullDuplex()
 			lines := bufio.NewScanner(r.Body)
 			for lines.Scan() {
@@ -29,10 +29,10 @@
 			}
 		})
 		reader, writer := io.Pipe()
-		request := running.request("POST", "one")
+		request := testMesh.request("POST", "one")
 		request.Body = reader
 		go func() { _, _ = io.WriteString(writer, "first\n") }()
-		response, err := running.client.Do(request)
+		response, err := testMesh.client.Do(request)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
 		lines := bufio.NewScanner(response.Body)
@@ -47,13 +47,13 @@
 	})
 }
 
-func TestTrailersBothWays(t *testing.T) {
+func TestTrailersInBothDirections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
 		var arrived http.Header
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Trailer", "Checksum")
 			body, _ := io.ReadAll(r.Body)
 			arrived = r.Trailer
@@ -62,29 +62,29 @@
 			w.Header().Set(http.TrailerPrefix+"Unannounced", "1")
 			w.Header().Set(http.TrailerPrefix+"Kestrel-Outcome", "not-run")
 		})
-		request := running.request("POST", "one")
+		request := testMesh.request("POST", "one")
 		request.Body = io.NopCloser(strings.NewReader("body"))
 		request.ContentLength = -1
 		request.Trailer = http.Header{"Request-Checksum": {"42"}, "Kestrel-Call-Id": {"forged"}, "Authorization": {"forged"}}
-		got := running.do(request)
+		got := testMesh.do(request)
 		g.Expect(arrived).To(Equal(http.Header{"Request-Checksum": {"42"}}))
 		g.Expect(got.err).NotTo(HaveOccurred())
 		g.Expect(got.body).To(Equal("body"))
 		g.Expect(got.trailer).To(Equal(http.Header{"Checksum": {"42"}, "Unannounced": {"1"}}))
 		time.Sleep(5 * time.Second)
-		g.Expect(running.call("GET", "next").err).NotTo(HaveOccurred())
-		running.network.mutex.Lock()
-		defer running.network.mutex.Unlock()
-		g.Expect(running.network.dials["outbound:80"]).To(Equal(1), "a streamed request costs its connection")
+		g.Expect(testMesh.call("GET", "next").err).NotTo(HaveOccurred())
+		testMesh.network.mutex.Lock()
+		defer testMesh.network.mutex.Unlock()
+		g.Expect(testMesh.network.dials["outbound:80"]).To(Equal(1), "a streamed request costs its connection")
 	})
 }
 
-func TestInformationalRepliesArePassedOn(t *testing.T) {
+func TestInformationalResponsesAreForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Link", "</style.css>")
 			w.Header().Set("Kestrel-Outcome", "not-run")
 			w.Header().Set("Authorization", r.Header.Get("Authorization"))
@@ -98,8 +98,8 @@
 			early = http.Header(header).Clone()
 			return nil
 		}}
-		request := running.request("GET", "one")
-		got := running.do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
+		request := testMesh.request("GET", "one")
+		got := testMesh.do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 		g.Expect(got.body).To(Equal("ok"))
 		g.Expect(early).To(Equal(http.Header{"Link": {"</style.css>"}}))
 		g.Expect(got.header).NotTo(HaveKey("Link"))
@@ -110,21 +110,21 @@
 	for _, accepts := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			running := newMesh(1, nil)
-			defer running.close()
-			running.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Minute
-			running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+			testMesh := newMesh(1, nil)
+			defer testMesh.close()
+			testMesh.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Minute
+			testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 				if !accepts {
 					http.Error(w, "no", http.StatusExpectationFailed)
 					return
 				}
 				_, _ = io.Copy(w, r.Body)
 			})
-			request := running.request("POST", "one")
+			request := testMesh.request("POST", "one")
 			body := strings.NewReader("body")
 			request.Body, request.ContentLength = io.NopCloser(body), 4
 			request.Header.Set("Expect", "100-continue")
-			got := running.do(request)
+			got := testMesh.do(request)
 			g.Expect(got.err).NotTo(HaveOccurred())
 			if accepts {
 				g.Expect(got.body).To(Equal("body"))
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestRequestsThatAreNotCarried are refused as not run.
-func TestRequestsThatAreNotCarried(t *testing.T) {
+// TestUnsupportedRequestsAreRefused are refused as not run.
+func TestUnsupportedRequestsAreRefused(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*http.Request)
@@ -160,61 +160,61 @@
 		t.Run(refused.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				running.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Minute
-				request := running.request("POST", "one")
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				testMesh.client.Transport.(*http.Transport).ExpectContinueTimeout = time.Minute
+				request := testMesh.request("POST", "one")
 				refused.change(request)
-				got := running.do(request)
+				got := testMesh.do(request)
 				g.Expect(got.status).To(Equal(refused.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-				g.Expect(running.ran("one")).To(BeZero())
+				g.Expect(testMesh.ran("one")).To(BeZero())
 			})
 		})
 	}
 }
 
-// TestEarlyAnswersToStreamedRequests: the back end answers before it has read
+// TestEarlyResponseToStreamedRequest: the back end answers before it has read
 // the body; later calls must not meet the rest of it.
-func TestEarlyAnswersToStreamedRequests(t *testing.T) {
+func TestEarlyResponseToStreamedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).EnableFullDuplex()
 			answerOK(w, r)
 		})
 		for _, length := range []int{1 << 10, 32 << 10, 1 << 20} {
-			request := running.request("POST", "early")
+			request := testMesh.request("POST", "early")
 			request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, length))), -1
-			got := running.do(request)
+			got := testMesh.do(request)
 			g.Expect(got.err).NotTo(HaveOccurred())
 			g.Expect(got.body).To(Equal("ok"))
-			running.handleAll(answerOK)
+			testMesh.setHandlers(answerOK)
 			time.Sleep(3 * time.Second)
-			g.Expect(running.call("POST", "next").body).To(Equal("ok"))
+			g.Expect(testMesh.call("POST", "next").body).To(Equal("ok"))
 		}
 	})
 }
 
-// TestASlowUploadHoldsNoSlot: short bodies are read before a slot is taken.
-func TestASlowUploadHoldsNoSlot(t *testing.T) {
+// TestSlowUploadHoldsNoSlot: short bodies are read before a slot is taken.
+func TestSlowUploadHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, oneSlot(0))
-		defer running.close()
+		testMesh := newMesh(1, withOneSlot(0))
+		defer testMesh.close()
 		reader, writer := io.Pipe()
-		slow := running.request("POST", "slow")
+		slow := testMesh.request("POST", "slow")
 		slow.Body, slow.ContentLength = reader, 4
-		uploading := running.start(slow)
+		uploading := testMesh.startCall(slow)
 		_, _ = io.WriteString(writer, "bo")
 		synctest.Wait()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
-		quick := running.start(running.request("POST", "quick"))
+		testMesh.setHandlers(answerAfter(release))
+		quick := testMesh.startCall(testMesh.request("POST", "quick"))
 		synctest.Wait()
-		connection, err := running.network.dial(t.Context(), "", "outbound:80")
+		connection, err := testMesh.network.dial(t.Context(), "", "outbound:80")
 		g.Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
 		_, _ = io.WriteString(connection, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\nContent-Length: 4\r\n\r\n")
@@ -231,19 +231,19 @@
 	})
 }
 
-// TestACallerThatStopsCannotHoldAnExchange stops sending or reading for ever.
-func TestACallerThatStopsCannotHoldAnExchange(t *testing.T) {
+// TestStalledCallerDoesNotHoldExchange stops sending or reading for ever.
+func TestStalledCallerDoesNotHoldExchange(t *testing.T) {
 	for _, stops := range []string{"sending a short body", "sending a streamed body", "reading"} {
 		t.Run(stops, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					_, _ = io.Copy(io.Discard, r.Body)
 					_, _ = w.Write(make([]byte, 1<<20))
 				})
-				connection, err := running.network.dial(t.Context(), "", "outbound:80")
+				connection, err := testMesh.network.dial(t.Context(), "", "outbound:80")
 				g.Expect(err).NotTo(HaveOccurred())
 				defer connection.Close()
 				head := "POST /start HTTP/1.1\r\nHost: " + hostName + "\r\n"
@@ -264,7 +264,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				synctest.Wait()
-				for _, target := range running.proxies() {
+				for _, target := range testMesh.proxies() {
 					outbound, inbound := target.InFlight()
 					g.Expect(outbound + inbound).To(BeZero())
 				}
--- a/internal/proxy/flood_bench_test.go
+++ b/internal/proxy/flood_bench_test.go
@@ -28,7 +28,7 @@
 // turns, so that load on the machine meets both.
 func BenchmarkFlood(b *testing.B) {
 	snapshot := &projection.Snapshot{Version: 1, Services: map[string]*projection.Service{}, Routes: map[string]*resource.RouteSpec{}}
-	beside := []*proxy.Proxy{
+	backendProxies := []*proxy.Proxy{
 		addService(b, snapshot, "flooded", func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(floodWork)
 			answerOK(w, r)
@@ -37,12 +37,12 @@
 	}
 	snapshot.Digest = snapshot.ComputeDigest()
 	caller := proxy.New(proxy.Options{Node: distribution.Node{Name: "caller", Zone: zoneName}})
-	for _, target := range append(beside, caller) {
+	for _, target := range append(backendProxies, caller) {
 		if err := target.Apply(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
-	outbound := listenTCP(b, caller.Outbound(), caller.ConfigureServer)
+	outbound := serveTCP(b, caller.Outbound(), caller.ConfigureServer)
 	var flooding atomic.Bool
 	stop := flood(outbound, &flooding)
 	defer stop()
@@ -60,23 +60,23 @@
 	}
 	for state, name := range []string{"calm", "flood"} {
 		slices.Sort(samples[state])
-		b.ReportMetric(quantile(samples[state], 50), name+"-p50-us")
-		b.ReportMetric(quantile(samples[state], 99), name+"-p99-us")
+		b.ReportMetric(percentile(samples[state], 50), name+"-p50-us")
+		b.ReportMetric(percentile(samples[state], 99), name+"-p99-us")
 	}
 }
 
 // addService adds a service of one back end and returns the proxy beside it.
 func addService(b *testing.B, snapshot *projection.Snapshot, name string, handler http.HandlerFunc) *proxy.Proxy {
-	beside := proxy.New(proxy.Options{
+	backendProxy := proxy.New(proxy.Options{
 		Node:    distribution.Node{Name: name, Zone: zoneName},
-		Backend: &proxy.Backend{Service: name, Endpoint: name, Address: listenTCP(b, handler, nil)},
+		Backend: &proxy.Backend{Service: name, Endpoint: name, Address: serveTCP(b, handler, nil)},
 	})
 	snapshot.Services[name] = &projection.Service{
 		Slots: floodSlots, Connections: 100, Queue: floodSlots, Deadline: resource.Duration(time.Second), AllowedZones: []string{zoneName},
-		Endpoints: []resource.Endpoint{{Name: name, Zone: zoneName, Address: listenTCP(b, beside.Inbound(), beside.ConfigureServer)}},
+		Endpoints: []resource.Endpoint{{Name: name, Zone: zoneName, Address: serveTCP(b, backendProxy.Inbound(), backendProxy.ConfigureServer)}},
 	}
 	snapshot.Routes[name] = &resource.RouteSpec{Host: name, PathPrefix: "/", Service: name, Consumers: []string{"*"}}
-	return beside
+	return backendProxy
 }
 
 // flood calls the flooded service on an open-loop schedule while asked to.
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// arrivedRequest is what a back end made of one request.
-type arrivedRequest struct {
+// receivedRequest is what a back end made of one request.
+type receivedRequest struct {
 	path, body, secret, callID string
 	length                     int64
 }
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestHostileFraming: whatever a caller writes, a back end gets the requests
+// TestRequestSmuggling: whatever a caller writes, a back end gets the requests
 // that the proxy understood, each with a call id, the secret and a framing of
 // the proxy's own, and never one that hides within another.
-func TestHostileFraming(t *testing.T) {
+func TestRequestSmuggling(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
 		name     string
@@ -67,30 +67,30 @@
 		{"headers of the mesh named as of one hop", "Connection: Kestrel-Service, Kestrel-Call-Id, Kestrel-Deadline-Ms, Authorization, Host, Content-Length\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 		{"a folded marker", "X-Folded: a\r\n Kestrel-Call-Id: forged\r\nKestrel-Call-Id: forged\r\nAuthorization: forged\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 	}
-	for _, hostile := range cases {
-		t.Run(hostile.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				var arrived []arrivedRequest
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				var arrived []receivedRequest
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					body, err := io.ReadAll(r.Body)
 					if err != nil {
 						return
 					}
-					arrived = append(arrived, arrivedRequest{
+					arrived = append(arrived, receivedRequest{
 						path: r.URL.Path, body: string(body), length: r.ContentLength,
 						secret: strings.Join(r.Header["Authorization"], "|"), callID: strings.Join(r.Header["Kestrel-Call-Id"], "|"),
 					})
 					answerOK(w, r)
 				})
-				statuses := running.sendRaw(t, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\n"+hostile.head+"\r\n\r\n"+hostile.body)
-				g.Expect(statuses).To(Equal(hostile.statuses))
-				g.Expect(arrived).To(HaveLen(len(hostile.bodies)))
+				statuses := testMesh.sendRaw(t, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\n"+test.head+"\r\n\r\n"+test.body)
+				g.Expect(statuses).To(Equal(test.statuses))
+				g.Expect(arrived).To(HaveLen(len(test.bodies)))
 				calls := map[string]bool{}
 				for index, request := range arrived {
-					g.Expect(request.body).To(Equal(hostile.bodies[index]))
+					g.Expect(request.body).To(Equal(test.bodies[index]))
 					g.Expect(request.secret).To(Equal("Bearer secret"))
 					g.Expect(request.callID).To(MatchRegexp(`^[0-9a-z]+-[0-9a-z]+$`))
 					calls[request.callID] = true
@@ -101,21 +101,21 @@
 	}
 }
 
-// TestRestOfABrokenBodyIsNoRequest: when the answer came before the body broke
+// TestRestOfMalformedBodyIsNotParsedAsRequest: when the answer came before the body broke
 // off, nothing that follows on the connection is taken for a request.
-func TestRestOfABrokenBodyIsNoRequest(t *testing.T) {
+func TestRestOfMalformedBodyIsNotParsedAsRequest(t *testing.T) {
 	for _, rest := range []string{"10000000000000000\r\n", "zz\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			running := newMesh(1, nil)
-			defer running.close()
+			testMesh := newMesh(1, nil)
+			defer testMesh.close()
 			var paths []string
-			running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+			testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 				paths = append(paths, r.URL.Path)
 				_ = http.NewResponseController(w).EnableFullDuplex()
 				answerOK(w, r)
 			})
-			connection, err := running.network.dial(t.Context(), "memory", "outbound:80")
+			connection, err := testMesh.network.dial(t.Context(), "memory", "outbound:80")
 			g.Expect(err).NotTo(HaveOccurred())
 			defer connection.Close()
 			_, err = io.WriteString(connection, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestRestOfARefusedBodyIsNoRequest: a request that was answered although its
+// TestRestOfRefusedBodyIsNotParsedAsRequest: a request that was answered although its
 // body was still to come may be followed by another one only when that body
 // came whole.
-func TestRestOfARefusedBodyIsNoRequest(t *testing.T) {
+func TestRestOfRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	const next = "GET /next HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
 		name, head, rest string
@@ -157,14 +157,14 @@
 		t.Run(refused.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
 				var paths []string
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					paths = append(paths, r.URL.Path)
 					answerOK(w, r)
 				})
-				connection, err := running.network.dial(t.Context(), "memory", "outbound:80")
+				connection, err := testMesh.network.dial(t.Context(), "memory", "outbound:80")
 				g.Expect(err).NotTo(HaveOccurred())
 				defer connection.Close()
 				begin := "half"
--- a/internal/proxy/http2_test.go
+++ b/internal/proxy/http2_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestCallersOverHTTP2 uses real connections, since TLS and HTTP/2 belong to
+// TestHTTP2Callers uses real connections, since TLS and HTTP/2 belong to
 // the library; it waits for events only.
-func TestCallersOverHTTP2(t *testing.T) {
+func TestHTTP2Callers(t *testing.T) {
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
@@ -28,15 +28,15 @@
 	for _, call := range cases {
 		t.Run(call.name, func(t *testing.T) {
 			g := NewWithT(t)
-			running := newMesh(1, nil)
-			defer running.close()
-			running.handleAll(call.handler)
-			callers := httptest.NewUnstartedServer(running.caller.Outbound())
+			testMesh := newMesh(1, nil)
+			defer testMesh.close()
+			testMesh.setHandlers(call.handler)
+			callers := httptest.NewUnstartedServer(testMesh.caller.Outbound())
 			callers.EnableHTTP2 = true
-			running.caller.ConfigureServer(callers.Config)
+			testMesh.caller.ConfigureServer(callers.Config)
 			callers.StartTLS()
 			defer callers.Close()
-			request := running.request("POST", "one")
+			request := testMesh.request("POST", "one")
 			request.URL.Scheme, request.URL.Host = "https", callers.Listener.Addr().String()
 			response, err := callers.Client().Do(request)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -50,7 +50,7 @@
 			} else {
 				g.Expect(err).To(HaveOccurred())
 			}
-			g.Expect(running.ran("one")).To(Equal(1))
+			g.Expect(testMesh.ran("one")).To(Equal(1))
 		})
 	}
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -16,16 +16,16 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// start makes a call on its own goroutine.
-func (m *mesh) start(request *http.Request) <-chan result {
+// startCall makes a call on its own goroutine.
+func (m *mesh) startCall(request *http.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() { done <- m.do(request) }()
 	return done
 }
 
-// holding returns a handler that answers once release is closed, or ends when
+// answerAfter returns a handler that answers once release is closed, or ends when
 // the request is cancelled.
-func holding(release <-chan struct{}) http.HandlerFunc {
+func answerAfter(release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
@@ -35,97 +35,97 @@
 	}
 }
 
-func oneSlot(queue int) func(*projection.Snapshot) {
-	return func(view *projection.Snapshot) {
-		view.Services[serviceName].Slots = 1
-		view.Services[serviceName].Queue = queue
+func withOneSlot(queue int) func(*projection.Snapshot) {
+	return func(snapshot *projection.Snapshot) {
+		snapshot.Services[serviceName].Slots = 1
+		snapshot.Services[serviceName].Queue = queue
 	}
 }
 
-func TestShedsAtOnceBeyondSlotsAndQueue(t *testing.T) {
+func TestShedsWhenQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, oneSlot(1))
-		defer running.close()
+		testMesh := newMesh(1, withOneSlot(1))
+		defer testMesh.close()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
-		first := running.start(running.request("POST", "first"))
+		testMesh.setHandlers(answerAfter(release))
+		first := testMesh.startCall(testMesh.request("POST", "first"))
 		synctest.Wait()
-		second := running.start(running.request("POST", "second"))
+		second := testMesh.startCall(testMesh.request("POST", "second"))
 		synctest.Wait()
 		started := time.Now()
-		third := running.call("POST", "third")
+		third := testMesh.call("POST", "third")
 		g.Expect(third.status).To(Equal(503))
 		g.Expect(third.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
 		g.Expect(third.header.Get("Retry-After")).To(Equal("1"))
 		g.Expect(time.Since(started)).To(BeZero())
-		g.Expect(running.ran("third")).To(BeZero())
-		g.Expect(running.ran("second")).To(BeZero())
+		g.Expect(testMesh.ran("third")).To(BeZero())
+		g.Expect(testMesh.ran("second")).To(BeZero())
 		close(release)
 		g.Expect((<-first).body).To(Equal("ok"))
 		g.Expect((<-second).body).To(Equal("ok"))
 	})
 }
 
-func TestWorkThatExpiredInTheQueueIsNeverStarted(t *testing.T) {
+func TestRequestExpiredInQueueIsNotStarted(t *testing.T) {
 	for _, side := range []string{"outbound", "inbound"} {
 		t.Run(side, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, oneSlot(1))
-				defer running.close()
+				testMesh := newMesh(1, withOneSlot(1))
+				defer testMesh.close()
 				release := make(chan struct{})
-				running.handleAll(holding(release))
-				queued := running.request("POST", "queued")
-				held := running.request("POST", "held")
+				testMesh.setHandlers(answerAfter(release))
+				queued := testMesh.request("POST", "queued")
+				held := testMesh.request("POST", "held")
 				if side == "inbound" {
-					queued, held = running.inboundRequest("queued", nil), running.inboundRequest("held", nil)
+					queued, held = testMesh.inboundRequest("queued", nil), testMesh.inboundRequest("held", nil)
 					held.Header.Set("Kestrel-Deadline-Ms", "1900")
 				}
 				queued.Header.Set("Kestrel-Deadline-Ms", "500")
-				first := running.start(held)
+				first := testMesh.startCall(held)
 				synctest.Wait()
 				started := time.Now()
-				got := running.do(queued)
+				got := testMesh.do(queued)
 				g.Expect(got.status).To(Equal(504))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
 				g.Expect(got.header.Get("Kestrel-Error")).To(ContainSubstring("step=deadline"))
 				g.Expect(time.Since(started)).To(Equal(500 * time.Millisecond))
 				close(release)
 				g.Expect((<-first).body).To(Equal("ok"))
-				g.Expect(running.ran("queued")).To(BeZero())
+				g.Expect(testMesh.ran("queued")).To(BeZero())
 			})
 		})
 	}
 }
 
-func TestDeadlineAfterTheStartIsUnknown(t *testing.T) {
+func TestDeadlineWhileRunningIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		running.handleAll(holding(nil))
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		testMesh.setHandlers(answerAfter(nil))
 		started := time.Now()
-		got := running.call("POST", "one")
+		got := testMesh.call("POST", "one")
 		g.Expect(got.status).To(Equal(504))
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("unknown"))
 		g.Expect(time.Since(started)).To(Equal(2 * time.Second))
 		synctest.Wait()
-		outbound, inbound := running.caller.InFlight()
+		outbound, inbound := testMesh.caller.InFlight()
 		g.Expect(outbound + inbound).To(BeZero())
 	})
 }
 
-// TestCancelInEachState frees what the call held, at once.
-func TestCancelInEachState(t *testing.T) {
+// TestCancelReleasesResources frees what the call held, at once.
+func TestCancelReleasesResources(t *testing.T) {
 	for _, state := range []string{"running", "queued", "reading the answer"} {
 		t.Run(state, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, oneSlot(1))
-				defer running.close()
+				testMesh := newMesh(1, withOneSlot(1))
+				defer testMesh.close()
 				release, cancelled := make(chan struct{}), make(chan struct{})
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					if r.Header.Get("Test-Call") == "after" {
 						answerOK(w, r)
 						return
@@ -134,28 +134,28 @@
 						_, _ = w.Write([]byte("part"))
 						_ = http.NewResponseController(w).Flush()
 					}
-					holding(release)(w, r)
+					answerAfter(release)(w, r)
 					if r.Context().Err() != nil && r.Header.Get("Test-Call") == "one" {
 						close(cancelled)
 					}
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				given := running.start(running.request("POST", "one").WithContext(ctx))
+				call := testMesh.startCall(testMesh.request("POST", "one").WithContext(ctx))
 				synctest.Wait()
-				after := running.start(running.request("POST", "after"))
+				after := testMesh.startCall(testMesh.request("POST", "after"))
 				synctest.Wait()
 				if state == "queued" {
 					close(release)
-					g.Expect((<-given).body).To(Equal("ok"))
+					g.Expect((<-call).body).To(Equal("ok"))
 				} else {
 					cancel()
 					<-cancelled
-					g.Expect((<-given).err).To(HaveOccurred())
+					g.Expect((<-call).err).To(HaveOccurred())
 				}
 				g.Expect((<-after).body).To(Equal("ok"))
 				synctest.Wait()
-				for _, target := range running.proxies() {
+				for _, target := range testMesh.proxies() {
 					outbound, inbound := target.InFlight()
 					g.Expect(outbound + inbound).To(BeZero())
 				}
@@ -164,56 +164,56 @@
 	}
 }
 
-func TestCancelledInTheQueueIsNeverStarted(t *testing.T) {
+func TestRequestCancelledInQueueIsNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, oneSlot(1))
-		defer running.close()
+		testMesh := newMesh(1, withOneSlot(1))
+		defer testMesh.close()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
-		first := running.start(running.request("POST", "first"))
+		testMesh.setHandlers(answerAfter(release))
+		first := testMesh.startCall(testMesh.request("POST", "first"))
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(t.Context())
-		queued := running.start(running.request("POST", "queued").WithContext(ctx))
+		queued := testMesh.startCall(testMesh.request("POST", "queued").WithContext(ctx))
 		synctest.Wait()
 		cancel()
 		g.Expect((<-queued).err).To(HaveOccurred())
 		synctest.Wait()
-		third := running.start(running.request("POST", "third"))
+		third := testMesh.startCall(testMesh.request("POST", "third"))
 		synctest.Wait()
 		close(release)
 		g.Expect((<-first).body).To(Equal("ok"))
 		g.Expect((<-third).body).To(Equal("ok"))
-		g.Expect(running.ran("queued")).To(BeZero())
+		g.Expect(testMesh.ran("queued")).To(BeZero())
 	})
 }
 
-// TestAFloodedServiceDoesNotStarveAnother floods one service far beyond its
+// TestOverloadedServiceDoesNotStarveAnother floods one service far beyond its
 // slots and calls another one through the same proxies.
-func TestAFloodedServiceDoesNotStarveAnother(t *testing.T) {
+func TestOverloadedServiceDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const other = "tariffs"
-		running := newMesh(1, oneSlot(2))
-		defer running.close()
-		stop := running.network.serve("tariffs-inbound:80", http.HandlerFunc(answerOK))
+		testMesh := newMesh(1, withOneSlot(2))
+		defer testMesh.close()
+		stop := testMesh.network.serve("tariffs-inbound:80", http.HandlerFunc(answerOK))
 		defer stop()
-		quiet := *running.view.Services[serviceName]
+		quiet := *testMesh.config.Services[serviceName]
 		quiet.Endpoints = []resource.Endpoint{{Name: "t", Address: "tariffs-inbound:80", Zone: zoneName}}
-		running.view.Services[other] = &quiet
-		running.view.Routes[other] = &resource.RouteSpec{Host: "tariffs.example", PathPrefix: "/", Service: other, Consumers: []string{"*"}}
-		running.apply()
+		testMesh.config.Services[other] = &quiet
+		testMesh.config.Routes[other] = &resource.RouteSpec{Host: "tariffs.example", PathPrefix: "/", Service: other, Consumers: []string{"*"}}
+		testMesh.apply()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
+		testMesh.setHandlers(answerAfter(release))
 		var flood []<-chan result
 		for index := range 50 {
-			flood = append(flood, running.start(running.request("POST", fmt.Sprint(index))))
+			flood = append(flood, testMesh.startCall(testMesh.request("POST", fmt.Sprint(index))))
 		}
 		synctest.Wait()
 		for range 20 {
-			request := running.request("GET", "quiet")
+			request := testMesh.request("GET", "quiet")
 			request.Host = "tariffs.example"
-			g.Expect(running.do(request).body).To(Equal("ok"))
+			g.Expect(testMesh.do(request).body).To(Equal("ok"))
 		}
 		close(release)
 		answered := 0
@@ -228,8 +228,8 @@
 	})
 }
 
-// TestARefusalKeepsItsConnections: refusing must not cost new connections.
-func TestARefusalKeepsItsConnections(t *testing.T) {
+// TestRefusalReusesConnections: refusing must not cost new connections.
+func TestRefusalReusesConnections(t *testing.T) {
 	withBody := func(request *http.Request) *http.Request {
 		request.Body, request.ContentLength = io.NopCloser(strings.NewReader("body")), 4
 		return request
@@ -247,34 +247,34 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					if r.Header.Get("Test-Call") == "shed" {
-						shedMarked(w, r)
+						shedWithMarker(w, r)
 						return
 					}
 					answerOK(w, r)
 				})
-				g.Expect(running.do(request(running)).err).NotTo(HaveOccurred())
+				g.Expect(testMesh.do(request(testMesh)).err).NotTo(HaveOccurred())
 				if strings.HasPrefix(name, "by the outbound proxy") {
-					running.view.Services[serviceName].Endpoints = nil
-					running.apply()
+					testMesh.config.Services[serviceName].Endpoints = nil
+					testMesh.apply()
 				}
 				synctest.Wait()
-				running.network.mutex.Lock()
-				clear(running.network.dials)
-				running.network.mutex.Unlock()
+				testMesh.network.mutex.Lock()
+				clear(testMesh.network.dials)
+				testMesh.network.mutex.Unlock()
 				for range 10 {
-					got := running.do(request(running))
+					got := testMesh.do(request(testMesh))
 					g.Expect(got.err).NotTo(HaveOccurred())
 					g.Expect(got.header.Get("Kestrel-Outcome")).NotTo(BeEmpty())
 					time.Sleep(3 * time.Second)
 				}
 				synctest.Wait()
-				running.network.mutex.Lock()
-				defer running.network.mutex.Unlock()
-				g.Expect(running.network.dials).To(BeEmpty())
+				testMesh.network.mutex.Lock()
+				defer testMesh.network.mutex.Unlock()
+				g.Expect(testMesh.network.dials).To(BeEmpty())
 			})
 		})
 	}
@@ -283,17 +283,17 @@
 func TestRouteLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, func(view *projection.Snapshot) { view.Routes["sessions"].MaximumInFlight = 1 })
-		defer running.close()
+		testMesh := newMesh(2, func(snapshot *projection.Snapshot) { snapshot.Routes["sessions"].MaximumInFlight = 1 })
+		defer testMesh.close()
 		release := make(chan struct{})
-		running.handleAll(holding(release))
-		first := running.start(running.request("POST", "first"))
+		testMesh.setHandlers(answerAfter(release))
+		first := testMesh.startCall(testMesh.request("POST", "first"))
 		synctest.Wait()
-		got := running.call("POST", "second")
+		got := testMesh.call("POST", "second")
 		g.Expect(got.status).To(Equal(503))
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
 		close(release)
 		g.Expect((<-first).body).To(Equal("ok"))
-		g.Expect(running.call("POST", "third").body).To(Equal("ok"))
+		g.Expect(testMesh.call("POST", "third").body).To(Equal("ok"))
 	})
 }
--- a/internal/proxy/memory_bench_test.go
+++ b/internal/proxy/memory_bench_test.go
@@ -49,18 +49,18 @@
 	return snapshot
 }
 
-// holdAll accepts connections, answers the first request of each once all have
+// acceptAndHold accepts connections, answers the first request of each once all have
 // one, and keeps them open. It uses one goroutine, so that the far ends weigh
 // little in the measurement.
-func holdAll(b *testing.B) (address string) {
-	listening, err := net.Listen("tcp", "127.0.0.1:0")
+func acceptAndHold(b *testing.B) (address string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	held := make([]net.Conn, 0, memoryConnections)
 	answered := make(chan struct{})
 	b.Cleanup(func() {
-		_ = listening.Close()
+		_ = listener.Close()
 		<-answered
 		for _, connection := range held {
 			_ = connection.Close()
@@ -70,7 +70,7 @@
 		defer close(answered)
 		buffer := make([]byte, 1024)
 		for len(held) < memoryConnections {
-			connection, err := listening.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -78,25 +78,25 @@
 			_, _ = connection.Read(buffer)
 		}
 		for _, connection := range held {
-			_, _ = io.WriteString(connection, wholeAnswer)
+			_, _ = io.WriteString(connection, okResponse)
 		}
 	}()
-	return listening.Addr().String()
+	return listener.Addr().String()
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // BenchmarkMemory reports what a process holds that serves 1,000 routes, 1,000
 // endpoints and 2,000 callers, each with a connection to an endpoint. The far
 // ends of all connections are in the same process and count too.
 func BenchmarkMemory(b *testing.B) {
-	address := holdAll(b)
+	address := acceptAndHold(b)
 	caller := proxy.New(proxy.Options{Limits: proxy.Limits{MinIdleConnections: -1}})
 	if err := caller.Apply(largeSnapshot(address)); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(residentMegabytes(b), "MB-configured")
-	outbound := listenTCP(b, caller.Outbound(), caller.ConfigureServer)
+	outbound := serveTCP(b, caller.Outbound(), caller.ConfigureServer)
 	callers := make([]net.Conn, memoryConnections)
 	for index := range callers {
 		connection, err := net.Dial("tcp", outbound)
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -21,12 +21,12 @@
 	listeners map[string]*listener
 	// dials counts the connections opened to each name.
 	dials map[string]int
-	// wrap, when set, replaces the server's side of each new connection.
-	wrap map[string]func(net.Conn) net.Conn
+	// wrapServer, when set, replaces the server's side of each new connection.
+	wrapServer map[string]func(net.Conn) net.Conn
 }
 
 func newNetwork() *network {
-	return &network{listeners: map[string]*listener{}, dials: map[string]int{}, wrap: map[string]func(net.Conn) net.Conn{}}
+	return &network{listeners: map[string]*listener{}, dials: map[string]int{}, wrapServer: map[string]func(net.Conn) net.Conn{}}
 }
 
 // listener is a name on the network.
@@ -71,15 +71,15 @@
 
 func (n *network) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mutex.Lock()
-	target, wrap := n.listeners[address], n.wrap[address]
+	target, wrapServer := n.listeners[address], n.wrapServer[address]
 	n.dials[address]++
 	n.mutex.Unlock()
 	if target == nil {
 		return nil, errRefused
 	}
 	client, server := net.Pipe()
-	if wrap != nil {
-		server = wrap(server)
+	if wrapServer != nil {
+		server = wrapServer(server)
 	}
 	select {
 	case target.pending <- server:
@@ -95,10 +95,10 @@
 func (n *network) serve(name string, handler http.Handler) (stop func()) {
 	server := &http.Server{Handler: handler}
 	done := make(chan struct{})
-	listening := n.listen(name)
+	listener := n.listen(name)
 	go func() {
 		defer close(done)
-		if err := server.Serve(listening); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			panic(err)
 		}
 	}()
@@ -116,7 +116,7 @@
 	backends []*backend
 	stops    []func()
 	version  uint64
-	view     projection.Snapshot
+	config   projection.Snapshot
 }
 
 // backend is a back end, its handler replaceable, and the proxy beside it.
@@ -140,7 +140,7 @@
 	handler(w, r)
 }
 
-func (b *backend) handle(handler http.HandlerFunc) {
+func (b *backend) setHandler(handler http.HandlerFunc) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.handler = handler
@@ -160,10 +160,10 @@
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }
 
-// newMesh returns a running mesh of that many back ends.
+// newMesh starts a mesh with the given number of back ends.
 func newMesh(backends int, adjust func(*projection.Snapshot)) *mesh {
 	created := &mesh{network: newNetwork()}
-	created.view = projection.Snapshot{
+	created.config = projection.Snapshot{
 		Services: map[string]*projection.Service{serviceName: {
 			Slots: 4, Connections: 8, Queue: 2,
 			Deadline:     resource.Duration(2 * time.Second),
@@ -180,7 +180,7 @@
 		created.addBackend(string(rune('a' + index)))
 	}
 	if adjust != nil {
-		adjust(&created.view)
+		adjust(&created.config)
 	}
 	created.caller = proxy.New(proxy.Options{Node: distribution.Node{Name: "caller", Zone: zoneName}, Dial: created.network.dial})
 	created.stops = append(created.stops, created.network.serve("outbound:80", created.caller.Outbound()))
@@ -205,15 +205,15 @@
 	added.stopInbound = m.network.serve(inboundAddress, added.proxy.Inbound())
 	m.stops = append(m.stops, added.stop, added.stopInbound)
 	m.backends = append(m.backends, added)
-	declared := resource.Endpoint{Name: name, Address: inboundAddress, Zone: zoneName}
-	view := m.view.Services[serviceName]
-	view.Endpoints = append(view.Endpoints, declared)
+	endpoint := resource.Endpoint{Name: name, Address: inboundAddress, Zone: zoneName}
+	config := m.config.Services[serviceName]
+	config.Endpoints = append(config.Endpoints, endpoint)
 }
 
-// apply puts the mesh's view in force at the next version everywhere.
+// apply puts the configuration to all proxies under the next version number.
 func (m *mesh) apply() {
 	m.version++
-	snapshot := m.view.AtVersion(m.version)
+	snapshot := m.config.AtVersion(m.version)
 	snapshot.Digest = snapshot.ComputeDigest()
 	for _, target := range m.proxies() {
 		if err := target.Apply(snapshot); err != nil {
@@ -224,8 +224,8 @@
 
 func (m *mesh) proxies() []*proxy.Proxy {
 	all := []*proxy.Proxy{m.caller}
-	for _, served := range m.backends {
-		all = append(all, served.proxy)
+	for _, backend := range m.backends {
+		all = append(all, backend.proxy)
 	}
 	return all
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// answered is the label of calls that the back end answered itself.
-const answered = "answered"
+// answeredLabel is the label of calls that the back end answered.
+const answeredLabel = "answered"
 
 // callBuckets bound call durations, in seconds.
 var callBuckets = []float64{.0005, .001, .002, .004, .008, .016, .032, .064, .128, .256, .512, 1, 2, 4, 8, 16}
@@ -57,39 +57,39 @@
 	return created
 }
 
-// watch adds the gauges that read the proxy itself.
-func (m *metrics) watch(proxy *Proxy) {
+// registerGauges adds the gauges that read the proxy itself.
+func (m *metrics) registerGauges(proxy *Proxy) {
 	if m.registerer == nil {
 		return
 	}
-	m.gauge("kestrel_proxy_outbound_in_flight", "Calls of callers in flight.", func() int {
+	m.registerGauge("kestrel_proxy_outbound_in_flight", "Calls of callers in flight.", func() int {
 		inFlight, _ := proxy.InFlight()
 		return inFlight
 	})
-	m.gauge("kestrel_proxy_applied_version", "Configuration version in force.", func() int {
+	m.registerGauge("kestrel_proxy_applied_version", "Configuration version in force.", func() int {
 		version, _ := proxy.Version()
 		return int(version)
 	})
 	if proxy.inbound == nil {
 		return
 	}
-	m.gauge("kestrel_proxy_inbound_in_flight", "Requests for the back end in flight.", func() int {
+	m.registerGauge("kestrel_proxy_inbound_in_flight", "Requests for the back end in flight.", func() int {
 		_, inFlight := proxy.InFlight()
 		return inFlight
 	})
-	m.gauge("kestrel_proxy_backend_slots_taken", "Slots of the back end taken.", proxy.inbound.InFlight)
-	m.gauge("kestrel_proxy_backend_queue", "Requests waiting for a slot of the back end.", proxy.inbound.Waiting)
-	m.gauge("kestrel_proxy_backend_connections", "Connections to the back end.", proxy.inbound.Connections)
+	m.registerGauge("kestrel_proxy_backend_slots_taken", "Slots of the back end taken.", proxy.inbound.InFlight)
+	m.registerGauge("kestrel_proxy_backend_queue", "Requests waiting for a slot of the back end.", proxy.inbound.Waiting)
+	m.registerGauge("kestrel_proxy_backend_connections", "Connections to the back end.", proxy.inbound.Connections)
 }
 
-func (m *metrics) gauge(name, help string, read func() int) {
+func (m *metrics) registerGauge(name, help string, read func() int) {
 	m.registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
 		func() float64 { return float64(read()) }))
 }
 
 // CallEnded implements outbound.Observer.
-func (m *metrics) CallEnded(service string, status int, said outcome.Outcome, elapsed time.Duration) {
-	m.calls.WithLabelValues(service, statusClass(status), outcomeLabel(said)).Inc()
+func (m *metrics) CallEnded(service string, status int, callOutcome outcome.Outcome, elapsed time.Duration) {
+	m.calls.WithLabelValues(service, statusClass(status), outcomeLabel(callOutcome)).Inc()
 	m.durations.WithLabelValues(service).Observe(elapsed.Seconds())
 }
 
@@ -99,11 +99,11 @@
 // Ejected implements outbound.Observer.
 func (m *metrics) Ejected(id endpoint.ID) { m.ejections.WithLabelValues(id.Service, id.Name).Inc() }
 
-func outcomeLabel(said outcome.Outcome) string {
-	if said == "" {
-		return answered
+func outcomeLabel(callOutcome outcome.Outcome) string {
+	if callOutcome == "" {
+		return answeredLabel
 	}
-	return string(said)
+	return string(callOutcome)
 }
 
 // statusClass is "2xx" and the like; "none" when no status was sent.
@@ -122,12 +122,12 @@
 }
 
 // RequestEnded implements inbound.Observer.
-func (o *inboundObserver) RequestEnded(status int, said outcome.Outcome, _ time.Duration) {
-	o.metrics.requests.WithLabelValues(statusClass(status), outcomeLabel(said)).Inc()
+func (o *inboundObserver) RequestEnded(status int, callOutcome outcome.Outcome, _ time.Duration) {
+	o.metrics.requests.WithLabelValues(statusClass(status), outcomeLabel(callOutcome)).Inc()
 }
 
 // BackendAnswered implements inbound.Observer.
-func (o *inboundObserver) BackendAnswered() { o.announcer.answered() }
+func (o *inboundObserver) BackendAnswered() { o.announcer.recordAnswer() }
 
 // BackendUnreachable implements inbound.Observer.
-func (o *inboundObserver) BackendUnreachable() { o.announcer.unreachable() }
+func (o *inboundObserver) BackendUnreachable() { o.announcer.recordUnreachable() }
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -12,21 +12,21 @@
 func TestCallThroughBothProxies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
 		var seen http.Header
-		for _, served := range running.backends {
-			served.handle(func(w http.ResponseWriter, r *http.Request) {
+		for _, backend := range testMesh.backends {
+			backend.setHandler(func(w http.ResponseWriter, r *http.Request) {
 				seen = r.Header.Clone()
 				w.Header().Set("Kestrel-Outcome", "not-run")
 				w.Header().Set("Authorization", "Bearer secret")
 				answerOK(w, r)
 			})
 		}
-		request := running.request(http.MethodPost, "one")
+		request := testMesh.request(http.MethodPost, "one")
 		request.Header.Set("Authorization", "Bearer forged")
 		request.Header.Set("Kestrel-Call-Id", "forged")
-		response, err := running.client.Do(request)
+		response, err := testMesh.client.Do(request)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -53,7 +53,7 @@
 	if options.Backend != nil {
 		created.addBackend(metrics)
 	}
-	metrics.watch(created)
+	metrics.registerGauges(created)
 	return created
 }
 
@@ -72,7 +72,7 @@
 		Logger:           p.options.Logger.Named("inbound"),
 		Observer:         &inboundObserver{metrics: metrics, announcer: p.announcer},
 	})
-	p.announcer.observe(p.followState)
+	p.announcer.observe(p.followBackendState)
 }
 
 // StaleVersionError says that a snapshot is not newer than the one in force.
@@ -91,8 +91,8 @@
 func (p *Proxy) Apply(snapshot *projection.Snapshot) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if held, _ := p.Version(); snapshot.Version <= held {
-		return trace.Wrap(&StaleVersionError{Current: held, Offered: snapshot.Version}, "apply snapshot")
+	if current, _ := p.Version(); snapshot.Version <= current {
+		return trace.Wrap(&StaleVersionError{Current: current, Offered: snapshot.Version}, "apply snapshot")
 	}
 	if err := snapshot.Verify(); err != nil {
 		return trace.Wrap(err, "apply snapshot: check digest")
@@ -111,8 +111,8 @@
 // Version returns the version and digest in force, zero and empty before the
 // first Apply.
 func (p *Proxy) Version() (version uint64, digest string) {
-	if held := p.applied.Load(); held != nil {
-		return held.Version, held.Digest
+	if current := p.applied.Load(); current != nil {
+		return current.Version, current.Digest
 	}
 	return 0, ""
 }
@@ -152,12 +152,12 @@
 // watches the back end's health and closes idle connections.
 func (p *Proxy) Run(ctx context.Context) {
 	if p.announcer != nil {
-		watching := make(chan struct{})
+		announcerDone := make(chan struct{})
 		go func() {
-			defer close(watching)
+			defer close(announcerDone)
 			p.announcer.run(ctx)
 		}()
-		defer func() { <-watching }()
+		defer func() { <-announcerDone }()
 	}
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -35,7 +35,7 @@
 	group.Go(func() error { return p.outboundGate.Wait(ctx) })
 	group.Go(func() error { return p.DrainBackend(ctx) })
 	if err := group.Wait(); err != nil {
-		return p.cutOff()
+		return p.forcedStopError()
 	}
 	p.outbound.Close()
 	if p.inbound != nil {
@@ -50,10 +50,10 @@
 	if p.inbound == nil {
 		return nil
 	}
-	p.announcer.leave()
+	p.announcer.beginDrain()
 	p.inboundGate.Begin(p.options.AnnouncePeriod)
 	if err := p.inboundGate.Wait(ctx); err != nil {
-		return p.cutOff()
+		return p.forcedStopError()
 	}
 	return nil
 }
@@ -61,14 +61,14 @@
 // ResumeBackend takes work for the back end again after DrainBackend.
 func (p *Proxy) ResumeBackend() {
 	if p.inbound != nil {
-		p.announcer.comeBack()
+		p.announcer.endDrain()
 	}
 }
 
-// followState lets the inbound side refuse new work once a back end that says
+// followBackendState lets the inbound side refuse new work once a back end that says
 // it is leaving must have been heard by every caller, and take it again when
 // the back end says so no longer.
-func (p *Proxy) followState(update endpoint.Update) {
+func (p *Proxy) followBackendState(update endpoint.Update) {
 	if update.State == endpoint.Draining {
 		p.inboundGate.Begin(p.options.AnnouncePeriod)
 	} else {
@@ -76,12 +76,12 @@
 	}
 }
 
-func (p *Proxy) cutOff() error {
-	cut := &ForcedStopError{Outbound: p.outboundGate.InFlight()}
+func (p *Proxy) forcedStopError() error {
+	stopped := &ForcedStopError{Outbound: p.outboundGate.InFlight()}
 	if p.inboundGate != nil {
-		cut.Inbound = p.inboundGate.InFlight()
+		stopped.Inbound = p.inboundGate.InFlight()
 	}
-	return cut
+	return stopped
 }
 
 // InFlight returns how many requests each side has in flight.
