--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -15,18 +15,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/health"
 )
 
-// answerReportInterval bounds how often an answered request is told to the core.
+// answerReportInterval is the minimum time between two answered requests that
+// are reported to the health core.
 const answerReportInterval = 100 * time.Millisecond
 
-// announcer is the authority on the state of the back end beside the proxy. It
-// polls the back end's health and tells observers of changes.
+// announcer determines the state of the local back end. It polls the back end's
+// health endpoint and notifies observers of state changes.
 type announcer struct {
 	options Options
 	client  *http.Client
-	// lastReported is Unix nanoseconds of the last answer told to the core.
+	// lastReported is the time of the last answer reported to the core, in Unix
+	// nanoseconds.
 	lastReported atomic.Int64
 
-	mutex     sync.Mutex // guards all below
+	mutex     sync.Mutex // guards the fields below
 	core      *health.Core
 	announced endpoint.Update
 	observers []func(endpoint.Update)
@@ -51,8 +53,8 @@
 	return created
 }
 
-// observe adds an observer and tells it the present state. Observers are
-// called one change after the other and must not block.
+// observe registers an observer and calls it with the current state. Observers
+// are called for one change at a time and must not block.
 func (a *announcer) observe(observer func(endpoint.Update)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -60,7 +62,8 @@
 	observer(a.announced)
 }
 
-// updateCore lets the core take something in and announces what follows.
+// updateCore applies a change to the core and notifies the observers if the
+// state has changed.
 func (a *announcer) updateCore(apply func(core *health.Core)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -78,7 +81,8 @@
 func (a *announcer) beginDrain() { a.updateCore((*health.Core).Leave) }
 func (a *announcer) endDrain()   { a.updateCore((*health.Core).Return) }
 
-// recordAnswer is on the path of every request, so that it mostly only reads.
+// recordAnswer is called for every request. To keep it cheap, most calls only
+// read one atomic and return.
 func (a *announcer) recordAnswer() {
 	now := time.Now()
 	last := a.lastReported.Load()
@@ -92,7 +96,7 @@
 	a.updateCore(func(core *health.Core) { core.Refused(time.Now()) })
 }
 
-// run polls until the context ends.
+// run polls the back end's health until the context ends.
 func (a *announcer) run(ctx context.Context) {
 	ticker := time.NewTicker(a.options.Backend.HealthInterval)
 	defer ticker.Stop()
@@ -110,12 +114,12 @@
 	}
 }
 
-// healthBody is the part of a health reply that is understood.
+// healthBody holds the fields of a health response that are evaluated.
 type healthBody struct {
 	State health.Statement `json:"state"`
 }
 
-// maxHealthBodyBytes bounds what is read of a health reply, in bytes.
+// maxHealthBodyBytes limits how much of a health response's body is read.
 const maxHealthBodyBytes = 4 << 10
 
 func (a *announcer) poll(ctx context.Context) health.Statement {
@@ -142,8 +146,9 @@
 	return health.SaysDown
 }
 
-// statementFromResponse believes the body where it names a state that fits the
-// status, else the status alone.
+// statementFromResponse uses the state in the body if it is consistent with the
+// status code, and otherwise the status code alone. A draining state is accepted
+// with any status code.
 func statementFromResponse(response *http.Response) health.Statement {
 	var body healthBody
 	_ = json.NewDecoder(io.LimitReader(response.Body, maxHealthBodyBytes)).Decode(&body)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -10,13 +10,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// answeredLabel is the label of calls that the back end answered.
+// answeredLabel is the outcome label of calls that the back end answered.
 const answeredLabel = "answered"
 
-// callBuckets bound call durations, in seconds.
+// callBuckets are the histogram buckets of call durations, in seconds.
 var callBuckets = []float64{.0005, .001, .002, .004, .008, .016, .032, .064, .128, .256, .512, 1, 2, 4, 8, 16}
 
-// metrics counts what the data path does. It implements outbound.Observer.
+// metrics records the calls, retries and ejections of the data path. It
+// implements outbound.Observer.
 type metrics struct {
 	registerer prometheus.Registerer
 	calls      *prometheus.CounterVec
@@ -57,7 +58,7 @@
 	return created
 }
 
-// registerGauges adds the gauges that read the proxy itself.
+// registerGauges registers the gauges that read their values from the proxy.
 func (m *metrics) registerGauges(proxy *Proxy) {
 	if m.registerer == nil {
 		return
@@ -106,7 +107,8 @@
 	return string(callOutcome)
 }
 
-// statusClass is "2xx" and the like; "none" when no status was sent.
+// statusClass returns the class of an HTTP status, such as "2xx", or "none" if
+// no status was sent.
 func statusClass(status int) string {
 	if status == 0 {
 		return "none"
@@ -114,8 +116,8 @@
 	return strconv.Itoa(status/100) + "xx"
 }
 
-// inboundObserver tells both the metrics and the announcer. It implements
-// inbound.Observer.
+// inboundObserver forwards the events of the inbound side to the metrics and the
+// announcer. It implements inbound.Observer.
 type inboundObserver struct {
 	metrics   *metrics
 	announcer *announcer
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -11,61 +11,69 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/forward"
 )
 
-// Options configure a proxy. Zero durations and numbers take the defaults.
+// Options configures a Proxy. Zero durations and numbers are replaced by their
+// defaults.
 type Options struct {
 	Node distribution.Node
-	// Backend is the back end beside the proxy; nil when there is none.
+	// Backend is the local back end; nil if there is none.
 	Backend *Backend
 	Limits  Limits
-	// AnnouncePeriod is how long a draining proxy goes on taking work, so that
-	// callers learn of the drain first.
+	// AnnouncePeriod is how long a draining proxy still accepts requests, so that
+	// callers learn of the drain before requests are refused.
 	AnnouncePeriod time.Duration
 	Logger         *zap.Logger
-	// Metrics receives the proxy's metrics; nil registers none.
+	// Metrics is where the proxy registers its metrics; nil registers none.
 	Metrics prometheus.Registerer
-	// Dial opens connections to endpoints and to the back end; nil means TCP.
+	// Dial opens connections to endpoints and to the back end; nil means plain
+	// TCP.
 	Dial forward.Dialer
-	// PeerDial returns the dialer of connections to the inbound proxy of one
-	// endpoint, which is to be in the zone; nil means Dial.
+	// PeerDial returns the dialer of connections to the inbound proxy of an
+	// endpoint that is expected to be in the given zone; nil means Dial.
 	PeerDial func(id endpoint.ID, zone string) forward.Dialer
 }
 
-// Backend describes the back end beside the proxy.
+// Backend describes the local back end.
 type Backend struct {
 	Service  string
 	Endpoint string
-	// Address is the back end's own listener, host:port.
+	// Address is the back end's listening address, host:port.
 	Address string
-	// InboundAddress is the proxy's inbound listener as callers reach it.
+	// InboundAddress is the address at which callers' proxies reach the inbound
+	// listener.
 	InboundAddress string
-	// HealthPath is polled; empty means that only connections are tried.
+	// HealthPath is the path that health polls request; if it is empty, any HTTP
+	// response counts as ready.
 	HealthPath     string
 	HealthInterval time.Duration
 	Labels         map[string]string
 }
 
-// Limits bound what one request or peer may cost.
+// Limits bounds the resources that a single request or peer may use.
 type Limits struct {
-	// HeaderBytes bounds the headers of a request and of a reply.
+	// HeaderBytes is the maximum size of the headers of a request or a response.
 	HeaderBytes int
-	// BodyBytes bounds the body of a request.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64
-	// HeaderTimeout bounds the reading of a request's headers.
+	// HeaderTimeout is the time allowed for reading the headers of a request.
 	HeaderTimeout time.Duration
-	// CallerIdleTimeout closes callers' connections unused for so long. It is
-	// longer than PeerIdleTimeout, so that proxies close their own side first.
+	// CallerIdleTimeout is how long a connection from a caller or another proxy
+	// may stay idle before it is closed. It must be longer than PeerIdleTimeout,
+	// so that the proxy that opened a connection closes it first.
 	CallerIdleTimeout time.Duration
-	// PeerIdleTimeout closes connections to peers unused for so long.
+	// PeerIdleTimeout is how long a connection to a peer may stay idle before it
+	// is closed.
 	PeerIdleTimeout time.Duration
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the time allowed for opening a connection.
 	DialTimeout time.Duration
-	// MinIdleConnections is how many idle connections are kept per peer.
+	// MinIdleConnections is how many idle connections per peer are opened ahead
+	// of need; a negative number opens none.
 	MinIdleConnections int
-	// RememberedCalls is how many call ids the inbound side remembers.
+	// RememberedCalls is how many call IDs the inbound side keeps to detect
+	// duplicate requests.
 	RememberedCalls int
 }
 
-// Defaults of Options and Limits.
+// Default values of Options, Backend and Limits.
 const (
 	DefaultAnnouncePeriod     = 1500 * time.Millisecond
 	DefaultHealthInterval     = 500 * time.Millisecond
@@ -101,7 +109,7 @@
 	return o
 }
 
-// peerDial returns the dialer of connections to inbound proxies.
+// peerDial returns PeerDial, or a function that returns Dial for every endpoint.
 func (o Options) peerDial() func(endpoint.ID, string) forward.Dialer {
 	if o.PeerDial != nil {
 		return o.PeerDial
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,7 @@
-// Package proxy assembles the data path of one machine: the outbound side for
-// callers, the inbound side beside a back end, and what both share: the
-// configuration in force, the back end's state and the drain.
+// Package proxy assembles the data path of one machine: the outbound side, which
+// serves local callers, the inbound side, which serves other proxies in front of
+// the local back end, and the state that both share: the current configuration,
+// the state of the back end and the progress of a drain.
 package proxy
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outbound"
 )
 
-// sweepInterval is the time between two looks at idle connections.
+// sweepInterval is how often stale idle connections are closed.
 const sweepInterval = 5 * time.Second
 
 // Proxy is the data path of one machine. It is safe for concurrent use.
@@ -28,7 +29,7 @@
 	options      Options
 	outbound     *outbound.Handler
 	outboundGate *drain.Gate
-	// inbound and inboundGate are nil without a back end.
+	// inbound, inboundGate and announcer are nil without a back end.
 	inbound     *inbound.Handler
 	inboundGate *drain.Gate
 	announcer   *announcer
@@ -37,7 +38,7 @@
 	mutex sync.Mutex // serializes Apply
 }
 
-// New returns a proxy that serves nobody before the first Apply.
+// New returns a proxy that refuses all requests until the first Apply.
 func New(options Options) *Proxy {
 	options = options.withDefaults()
 	metrics := newMetrics(options.Metrics)
@@ -75,19 +76,20 @@
 	p.announcer.observe(p.followBackendState)
 }
 
-// StaleVersionError says that a snapshot is not newer than the one in force.
+// StaleVersionError reports that an offered snapshot is not newer than the
+// current one.
 type StaleVersionError struct {
 	Current, Offered uint64
 }
 
-// Error names both versions.
+// Error implements the error interface.
 func (e *StaleVersionError) Error() string {
 	return fmt.Sprintf("version %d is not above version %d, which is in force", e.Offered, e.Current)
 }
 
-// Apply checks and compiles the whole snapshot and puts it in force at once.
-// On an error the one before stays in force, whole. Requests that run keep the
-// configuration they began with.
+// Apply verifies the snapshot and makes it the current configuration. If it
+// returns an error, the previous configuration stays in use unchanged. Requests
+// in flight keep the configuration they started with.
 func (p *Proxy) Apply(snapshot *projection.Snapshot) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// Version returns the version and digest in force, zero and empty before the
-// first Apply.
+// Version returns the version and digest of the current configuration. They are
+// zero and empty before the first Apply.
 func (p *Proxy) Version() (version uint64, digest string) {
 	if current := p.applied.Load(); current != nil {
 		return current.Version, current.Digest
@@ -117,22 +119,22 @@
 	return 0, ""
 }
 
-// Snapshot returns the snapshot in force, or nil. It must not be changed and
-// holds secrets.
+// Snapshot returns the current snapshot, or nil before the first Apply. It
+// contains secrets and must not be modified.
 func (p *Proxy) Snapshot() *projection.Snapshot { return p.applied.Load() }
 
-// UpdateEndpoints takes in newer states of endpoints.
+// UpdateEndpoints applies state updates of endpoints.
 func (p *Proxy) UpdateEndpoints(updates []endpoint.Update) { p.outbound.UpdateEndpoints(updates) }
 
-// RenewConnections has connections to other proxies opened anew before their
-// next exchange, as after a change of this proxy's certificate.
+// RenewConnections replaces every connection to another proxy before its next
+// exchange, as needed after this proxy's certificate has changed.
 func (p *Proxy) RenewConnections() { p.outbound.RenewConnections() }
 
-// Outbound returns the handler of the callers' listener.
+// Outbound returns the handler of the listener for local callers.
 func (p *Proxy) Outbound() http.Handler { return p.outbound }
 
-// Inbound returns the handler of the listener for other proxies. Without a
-// back end it refuses everything.
+// Inbound returns the handler of the listener for other proxies. Without a back
+// end it refuses all requests.
 func (p *Proxy) Inbound() http.Handler {
 	if p.inbound == nil {
 		return http.HandlerFunc(refuseWithoutBackend)
@@ -140,16 +142,16 @@
 	return p.inbound
 }
 
-// ObserveBackend calls the function with the state of the back end now and at each
-// change. Without a back end it never does.
+// ObserveBackend calls observer with the current state of the back end and again
+// after each change. Without a back end, observer is never called.
 func (p *Proxy) ObserveBackend(observer func(endpoint.Update)) {
 	if p.announcer != nil {
 		p.announcer.observe(observer)
 	}
 }
 
-// Run does the proxy's work in the background until the context ends: it
-// watches the back end's health and closes idle connections.
+// Run polls the back end's health and closes stale idle connections until the
+// context ends.
 func (p *Proxy) Run(ctx context.Context) {
 	if p.announcer != nil {
 		announcerDone := make(chan struct{})
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -13,22 +13,22 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// ForcedStopError says what a forced stop cuts off.
+// ForcedStopError reports that a drain ended while requests were in flight.
 type ForcedStopError struct {
-	// Outbound and Inbound count the requests still in flight.
+	// Outbound and Inbound are the numbers of requests still in flight.
 	Outbound, Inbound int
 }
 
-// Error names the counts.
+// Error implements the error interface.
 func (e *ForcedStopError) Error() string {
 	return fmt.Sprintf("stop forced with %d outbound and %d inbound requests in flight", e.Outbound, e.Inbound)
 }
 
-// Drain brings the whole proxy to its planned stop: the back end beside it is
-// announced as draining, new work is still taken until the announcement must
-// have arrived, then refused as not run, and Drain returns when nothing is in
-// flight. When the context ends first it returns a CutOffError. The listeners
-// are to be closed only after that.
+// Drain prepares the proxy for shutdown. It announces the local back end as
+// draining, accepts new requests for the announce period, in which callers learn
+// of the drain, then refuses them as not run and returns once no request is in
+// flight. If the context ends first, it returns a ForcedStopError. Close the
+// listeners only after Drain has returned.
 func (p *Proxy) Drain(ctx context.Context) error {
 	var group errgroup.Group
 	p.outboundGate.Begin(p.options.AnnouncePeriod)
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// DrainBackend drains only the back end beside the proxy, before the back end
-// is stopped: callers of this machine are still served.
+// DrainBackend drains only the local back end, for use before the back end is
+// stopped. Local callers are still served.
 func (p *Proxy) DrainBackend(ctx context.Context) error {
 	if p.inbound == nil {
 		return nil
@@ -58,16 +58,16 @@
 	return nil
 }
 
-// ResumeBackend takes work for the back end again after DrainBackend.
+// ResumeBackend accepts requests for the back end again after DrainBackend.
 func (p *Proxy) ResumeBackend() {
 	if p.inbound != nil {
 		p.announcer.endDrain()
 	}
 }
 
-// followBackendState lets the inbound side refuse new work once a back end that says
-// it is leaving must have been heard by every caller, and take it again when
-// the back end says so no longer.
+// followBackendState starts a drain of the inbound side when the back end is
+// draining, so that new requests are refused after the announce period, and
+// accepts requests again when the back end is in any other state.
 func (p *Proxy) followBackendState(update endpoint.Update) {
 	if update.State == endpoint.Draining {
 		p.inboundGate.Begin(p.options.AnnouncePeriod)
@@ -84,7 +84,7 @@
 	return stopped
 }
 
-// InFlight returns how many requests each side has in flight.
+// InFlight returns the number of requests in flight on each side.
 func (p *Proxy) InFlight() (outbound, inbound int) {
 	outbound = p.outboundGate.InFlight()
 	if p.inboundGate != nil {
@@ -93,10 +93,12 @@
 	return outbound, inbound
 }
 
-// Draining reports whether the proxy as a whole is leaving.
+// Draining reports whether the whole proxy is draining, rather than only its
+// back end.
 func (p *Proxy) Draining() bool { return p.outboundGate.Phase() != drain.Serving }
 
-// ConfigureServer sets the limits that protect a listener of the proxy.
+// ConfigureServer sets the timeouts and the header size limit of a server that
+// listens for the proxy.
 func (p *Proxy) ConfigureServer(server *http.Server) {
 	limits := p.options.Limits
 	server.ReadHeaderTimeout = limits.HeaderTimeout
