--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// serveTCP serves a handler on loopback and returns its address.
+// serveTCP serves a handler on a loopback port and returns its address.
 func serveTCP(b *testing.B, handler http.Handler, configure func(*http.Server)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 	return listener.Addr().String()
 }
 
-// startProxies returns the addresses of a back end and of the outbound proxy that
-// leads to it over its inbound proxy.
+// startProxies starts a back end, its inbound proxy and a caller's outbound proxy.
+// It returns the address of the back end and that of the outbound proxy.
 func startProxies(b *testing.B) (direct, path string) {
 	direct = serveTCP(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -95,8 +95,8 @@
 
 func (e *statusError) Error() string { return http.StatusText(e.status) }
 
-// BenchmarkForward compares one call at a time, and many at once, to the back
-// end directly and over both proxies.
+// BenchmarkForward compares calls sent directly to the back end with calls sent
+// through both proxies, sequentially and concurrently.
 func BenchmarkForward(b *testing.B) {
 	direct, path := startProxies(b)
 	for _, target := range []struct{ name, address string }{{"direct", direct}, {"path", path}} {
@@ -133,7 +133,8 @@
 	}
 }
 
-// cpuTime is what this process, callers and back end included, used.
+// cpuTime returns the CPU time used by this process, which includes the callers
+// and the back end.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -143,8 +144,8 @@
 }
 
 // BenchmarkAddedLatency sends 2,000 calls a second on an open-loop schedule,
-// by turns directly and over the path, and reports what the path adds. A
-// call's time counts from its place in the schedule.
+// alternating between the back end and the proxies, and reports the latency
+// percentiles of both. Latency is measured from the scheduled send time.
 func BenchmarkAddedLatency(b *testing.B) {
 	const interval = 500 * time.Microsecond
 	direct, path := startProxies(b)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -17,7 +17,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// forwardStates spreads the back ends' states to the caller's proxy after a delay.
+// forwardStates sends the state changes of all back ends to the caller's proxy
+// after a delay.
 func (m *mesh) forwardStates(delay time.Duration) {
 	for _, backend := range m.backends {
 		backend.proxy.ObserveBackend(func(update endpoint.Update) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// TestDrainCompletesRequestsInFlight drains one of two back ends under calls, with
-// announcements that take a second to arrive.
+// TestDrainCompletesRequestsInFlight drains one of two back ends while it serves
+// requests. State changes take a second to arrive at the caller's proxy.
 func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -71,8 +72,9 @@
 	})
 }
 
-// TestDrainRacesIdleConnection: a request on a connection that was idle when the
-// drain began is run, or refused as not run and moved on, never lost.
+// TestDrainRacesIdleConnection sends a request on a connection that was idle when
+// the drain began. Before the end of the announce period it must be run; after it,
+// refused as not run.
 func TestDrainRacesIdleConnection(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Second, 1499 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -102,8 +104,10 @@
 	}
 }
 
-// TestBackendReportsDraining: its own word stops new work, first by the
-// announcement, then at its proxy for callers that missed it.
+// TestBackendReportsDraining checks that a back end whose health response says it
+// is draining gets no new requests once the announce period is over, even from a
+// caller's proxy that did not receive the state change, and gets requests again
+// once it no longer says so.
 func TestBackendReportsDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -139,8 +143,8 @@
 	})
 }
 
-// TestShortDeadlinesDoNotEjectEndpoints: a caller that allows too little time
-// must not take an endpoint away from the others.
+// TestShortDeadlinesDoNotEjectEndpoints checks that timeouts of calls with a too
+// short deadline do not eject an endpoint for other callers.
 func TestShortDeadlinesDoNotEjectEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -224,8 +228,8 @@
 	}
 }
 
-// TestRestartedEndpointIsUsedAtOnce: its predecessor's failures do not
-// count against it.
+// TestRestartedEndpointIsUsedAtOnce checks that a new incarnation of an ejected
+// endpoint is used at once: failures of the earlier incarnation do not count.
 func TestRestartedEndpointIsUsedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -253,8 +257,8 @@
 	})
 }
 
-// TestCallKeepsItsConfiguration: a reload between two attempts of a call does
-// not mix two versions.
+// TestCallKeepsItsConfiguration reloads the configuration between two attempts of
+// a call. Both attempts must use the version that the call started with.
 func TestCallKeepsItsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/projection"
 )
 
-// result is what a caller got.
+// result is the response or error that a caller received.
 type result struct {
 	status  int
 	header  http.Header
@@ -48,7 +48,7 @@
 	return total
 }
 
-// killConnection breaks the exchange off without a further byte.
+// killConnection closes the connection without sending anything further.
 func killConnection(w http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -87,7 +87,8 @@
 	http.Error(w, "no room", http.StatusServiceUnavailable)
 }
 
-// TestBackendFailures lets every back end break each call in one way.
+// TestBackendFailures checks the response to the caller and the number of runs for
+// each way in which a back end can fail.
 func TestBackendFailures(t *testing.T) {
 	const aborted = 0
 	cases := []struct {
@@ -104,12 +105,12 @@
 		{name: "killed after the run", handler: killAfterRun, method: "POST", status: 502, outcome: "unknown", minimum: 1, maximum: 1},
 		{name: "killed after the run", handler: killAfterRun, method: "GET", status: 502, outcome: "unknown", minimum: 3, maximum: 3},
 		{name: "killed in the headers", handler: killInHeaders, method: "POST", status: 502, outcome: "unknown", minimum: 1, maximum: 1},
-		{name: "killed in a counted body", handler: killInBody, method: "POST", status: aborted, minimum: 1, maximum: 1},
-		{name: "killed in a counted body", handler: killInBody, method: "GET", status: aborted, minimum: 1, maximum: 1},
+		{name: "killed in a body with Content-Length", handler: killInBody, method: "POST", status: aborted, minimum: 1, maximum: 1},
+		{name: "killed in a body with Content-Length", handler: killInBody, method: "GET", status: aborted, minimum: 1, maximum: 1},
 		{name: "killed in a chunked body", handler: killInChunks, method: "POST", status: aborted, minimum: 1, maximum: 1},
 		{name: "shed with the marker", handler: shedWithMarker, method: "POST", status: 503, outcome: "not-run", minimum: 3, maximum: 3},
 		{name: "refused without the marker", handler: rejectWithoutMarker, method: "POST", status: 503, outcome: "", minimum: 1, maximum: 1},
-		{name: "nobody listens", absent: true, method: "POST", status: 503, outcome: "not-run"},
+		{name: "no listener", absent: true, method: "POST", status: 503, outcome: "not-run"},
 	}
 	for _, test := range cases {
 		t.Run(test.method+" "+test.name, func(t *testing.T) {
@@ -160,8 +161,8 @@
 	})
 }
 
-// TestLaterRefusalKeepsUnknownOutcome: an attempt that may have run makes
-// the call unknown, whatever a later attempt brings.
+// TestLaterRefusalKeepsUnknownOutcome checks that a call whose first attempt may
+// have run is reported as unknown, even if a retry is refused as not run.
 func TestLaterRefusalKeepsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -180,7 +181,8 @@
 	})
 }
 
-// inboundRequest is a request as a caller's proxy sends it.
+// inboundRequest builds a request to the inbound listener, as a caller's proxy
+// sends it.
 func (m *mesh) inboundRequest(call string, change func(http.Header)) *http.Request {
 	request, _ := http.NewRequest("POST", "http://a-inbound/start", nil)
 	request.Header = http.Header{
@@ -211,11 +213,11 @@
 			set("Kestrel-Repeatable", "true")(header)
 			set("Kestrel-Attempt", "2")(header)
 		}, 200, "", 2},
-		{"a repeatable call said to be none", set("Kestrel-Repeatable", "yes"), nil, 409, "unknown", 1},
+		{"a call with an invalid repeatable header", set("Kestrel-Repeatable", "yes"), nil, 409, "unknown", 1},
 		{"without a call id", nil, func(header http.Header) { delete(header, "Kestrel-Call-Id") }, 403, "not-run", 1},
 		{"for another service", nil, set("Kestrel-Service", "billing"), 421, "not-run", 1},
-		{"without time", nil, set("Kestrel-Deadline-Ms", "0"), 504, "not-run", 1},
-		{"with a broken time", nil, set("Kestrel-Deadline-Ms", "soon"), 400, "not-run", 1},
+		{"with no time left", nil, set("Kestrel-Deadline-Ms", "0"), 504, "not-run", 1},
+		{"with an invalid deadline", nil, set("Kestrel-Deadline-Ms", "soon"), 400, "not-run", 1},
 		{"asking for an upgrade", nil, func(header http.Header) {
 			set("Connection", "Upgrade")(header)
 			set("Upgrade", "websocket")(header)
@@ -237,7 +239,8 @@
 	}
 }
 
-// TestCallProvenNotRunMayBeRepeated: a call that was proven not run is forgotten.
+// TestCallProvenNotRunMayBeRepeated checks that the inbound proxy does not treat a
+// call as a duplicate if its earlier attempt was proven not run.
 func TestCallProvenNotRunMayBeRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -252,8 +255,10 @@
 	})
 }
 
-// TestRetriesDoNotMultiplyAcrossHops: twelve services call one another, the
-// last one sheds, and everyone hands the refusal and the attempt marker on.
+// TestRetriesDoNotMultiplyAcrossHops sends a call through a chain of twelve
+// services, of which the last one sheds load. Each service passes on the refusal
+// and the attempt number. The attempts at the last one must grow linearly with
+// the depth of the chain.
 func TestRetriesDoNotMultiplyAcrossHops(t *testing.T) {
 	const depth, attempts = 12, 3
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/features_test.go
+++ b/internal/proxy/features_test.go
@@ -75,7 +75,7 @@
 		g.Expect(testMesh.call("GET", "next").err).NotTo(HaveOccurred())
 		testMesh.network.mutex.Lock()
 		defer testMesh.network.mutex.Unlock()
-		g.Expect(testMesh.network.dials["outbound:80"]).To(Equal(1), "a streamed request costs its connection")
+		g.Expect(testMesh.network.dials["outbound:80"]).To(Equal(1), "a streamed request must not use up its connection")
 	})
 }
 
@@ -130,13 +130,14 @@
 				g.Expect(got.body).To(Equal("body"))
 			} else {
 				g.Expect(got.status).To(Equal(http.StatusExpectationFailed))
-				g.Expect(body.Len()).To(Equal(4), "the body was asked for")
+				g.Expect(body.Len()).To(Equal(4), "the body must not be requested")
 			}
 		})
 	}
 }
 
-// TestUnsupportedRequestsAreRefused are refused as not run.
+// TestUnsupportedRequestsAreRefused checks that requests which the proxy does not
+// support are refused as not run.
 func TestUnsupportedRequestsAreRefused(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -174,8 +175,8 @@
 	}
 }
 
-// TestEarlyResponseToStreamedRequest: the back end answers before it has read
-// the body; later calls must not meet the rest of it.
+// TestEarlyResponseToStreamedRequest checks that a call is unaffected by unread
+// body bytes of an earlier one, whose response was sent before its body was read.
 func TestEarlyResponseToStreamedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -198,7 +199,8 @@
 	})
 }
 
-// TestSlowUploadHoldsNoSlot: short bodies are read before a slot is taken.
+// TestSlowUploadHoldsNoSlot checks that a short body is read completely before the
+// request takes a slot.
 func TestSlowUploadHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -222,7 +224,7 @@
 		shed, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(shed.StatusCode).To(Equal(503))
-		g.Expect(time.Since(started)).To(BeNumerically("<=", time.Millisecond), "refused before its body is read")
+		g.Expect(time.Since(started)).To(BeNumerically("<=", time.Millisecond), "the request must be refused before its body is read")
 		close(release)
 		g.Expect((<-quick).body).To(Equal("ok"))
 		_, _ = io.WriteString(writer, "dy")
@@ -231,7 +233,8 @@
 	})
 }
 
-// TestStalledCallerDoesNotHoldExchange stops sending or reading for ever.
+// TestStalledCallerDoesNotHoldExchange checks that an exchange ends when its caller
+// stops sending or reading.
 func TestStalledCallerDoesNotHoldExchange(t *testing.T) {
 	for _, stops := range []string{"sending a short body", "sending a streamed body", "reading"} {
 		t.Run(stops, func(t *testing.T) {
--- a/internal/proxy/flood_bench_test.go
+++ b/internal/proxy/flood_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// The flooded service runs 4 calls of 20 ms at once, 200 a second; the flood
-// is ten times that.
+// The flooded service has 4 slots and takes 20 ms per call, a capacity of 200
+// calls a second. The flood sends ten times as many.
 const (
 	floodSlots    = 4
 	floodWork     = 20 * time.Millisecond
@@ -23,9 +23,9 @@
 	quietInterval = 2 * time.Millisecond
 )
 
-// BenchmarkFlood reports the times of calls of one service while another one,
-// through the same caller's proxy, is and is not flooded. The two states take
-// turns, so that load on the machine meets both.
+// BenchmarkFlood reports the latency of calls to one service while another one is
+// and is not flooded through the same caller's proxy. The two states alternate, so
+// that other load on the machine affects both.
 func BenchmarkFlood(b *testing.B) {
 	snapshot := &projection.Snapshot{Version: 1, Services: map[string]*projection.Service{}, Routes: map[string]*resource.RouteSpec{}}
 	backendProxies := []*proxy.Proxy{
@@ -65,7 +65,8 @@
 	}
 }
 
-// addService adds a service of one back end and returns the proxy beside it.
+// addService adds a service with a single back end to the snapshot and returns the
+// back end's proxy.
 func addService(b *testing.B, snapshot *projection.Snapshot, name string, handler http.HandlerFunc) *proxy.Proxy {
 	backendProxy := proxy.New(proxy.Options{
 		Node:    distribution.Node{Name: name, Zone: zoneName},
@@ -79,7 +80,7 @@
 	return backendProxy
 }
 
-// flood calls the flooded service on an open-loop schedule while asked to.
+// flood calls the flooded service on an open-loop schedule while flooding is true.
 func flood(address string, flooding *atomic.Bool) (stop func()) {
 	client := newClient(100)
 	done := make(chan struct{})
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -12,14 +12,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// receivedRequest is what a back end made of one request.
+// receivedRequest holds what a back end parsed from a request.
 type receivedRequest struct {
 	path, body, secret, callID string
 	length                     int64
 }
 
-// sendRaw writes bytes to the callers' listener and returns the statuses of the
-// replies until the connection is closed or stays silent.
+// sendRaw writes raw bytes to the listener for callers. It returns the status
+// codes of all responses until the connection is closed or is idle for a minute.
 func (m *mesh) sendRaw(t *testing.T, raw string) []int {
 	connection, err := m.network.dial(t.Context(), "memory", "outbound:80")
 	if err != nil {
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestRequestSmuggling: whatever a caller writes, a back end gets the requests
-// that the proxy understood, each with a call id, the secret and a framing of
-// the proxy's own, and never one that hides within another.
+// TestRequestSmuggling sends ambiguous and malformed framing. The back end must
+// receive only requests that the proxy has parsed itself, each with the proxy's
+// own call ID, secret and framing, and never a request hidden in another one.
 func TestRequestSmuggling(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
@@ -53,19 +53,19 @@
 		bodies   []string
 	}{
 		{"counted", "Content-Length: 4", "body", []int{200}, []string{"body"}},
-		{"counted and chunked", "Content-Length: 4\r\nTransfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n", []int{200}, []string{"abc"}},
-		{"counted beyond the chunks", "Content-Length: 60\r\nTransfer-Encoding: chunked", "0\r\n\r\n" + hidden, []int{200, 200}, []string{"", ""}},
-		{"two lengths", "Content-Length: 0\r\nContent-Length: 48", hidden, []int{400}, nil},
-		{"two lengths in one", "Content-Length: 0, 48", hidden, []int{400}, nil},
+		{"Content-Length and chunked", "Content-Length: 4\r\nTransfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n", []int{200}, []string{"abc"}},
+		{"Content-Length longer than the chunked body", "Content-Length: 60\r\nTransfer-Encoding: chunked", "0\r\n\r\n" + hidden, []int{200, 200}, []string{"", ""}},
+		{"two Content-Length headers", "Content-Length: 0\r\nContent-Length: 48", hidden, []int{400}, nil},
+		{"two lengths in one Content-Length", "Content-Length: 0, 48", hidden, []int{400}, nil},
 		{"the same length twice", "Content-Length: 4\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 		{"a signed length", "Content-Length: +4", "body", []int{400}, nil},
-		{"an unknown coding", "Transfer-Encoding: xchunked", "0\r\n\r\n" + hidden, []int{501}, nil},
-		{"two codings", "Transfer-Encoding: gzip, chunked", "0\r\n\r\n", []int{501}, nil},
-		{"a coding twice", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", "0\r\n\r\n", []int{501}, nil},
+		{"an unknown transfer coding", "Transfer-Encoding: xchunked", "0\r\n\r\n" + hidden, []int{501}, nil},
+		{"two transfer codings", "Transfer-Encoding: gzip, chunked", "0\r\n\r\n", []int{501}, nil},
+		{"two Transfer-Encoding headers", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", "0\r\n\r\n", []int{501}, nil},
 		{"a space before the colon", "Transfer-Encoding : chunked", "0\r\n\r\n", []int{400}, nil},
 		{"a chunk size that overflows", "Transfer-Encoding: chunked", "10000000000000000\r\nabc\r\n0\r\n\r\n", []int{502}, nil},
-		{"headers of the mesh named as of one hop", "Connection: Kestrel-Service, Kestrel-Call-Id, Kestrel-Deadline-Ms, Authorization, Host, Content-Length\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
-		{"a folded marker", "X-Folded: a\r\n Kestrel-Call-Id: forged\r\nKestrel-Call-Id: forged\r\nAuthorization: forged\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
+		{"mesh headers listed in Connection", "Connection: Kestrel-Service, Kestrel-Call-Id, Kestrel-Deadline-Ms, Authorization, Host, Content-Length\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
+		{"forged and folded mesh headers", "X-Folded: a\r\n Kestrel-Call-Id: forged\r\nKestrel-Call-Id: forged\r\nAuthorization: forged\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -101,8 +101,9 @@
 	}
 }
 
-// TestRestOfMalformedBodyIsNotParsedAsRequest: when the answer came before the body broke
-// off, nothing that follows on the connection is taken for a request.
+// TestRestOfMalformedBodyIsNotParsedAsRequest sends a malformed chunk after the
+// response has begun. Nothing that follows on the connection may be parsed as a
+// request.
 func TestRestOfMalformedBodyIsNotParsedAsRequest(t *testing.T) {
 	for _, rest := range []string{"10000000000000000\r\n", "zz\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -137,9 +138,9 @@
 	}
 }
 
-// TestRestOfRefusedBodyIsNotParsedAsRequest: a request that was answered although its
-// body was still to come may be followed by another one only when that body
-// came whole.
+// TestRestOfRefusedBodyIsNotParsedAsRequest sends a request that is refused before
+// its body has arrived. A second request on the connection may be answered only
+// if the body of the first one arrived completely.
 func TestRestOfRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	const next = "GET /next HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
@@ -149,9 +150,9 @@
 	}{
 		{"whole", "Content-Length: 8", "more", 0, true},
 		{"whole and chunked", "Transfer-Encoding: chunked", "0\r\n\r\n", 0, true},
-		{"broken off, then more", "Content-Length: 8", "", 5 * time.Second, false},
+		{"incomplete, then another request", "Content-Length: 8", "", 5 * time.Second, false},
 		{"a broken chunk", "Transfer-Encoding: chunked", "zz\r\n", 0, false},
-		{"not asked for", "Expect: 100-continue\r\nContent-Length: 8", "", 0, false},
+		{"not requested with 100 Continue", "Expect: 100-continue\r\nContent-Length: 8", "", 0, false},
 	}
 	for _, refused := range cases {
 		t.Run(refused.name, func(t *testing.T) {
--- a/internal/proxy/http2_test.go
+++ b/internal/proxy/http2_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestHTTP2Callers uses real connections, since TLS and HTTP/2 belong to
-// the library; it waits for events only.
+// TestHTTP2Callers uses real connections because the standard library implements
+// TLS and HTTP/2. It waits for events and never for a fixed time.
 func TestHTTP2Callers(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -21,8 +21,8 @@
 	}{
 		{"whole answer", answerOK, true, 200, ""},
 		{"large answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 1<<20)) }, true, 200, ""},
-		{"half of a counted answer", killInBody, false, 200, ""},
-		{"half of a chunked answer", killInChunks, false, 200, ""},
+		{"truncated answer with Content-Length", killInBody, false, 200, ""},
+		{"truncated chunked answer", killInChunks, false, 200, ""},
 		{"killed after the run", killAfterRun, true, 502, "unknown"},
 	}
 	for _, call := range cases {
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -16,15 +16,16 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// startCall makes a call on its own goroutine.
+// startCall makes a call in a new goroutine and returns a channel that receives
+// its result.
 func (m *mesh) startCall(request *http.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() { done <- m.do(request) }()
 	return done
 }
 
-// answerAfter returns a handler that answers once release is closed, or ends when
-// the request is cancelled.
+// answerAfter returns a handler that answers once release is closed, or returns
+// without an answer when the request is cancelled.
 func answerAfter(release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -116,7 +117,9 @@
 	})
 }
 
-// TestCancelReleasesResources frees what the call held, at once.
+// TestCancelReleasesResources checks that a cancelled call releases its slot at
+// once, whether it is running or its answer is being read. In the case "queued"
+// the call completes instead, and the queued call takes its slot.
 func TestCancelReleasesResources(t *testing.T) {
 	for _, state := range []string{"running", "queued", "reading the answer"} {
 		t.Run(state, func(t *testing.T) {
@@ -188,8 +191,8 @@
 	})
 }
 
-// TestOverloadedServiceDoesNotStarveAnother floods one service far beyond its
-// slots and calls another one through the same proxies.
+// TestOverloadedServiceDoesNotStarveAnother sends one service far more calls than
+// it has slots, while another service is called through the same caller's proxy.
 func TestOverloadedServiceDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -228,7 +231,8 @@
 	})
 }
 
-// TestRefusalReusesConnections: refusing must not cost new connections.
+// TestRefusalReusesConnections checks that refusals, with and without a request
+// body, do not force new connections to be opened.
 func TestRefusalReusesConnections(t *testing.T) {
 	withBody := func(request *http.Request) *http.Request {
 		request.Body, request.ContentLength = io.NopCloser(strings.NewReader("body")), 4
--- a/internal/proxy/memory_bench_test.go
+++ b/internal/proxy/memory_bench_test.go
@@ -24,8 +24,8 @@
 	memoryConnections = 2000
 )
 
-// largeSnapshot declares all endpoints at one address: each has connections of
-// its own all the same.
+// largeSnapshot returns a snapshot whose endpoints all share one address. Each
+// endpoint still has its own connection pool.
 func largeSnapshot(address string) *projection.Snapshot {
 	snapshot := &projection.Snapshot{
 		Version: 1, Services: map[string]*projection.Service{}, Routes: map[string]*resource.RouteSpec{},
@@ -49,9 +49,9 @@
 	return snapshot
 }
 
-// acceptAndHold accepts connections, answers the first request of each once all have
-// one, and keeps them open. It uses one goroutine, so that the far ends weigh
-// little in the measurement.
+// acceptAndHold accepts memoryConnections connections, reads a request from each,
+// answers them once all have arrived and keeps the connections open. It uses a
+// single goroutine to add little to the measured memory.
 func acceptAndHold(b *testing.B) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,9 +86,9 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// BenchmarkMemory reports what a process holds that serves 1,000 routes, 1,000
-// endpoints and 2,000 callers, each with a connection to an endpoint. The far
-// ends of all connections are in the same process and count too.
+// BenchmarkMemory reports the memory of a proxy with 1,000 routes, 1,000 endpoints
+// and 2,000 callers, each of which uses one connection to an endpoint. The remote
+// ends of all connections are in the same process, so their memory is included.
 func BenchmarkMemory(b *testing.B) {
 	address := acceptAndHold(b)
 	caller := proxy.New(proxy.Options{Limits: proxy.Limits{MinIdleConnections: -1}})
@@ -125,7 +125,7 @@
 	b.ReportMetric(float64(statistics.StackInuse)/(1<<20), "MB-stacks")
 }
 
-// residentMegabytes reads the process's resident memory.
+// residentMegabytes returns the resident set size of the process.
 func residentMegabytes(b *testing.B) float64 {
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -15,13 +15,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// network is an in-memory network: addresses are names, connections are pipes.
+// network is an in-memory network in which addresses are names and connections
+// are pipes.
 type network struct {
-	mutex     sync.Mutex // guards all below
+	mutex     sync.Mutex // guards the fields below
 	listeners map[string]*listener
-	// dials counts the connections opened to each name.
+	// dials counts the dial attempts per address.
 	dials map[string]int
-	// wrapServer, when set, replaces the server's side of each new connection.
+	// wrapServer, when set, replaces the server side of each new connection
+	// to an address.
 	wrapServer map[string]func(net.Conn) net.Conn
 }
 
@@ -29,7 +31,7 @@
 	return &network{listeners: map[string]*listener{}, dials: map[string]int{}, wrapServer: map[string]func(net.Conn) net.Conn{}}
 }
 
-// listener is a name on the network.
+// listener is a net.Listener for one address of the network.
 type listener struct {
 	network *network
 	name    string
@@ -91,7 +93,7 @@
 	}
 }
 
-// serve runs an HTTP server under that name until stop.
+// serve runs an HTTP server at the given address until stop is called.
 func (n *network) serve(name string, handler http.Handler) (stop func()) {
 	server := &http.Server{Handler: handler}
 	done := make(chan struct{})
@@ -108,7 +110,7 @@
 	}
 }
 
-// mesh is a caller's proxy and some back ends with their proxies.
+// mesh consists of a caller's proxy and a number of back ends with their proxies.
 type mesh struct {
 	network  *network
 	caller   *proxy.Proxy
@@ -119,16 +121,16 @@
 	config   projection.Snapshot
 }
 
-// backend is a back end, its handler replaceable, and the proxy beside it.
+// backend is a back end with a replaceable handler, and its proxy.
 type backend struct {
 	name    string
 	proxy   *proxy.Proxy
-	mutex   sync.Mutex // guards all below
+	mutex   sync.Mutex // guards handler and runs
 	handler http.HandlerFunc
-	// runs counts how often each call was run, by its Test-Call header.
+	// runs counts how often each call was run, keyed by its Test-Call header.
 	runs map[string]int
 	stop func()
-	// stopInbound ends the listener of the proxy beside the back end.
+	// stopInbound stops the inbound listener of the back end's proxy.
 	stopInbound func()
 }
 
@@ -210,7 +212,7 @@
 	config.Endpoints = append(config.Endpoints, endpoint)
 }
 
-// apply puts the configuration to all proxies under the next version number.
+// apply applies the configuration to all proxies under the next version number.
 func (m *mesh) apply() {
 	m.version++
 	snapshot := m.config.AtVersion(m.version)
@@ -230,7 +232,7 @@
 	return all
 }
 
-// close ends every connection and server.
+// close closes every connection and stops every server.
 func (m *mesh) close() {
 	for _, target := range m.proxies() {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -242,7 +244,8 @@
 	}
 }
 
-// request builds a call of that id through the caller's proxy.
+// request builds a request to the caller's proxy, with call in its Test-Call
+// header.
 func (m *mesh) request(method, call string) *http.Request {
 	request, err := http.NewRequest(method, "http://outbound/start", nil)
 	if err != nil {
