--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -67,7 +67,7 @@
 		for index := range 20 {
 			call := fmt.Sprint("late", index)
 			g.Expect(testMesh.call("POST", call).body).To(Equal("ok"))
-			g.Expect(draining.ran(call)).To(BeZero())
+			g.Expect(draining.runCount(call)).To(BeZero())
 		}
 	})
 }
@@ -94,7 +94,7 @@
 				} else {
 					g.Expect(got.status).To(Equal(503))
 					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-					g.Expect(draining.ran("racing")).To(BeZero())
+					g.Expect(draining.runCount("racing")).To(BeZero())
 				}
 				g.Expect(<-drained).To(Succeed())
 				draining.proxy.ResumeBackend()
@@ -135,7 +135,7 @@
 		time.Sleep(time.Second)
 		late := testMesh.call("POST", "late")
 		g.Expect(late.header.Get("Kestrel-Error")).To(HavePrefix("step=drain"))
-		g.Expect(backend.ran("late")).To(BeZero())
+		g.Expect(backend.runCount("late")).To(BeZero())
 		draining.Store(false)
 		time.Sleep(time.Second)
 		g.Expect(testMesh.call("POST", "back").body).To(Equal("ok"))
@@ -156,16 +156,16 @@
 			answerOK(w, r)
 		})
 		for index := range 40 {
-			hurried := testMesh.request("POST", fmt.Sprint("hurried", index))
-			hurried.Header.Set("Kestrel-Deadline-Ms", "50")
-			testMesh.do(hurried)
+			shortDeadline := testMesh.request("POST", fmt.Sprint("hurried", index))
+			shortDeadline.Header.Set("Kestrel-Deadline-Ms", "50")
+			testMesh.do(shortDeadline)
 		}
 		for index := range 20 {
 			testMesh.call("POST", fmt.Sprint("patient", index))
 		}
 		patient := 0
 		for index := range 20 {
-			patient += slow.ran(fmt.Sprint("patient", index))
+			patient += slow.runCount(fmt.Sprint("patient", index))
 		}
 		g.Expect(patient).To(BeNumerically(">", 0))
 	})
@@ -222,7 +222,7 @@
 				g.Expect(got.header.Get("Kestrel-Error")).To(HavePrefix("step=" + reload.step))
 				close(release)
 				g.Expect((<-held).body).To(Equal("ok"))
-				g.Expect(testMesh.ran("new")).To(BeZero())
+				g.Expect(testMesh.runCount("new")).To(BeZero())
 			})
 		})
 	}
@@ -245,7 +245,7 @@
 			for index := range 40 {
 				call := fmt.Sprint(name, index)
 				g.Expect(testMesh.call("POST", call).body).To(Equal("ok"))
-				runs += restarted.ran(call)
+				runs += restarted.runCount(call)
 			}
 			return runs
 		}
@@ -336,7 +336,7 @@
 				want = 200
 			}
 			g.Expect(testMesh.call("POST", step.name).status).To(Equal(want), step.name)
-			g.Expect(testMesh.backends[1].ran(step.name)).To(BeZero())
+			g.Expect(testMesh.backends[1].runCount(step.name)).To(BeZero())
 		}
 	})
 }
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -40,10 +40,10 @@
 	}
 }
 
-func (m *mesh) ran(call string) int {
+func (m *mesh) runCount(call string) int {
 	total := 0
 	for _, backend := range m.backends {
-		total += backend.ran(call)
+		total += backend.runCount(call)
 	}
 	return total
 }
@@ -139,8 +139,8 @@
 				if test.outcome != "" {
 					g.Expect(got.header.Get("Kestrel-Error")).To(MatchRegexp(`^step=[a-z]+; peer=\S+$`))
 				}
-				g.Expect(testMesh.ran("one")).To(BeNumerically(">=", test.minimum))
-				g.Expect(testMesh.ran("one")).To(BeNumerically("<=", test.maximum))
+				g.Expect(testMesh.runCount("one")).To(BeNumerically(">=", test.minimum))
+				g.Expect(testMesh.runCount("one")).To(BeNumerically("<=", test.maximum))
 			})
 		})
 	}
@@ -156,7 +156,7 @@
 			call := fmt.Sprint(index)
 			got := testMesh.call("POST", call)
 			g.Expect(got.body).To(Equal("ok"))
-			g.Expect(testMesh.ran(call)).To(Equal(1))
+			g.Expect(testMesh.runCount(call)).To(Equal(1))
 		}
 	})
 }
@@ -233,7 +233,7 @@
 				got := testMesh.do(testMesh.inboundRequest("one", arrival.second))
 				g.Expect(got.status).To(Equal(arrival.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(arrival.outcome))
-				g.Expect(testMesh.ran("one")).To(Equal(arrival.runs))
+				g.Expect(testMesh.runCount("one")).To(Equal(arrival.runs))
 			})
 		})
 	}
@@ -284,7 +284,7 @@
 		started := time.Now()
 		got := hops[0].call("GET", "one")
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-		g.Expect(hops[depth-1].ran("one")).To(Equal(1 + depth*(attempts-1)))
+		g.Expect(hops[depth-1].runCount("one")).To(Equal(1 + depth*(attempts-1)))
 		g.Expect(time.Since(started)).To(BeNumerically("<", 2*time.Second))
 	})
 }
--- a/internal/proxy/features_test.go
+++ b/internal/proxy/features_test.go
@@ -169,7 +169,7 @@
 				got := testMesh.do(request)
 				g.Expect(got.status).To(Equal(refused.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-				g.Expect(testMesh.ran("one")).To(BeZero())
+				g.Expect(testMesh.runCount("one")).To(BeZero())
 			})
 		})
 	}
--- a/internal/proxy/http2_test.go
+++ b/internal/proxy/http2_test.go
@@ -50,7 +50,7 @@
 			} else {
 				g.Expect(err).To(HaveOccurred())
 			}
-			g.Expect(testMesh.ran("one")).To(Equal(1))
+			g.Expect(testMesh.runCount("one")).To(Equal(1))
 		})
 	}
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -60,8 +60,8 @@
 		g.Expect(third.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
 		g.Expect(third.header.Get("Retry-After")).To(Equal("1"))
 		g.Expect(time.Since(started)).To(BeZero())
-		g.Expect(testMesh.ran("third")).To(BeZero())
-		g.Expect(testMesh.ran("second")).To(BeZero())
+		g.Expect(testMesh.runCount("third")).To(BeZero())
+		g.Expect(testMesh.runCount("second")).To(BeZero())
 		close(release)
 		g.Expect((<-first).body).To(Equal("ok"))
 		g.Expect((<-second).body).To(Equal("ok"))
@@ -94,7 +94,7 @@
 				g.Expect(time.Since(started)).To(Equal(500 * time.Millisecond))
 				close(release)
 				g.Expect((<-first).body).To(Equal("ok"))
-				g.Expect(testMesh.ran("queued")).To(BeZero())
+				g.Expect(testMesh.runCount("queued")).To(BeZero())
 			})
 		})
 	}
@@ -187,7 +187,7 @@
 		close(release)
 		g.Expect((<-first).body).To(Equal("ok"))
 		g.Expect((<-third).body).To(Equal("ok"))
-		g.Expect(testMesh.ran("queued")).To(BeZero())
+		g.Expect(testMesh.runCount("queued")).To(BeZero())
 	})
 }
 
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -148,7 +148,7 @@
 	b.handler = handler
 }
 
-func (b *backend) ran(call string) int {
+func (b *backend) runCount(call string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs[call]
