--- a/internal/agent/providers.go
+++ b/internal/agent/providers.go
@@ -85,11 +85,11 @@
 			CallerIdleTimeout: time.Duration(loaded.Limits.IdleTimeout),
 			RememberedCalls:   loaded.Limits.CallMemory,
 		},
-		Announcement: time.Duration(loaded.Drain.Announce),
-		Logger:       logger,
-		Metrics:      registry,
-		Dial:         forward.Dialer(options.Dial),
-		PeerDial:     peerDial(credentials),
+		AnnouncePeriod: time.Duration(loaded.Drain.Announce),
+		Logger:         logger,
+		Metrics:        registry,
+		Dial:           forward.Dialer(options.Dial),
+		PeerDial:       peerDial(credentials),
 	})
 	credentials.OnReload(created.RenewConnections)
 	return created
--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -15,18 +15,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/health"
 )
 
-// answeredEvery bounds how often an answered request is told to the core.
-const answeredEvery = 100 * time.Millisecond
+// answerReportInterval is the minimum time between two answered requests that
+// are reported to the health core.
+const answerReportInterval = 100 * time.Millisecond
 
-// announcer is the authority on the state of the back end beside the proxy. It
-// polls the back end's health and tells observers of changes.
+// announcer determines the state of the local back end. It polls the back end's
+// health endpoint and notifies observers of state changes.
 type announcer struct {
 	options Options
 	client  *http.Client
-	// lastAnswer is Unix nanoseconds of the last answer told to the core.
-	lastAnswer atomic.Int64
+	// lastReported is the time of the last answer reported to the core, in Unix
+	// nanoseconds.
+	lastReported atomic.Int64
 
-	mutex     sync.Mutex // guards all below
+	mutex     sync.Mutex // guards the fields below
 	core      *health.Tracker
 	announced endpoint.Update
 	observers []func(endpoint.Update)
@@ -51,8 +53,8 @@
 	return created
 }
 
-// observe adds an observer and tells it the present state. Observers are
-// called one change after the other and must not block.
+// observe registers an observer and calls it with the current state. Observers
+// are called for one change at a time and must not block.
 func (a *announcer) observe(observer func(endpoint.Update)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -60,8 +62,9 @@
 	observer(a.announced)
 }
 
-// change lets the core take something in and announces what follows.
-func (a *announcer) change(apply func(core *health.Tracker)) {
+// updateCore applies a change to the core and notifies the observers if the
+// state has changed.
+func (a *announcer) updateCore(apply func(core *health.Tracker)) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	apply(a.core)
@@ -75,33 +78,34 @@
 	}
 }
 
-func (a *announcer) leave()    { a.change((*health.Tracker).BeginDrain) }
-func (a *announcer) comeBack() { a.change((*health.Tracker).EndDrain) }
+func (a *announcer) beginDrain() { a.updateCore((*health.Tracker).BeginDrain) }
+func (a *announcer) endDrain()   { a.updateCore((*health.Tracker).EndDrain) }
 
-// answered is on the path of every request, so that it mostly only reads.
-func (a *announcer) answered() {
+// recordAnswer is called for every request. To keep it cheap, most calls only
+// read one atomic and return.
+func (a *announcer) recordAnswer() {
 	now := time.Now()
-	last := a.lastAnswer.Load()
-	if now.UnixNano()-last < int64(answeredEvery) || !a.lastAnswer.CompareAndSwap(last, now.UnixNano()) {
+	last := a.lastReported.Load()
+	if now.UnixNano()-last < int64(answerReportInterval) || !a.lastReported.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	a.change(func(core *health.Tracker) { core.RecordAnswer(now) })
+	a.updateCore(func(core *health.Tracker) { core.RecordAnswer(now) })
 }
 
-func (a *announcer) unreachable() {
-	a.change(func(core *health.Tracker) { core.RecordConnectFailure(time.Now()) })
+func (a *announcer) recordUnreachable() {
+	a.updateCore(func(core *health.Tracker) { core.RecordConnectFailure(time.Now()) })
 }
 
-// run polls until the context ends.
+// run polls the back end's health until the context ends.
 func (a *announcer) run(ctx context.Context) {
 	ticker := time.NewTicker(a.options.Backend.HealthInterval)
 	defer ticker.Stop()
 	for {
-		says := a.poll(ctx)
+		statement := a.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		a.change(func(core *health.Tracker) { core.RecordPoll(time.Now(), says) })
+		a.updateCore(func(core *health.Tracker) { core.RecordPoll(time.Now(), statement) })
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -110,13 +114,13 @@
 	}
 }
 
-// healthBody is the part of a health reply that is understood.
+// healthBody holds the fields of a health response that are evaluated.
 type healthBody struct {
 	State health.PollResult `json:"state"`
 }
 
-// healthBodyLimit bounds what is read of a health reply, in bytes.
-const healthBodyLimit = 4 << 10
+// maxHealthBodyBytes limits how much of a health response's body is read.
+const maxHealthBodyBytes = 4 << 10
 
 func (a *announcer) poll(ctx context.Context) health.PollResult {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.options.Backend.Address+a.options.Backend.HealthPath, nil)
@@ -125,16 +129,16 @@
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
-		return statementOfError(err)
+		return statementFromError(err)
 	}
 	defer response.Body.Close()
 	if a.options.Backend.HealthPath == "" {
 		return health.PollReady
 	}
-	return statementOfReply(response)
+	return statementFromResponse(response)
 }
 
-func statementOfError(err error) health.PollResult {
+func statementFromError(err error) health.PollResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return health.PollUnreachable
@@ -142,11 +146,12 @@
 	return health.PollDown
 }
 
-// statementOfReply believes the body where it names a state that fits the
-// status, else the status alone.
-func statementOfReply(response *http.Response) health.PollResult {
+// statementFromResponse uses the state in the body if it is consistent with the
+// status code, and otherwise the status code alone. A draining state is accepted
+// with any status code.
+func statementFromResponse(response *http.Response) health.PollResult {
 	var body healthBody
-	_ = json.NewDecoder(io.LimitReader(response.Body, healthBodyLimit)).Decode(&body)
+	_ = json.NewDecoder(io.LimitReader(response.Body, maxHealthBodyBytes)).Decode(&body)
 	success := response.StatusCode < http.StatusMultipleChoices
 	switch {
 	case body.State == health.PollDraining:
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/projection"
 )
 
-// result is what a caller got.
+// result is the response or error that a caller received.
 type result struct {
 	status  int
 	header  http.Header
@@ -34,21 +34,21 @@
 
 func (m *mesh) call(method, call string) result { return m.do(m.request(method, call)) }
 
-func (m *mesh) handleAll(handler http.HandlerFunc) {
-	for _, served := range m.backends {
-		served.handle(handler)
+func (m *mesh) setHandlers(handler http.HandlerFunc) {
+	for _, backend := range m.backends {
+		backend.setHandler(handler)
 	}
 }
 
-func (m *mesh) ran(call string) int {
+func (m *mesh) runCount(call string) int {
 	total := 0
-	for _, served := range m.backends {
-		total += served.ran(call)
+	for _, backend := range m.backends {
+		total += backend.runCount(call)
 	}
 	return total
 }
 
-// killConnection breaks the exchange off without a further byte.
+// killConnection closes the connection without sending anything further.
 func killConnection(w http.ResponseWriter) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -78,17 +78,18 @@
 	killConnection(w)
 }
 
-func shedMarked(w http.ResponseWriter, _ *http.Request) {
+func shedWithMarker(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Shed", "1")
 	http.Error(w, "no room", http.StatusServiceUnavailable)
 }
 
-func failUnmarked(w http.ResponseWriter, _ *http.Request) {
+func rejectWithoutMarker(w http.ResponseWriter, _ *http.Request) {
 	http.Error(w, "no room", http.StatusServiceUnavailable)
 }
 
-// TestFaultsOfBackends lets every back end break each call in one way.
-func TestFaultsOfBackends(t *testing.T) {
+// TestBackendFailures checks the response to the caller and the number of runs for
+// each way in which a back end can fail.
+func TestBackendFailures(t *testing.T) {
 	const aborted = 0
 	cases := []struct {
 		name      string
@@ -104,75 +105,75 @@
 		{name: "killed after the run", handler: killAfterRun, method: "POST", status: 502, outcome: "unknown", minimum: 1, maximum: 1},
 		{name: "killed after the run", handler: killAfterRun, method: "GET", status: 502, outcome: "unknown", minimum: 3, maximum: 3},
 		{name: "killed in the headers", handler: killInHeaders, method: "POST", status: 502, outcome: "unknown", minimum: 1, maximum: 1},
-		{name: "killed in a counted body", handler: killInBody, method: "POST", status: aborted, minimum: 1, maximum: 1},
-		{name: "killed in a counted body", handler: killInBody, method: "GET", status: aborted, minimum: 1, maximum: 1},
+		{name: "killed in a body with Content-Length", handler: killInBody, method: "POST", status: aborted, minimum: 1, maximum: 1},
+		{name: "killed in a body with Content-Length", handler: killInBody, method: "GET", status: aborted, minimum: 1, maximum: 1},
 		{name: "killed in a chunked body", handler: killInChunks, method: "POST", status: aborted, minimum: 1, maximum: 1},
-		{name: "shed with the marker", handler: shedMarked, method: "POST", status: 503, outcome: "not-run", minimum: 3, maximum: 3},
-		{name: "refused without the marker", handler: failUnmarked, method: "POST", status: 503, outcome: "", minimum: 1, maximum: 1},
-		{name: "nobody listens", absent: true, method: "POST", status: 503, outcome: "not-run"},
+		{name: "shed with the marker", handler: shedWithMarker, method: "POST", status: 503, outcome: "not-run", minimum: 3, maximum: 3},
+		{name: "refused without the marker", handler: rejectWithoutMarker, method: "POST", status: 503, outcome: "", minimum: 1, maximum: 1},
+		{name: "no listener", absent: true, method: "POST", status: 503, outcome: "not-run"},
 	}
-	for _, broken := range cases {
-		t.Run(broken.method+" "+broken.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.method+" "+test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(2, nil)
-				defer running.close()
-				if broken.absent {
-					for _, served := range running.backends {
-						served.stop()
+				testMesh := newMesh(2, nil)
+				defer testMesh.close()
+				if test.absent {
+					for _, backend := range testMesh.backends {
+						backend.stop()
 					}
 				} else {
-					running.handleAll(broken.handler)
+					testMesh.setHandlers(test.handler)
 				}
-				got := running.call(broken.method, "one")
-				if broken.status == aborted {
+				got := testMesh.call(test.method, "one")
+				if test.status == aborted {
 					g.Expect(got.err).To(HaveOccurred())
 				} else {
 					g.Expect(got.err).NotTo(HaveOccurred())
-					g.Expect(got.status).To(Equal(broken.status))
-					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(broken.outcome))
+					g.Expect(got.status).To(Equal(test.status))
+					g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(test.outcome))
 				}
-				if broken.outcome == "not-run" {
+				if test.outcome == "not-run" {
 					g.Expect(got.header.Get("Retry-After")).To(Equal("1"))
 				}
-				if broken.outcome != "" {
+				if test.outcome != "" {
 					g.Expect(got.header.Get("Kestrel-Error")).To(MatchRegexp(`^step=[a-z]+; peer=\S+$`))
 				}
-				g.Expect(running.ran("one")).To(BeNumerically(">=", broken.minimum))
-				g.Expect(running.ran("one")).To(BeNumerically("<=", broken.maximum))
+				g.Expect(testMesh.runCount("one")).To(BeNumerically(">=", test.minimum))
+				g.Expect(testMesh.runCount("one")).To(BeNumerically("<=", test.maximum))
 			})
 		})
 	}
 }
 
-func TestNotRunMovesOnToAnotherEndpoint(t *testing.T) {
+func TestNotRunIsRetriedOnAnotherEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(2, nil)
-		defer running.close()
-		running.backends[0].stop()
+		testMesh := newMesh(2, nil)
+		defer testMesh.close()
+		testMesh.backends[0].stop()
 		for index := range 20 {
 			call := fmt.Sprint(index)
-			got := running.call("POST", call)
+			got := testMesh.call("POST", call)
 			g.Expect(got.body).To(Equal("ok"))
-			g.Expect(running.ran(call)).To(Equal(1))
+			g.Expect(testMesh.runCount(call)).To(Equal(1))
 		}
 	})
 }
 
-// TestLaterRefusalDoesNotHideAnUnknownRun: an attempt that may have run makes
-// the call unknown, whatever a later attempt brings.
-func TestLaterRefusalDoesNotHideAnUnknownRun(t *testing.T) {
+// TestLaterRefusalKeepsUnknownOutcome checks that a call whose first attempt may
+// have run is reported as unknown, even if a retry is refused as not run.
+func TestLaterRefusalKeepsUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		served := running.backends[0]
-		served.handle(func(w http.ResponseWriter, r *http.Request) {
-			served.handle(shedMarked)
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		backend := testMesh.backends[0]
+		backend.setHandler(func(w http.ResponseWriter, r *http.Request) {
+			backend.setHandler(shedWithMarker)
 			killConnection(w)
 		})
-		got := running.call("GET", "one")
+		got := testMesh.call("GET", "one")
 		g.Expect(got.status).To(Equal(503))
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("unknown"))
 		g.Expect(got.header).NotTo(HaveKey("Shed"))
@@ -180,7 +181,8 @@
 	})
 }
 
-// inboundRequest is a request as a caller's proxy sends it.
+// inboundRequest builds a request to the inbound listener, as a caller's proxy
+// sends it.
 func (m *mesh) inboundRequest(call string, change func(http.Header)) *http.Request {
 	request, _ := http.NewRequest("POST", "http://a-inbound/start", nil)
 	request.Header = http.Header{
@@ -193,7 +195,7 @@
 	return request
 }
 
-func TestArrivalsAtTheInboundProxy(t *testing.T) {
+func TestInboundRequestChecks(t *testing.T) {
 	set := func(name, value string) func(http.Header) {
 		return func(header http.Header) { header[name] = []string{value} }
 	}
@@ -211,11 +213,11 @@
 			set("Kestrel-Repeatable", "true")(header)
 			set("Kestrel-Attempt", "2")(header)
 		}, 200, "", 2},
-		{"a repeatable call said to be none", set("Kestrel-Repeatable", "yes"), nil, 409, "unknown", 1},
+		{"a call with an invalid repeatable header", set("Kestrel-Repeatable", "yes"), nil, 409, "unknown", 1},
 		{"without a call id", nil, func(header http.Header) { delete(header, "Kestrel-Call-Id") }, 403, "not-run", 1},
 		{"for another service", nil, set("Kestrel-Service", "billing"), 421, "not-run", 1},
-		{"without time", nil, set("Kestrel-Deadline-Ms", "0"), 504, "not-run", 1},
-		{"with a broken time", nil, set("Kestrel-Deadline-Ms", "soon"), 400, "not-run", 1},
+		{"with no time left", nil, set("Kestrel-Deadline-Ms", "0"), 504, "not-run", 1},
+		{"with an invalid deadline", nil, set("Kestrel-Deadline-Ms", "soon"), 400, "not-run", 1},
 		{"asking for an upgrade", nil, func(header http.Header) {
 			set("Connection", "Upgrade")(header)
 			set("Upgrade", "websocket")(header)
@@ -225,46 +227,49 @@
 		t.Run(arrival.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				g.Expect(running.do(running.inboundRequest("one", arrival.first)).status).To(Equal(200))
-				got := running.do(running.inboundRequest("one", arrival.second))
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				g.Expect(testMesh.do(testMesh.inboundRequest("one", arrival.first)).status).To(Equal(200))
+				got := testMesh.do(testMesh.inboundRequest("one", arrival.second))
 				g.Expect(got.status).To(Equal(arrival.status))
 				g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal(arrival.outcome))
-				g.Expect(running.ran("one")).To(Equal(arrival.runs))
+				g.Expect(testMesh.runCount("one")).To(Equal(arrival.runs))
 			})
 		})
 	}
 }
 
-// TestRefusedCallMayArriveAgain: a call that was proven not run is forgotten.
-func TestRefusedCallMayArriveAgain(t *testing.T) {
+// TestCallProvenNotRunMayBeRepeated checks that the inbound proxy does not treat a
+// call as a duplicate if its earlier attempt was proven not run.
+func TestCallProvenNotRunMayBeRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		running := newMesh(1, nil)
-		defer running.close()
-		served := running.backends[0]
-		served.handle(shedMarked)
-		g.Expect(running.do(running.inboundRequest("one", nil)).header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-		served.handle(answerOK)
-		g.Expect(running.do(running.inboundRequest("one", nil)).status).To(Equal(200))
-		g.Expect(running.do(running.inboundRequest("one", nil)).status).To(Equal(409))
+		testMesh := newMesh(1, nil)
+		defer testMesh.close()
+		backend := testMesh.backends[0]
+		backend.setHandler(shedWithMarker)
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).header.Get("Kestrel-Outcome")).To(Equal("not-run"))
+		backend.setHandler(answerOK)
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).status).To(Equal(200))
+		g.Expect(testMesh.do(testMesh.inboundRequest("one", nil)).status).To(Equal(409))
 	})
 }
 
-// TestRetriesDoNotMultiplyAlongAChain: twelve services call one another, the
-// last one sheds, and everyone hands the refusal and the attempt marker on.
-func TestRetriesDoNotMultiplyAlongAChain(t *testing.T) {
+// TestRetriesDoNotMultiplyAcrossHops sends a call through a chain of twelve
+// services, of which the last one sheds load. Each service passes on the refusal
+// and the attempt number. The attempts at the last one must grow linearly with
+// the depth of the chain.
+func TestRetriesDoNotMultiplyAcrossHops(t *testing.T) {
 	const depth, attempts = 12, 3
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		hops := make([]*mesh, depth)
 		for index := range hops {
-			hops[index] = newMesh(1, func(view *projection.Snapshot) { view.Services[serviceName].Slots = 1000 })
+			hops[index] = newMesh(1, func(snapshot *projection.Snapshot) { snapshot.Services[serviceName].Slots = 1000 })
 			defer hops[index].close()
 		}
 		for index := range depth - 1 {
-			hops[index].handleAll(func(w http.ResponseWriter, r *http.Request) {
+			hops[index].setHandlers(func(w http.ResponseWriter, r *http.Request) {
 				next := hops[index+1].request("GET", "one")
 				next.Header.Set("Kestrel-Attempt", r.Header.Get("Kestrel-Attempt"))
 				got := hops[index+1].do(next)
@@ -275,11 +280,11 @@
 				_, _ = io.WriteString(w, got.body)
 			})
 		}
-		hops[depth-1].handleAll(shedMarked)
+		hops[depth-1].setHandlers(shedWithMarker)
 		started := time.Now()
 		got := hops[0].call("GET", "one")
 		g.Expect(got.header.Get("Kestrel-Outcome")).To(Equal("not-run"))
-		g.Expect(hops[depth-1].ran("one")).To(Equal(1 + depth*(attempts-1)))
+		g.Expect(hops[depth-1].runCount("one")).To(Equal(1 + depth*(attempts-1)))
 		g.Expect(time.Since(started)).To(BeNumerically("<", 2*time.Second))
 	})
 }
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -12,14 +12,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// arrivedRequest is what a back end made of one request.
-type arrivedRequest struct {
+// receivedRequest holds what a back end parsed from a request.
+type receivedRequest struct {
 	path, body, secret, callID string
 	length                     int64
 }
 
-// sendRaw writes bytes to the callers' listener and returns the statuses of the
-// replies until the connection is closed or stays silent.
+// sendRaw writes raw bytes to the listener for callers. It returns the status
+// codes of all responses until the connection is closed or is idle for a minute.
 func (m *mesh) sendRaw(t *testing.T, raw string) []int {
 	connection, err := m.network.dial(t.Context(), "memory", "outbound:80")
 	if err != nil {
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestHostileFraming: whatever a caller writes, a back end gets the requests
-// that the proxy understood, each with a call id, the secret and a framing of
-// the proxy's own, and never one that hides within another.
-func TestHostileFraming(t *testing.T) {
+// TestRequestSmuggling sends ambiguous and malformed framing. The back end must
+// receive only requests that the proxy has parsed itself, each with the proxy's
+// own call ID, secret and framing, and never a request hidden in another one.
+func TestRequestSmuggling(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
 		name     string
@@ -53,44 +53,44 @@
 		bodies   []string
 	}{
 		{"counted", "Content-Length: 4", "body", []int{200}, []string{"body"}},
-		{"counted and chunked", "Content-Length: 4\r\nTransfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n", []int{200}, []string{"abc"}},
-		{"counted beyond the chunks", "Content-Length: 60\r\nTransfer-Encoding: chunked", "0\r\n\r\n" + hidden, []int{200, 200}, []string{"", ""}},
-		{"two lengths", "Content-Length: 0\r\nContent-Length: 48", hidden, []int{400}, nil},
-		{"two lengths in one", "Content-Length: 0, 48", hidden, []int{400}, nil},
+		{"Content-Length and chunked", "Content-Length: 4\r\nTransfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n", []int{200}, []string{"abc"}},
+		{"Content-Length longer than the chunked body", "Content-Length: 60\r\nTransfer-Encoding: chunked", "0\r\n\r\n" + hidden, []int{200, 200}, []string{"", ""}},
+		{"two Content-Length headers", "Content-Length: 0\r\nContent-Length: 48", hidden, []int{400}, nil},
+		{"two lengths in one Content-Length", "Content-Length: 0, 48", hidden, []int{400}, nil},
 		{"the same length twice", "Content-Length: 4\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 		{"a signed length", "Content-Length: +4", "body", []int{400}, nil},
-		{"an unknown coding", "Transfer-Encoding: xchunked", "0\r\n\r\n" + hidden, []int{501}, nil},
-		{"two codings", "Transfer-Encoding: gzip, chunked", "0\r\n\r\n", []int{501}, nil},
-		{"a coding twice", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", "0\r\n\r\n", []int{501}, nil},
+		{"an unknown transfer coding", "Transfer-Encoding: xchunked", "0\r\n\r\n" + hidden, []int{501}, nil},
+		{"two transfer codings", "Transfer-Encoding: gzip, chunked", "0\r\n\r\n", []int{501}, nil},
+		{"two Transfer-Encoding headers", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", "0\r\n\r\n", []int{501}, nil},
 		{"a space before the colon", "Transfer-Encoding : chunked", "0\r\n\r\n", []int{400}, nil},
 		{"a chunk size that overflows", "Transfer-Encoding: chunked", "10000000000000000\r\nabc\r\n0\r\n\r\n", []int{502}, nil},
-		{"headers of the mesh named as of one hop", "Connection: Kestrel-Service, Kestrel-Call-Id, Kestrel-Deadline-Ms, Authorization, Host, Content-Length\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
-		{"a folded marker", "X-Folded: a\r\n Kestrel-Call-Id: forged\r\nKestrel-Call-Id: forged\r\nAuthorization: forged\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
+		{"mesh headers listed in Connection", "Connection: Kestrel-Service, Kestrel-Call-Id, Kestrel-Deadline-Ms, Authorization, Host, Content-Length\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
+		{"forged and folded mesh headers", "X-Folded: a\r\n Kestrel-Call-Id: forged\r\nKestrel-Call-Id: forged\r\nAuthorization: forged\r\nContent-Length: 4", "body", []int{200}, []string{"body"}},
 	}
-	for _, hostile := range cases {
-		t.Run(hostile.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
-				var arrived []arrivedRequest
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
+				var arrived []receivedRequest
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					body, err := io.ReadAll(r.Body)
 					if err != nil {
 						return
 					}
-					arrived = append(arrived, arrivedRequest{
+					arrived = append(arrived, receivedRequest{
 						path: r.URL.Path, body: string(body), length: r.ContentLength,
 						secret: strings.Join(r.Header["Authorization"], "|"), callID: strings.Join(r.Header["Kestrel-Call-Id"], "|"),
 					})
 					answerOK(w, r)
 				})
-				statuses := running.sendRaw(t, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\n"+hostile.head+"\r\n\r\n"+hostile.body)
-				g.Expect(statuses).To(Equal(hostile.statuses))
-				g.Expect(arrived).To(HaveLen(len(hostile.bodies)))
+				statuses := testMesh.sendRaw(t, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\n"+test.head+"\r\n\r\n"+test.body)
+				g.Expect(statuses).To(Equal(test.statuses))
+				g.Expect(arrived).To(HaveLen(len(test.bodies)))
 				calls := map[string]bool{}
 				for index, request := range arrived {
-					g.Expect(request.body).To(Equal(hostile.bodies[index]))
+					g.Expect(request.body).To(Equal(test.bodies[index]))
 					g.Expect(request.secret).To(Equal("Bearer secret"))
 					g.Expect(request.callID).To(MatchRegexp(`^[0-9a-z]+-[0-9a-z]+$`))
 					calls[request.callID] = true
@@ -101,21 +101,22 @@
 	}
 }
 
-// TestRestOfABrokenBodyIsNoRequest: when the answer came before the body broke
-// off, nothing that follows on the connection is taken for a request.
-func TestRestOfABrokenBodyIsNoRequest(t *testing.T) {
+// TestRestOfMalformedBodyIsNotParsedAsRequest sends a malformed chunk after the
+// response has begun. Nothing that follows on the connection may be parsed as a
+// request.
+func TestRestOfMalformedBodyIsNotParsedAsRequest(t *testing.T) {
 	for _, rest := range []string{"10000000000000000\r\n", "zz\r\n"} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			running := newMesh(1, nil)
-			defer running.close()
+			testMesh := newMesh(1, nil)
+			defer testMesh.close()
 			var paths []string
-			running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+			testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 				paths = append(paths, r.URL.Path)
 				_ = http.NewResponseController(w).EnableFullDuplex()
 				answerOK(w, r)
 			})
-			connection, err := running.network.dial(t.Context(), "memory", "outbound:80")
+			connection, err := testMesh.network.dial(t.Context(), "memory", "outbound:80")
 			g.Expect(err).NotTo(HaveOccurred())
 			defer connection.Close()
 			_, err = io.WriteString(connection, "POST /start HTTP/1.1\r\nHost: "+hostName+"\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
@@ -137,10 +138,10 @@
 	}
 }
 
-// TestRestOfARefusedBodyIsNoRequest: a request that was answered although its
-// body was still to come may be followed by another one only when that body
-// came whole.
-func TestRestOfARefusedBodyIsNoRequest(t *testing.T) {
+// TestRestOfRefusedBodyIsNotParsedAsRequest sends a request that is refused before
+// its body has arrived. A second request on the connection may be answered only
+// if the body of the first one arrived completely.
+func TestRestOfRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	const next = "GET /next HTTP/1.1\r\nHost: " + hostName + "\r\n\r\n"
 	cases := []struct {
 		name, head, rest string
@@ -149,22 +150,22 @@
 	}{
 		{"whole", "Content-Length: 8", "more", 0, true},
 		{"whole and chunked", "Transfer-Encoding: chunked", "0\r\n\r\n", 0, true},
-		{"broken off, then more", "Content-Length: 8", "", 5 * time.Second, false},
+		{"incomplete, then another request", "Content-Length: 8", "", 5 * time.Second, false},
 		{"a broken chunk", "Transfer-Encoding: chunked", "zz\r\n", 0, false},
-		{"not asked for", "Expect: 100-continue\r\nContent-Length: 8", "", 0, false},
+		{"not requested with 100 Continue", "Expect: 100-continue\r\nContent-Length: 8", "", 0, false},
 	}
 	for _, refused := range cases {
 		t.Run(refused.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				running := newMesh(1, nil)
-				defer running.close()
+				testMesh := newMesh(1, nil)
+				defer testMesh.close()
 				var paths []string
-				running.handleAll(func(w http.ResponseWriter, r *http.Request) {
+				testMesh.setHandlers(func(w http.ResponseWriter, r *http.Request) {
 					paths = append(paths, r.URL.Path)
 					answerOK(w, r)
 				})
-				connection, err := running.network.dial(t.Context(), "memory", "outbound:80")
+				connection, err := testMesh.network.dial(t.Context(), "memory", "outbound:80")
 				g.Expect(err).NotTo(HaveOccurred())
 				defer connection.Close()
 				begin := "half"
--- a/internal/proxy/http2_test.go
+++ b/internal/proxy/http2_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestCallersOverHTTP2 uses real connections, since TLS and HTTP/2 belong to
-// the library; it waits for events only.
-func TestCallersOverHTTP2(t *testing.T) {
+// TestHTTP2Callers uses real connections because the standard library implements
+// TLS and HTTP/2. It waits for events and never for a fixed time.
+func TestHTTP2Callers(t *testing.T) {
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
@@ -21,22 +21,22 @@
 	}{
 		{"whole answer", answerOK, true, 200, ""},
 		{"large answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 1<<20)) }, true, 200, ""},
-		{"half of a counted answer", killInBody, false, 200, ""},
-		{"half of a chunked answer", killInChunks, false, 200, ""},
+		{"truncated answer with Content-Length", killInBody, false, 200, ""},
+		{"truncated chunked answer", killInChunks, false, 200, ""},
 		{"killed after the run", killAfterRun, true, 502, "unknown"},
 	}
 	for _, call := range cases {
 		t.Run(call.name, func(t *testing.T) {
 			g := NewWithT(t)
-			running := newMesh(1, nil)
-			defer running.close()
-			running.handleAll(call.handler)
-			callers := httptest.NewUnstartedServer(running.caller.Outbound())
+			testMesh := newMesh(1, nil)
+			defer testMesh.close()
+			testMesh.setHandlers(call.handler)
+			callers := httptest.NewUnstartedServer(testMesh.caller.Outbound())
 			callers.EnableHTTP2 = true
-			running.caller.ConfigureServer(callers.Config)
+			testMesh.caller.ConfigureServer(callers.Config)
 			callers.StartTLS()
 			defer callers.Close()
-			request := running.request("POST", "one")
+			request := testMesh.request("POST", "one")
 			request.URL.Scheme, request.URL.Host = "https", callers.Listener.Addr().String()
 			response, err := callers.Client().Do(request)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -50,7 +50,7 @@
 			} else {
 				g.Expect(err).To(HaveOccurred())
 			}
-			g.Expect(running.ran("one")).To(Equal(1))
+			g.Expect(testMesh.runCount("one")).To(Equal(1))
 		})
 	}
 }
