--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -86,7 +86,7 @@
 		failing := set.Endpoints()
 		fail := func(now time.Duration, index, times int) (ejected bool) {
 			for range times {
-				ejected = set.Failed(now, failing[index], balance.FailureBroken)
+				ejected = set.RecordFailure(now, failing[index], balance.FailureBroken)
 			}
 			return ejected
 		}
@@ -95,8 +95,8 @@
 		Expect(fail(0, 0, 4)).To(BeFalse())
 		Expect(fail(0, 0, 1)).To(BeTrue())
 		Expect(shares(set, 0, 100, true)[0]).To(BeZero())
-		Expect(set.Failed(0, failing[1], balance.FailureUnreachable)).To(BeTrue())
-		Expect(set.Failed(0, failing[2], balance.FailureUnreachable)).To(BeFalse())
+		Expect(set.RecordFailure(0, failing[1], balance.FailureUnreachable)).To(BeTrue())
+		Expect(set.RecordFailure(0, failing[2], balance.FailureUnreachable)).To(BeFalse())
 		Expect(failing[0].Ejected(time.Second)).To(BeFalse())
 		Expect(fail(time.Second, 0, 5)).To(BeTrue())
 		Expect(failing[0].Ejected(2*time.Second + 500*time.Millisecond)).To(BeTrue())
@@ -105,7 +105,7 @@
 
 	It("never ejects the only endpoint", func() {
 		set := newSet(1, 1)
-		Expect(set.Failed(0, set.Endpoints()[0], balance.FailureUnreachable)).To(BeFalse())
+		Expect(set.RecordFailure(0, set.Endpoints()[0], balance.FailureUnreachable)).To(BeFalse())
 	})
 
 	DescribeTable("load hints", func(hint int, age time.Duration, lowest, highest int) {
--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -31,9 +31,9 @@
 	FailureUnreachable
 )
 
-// Failed notes a failure of an endpoint of this set and reports whether it was
+// RecordFailure notes a failure of an endpoint of this set and reports whether it was
 // ejected for it.
-func (s *Set) Failed(now time.Duration, failed *Endpoint, kind FailureKind) bool {
+func (s *Set) RecordFailure(now time.Duration, failed *Endpoint, kind FailureKind) bool {
 	consecutive := failed.failures.Add(1)
 	if kind == FailureBroken && int(consecutive) < s.ejection.Failures {
 		return false
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -118,7 +118,7 @@
 
 func (c *call) observeBroken(chosen *balance.Endpoint, kind balance.FailureKind) {
 	endpoints := c.route.service.endpoints.Load()
-	if endpoints.Failed(c.handler.now(), chosen, kind) {
+	if endpoints.RecordFailure(c.handler.now(), chosen, kind) {
 		c.handler.options.Observer.Ejected(chosen.ID)
 		c.handler.options.Logger.Warn("endpoint ejected",
 			zap.String("service", chosen.ID.Service), zap.String("endpoint", chosen.ID.Name),
