--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -91,7 +91,7 @@
 			return ejected
 		}
 		Expect(fail(0, 0, 4)).To(BeFalse())
-		failing[0].Succeeded()
+		failing[0].RecordSuccess()
 		Expect(fail(0, 0, 4)).To(BeFalse())
 		Expect(fail(0, 0, 1)).To(BeTrue())
 		Expect(shares(set, 0, 100, true)[0]).To(BeZero())
--- a/internal/proxy/balance/endpoint.go
+++ b/internal/proxy/balance/endpoint.go
@@ -80,8 +80,8 @@
 	e.avoidedUntil.Store(int64(now + shedPause))
 }
 
-// Succeeded notes a whole answer.
-func (e *Endpoint) Succeeded() {
+// RecordSuccess notes a whole answer.
+func (e *Endpoint) RecordSuccess() {
 	if e.failures.Load() != 0 {
 		e.failures.Store(0)
 	}
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -135,7 +135,7 @@
 	case status == http.StatusBadGateway, status == http.StatusServiceUnavailable, status == http.StatusGatewayTimeout:
 		c.observeBroken(from, balance.FailureBroken)
 	default:
-		from.Succeeded()
+		from.RecordSuccess()
 	}
 }
 
