--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -129,7 +129,7 @@
 
 	It("avoids an endpoint that shed for a moment", func() {
 		set := newSet(2, 10)
-		set.Endpoints()[0].Shed(0)
+		set.Endpoints()[0].RecordShed(0)
 		Expect(shares(set, 0, 10, false)).To(Equal([]int{0, 10}))
 		Expect(shares(set, 0, 1, false)).To(Equal([]int{1, 0}), "rather than none")
 		Expect(shares(set, 60*time.Millisecond, 9, false)).To(Equal([]int{9, 0}))
--- a/internal/proxy/balance/endpoint.go
+++ b/internal/proxy/balance/endpoint.go
@@ -75,8 +75,8 @@
 	e.hintTime.Store(int64(now))
 }
 
-// Shed notes that the endpoint refused a request for lack of room.
-func (e *Endpoint) Shed(now time.Duration) {
+// RecordShed notes that the endpoint refused a request for lack of room.
+func (e *Endpoint) RecordShed(now time.Duration) {
 	e.avoidedUntil.Store(int64(now + shedPause))
 }
 
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -113,7 +113,7 @@
 		c.observeBroken(chosen, balance.FailureUnreachable)
 		return
 	}
-	chosen.Shed(c.handler.now())
+	chosen.RecordShed(c.handler.now())
 }
 
 func (c *call) observeBroken(chosen *balance.Endpoint, kind balance.FailureKind) {
