--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -113,7 +113,7 @@
 		set := newSet(2, 100)
 		shares(set, now, 40, false)
 		hinted := set.Endpoints()[0]
-		hinted.Hint(now-age, hint)
+		hinted.RecordLoad(now-age, hint)
 		Expect(shares(set, now, 100, true)[0]).To(And(BeNumerically(">=", lowest), BeNumerically("<=", highest)))
 	},
 		Entry("one that claims less than observed changes nothing", 0, time.Duration(0), 30, 100),
@@ -123,7 +123,7 @@
 
 	It("still uses endpoints that claim to be full, when others are", func() {
 		set := newSet(2, 10)
-		set.Endpoints()[0].Hint(time.Hour, 1<<30)
+		set.Endpoints()[0].RecordLoad(time.Hour, 1<<30)
 		Expect(shares(set, time.Hour, 20, false)).To(HaveEach(10))
 	})
 
--- a/internal/proxy/balance/endpoint.go
+++ b/internal/proxy/balance/endpoint.go
@@ -69,8 +69,8 @@
 // Release ends a request that Set.Acquire began.
 func (e *Endpoint) Release() { e.inFlight.Add(-1) }
 
-// Hint takes in the load the endpoint reports for itself.
-func (e *Endpoint) Hint(now time.Duration, load int) {
+// RecordLoad takes in the load the endpoint reports for itself.
+func (e *Endpoint) RecordLoad(now time.Duration, load int) {
 	e.hintLoad.Store(int64(load))
 	e.hintTime.Store(int64(now))
 }
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -91,7 +91,7 @@
 func (c *call) classify(chosen *balance.Endpoint, response *http.Response) attemptResult {
 	now := c.handler.now()
 	if load, valid := parseLoad(response.Header.Get(outcome.HeaderLoad)); valid {
-		chosen.Hint(now, load)
+		chosen.RecordLoad(now, load)
 	}
 	switch said := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); said {
 	case "":
