--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -73,7 +73,7 @@
 		now := time.Hour
 		shareAt := func(age time.Duration) int {
 			set := newSet(4, 1000)
-			set.Endpoints()[0].StartSlow(now)
+			set.Endpoints()[0].BeginSlowStart(now)
 			return shares(set, now+age, 1000, false)[0]
 		}
 		Expect(shareAt(0)).To(BeNumerically("~", 32, 10))
--- a/internal/proxy/balance/endpoint.go
+++ b/internal/proxy/balance/endpoint.go
@@ -55,8 +55,8 @@
 	return created
 }
 
-// StartSlow begins slow start, unless it is going on already.
-func (e *Endpoint) StartSlow(now time.Duration) {
+// BeginSlowStart begins slow start, unless it is going on already.
+func (e *Endpoint) BeginSlowStart(now time.Duration) {
 	e.warmSince.CompareAndSwap(-1, int64(now))
 }
 
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -172,7 +172,7 @@
 		held = balance.NewEndpoint(wanted.id, wanted.zone, wanted.address, pool)
 		r.endpoints[key] = held
 		if r.states[wanted.id].State == endpoint.Warming {
-			held.StartSlow(now)
+			held.BeginSlowStart(now)
 		}
 		if len(target.view.Endpoints) <= warmedEndpoints {
 			pool.Warm()
@@ -212,7 +212,7 @@
 			held.Reinstate()
 		}
 		if update.State == endpoint.Warming && previous.State != endpoint.Warming {
-			held.StartSlow(now)
+			held.BeginSlowStart(now)
 		}
 	}
 }
