--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -86,7 +86,7 @@
 		failing := set.Endpoints()
 		fail := func(now time.Duration, index, times int) (ejected bool) {
 			for range times {
-				ejected = set.RecordFailure(now, failing[index], balance.FailureBroken)
+				ejected = set.RecordFailure(now, failing[index], balance.FailureIncomplete)
 			}
 			return ejected
 		}
--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -24,8 +24,8 @@
 
 // The kinds of failures that count against an endpoint.
 const (
-	// FailureBroken is a reply that was lost or cut short.
-	FailureBroken FailureKind = iota
+	// FailureIncomplete is a reply that was lost or cut short.
+	FailureIncomplete FailureKind = iota
 	// FailureUnreachable is a connection that could not be opened; one of
 	// them is enough, since nothing listens there.
 	FailureUnreachable
@@ -35,7 +35,7 @@
 // ejected for it.
 func (s *Set) RecordFailure(now time.Duration, failed *Endpoint, kind FailureKind) bool {
 	consecutive := failed.failures.Add(1)
-	if kind == FailureBroken && int(consecutive) < s.ejection.Failures {
+	if kind == FailureIncomplete && int(consecutive) < s.ejection.Failures {
 		return false
 	}
 	if failed.Ejected(now) || !s.mayEject(now) {
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -70,7 +70,7 @@
 	case failed.Step == outcome.StepConnect && c.context.Err() == nil:
 		c.observeBroken(chosen, balance.FailureUnreachable)
 	default:
-		c.observeBroken(chosen, balance.FailureBroken)
+		c.observeBroken(chosen, balance.FailureIncomplete)
 	}
 	return attemptResult{outcome: failed.Outcome, err: err}
 }
@@ -101,7 +101,7 @@
 		return attemptResult{outcome: outcome.NotRun, response: response}
 	default:
 		if !c.lateByCaller(response.StatusCode) {
-			c.observeBroken(chosen, balance.FailureBroken)
+			c.observeBroken(chosen, balance.FailureIncomplete)
 		}
 		return attemptResult{outcome: outcome.Unknown, response: response}
 	}
@@ -133,7 +133,7 @@
 	switch {
 	case c.lateByCaller(status):
 	case status == http.StatusBadGateway, status == http.StatusServiceUnavailable, status == http.StatusGatewayTimeout:
-		c.observeBroken(from, balance.FailureBroken)
+		c.observeBroken(from, balance.FailureIncomplete)
 	default:
 		from.RecordSuccess()
 	}
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -233,7 +233,7 @@
 		return nil
 	}
 	if !errors.Is(err, forward.ErrCallerGone) && !c.endedByCaller() {
-		c.observeBroken(from, balance.FailureBroken)
+		c.observeBroken(from, balance.FailureIncomplete)
 	}
 	c.abort(from, err)
 	return nil
