--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ejection says when a failing endpoint is left out for a while.
-type Ejection struct {
+// EjectionPolicy says when a failing endpoint is left out for a while.
+type EjectionPolicy struct {
 	// Failures is how many consecutive failures eject.
 	Failures int
 	// Base is the length of the first ejection; each further one is twice as
@@ -15,8 +15,8 @@
 }
 
 // DefaultEjection suits services of a few endpoints.
-func DefaultEjection() Ejection {
-	return Ejection{Failures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
+func DefaultEjection() EjectionPolicy {
+	return EjectionPolicy{Failures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
 }
 
 // FailureKind grades a failure.
@@ -60,7 +60,7 @@
 }
 
 // length doubles with each consecutive ejection, counted from one.
-func (e Ejection) length(ejections int32) time.Duration {
+func (e EjectionPolicy) length(ejections int32) time.Duration {
 	length := e.Base
 	for range ejections - 1 {
 		length *= 2
--- a/internal/proxy/balance/set.go
+++ b/internal/proxy/balance/set.go
@@ -21,11 +21,11 @@
 type Set struct {
 	endpoints []*Endpoint
 	slots     int64
-	ejection  Ejection
+	ejection  EjectionPolicy
 }
 
 // NewSet returns a set whose endpoints run at most slots requests each.
-func NewSet(endpoints []*Endpoint, slots int, ejection Ejection) *Set {
+func NewSet(endpoints []*Endpoint, slots int, ejection EjectionPolicy) *Set {
 	return &Set{endpoints: endpoints, slots: int64(slots), ejection: ejection}
 }
 
