--- a/internal/proxy/balance/balance_test.go
+++ b/internal/proxy/balance/balance_test.go
@@ -19,7 +19,7 @@
 		id := endpoint.ID{Service: "s", Name: fmt.Sprint(index)}
 		endpoints[index] = balance.NewEndpoint(id, "z", "", nil)
 	}
-	return balance.NewSet(endpoints, slots, balance.DefaultEjection())
+	return balance.NewSet(endpoints, slots, balance.DefaultEjectionPolicy())
 }
 
 // shares acquires and keeps that many slots and counts them by endpoint.
--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -14,8 +14,8 @@
 	MaximumPercent int
 }
 
-// DefaultEjection suits services of a few endpoints.
-func DefaultEjection() EjectionPolicy {
+// DefaultEjectionPolicy suits services of a few endpoints.
+func DefaultEjectionPolicy() EjectionPolicy {
 	return EjectionPolicy{Failures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
 }
 
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -106,7 +106,7 @@
 			usable = append(usable, r.endpoint(target, candidate, now))
 		}
 	}
-	target.endpoints.Store(balance.NewSet(usable, target.view.Slots, balance.DefaultEjection()))
+	target.endpoints.Store(balance.NewSet(usable, target.view.Slots, balance.DefaultEjectionPolicy()))
 	target.shared.limiter.Resize(target.view.Slots*len(usable), target.view.Queue*len(usable))
 	target.shared.budget.SetPercent(target.policy.BudgetPercent)
 }
