--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -4,8 +4,8 @@
 
 // EjectionPolicy says when a failing endpoint is left out for a while.
 type EjectionPolicy struct {
-	// Failures is how many consecutive failures eject.
-	Failures int
+	// ConsecutiveFailures is how many consecutive failures eject.
+	ConsecutiveFailures int
 	// Base is the length of the first ejection; each further one is twice as
 	// long, up to Maximum.
 	Base, Maximum time.Duration
@@ -16,7 +16,7 @@
 
 // DefaultEjectionPolicy suits services of a few endpoints.
 func DefaultEjectionPolicy() EjectionPolicy {
-	return EjectionPolicy{Failures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
+	return EjectionPolicy{ConsecutiveFailures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
 }
 
 // FailureKind grades a failure.
@@ -35,7 +35,7 @@
 // ejected for it.
 func (s *Set) RecordFailure(now time.Duration, failed *Endpoint, kind FailureKind) bool {
 	consecutive := failed.failures.Add(1)
-	if kind == FailureIncomplete && int(consecutive) < s.ejection.Failures {
+	if kind == FailureIncomplete && int(consecutive) < s.ejection.ConsecutiveFailures {
 		return false
 	}
 	if failed.Ejected(now) || !s.mayEject(now) {
