--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -6,9 +6,9 @@
 type EjectionPolicy struct {
 	// ConsecutiveFailures is how many consecutive failures eject.
 	ConsecutiveFailures int
-	// Base is the length of the first ejection; each further one is twice as
+	// BaseTime is the length of the first ejection; each further one is twice as
 	// long, up to Maximum.
-	Base, Maximum time.Duration
+	BaseTime, Maximum time.Duration
 	// MaximumPercent bounds the share of a set that is ejected at once, so
 	// that a fault of the caller's own side does not empty the set.
 	MaximumPercent int
@@ -16,7 +16,7 @@
 
 // DefaultEjectionPolicy suits services of a few endpoints.
 func DefaultEjectionPolicy() EjectionPolicy {
-	return EjectionPolicy{ConsecutiveFailures: 5, Base: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
+	return EjectionPolicy{ConsecutiveFailures: 5, BaseTime: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
 }
 
 // FailureKind grades a failure.
@@ -61,7 +61,7 @@
 
 // length doubles with each consecutive ejection, counted from one.
 func (e EjectionPolicy) length(ejections int32) time.Duration {
-	length := e.Base
+	length := e.BaseTime
 	for range ejections - 1 {
 		length *= 2
 		if length >= e.Maximum {
