--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -7,8 +7,8 @@
 	// ConsecutiveFailures is how many consecutive failures eject.
 	ConsecutiveFailures int
 	// BaseTime is the length of the first ejection; each further one is twice as
-	// long, up to Maximum.
-	BaseTime, Maximum time.Duration
+	// long, up to MaximumTime.
+	BaseTime, MaximumTime time.Duration
 	// MaximumPercent bounds the share of a set that is ejected at once, so
 	// that a fault of the caller's own side does not empty the set.
 	MaximumPercent int
@@ -16,7 +16,7 @@
 
 // DefaultEjectionPolicy suits services of a few endpoints.
 func DefaultEjectionPolicy() EjectionPolicy {
-	return EjectionPolicy{ConsecutiveFailures: 5, BaseTime: time.Second, Maximum: 30 * time.Second, MaximumPercent: 50}
+	return EjectionPolicy{ConsecutiveFailures: 5, BaseTime: time.Second, MaximumTime: 30 * time.Second, MaximumPercent: 50}
 }
 
 // FailureKind grades a failure.
@@ -64,8 +64,8 @@
 	length := e.BaseTime
 	for range ejections - 1 {
 		length *= 2
-		if length >= e.Maximum {
-			return e.Maximum
+		if length >= e.MaximumTime {
+			return e.MaximumTime
 		}
 	}
 	return length
