--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -116,7 +116,7 @@
 }
 
 func limitRefusal(err error) *outcome.Failure {
-	if errors.Is(err, limit.ErrExpired) {
+	if errors.Is(err, limit.ErrDeadlineExceeded) {
 		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, err)
 	}
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, err)
--- a/internal/proxy/limit/limit.go
+++ b/internal/proxy/limit/limit.go
@@ -16,8 +16,8 @@
 var (
 	// ErrQueueFull: neither a slot nor a place in the queue was free.
 	ErrQueueFull = errors.New("limit: queue is full")
-	// ErrExpired: the deadline passed before a slot was free.
-	ErrExpired = errors.New("limit: deadline passed in the queue")
+	// ErrDeadlineExceeded: the deadline passed before a slot was free.
+	ErrDeadlineExceeded = errors.New("limit: deadline passed in the queue")
 )
 
 // Limiter hands out slots. The path without waiting takes no lock.
@@ -185,7 +185,7 @@
 
 func expiry(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return ErrExpired
+		return ErrDeadlineExceeded
 	}
 	return context.Cause(ctx)
 }
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -165,7 +165,7 @@
 }
 
 func (c *call) limitRefusal(err error) *outcome.Failure {
-	if errors.Is(err, limit.ErrExpired) {
+	if errors.Is(err, limit.ErrDeadlineExceeded) {
 		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, err)
 	}
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, err)
