--- a/internal/proxy/table/path.go
+++ b/internal/proxy/table/path.go
@@ -11,7 +11,7 @@
 	ErrRelativePath    = errors.New("the path does not begin with a slash")
 	ErrDotSegment      = errors.New("the path holds a segment of one or two dots")
 	ErrEmptySegment    = errors.New("the path holds an empty segment")
-	ErrForbiddenSymbol = errors.New("the path holds a backslash or a control character")
+	ErrForbiddenCharacter = errors.New("the path holds a backslash or a control character")
 )
 
 // CheckPath returns the path by which a request is matched. It refuses every
@@ -49,7 +49,7 @@
 	for index := 1; index <= len(path); index++ {
 		if index < len(path) && path[index] != '/' {
 			if path[index] == '\\' || path[index] < ' ' || path[index] == 0x7f {
-				return ErrForbiddenSymbol
+				return ErrForbiddenCharacter
 			}
 			continue
 		}
--- a/internal/proxy/table/table_test.go
+++ b/internal/proxy/table/table_test.go
@@ -74,8 +74,8 @@
 	Entry("dots behind an encoded slash", "/a%2f../b", "", table.ErrDotSegment),
 	Entry("empty segment", "/a//b", "", table.ErrEmptySegment),
 	Entry("empty segment by an encoded slash", "/a%2f/b", "", table.ErrEmptySegment),
-	Entry("backslash", "/a%5cb", "", table.ErrForbiddenSymbol),
-	Entry("line feed", "/a%0ab", "", table.ErrForbiddenSymbol),
+	Entry("backslash", "/a%5cb", "", table.ErrForbiddenCharacter),
+	Entry("line feed", "/a%0ab", "", table.ErrForbiddenCharacter),
 	Entry("asterisk", "*", "", table.ErrRelativePath),
 )
 
