--- a/internal/proxy/table/path.go
+++ b/internal/proxy/table/path.go
@@ -8,9 +8,9 @@
 
 // Errors of CheckPath.
 var (
-	ErrRelativePath    = errors.New("the path does not begin with a slash")
-	ErrDotSegment      = errors.New("the path holds a segment of one or two dots")
-	ErrEmptySegment    = errors.New("the path holds an empty segment")
+	ErrRelativePath       = errors.New("the path does not begin with a slash")
+	ErrDotSegment         = errors.New("the path holds a segment of one or two dots")
+	ErrEmptySegment       = errors.New("the path holds an empty segment")
 	ErrForbiddenCharacter = errors.New("the path holds a backslash or a control character")
 )
 
