--- a/internal/proxy/balance/set.go
+++ b/internal/proxy/balance/set.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Errors of Acquire. Neither of them touched an endpoint.
+// Errors of Acquire. No slot is held and no request was sent when one is returned.
 var (
-	// ErrNoEndpoint: no endpoint is allowed and accepts work.
+	// ErrNoEndpoint means that the set is empty: no endpoint is both allowed by placement and
+	// accepting requests.
 	ErrNoEndpoint = errors.New("balance: no endpoint")
-	// ErrSaturated: every usable endpoint has all its slots taken.
+	// ErrSaturated means that all slots of every usable endpoint are in use.
 	ErrSaturated = errors.New("balance: all slots taken")
 )
 
-// randomPairs is how many pairs are drawn before every endpoint is looked at.
+// randomPairs is the number of random pairs that are tried before all endpoints are scanned.
 const randomPairs = 2
 
-// Set is the endpoints of a service that may receive new work: allowed by
-// placement and accepting. A Set is immutable; its endpoints' state is not.
+// Set holds the endpoints of a service that are allowed by placement and accept requests. A Set is
+// immutable, but the state of its endpoints is not.
 type Set struct {
 	endpoints []*Endpoint
 	slots     int64
 	ejection  EjectionPolicy
 }
 
-// NewSet returns a set whose endpoints run at most slots requests each.
+// NewSet returns a set in which each endpoint runs at most slots requests at a time.
 func NewSet(endpoints []*Endpoint, slots int, ejection EjectionPolicy) *Set {
 	return &Set{endpoints: endpoints, slots: int64(slots), ejection: ejection}
 }
 
-// Len returns how many endpoints the set has.
+// Len returns the number of endpoints.
 func (s *Set) Len() int { return len(s.endpoints) }
 
-// Endpoints returns the set's endpoints; the caller must not change the slice.
+// Endpoints returns the endpoints of the set. The caller must not modify the slice.
 func (s *Set) Endpoints() []*Endpoint { return s.endpoints }
 
-// Acquire chooses an endpoint and claims one of its slots; Release gives it
-// back. avoid, which may be nil, is used only when nothing else is left.
+// Acquire selects an endpoint and acquires one of its slots, which Release frees. The endpoint avoid,
+// which may be nil, is selected only if no other usable one has a free slot.
 func (s *Set) Acquire(now time.Duration, random uint64, avoid *Endpoint) (*Endpoint, error) {
 	count := uint64(len(s.endpoints))
 	if count == 0 {
@@ -47,38 +48,39 @@
 		if second.cost(now, s.slots) < first.cost(now, s.slots) {
 			first, second = second, first
 		}
-		if s.usable(now, first, avoid) && first.take(s.slots) {
+		if s.usable(now, first, avoid) && first.acquireSlot(s.slots) {
 			return first, nil
 		}
-		if s.usable(now, second, avoid) && second.take(s.slots) {
+		if s.usable(now, second, avoid) && second.acquireSlot(s.slots) {
 			return second, nil
 		}
-		random = remix(random)
+		random = nextRandom(random)
 	}
 	return s.scan(now, random%count, avoid)
 }
 
-// pair returns two endpoints, different ones when there are two.
+// pair returns two random endpoints. They differ if the set has more than one.
 func (s *Set) pair(random, count uint64) (first, second *Endpoint) {
-	left := (random >> 32) * count >> 32
+	firstIndex := (random >> 32) * count >> 32
 	if count == 1 {
-		return s.endpoints[left], s.endpoints[left]
+		return s.endpoints[firstIndex], s.endpoints[firstIndex]
 	}
-	right := (random & 0xffffffff) * (count - 1) >> 32
-	if right >= left {
-		right++
+	secondIndex := (random & 0xffffffff) * (count - 1) >> 32
+	if secondIndex >= firstIndex {
+		secondIndex++
 	}
-	return s.endpoints[left], s.endpoints[right]
+	return s.endpoints[firstIndex], s.endpoints[secondIndex]
 }
 
+// usable reports whether candidate is neither ejected nor in backoff nor the endpoint to avoid.
 func (s *Set) usable(now time.Duration, candidate, avoid *Endpoint) bool {
 	return candidate != avoid &&
 		!candidate.Ejected(now) &&
-		candidate.avoidedUntil.Load() <= int64(now)
+		candidate.backoffUntil.Load() <= int64(now)
 }
 
-// scan looks at every endpoint. Those that shed or are to be avoided come
-// last; ejected ones count only when all are ejected.
+// scan acquires a slot of the endpoint with the lowest rank and cost among those that have a free one.
+// Ejected endpoints are considered only if all are ejected.
 func (s *Set) scan(now time.Duration, start uint64, avoid *Endpoint) (*Endpoint, error) {
 	allEjected := s.countEjected(now) == len(s.endpoints)
 	var best *Endpoint
@@ -93,17 +95,18 @@
 			best, bestRank, bestCost = candidate, rank, cost
 		}
 	}
-	if best == nil || !best.take(s.slots) {
+	if best == nil || !best.acquireSlot(s.slots) {
 		return nil, ErrSaturated
 	}
 	return best, nil
 }
 
+// rank places endpoints that recently shed a request behind all others, and avoid behind these.
 func (s *Set) rank(now time.Duration, candidate, avoid *Endpoint) int64 {
 	switch {
 	case candidate == avoid:
 		return 2
-	case candidate.avoidedUntil.Load() > int64(now):
+	case candidate.backoffUntil.Load() > int64(now):
 		return 1
 	default:
 		return 0
@@ -120,8 +123,8 @@
 	return count
 }
 
-// remix derives the next random number from one (splitmix64's finalizer).
-func remix(value uint64) uint64 {
+// nextRandom derives another random number from value with a step of splitmix64.
+func nextRandom(value uint64) uint64 {
 	value += 0x9e3779b97f4a7c15
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
