--- a/internal/proxy/limit/limit.go
+++ b/internal/proxy/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit bounds how many requests run at once. Beyond the bound a
-// short queue, ordered by deadline, holds a few more; everything else is shed
-// at once, before any work was done for it.
+// Package limit provides a concurrency limiter with a bounded queue that is ordered by deadline. Requests
+// for which neither a slot nor a place in the queue is free are shed immediately, before any work is
+// done for them.
 package limit
 
 import (
@@ -12,66 +12,68 @@
 	"time"
 )
 
-// Errors of Acquire. Each means that the request holds no slot.
+// Errors of Acquire. The request holds no slot when one is returned.
 var (
-	// ErrQueueFull: neither a slot nor a place in the queue was free.
+	// ErrQueueFull means that neither a slot nor a place in the queue was free.
 	ErrQueueFull = errors.New("limit: queue is full")
-	// ErrDeadlineExceeded: the deadline passed before a slot was free.
+	// ErrDeadlineExceeded means that the deadline passed before a slot was granted.
 	ErrDeadlineExceeded = errors.New("limit: deadline passed in the queue")
 )
 
-// Limiter hands out slots. The path without waiting takes no lock.
+// Limiter limits the number of concurrent requests. Acquiring a free slot, and releasing one
+// while no request is queued, takes no lock.
 type Limiter struct {
-	capacity atomic.Int64
-	queueCap atomic.Int64
-	inFlight atomic.Int64
-	// waiting is the length of queue, readable without the lock. A releaser
-	// looks at it after it gave its slot back, a waiter raises it before it
-	// looks at inFlight, so that one of the two sees the other.
+	capacity      atomic.Int64
+	queueCapacity atomic.Int64
+	inFlight      atomic.Int64
+	// waiting is the length of queue and can be read without the lock. Release loads it after
+	// decrementing inFlight, and enqueue increments it before loading inFlight. At least one of
+	// the two therefore sees the other's change, and no wakeup is lost.
 	waiting atomic.Int64
 
 	mutex sync.Mutex // guards queue and the fields of waiters in it
 	queue waiterHeap
 }
 
+// waiter is a queued request.
 type waiter struct {
 	deadline time.Time
 	sequence uint64
-	index    int // place in the heap, -1 when no longer in it
+	index    int // index in the heap, -1 after removal
 	granted  chan struct{}
 }
 
-// New returns a limiter of that many slots and places in the queue.
+// New returns a limiter with the given numbers of slots and of places in the queue.
 func New(capacity, queue int) *Limiter {
 	limiter := &Limiter{}
 	limiter.Resize(capacity, queue)
 	return limiter
 }
 
-// Resize changes both bounds. Requests that run or wait are not affected,
-// except that new slots go to waiting ones at once.
+// Resize changes the numbers of slots and of places in the queue. Running and queued requests are not
+// affected, except that added slots are granted to queued ones immediately.
 func (l *Limiter) Resize(capacity, queue int) {
 	l.capacity.Store(int64(capacity))
-	l.queueCap.Store(int64(queue))
-	l.grant(time.Now())
+	l.queueCapacity.Store(int64(queue))
+	l.grantSlots(time.Now())
 }
 
-// InFlight returns how many slots are taken.
+// InFlight returns the number of slots in use.
 func (l *Limiter) InFlight() int { return int(l.inFlight.Load()) }
 
-// Waiting returns how many requests are queued.
+// Waiting returns the number of queued requests.
 func (l *Limiter) Waiting() int { return int(l.waiting.Load()) }
 
-// Full reports whether Acquire would refuse at once.
+// Full reports whether all slots and all places in the queue are taken, so that Acquire would fail
+// immediately.
 func (l *Limiter) Full() bool {
-	return l.inFlight.Load() >= l.capacity.Load() && l.waiting.Load() >= l.queueCap.Load()
+	return l.inFlight.Load() >= l.capacity.Load() && l.waiting.Load() >= l.queueCapacity.Load()
 }
 
-// Acquire takes a slot, waiting for one in the queue if need be. The context
-// must carry the request's deadline. A nil error obliges the caller to
-// Release; any error means that nothing is held.
+// Acquire acquires a slot and waits for one in the queue if necessary. ctx must carry the
+// deadline of the request. The caller must call Release if and only if the error is nil.
 func (l *Limiter) Acquire(ctx context.Context) error {
-	if l.waiting.Load() == 0 && l.take() {
+	if l.waiting.Load() == 0 && l.tryAcquireSlot() {
 		return nil
 	}
 	entry, err := l.enqueue(ctx)
@@ -80,54 +82,56 @@
 	}
 	select {
 	case <-entry.granted:
-		return l.checkGrant(ctx)
+		return l.confirmGrant(ctx)
 	case <-ctx.Done():
-		return l.abandon(ctx, entry)
+		return l.cancelWait(ctx, entry)
 	}
 }
 
-// TryAcquire takes a slot if one is free now and nobody waits for it.
-func (l *Limiter) TryAcquire() bool { return l.waiting.Load() == 0 && l.take() }
+// TryAcquire acquires a slot if one is free and no request is queued. It does not wait.
+func (l *Limiter) TryAcquire() bool { return l.waiting.Load() == 0 && l.tryAcquireSlot() }
 
-// Release gives a slot back.
+// Release frees a slot and grants free slots to queued requests.
 func (l *Limiter) Release() {
 	l.inFlight.Add(-1)
 	if l.waiting.Load() > 0 {
-		l.grant(time.Now())
+		l.grantSlots(time.Now())
 	}
 }
 
-func (l *Limiter) take() bool {
+// tryAcquireSlot increments inFlight unless all slots are in use.
+func (l *Limiter) tryAcquireSlot() bool {
 	for {
-		held := l.inFlight.Load()
-		if held >= l.capacity.Load() {
+		current := l.inFlight.Load()
+		if current >= l.capacity.Load() {
 			return false
 		}
-		if l.inFlight.CompareAndSwap(held, held+1) {
+		if l.inFlight.CompareAndSwap(current, current+1) {
 			return true
 		}
 	}
 }
 
-// enqueue returns a nil waiter and a nil error when a slot was free after all.
+// enqueue adds a waiter to the queue. It returns a nil waiter and a nil error if it acquired a slot that
+// became free in the meantime.
 func (l *Limiter) enqueue(ctx context.Context) (*waiter, error) {
 	if ctx.Err() != nil {
-		return nil, expiry(ctx)
+		return nil, waitError(ctx)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if int64(len(l.queue.entries)) >= l.queueCap.Load() {
-		if len(l.queue.entries) == 0 && l.take() {
+	if int64(len(l.queue.entries)) >= l.queueCapacity.Load() {
+		if len(l.queue.entries) == 0 && l.tryAcquireSlot() {
 			return nil, nil
 		}
 		return nil, ErrQueueFull
 	}
 	l.waiting.Add(1)
-	if len(l.queue.entries) == 0 && l.take() {
+	if len(l.queue.entries) == 0 && l.tryAcquireSlot() {
 		l.waiting.Add(-1)
 		return nil, nil
 	}
-	entry := &waiter{granted: make(chan struct{}), sequence: l.queue.next()}
+	entry := &waiter{granted: make(chan struct{}), sequence: l.queue.nextSequence()}
 	if deadline, bounded := ctx.Deadline(); bounded {
 		entry.deadline = deadline
 	}
@@ -135,44 +139,46 @@
 	return entry, nil
 }
 
-// grant gives free slots to the waiters with the earliest deadlines. Waiters
-// whose deadline has passed get none: they leave by their context.
-func (l *Limiter) grant(now time.Time) {
+// grantSlots grants free slots to the waiters with the earliest deadlines. It removes waiters whose
+// deadline has passed without granting one; their Acquire returns when its context ends.
+func (l *Limiter) grantSlots(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for len(l.queue.entries) > 0 {
 		first := l.queue.entries[0]
 		if !first.deadline.IsZero() && !now.Before(first.deadline) {
-			l.remove(first)
+			l.removeWaiter(first)
 			continue
 		}
-		if !l.take() {
+		if !l.tryAcquireSlot() {
 			return
 		}
-		l.remove(first)
+		l.removeWaiter(first)
 		close(first.granted)
 	}
 }
 
-// remove takes a waiter out of the queue; the caller holds the lock.
-func (l *Limiter) remove(entry *waiter) {
+// removeWaiter removes a waiter from the queue. The caller must hold the lock.
+func (l *Limiter) removeWaiter(entry *waiter) {
 	heap.Remove(&l.queue, entry.index)
 	l.waiting.Add(-1)
 }
 
-// checkGrant never lets work start whose time is over.
-func (l *Limiter) checkGrant(ctx context.Context) error {
+// confirmGrant releases a granted slot if the context has ended by then, so that no request starts after
+// its deadline.
+func (l *Limiter) confirmGrant(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
 	}
 	l.Release()
-	return expiry(ctx)
+	return waitError(ctx)
 }
 
-func (l *Limiter) abandon(ctx context.Context, entry *waiter) error {
+// cancelWait removes the waiter from the queue and releases its slot if one was granted concurrently.
+func (l *Limiter) cancelWait(ctx context.Context, entry *waiter) error {
 	l.mutex.Lock()
 	if entry.index >= 0 {
-		l.remove(entry)
+		l.removeWaiter(entry)
 	}
 	l.mutex.Unlock()
 	select {
@@ -180,10 +186,11 @@
 		l.Release()
 	default:
 	}
-	return expiry(ctx)
+	return waitError(ctx)
 }
 
-func expiry(ctx context.Context) error {
+// waitError returns the error of a wait that ended with its context.
+func waitError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ErrDeadlineExceeded
 	}
--- a/internal/proxy/limit/limit_test.go
+++ b/internal/proxy/limit/limit_test.go
@@ -19,7 +19,7 @@
 		g := NewWithT(t)
 		limiter := limit.New(1, 4)
 		g.Expect(limiter.Acquire(t.Context())).To(Succeed())
-		order := make(chan time.Duration, 4)
+		acquired := make(chan time.Duration, 4)
 		for _, deadline := range []time.Duration{30, 10, 20, 0} {
 			go func() {
 				ctx := t.Context()
@@ -29,7 +29,7 @@
 					ctx = bounded
 				}
 				if limiter.Acquire(ctx) == nil {
-					order <- deadline
+					acquired <- deadline
 				}
 			}()
 			synctest.Wait()
@@ -37,14 +37,14 @@
 		g.Expect(limiter.Acquire(t.Context())).To(MatchError(limit.ErrQueueFull))
 		for _, next := range []time.Duration{10, 20, 30, 0} {
 			limiter.Release()
-			g.Expect(<-order).To(Equal(next))
+			g.Expect(<-acquired).To(Equal(next))
 		}
 		limiter.Release()
 		g.Expect(limiter.InFlight()).To(BeZero())
 	})
 }
 
-func TestAcquireAfterTheEnd(t *testing.T) {
+func TestAcquireWithEndedContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limiter := limit.New(1, 2)
@@ -62,8 +62,8 @@
 	})
 }
 
-// TestASlotFreedAtTheDeadlineStartsNothing lets the deadline and the release
-// fall on the same instant, in whichever order they come.
+// TestASlotFreedAtTheDeadlineStartsNothing guards against a request that starts after its deadline: the
+// deadline and the release of the slot fall on the same instant and are processed in either order.
 func TestASlotFreedAtTheDeadlineStartsNothing(t *testing.T) {
 	for range 100 {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestResizeLetsWaitersIn(t *testing.T) {
+func TestResizeGrantsSlotsToWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		limiter := limit.New(0, 1)
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestNeverMoreThanTheSlots lets many goroutines acquire, give up and release,
-// and checks the bound and that no slot is lost.
+// TestNeverMoreThanTheSlots checks that goroutines that acquire, time out and release
+// concurrently never hold more slots than there are, and that no slot leaks.
 func TestNeverMoreThanTheSlots(t *testing.T) {
 	const slots, workers, rounds = 3, 16, 300
 	synctest.Test(t, func(t *testing.T) {
@@ -130,8 +130,8 @@
 func BenchmarkAcquire(b *testing.B) {
 	limiter := limit.New(1000, 0)
 	b.ReportAllocs()
-	b.RunParallel(func(each *testing.PB) {
-		for each.Next() {
+	b.RunParallel(func(pb *testing.PB) {
+		for pb.Next() {
 			if limiter.Acquire(b.Context()) != nil {
 				b.Error("no slot")
 				return
--- a/internal/proxy/limit/queue.go
+++ b/internal/proxy/limit/queue.go
@@ -1,13 +1,14 @@
 package limit
 
-// waiterHeap orders waiters by deadline, then by arrival. Waiters without a
-// deadline come last. It implements heap.Interface.
+// waiterHeap is a heap of waiters, ordered by deadline and then by arrival. Waiters without a deadline
+// come last. It implements heap.Interface.
 type waiterHeap struct {
 	entries  []*waiter
 	sequence uint64
 }
 
-func (h *waiterHeap) next() uint64 {
+// nextSequence returns the sequence number of the next waiter.
+func (h *waiterHeap) nextSequence() uint64 {
 	h.sequence++
 	return h.sequence
 }
