--- a/internal/proxy/table/table.go
+++ b/internal/proxy/table/table.go
@@ -1,6 +1,6 @@
-// Package table compiles routes into an immutable matching table. The package
-// is pure. A match costs one map look-up for the host and one for each length
-// of prefix the host has; it allocates nothing for ordinary paths.
+// Package table compiles routes into an immutable routing table. It has no side effects. A match costs one
+// map lookup for the host and one for each number of segments that the prefixes of the host have. It does
+// not allocate for a host in lower case.
 package table
 
 import (
@@ -11,62 +11,63 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// AnyHost in a route's host admits every host.
+// AnyHost is the host of a route that matches every host.
 const AnyHost = "*"
 
-// Table matches requests to routes. T is what the caller binds to a route.
-// A Table is immutable.
+// Table matches requests to routes. T is the type of the value that Compile binds to each route. A Table
+// is immutable.
 type Table[T any] struct {
-	hosts   map[string]*prefixes[T]
-	anyHost *prefixes[T]
+	hosts   map[string]*hostRoutes[T]
+	anyHost *hostRoutes[T]
 }
 
-// prefixes holds the routes of one host by path prefix.
-type prefixes[T any] struct {
+// hostRoutes holds the routes of one host, indexed by path prefix.
+type hostRoutes[T any] struct {
 	nodes map[string]*node[T]
-	// lengths has bit n set when some prefix has n segments. Prefixes of more
-	// than maximumSegments stand in deep, the longest first.
-	lengths uint64
-	deep    []*node[T]
+	// segmentCounts has bit n set if a prefix has n segments. Prefixes of more
+	// than maxIndexedSegments segments are in longPrefixes, the longest first.
+	segmentCounts uint64
+	longPrefixes  []*node[T]
 }
 
-// maximumSegments is how many segments the bits of lengths can tell apart.
-const maximumSegments = 63
+// maxIndexedSegments is the largest number of segments that segmentCounts can represent.
+const maxIndexedSegments = 63
 
-// node is one distinct path prefix.
+// node holds the routes of one path prefix: those that list methods, and the one for all methods, if any.
 type node[T any] struct {
 	prefix  string
 	methods []methodRoute[T]
 	any     *T
 }
 
+// methodRoute is the route for one listed method.
 type methodRoute[T any] struct {
 	method string
 	route  T
 }
 
-// Compile builds the table. bind turns a route into what Match returns. Of two
-// routes with equal host, prefix and method the one whose name sorts first
-// wins, so that equal snapshots give equal tables.
+// Compile builds the table. bind returns the value that Match returns for a route. If several routes have the
+// same host, prefix and method, the first by name takes precedence, so that equal snapshots yield equal
+// tables.
 func Compile[T any](routes map[string]*resource.RouteSpec, bind func(name string, spec *resource.RouteSpec) T) *Table[T] {
-	builders := map[string]map[string]*node[T]{}
+	nodesByHost := map[string]map[string]*node[T]{}
 	for _, name := range sortedNames(routes) {
 		spec := routes[name]
 		host := NormalizeHost(spec.Host)
-		if builders[host] == nil {
-			builders[host] = map[string]*node[T]{}
+		if nodesByHost[host] == nil {
+			nodesByHost[host] = map[string]*node[T]{}
 		}
 		prefix := normalizePrefix(spec.PathPrefix)
-		entry := builders[host][prefix]
+		entry := nodesByHost[host][prefix]
 		if entry == nil {
 			entry = &node[T]{prefix: prefix}
-			builders[host][prefix] = entry
+			nodesByHost[host][prefix] = entry
 		}
 		entry.add(spec.Methods, bind(name, spec))
 	}
-	compiled := &Table[T]{hosts: make(map[string]*prefixes[T], len(builders))}
-	for host, byPrefix := range builders {
-		compiled.hosts[host] = newPrefixes(byPrefix)
+	compiled := &Table[T]{hosts: make(map[string]*hostRoutes[T], len(nodesByHost))}
+	for host, byPrefix := range nodesByHost {
+		compiled.hosts[host] = newHostRoutes(byPrefix)
 	}
 	compiled.anyHost = compiled.hosts[AnyHost]
 	return compiled
@@ -81,19 +82,20 @@
 	return names
 }
 
-// normalizePrefix removes the trailing slash: a prefix covers whole segments.
+// normalizePrefix removes trailing slashes, since a prefix matches whole segments.
 func normalizePrefix(prefix string) string { return strings.TrimRight(prefix, "/") }
 
-// NormalizeHost brings a host into the form the table is keyed by: lower case,
-// without port and trailing dot. The empty host means AnyHost.
+// NormalizeHost returns the host in the form of the table's keys: in lower case, without port and trailing
+// dot. It returns AnyHost for the empty host.
 func NormalizeHost(host string) string {
 	if host == "" {
 		return AnyHost
 	}
-	return strings.ToLower(strings.TrimSuffix(withoutPort(host), "."))
+	return strings.ToLower(strings.TrimSuffix(stripPort(host), "."))
 }
 
-func withoutPort(host string) string {
+// stripPort removes a port from the host. It leaves IPv6 addresses without a port as they are.
+func stripPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
 		return host
@@ -104,6 +106,7 @@
 	return host[:colon]
 }
 
+// add adds a route for the methods, or for all methods if there are none. Existing routes take precedence.
 func (n *node[T]) add(methods []string, route T) {
 	if len(methods) == 0 {
 		if n.any == nil {
@@ -118,6 +121,7 @@
 	}
 }
 
+// method returns the route that lists the method, or nil.
 func (n *node[T]) method(method string) *T {
 	for index := range n.methods {
 		if n.methods[index].method == method {
@@ -127,32 +131,32 @@
 	return nil
 }
 
-func newPrefixes[T any](nodes map[string]*node[T]) *prefixes[T] {
-	list := &prefixes[T]{nodes: nodes}
+func newHostRoutes[T any](nodes map[string]*node[T]) *hostRoutes[T] {
+	routes := &hostRoutes[T]{nodes: nodes}
 	for prefix, entry := range nodes {
-		if segments := strings.Count(prefix, "/"); segments <= maximumSegments {
-			list.lengths |= 1 << segments
+		if segments := strings.Count(prefix, "/"); segments <= maxIndexedSegments {
+			routes.segmentCounts |= 1 << segments
 		} else {
-			list.deep = append(list.deep, entry)
+			routes.longPrefixes = append(routes.longPrefixes, entry)
 		}
 	}
-	slices.SortFunc(list.deep, func(a, b *node[T]) int { return len(b.prefix) - len(a.prefix) })
-	return list
+	slices.SortFunc(routes.longPrefixes, func(a, b *node[T]) int { return len(b.prefix) - len(a.prefix) })
+	return routes
 }
 
-// covers reports whether the path lies under the prefix, by whole segments.
-func covers(prefix, path string) bool {
+// hasPathPrefix reports whether the path begins with the prefix, compared by whole segments.
+func hasPathPrefix(prefix, path string) bool {
 	if len(path) < len(prefix) || path[:len(prefix)] != prefix {
 		return false
 	}
 	return len(path) == len(prefix) || path[len(prefix)] == '/'
 }
 
-// Match finds the route of a request: the exact host before AnyHost, the
-// longest prefix first, a listed method before a route for every method. The
-// host may carry a port; the path is one that CheckPath returned.
+// Match returns the route of a request. The exact host takes precedence over AnyHost, then a longer prefix
+// over a shorter one, then a listed method over a route for all methods. The host may include a port. The
+// path must be one that CheckPath returned.
 func (t *Table[T]) Match(method, host, path string) (route T, found bool) {
-	exact := t.hosts[lookupHost(host)]
+	exact := t.hosts[normalizeRequestHost(host)]
 	if exact != nil {
 		if matched := exact.match(method, path); matched != nil {
 			return *matched, true
@@ -166,10 +170,11 @@
 	return route, false
 }
 
-// lookupHost is NormalizeHost without an allocation for the usual spelling.
-func lookupHost(host string) string {
+// normalizeRequestHost is like NormalizeHost, but keeps the empty host and does not allocate for a host in
+// lower case.
+func normalizeRequestHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
-		host = withoutPort(host)
+		host = stripPort(host)
 	}
 	for index := range len(host) {
 		if 'A' <= host[index] && host[index] <= 'Z' {
@@ -180,19 +185,19 @@
 }
 
 // match tries the prefixes of the path from the longest to the shortest.
-func (p *prefixes[T]) match(method, path string) *T {
-	for _, candidate := range p.deep {
-		if !covers(candidate.prefix, path) {
+func (p *hostRoutes[T]) match(method, path string) *T {
+	for _, candidate := range p.longPrefixes {
+		if !hasPathPrefix(candidate.prefix, path) {
 			continue
 		}
 		if matched := candidate.route(method); matched != nil {
 			return matched
 		}
 	}
-	var ends [maximumSegments + 1]uint16
+	var ends [maxIndexedSegments + 1]uint16
 	segments := p.segmentEnds(path, &ends)
 	for ; segments >= 0; segments-- {
-		if p.lengths&(1<<segments) == 0 {
+		if p.segmentCounts&(1<<segments) == 0 {
 			continue
 		}
 		if candidate := p.nodes[path[:ends[segments]]]; candidate != nil {
@@ -204,19 +209,19 @@
 	return nil
 }
 
-// longestPath bounds what segmentEnds can index. Servers bound request lines
-// far lower; what lies beyond matches by its beginning.
-const longestPath = 1<<16 - 1
+// maxIndexedPath is the longest path whose segment ends fit into a uint16. Servers limit request lines to far
+// less; a longer path is matched by its first maxIndexedPath bytes.
+const maxIndexedPath = 1<<16 - 1
 
-// segmentEnds notes where each segment of the path ends, up to the greatest
-// number of segments a prefix has, and returns how many there are.
-func (p *prefixes[T]) segmentEnds(path string, ends *[maximumSegments + 1]uint16) int {
-	most := bits.Len64(p.lengths) - 1
-	if len(path) > longestPath {
-		path = path[:longestPath]
+// segmentEnds stores the end offset of each segment of the path in ends, up to the largest number of
+// segments in segmentCounts, and returns the number of segments stored.
+func (p *hostRoutes[T]) segmentEnds(path string, ends *[maxIndexedSegments + 1]uint16) int {
+	maxSegments := bits.Len64(p.segmentCounts) - 1
+	if len(path) > maxIndexedPath {
+		path = path[:maxIndexedPath]
 	}
 	segments := 0
-	for segments < most && int(ends[segments]) < len(path) {
+	for segments < maxSegments && int(ends[segments]) < len(path) {
 		start := int(ends[segments]) + 1
 		length := strings.IndexByte(path[start:], '/')
 		if length < 0 {
@@ -228,7 +233,7 @@
 	return segments
 }
 
-// route returns the route for a method, or the one for every method, or nil.
+// route returns the route that lists the method, else the one for all methods, else nil.
 func (n *node[T]) route(method string) *T {
 	if matched := n.method(method); matched != nil {
 		return matched
--- a/internal/proxy/table/table_test.go
+++ b/internal/proxy/table/table_test.go
@@ -14,7 +14,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-func nameOf(name string, _ *resource.RouteSpec) string { return name }
+func bindName(name string, _ *resource.RouteSpec) string { return name }
 
 var _ = DescribeTable("Match",
 	func(method, host, path, want string) {
@@ -27,25 +27,25 @@
 			"api-twin":  {Host: "h.example", PathPrefix: "/api"},
 			"any":       {Host: "*", PathPrefix: "/health"},
 			"v6":        {Host: "[::1]", PathPrefix: "/"},
-		}, nameOf)
+		}, bindName)
 		got, found := compiled.Match(method, host, path)
 		Expect(got).To(Equal(want))
 		Expect(found).To(Equal(want != ""))
 	},
 	Entry("root", "GET", "h.example", "/x", "root"),
-	Entry("prefix itself", "GET", "h.example", "/api", "api"),
-	Entry("prefix with slash", "GET", "h.example", "/api/", "api"),
+	Entry("path equal to the prefix", "GET", "h.example", "/api", "api"),
+	Entry("prefix with a trailing slash", "GET", "h.example", "/api/", "api"),
 	Entry("whole segments only", "GET", "h.example", "/apix", "root"),
-	Entry("a sibling that sorts between", "GET", "h.example", "/api-docs/x", "api-dash"),
+	Entry("sibling prefix that sorts between a prefix and its children", "GET", "h.example", "/api-docs/x", "api-dash"),
 	Entry("listed method first", "POST", "h.example", "/api/x", "api-write"),
 	Entry("method not listed falls back", "POST", "h.example", "/api-docs", "root"),
 	Entry("longest prefix", "GET", "h.example", "/api/v2/x", "api-v2"),
 	Entry("longest prefix before listed method", "POST", "h.example", "/api/v2", "api-v2"),
 	Entry("port and case of the host", "GET", "H.Example:8080", "/api", "api"),
-	Entry("final dot of the host", "GET", "h.example.", "/api", "api"),
+	Entry("trailing dot of the host", "GET", "h.example.", "/api", "api"),
 	Entry("any host", "GET", "other.example", "/health", "any"),
 	Entry("exact host before any host", "GET", "h.example", "/health", "root"),
-	Entry("address as host", "GET", "[::1]:80", "/x", "v6"),
+	Entry("IPv6 address as host", "GET", "[::1]:80", "/x", "v6"),
 	Entry("unknown host", "GET", "other.example", "/x", ""),
 	Entry("no host", "GET", "", "/health", "any"),
 )
@@ -67,11 +67,11 @@
 	Entry("encoded letter", "/%61", "/a", nil),
 	Entry("encoded slash stays", "/a%2Fb/c", "/a%2Fb/c", nil),
 	Entry("encoded slash beside an encoded letter", "/%61%2Fb/%62", "/%61%2Fb/b", nil),
-	Entry("dots in a name", "/..a/b..", "/..a/b..", nil),
+	Entry("dots within a segment", "/..a/b..", "/..a/b..", nil),
 	Entry("dot", "/a/./b", "", table.ErrDotSegment),
 	Entry("two dots at the end", "/a/..", "", table.ErrDotSegment),
 	Entry("encoded dots", "/a/%2e%2E/b", "", table.ErrDotSegment),
-	Entry("dots behind an encoded slash", "/a%2f../b", "", table.ErrDotSegment),
+	Entry("dots after an encoded slash", "/a%2f../b", "", table.ErrDotSegment),
 	Entry("empty segment", "/a//b", "", table.ErrEmptySegment),
 	Entry("empty segment by an encoded slash", "/a%2f/b", "", table.ErrEmptySegment),
 	Entry("backslash", "/a%5cb", "", table.ErrForbiddenCharacter),
@@ -79,8 +79,8 @@
 	Entry("asterisk", "*", "", table.ErrRelativePath),
 )
 
-// naive finds the route by looking at all of them.
-func naive(routes map[string]*resource.RouteSpec, method, host, path string) string {
+// naiveMatch returns the name of the matching route by comparing all routes.
+func naiveMatch(routes map[string]*resource.RouteSpec, method, host, path string) string {
 	best, bestRank := "", -1
 	for index := range len(routes) {
 		name := routeName(index)
@@ -122,19 +122,19 @@
 			}
 			routes[routeName(index)] = spec
 		}
-		compiled := table.Compile(routes, nameOf)
+		compiled := table.Compile(routes, bindName)
 		for range 10 {
 			method, host, path := methods.Draw(t, "method"), hosts.Draw(t, "host"), pathGenerator.Draw(t, "path")
 			got, _ := compiled.Match(method, host, path)
-			if want := naive(routes, method, host, path); got != want {
+			if want := naiveMatch(routes, method, host, path); got != want {
 				t.Fatalf("%s %s%s: got %q, want %q", method, host, path, got, want)
 			}
 		}
 	})
 }
 
-// FuzzMatch looks for paths that the table reads otherwise than a back end
-// that decodes, merges slashes or resolves dots would.
+// FuzzMatch guards against bypassing a route: it searches for paths that the table interprets differently from
+// a back end that decodes escapes, merges slashes or resolves dot segments.
 func FuzzMatch(f *testing.F) {
 	for _, seed := range []string{"/public/x", "/public/..%2fadmin", "/public/%2e%2e/admin", "//admin", "/%61dmin", "/public\\..\\admin"} {
 		f.Add(seed)
@@ -142,7 +142,7 @@
 	compiled := table.Compile(map[string]*resource.RouteSpec{
 		"admin":  {Host: "h", PathPrefix: "/admin"},
 		"public": {Host: "h", PathPrefix: "/"},
-	}, nameOf)
+	}, bindName)
 	f.Fuzz(func(t *testing.T, raw string) {
 		parsed, err := url.ParseRequestURI(raw)
 		if err != nil || parsed.Host != "" || parsed.Scheme != "" {
@@ -154,12 +154,12 @@
 		}
 		got, found := compiled.Match("GET", "h", path)
 		if !found {
-			t.Fatalf("%q matched nothing", raw)
+			t.Fatalf("%q matched no route", raw)
 		}
 		cleaned := parsed.JoinPath().Path
 		isAdmin := cleaned == "/admin" || strings.HasPrefix(cleaned, "/admin/")
 		if isAdmin && got != "admin" && !strings.Contains(strings.ToLower(raw), "%2f") {
-			t.Fatalf("%q is %q to a back end but matched route %q", raw, cleaned, got)
+			t.Fatalf("a back end resolves %q to %q, but it matched route %q", raw, cleaned, got)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 
 func BenchmarkMatch1000Routes(b *testing.B) {
 	routes := benchmarkRoutes()
-	compiled := table.Compile(routes, nameOf)
+	compiled := table.Compile(routes, bindName)
 	hosts, paths := make([]string, 1024), make([]string, 1024)
 	for index := range paths {
 		spec := routes[routeName(index%1000)]
@@ -198,7 +198,7 @@
 	for _, spec := range routes {
 		spec.Host = "one.example"
 	}
-	compiled := table.Compile(routes, nameOf)
+	compiled := table.Compile(routes, bindName)
 	paths := make([]string, 1024)
 	for index := range paths {
 		paths[index] = routes[routeName(index%1000)].PathPrefix + "/sessions/1234"
