--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -37,30 +37,30 @@
 	}
 }
 
-func release(held *balance.Endpoint) {
-	if held != nil {
-		held.Release()
+func release(endpoint *balance.Endpoint) {
+	if endpoint != nil {
+		endpoint.Release()
 	}
 }
 
-// try chooses an endpoint and sends the request to it once. The endpoint
+// sendAttempt chooses an endpoint and sends the request to it once. The endpoint
 // returned, if any, is to be released.
-func (c *call) try(avoid *balance.Endpoint) (*balance.Endpoint, attemptResult) {
+func (c *call) sendAttempt(avoid *balance.Endpoint) (*balance.Endpoint, attemptResult) {
 	endpoints := c.route.service.endpoints.Load()
-	chosen, err := endpoints.Acquire(c.handler.now(), rand.Uint64(), avoid)
+	endpoint, err := endpoints.Acquire(c.handler.now(), rand.Uint64(), avoid)
 	if err != nil {
 		return nil, attemptResult{outcome: outcome.NotRun, err: err}
 	}
-	c.interim = forward.NewInterim(c.writer, c.hiddenHeader())
-	response, err := chosen.Pool.RoundTrip(c.outgoing(chosen))
+	c.interim = forward.NewInterim(c.writer, c.credentialHeader())
+	response, err := endpoint.Pool.RoundTrip(c.outgoing(endpoint))
 	c.interim.Stop()
 	if err != nil {
-		return chosen, c.exchangeFailed(chosen, err)
+		return endpoint, c.classifyError(endpoint, err)
 	}
-	return chosen, c.classify(chosen, response)
+	return endpoint, c.classifyResponse(endpoint, response)
 }
 
-func (c *call) exchangeFailed(chosen *balance.Endpoint, err error) attemptResult {
+func (c *call) classifyError(endpoint *balance.Endpoint, err error) attemptResult {
 	var failed *forward.Error
 	if !errors.As(err, &failed) {
 		return attemptResult{outcome: outcome.Unknown, err: err}
@@ -68,9 +68,9 @@
 	switch {
 	case c.endedByCaller() || errors.Is(err, forward.ErrNoConnection):
 	case failed.Step == outcome.StepConnect && c.context.Err() == nil:
-		c.observeBroken(chosen, balance.FailureUnreachable)
+		c.recordFailure(endpoint, balance.FailureUnreachable)
 	default:
-		c.observeBroken(chosen, balance.FailureIncomplete)
+		c.recordFailure(endpoint, balance.FailureIncomplete)
 	}
 	return attemptResult{outcome: failed.Outcome, err: err}
 }
@@ -78,64 +78,64 @@
 // endedByCaller reports whether the exchange ended because the caller left or
 // allowed too little time: that says nothing about the endpoint.
 func (c *call) endedByCaller() bool {
-	return c.request.Context().Err() != nil || (c.hurried && c.context.Err() != nil)
+	return c.request.Context().Err() != nil || (c.deadlineFromCaller && c.context.Err() != nil)
 }
 
-// lateByCaller reports whether a reply says only that the caller allowed too
+// timedOutByCaller reports whether a reply says only that the caller allowed too
 // little time.
-func (c *call) lateByCaller(status int) bool {
-	return c.hurried && status == http.StatusGatewayTimeout
+func (c *call) timedOutByCaller(status int) bool {
+	return c.deadlineFromCaller && status == http.StatusGatewayTimeout
 }
 
-// classify tells an answer of the back end from a reply of the mesh.
-func (c *call) classify(chosen *balance.Endpoint, response *http.Response) attemptResult {
+// classifyResponse tells an answer of the back end from a reply of the mesh.
+func (c *call) classifyResponse(endpoint *balance.Endpoint, response *http.Response) attemptResult {
 	now := c.handler.now()
 	if load, valid := parseLoad(response.Header.Get(outcome.HeaderLoad)); valid {
-		chosen.RecordLoad(now, load)
+		endpoint.RecordLoad(now, load)
 	}
-	switch said := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); said {
+	switch declared := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); declared {
 	case "":
 		return attemptResult{response: response}
 	case outcome.NotRun:
-		c.observeRefusal(chosen, response)
+		c.recordRefusal(endpoint, response)
 		return attemptResult{outcome: outcome.NotRun, response: response}
 	default:
-		if !c.lateByCaller(response.StatusCode) {
-			c.observeBroken(chosen, balance.FailureIncomplete)
+		if !c.timedOutByCaller(response.StatusCode) {
+			c.recordFailure(endpoint, balance.FailureIncomplete)
 		}
 		return attemptResult{outcome: outcome.Unknown, response: response}
 	}
 }
 
-// observeRefusal tells a full endpoint from one whose back end is gone.
-func (c *call) observeRefusal(chosen *balance.Endpoint, response *http.Response) {
+// recordRefusal tells a full endpoint from one whose back end is gone.
+func (c *call) recordRefusal(endpoint *balance.Endpoint, response *http.Response) {
 	if strings.Contains(response.Header.Get(outcome.HeaderError), "step="+string(outcome.StepConnect)) {
-		c.observeBroken(chosen, balance.FailureUnreachable)
+		c.recordFailure(endpoint, balance.FailureUnreachable)
 		return
 	}
-	chosen.RecordShed(c.handler.now())
+	endpoint.RecordShed(c.handler.now())
 }
 
-func (c *call) observeBroken(chosen *balance.Endpoint, kind balance.FailureKind) {
+func (c *call) recordFailure(endpoint *balance.Endpoint, kind balance.FailureKind) {
 	endpoints := c.route.service.endpoints.Load()
-	if endpoints.RecordFailure(c.handler.now(), chosen, kind) {
-		c.handler.options.Observer.Ejected(chosen.ID)
+	if endpoints.RecordFailure(c.handler.now(), endpoint, kind) {
+		c.handler.options.Observer.Ejected(endpoint.ID)
 		c.handler.options.Logger.Warn("endpoint ejected",
-			zap.String("service", chosen.ID.Service), zap.String("endpoint", chosen.ID.Name),
-			zap.String("peer", chosen.Address))
+			zap.String("service", endpoint.ID.Service), zap.String("endpoint", endpoint.ID.Name),
+			zap.String("peer", endpoint.Address))
 	}
 }
 
-// observeWhole takes a whole answer as a sign of health, unless its status
+// recordResponse takes a whole answer as a sign of health, unless its status
 // says that the back end could not do its work. Other errors may be the
 // request's own fault.
-func (c *call) observeWhole(from *balance.Endpoint, status int) {
+func (c *call) recordResponse(endpoint *balance.Endpoint, status int) {
 	switch {
-	case c.lateByCaller(status):
+	case c.timedOutByCaller(status):
 	case status == http.StatusBadGateway, status == http.StatusServiceUnavailable, status == http.StatusGatewayTimeout:
-		c.observeBroken(from, balance.FailureIncomplete)
+		c.recordFailure(endpoint, balance.FailureIncomplete)
 	default:
-		from.RecordSuccess()
+		endpoint.RecordSuccess()
 	}
 }
 
@@ -150,8 +150,8 @@
 }
 
 // outgoing builds the request to the chosen endpoint's proxy.
-func (c *call) outgoing(chosen *balance.Endpoint) *http.Request {
-	outgoing := forward.NewRequest(c.context, c.request, chosen.Address, c.attemptHeader(), c.interim)
+func (c *call) outgoing(endpoint *balance.Endpoint) *http.Request {
+	outgoing := forward.NewRequest(c.context, c.request, endpoint.Address, c.attemptHeader(), c.interim)
 	c.body.Attach(outgoing)
 	return outgoing
 }
@@ -179,81 +179,81 @@
 // baseHeader is the caller's header without markers from outside, with the
 // credential and the markers that are the same for every attempt.
 func (c *call) baseHeader() http.Header {
-	header := forward.RequestHeader(c.request.Header, markerCount)
+	header := forward.RequestHeader(c.request.Header, maxMarkers)
 	if c.route.secret != nil {
 		header[c.route.secret.header] = c.route.secret.value
 	}
 	header[outcome.HeaderCallID] = []string{c.id}
 	header[outcome.HeaderService] = []string{c.route.service.name}
 	if c.repeatable {
-		header[outcome.HeaderRepeatable] = valueTrue
+		header[outcome.HeaderRepeatable] = headerValueTrue
 	}
 	return header
 }
 
-// markerCount is how many headers a proxy adds at most.
-const markerCount = 8
+// maxMarkers is how many headers a proxy adds at most.
+const maxMarkers = 8
 
-// valueTrue is shared and never modified.
-var valueTrue = []string{"true"}
+// headerValueTrue is shared and never modified.
+var headerValueTrue = []string{"true"}
 
-// giveUp ends the call after its last attempt. A refusal of the endpoint's
+// finishWithFailure ends the call after its last attempt. A refusal of the endpoint's
 // proxy is passed on whole, since it may carry the back end's own words.
-func (c *call) giveUp(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
+func (c *call) finishWithFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	if c.mayHaveRun && result.outcome == outcome.NotRun {
-		return c.hideRefusal(tried, result)
+		return c.replaceRefusal(endpoint, result)
 	}
 	if result.response != nil {
 		c.outcome = result.outcome
-		peer := result.response.Header.Get(outcome.HeaderError)
-		c.logFailure(&outcome.Failure{Outcome: c.outcome, Step: outcome.StepAwait, Peer: tried.Address, Cause: errors.New(peer)})
-		return c.passRefusal(tried, result.response, peer)
+		errorHeader := result.response.Header.Get(outcome.HeaderError)
+		c.logFailure(&outcome.Failure{Outcome: c.outcome, Step: outcome.StepAwait, Peer: endpoint.Address, Cause: errors.New(errorHeader)})
+		return c.forwardRefusal(endpoint, result.response, errorHeader)
 	}
-	release(tried)
-	return c.finalFailure(tried, result)
+	release(endpoint)
+	return c.newFailure(endpoint, result)
 }
 
-// errRefusedAfter ends a call that may have been run by an earlier attempt than
+// errEarlierAttemptUnknown ends a call that may have been run by an earlier attempt than
 // the one refused.
-var errRefusedAfter = errors.New("an earlier attempt may have been run, the last one was refused")
+var errEarlierAttemptUnknown = errors.New("an earlier attempt may have been run, the last one was refused")
 
-// hideRefusal keeps a refusal from a caller whose call may have been run by an
+// replaceRefusal keeps a refusal from a caller whose call may have been run by an
 // earlier attempt: its words would say that it was not.
-func (c *call) hideRefusal(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
-	failure := c.finalFailure(tried, attemptResult{outcome: outcome.Unknown, err: result.err})
+func (c *call) replaceRefusal(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
+	failure := c.newFailure(endpoint, attemptResult{outcome: outcome.Unknown, err: result.err})
 	if result.response != nil {
-		failure.Status, failure.Step, failure.Peer = result.response.StatusCode, outcome.StepAwait, tried.Address
-		failure.Cause = errRefusedAfter
+		failure.Status, failure.Step, failure.Peer = result.response.StatusCode, outcome.StepAwait, endpoint.Address
+		failure.Cause = errEarlierAttemptUnknown
 		result.discard()
 	}
-	release(tried)
+	release(endpoint)
 	return failure
 }
 
-func (c *call) passRefusal(from *balance.Endpoint, response *http.Response, short string) *outcome.Failure {
-	defer release(from)
+func (c *call) forwardRefusal(endpoint *balance.Endpoint, response *http.Response, errorHeader string) *outcome.Failure {
+	defer release(endpoint)
 	c.status = response.StatusCode
-	c.cleanReply(response)
-	response.Header.Set(outcome.HeaderError, short)
+	c.sanitizeResponse(response)
+	response.Header.Set(outcome.HeaderError, errorHeader)
 	if c.outcome == outcome.NotRun {
-		outcome.SuggestRetry(response.Header, retrySoon)
+		outcome.SuggestRetry(response.Header, transientRetryAfter)
 	}
 	c.body.CloseUnlessRead(c.writer.Header())
-	if err := forward.WriteReply(c.context, c.writer, response, c.hiddenHeader()); err != nil {
-		c.abort(from, err)
+	if err := forward.WriteReply(c.context, c.writer, response, c.credentialHeader()); err != nil {
+		c.abort(endpoint, err)
 	}
-	c.ended()
+	c.recordEnd()
 	return nil
 }
 
-func (c *call) finalFailure(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
+func (c *call) newFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	failure := &outcome.Failure{Outcome: result.outcome, Status: http.StatusBadGateway, Step: outcome.StepChoose, Cause: result.err}
 	var failed *forward.Error
 	if errors.As(result.err, &failed) {
 		failure.Step, failure.Peer = failed.Step, failed.Peer
 	}
 	if result.outcome == outcome.NotRun {
-		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, retrySoon
+		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, transientRetryAfter
 	}
 	if c.context.Err() != nil {
 		failure.Status = http.StatusGatewayTimeout
@@ -261,8 +261,8 @@
 	return failure
 }
 
-// reply sends a failure that the proxy answers itself.
-func (c *call) reply(failure *outcome.Failure) {
+// sendFailure sends a failure that the proxy answers itself.
+func (c *call) sendFailure(failure *outcome.Failure) {
 	c.status, c.outcome = failure.Status, failure.Outcome
 	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
 	if failure.Peer == "" && c.route != nil {
@@ -270,18 +270,18 @@
 	}
 	c.logFailure(failure)
 	failure.WriteTo(c.writer)
-	c.ended()
+	c.recordEnd()
 }
 
 // abort ends the caller's connection: a part of an answer must not look whole.
-func (c *call) abort(from *balance.Endpoint, cause error) {
+func (c *call) abort(endpoint *balance.Endpoint, cause error) {
 	c.outcome = outcome.Unknown
-	c.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: from.Address, Cause: cause})
-	c.ended()
+	c.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: endpoint.Address, Cause: cause})
+	c.recordEnd()
 	panic(http.ErrAbortHandler)
 }
 
-func (c *call) ended() {
+func (c *call) recordEnd() {
 	name := ""
 	if c.route != nil {
 		name = c.route.service.name
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -16,18 +16,18 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/table"
 )
 
-// retrySoon is the Retry-After of refusals that pass by themselves.
-const retrySoon = time.Second
+// transientRetryAfter is the Retry-After of refusals that pass by themselves.
+const transientRetryAfter = time.Second
 
 // Causes of refusals.
 var (
-	errDraining    = errors.New("the proxy is leaving")
-	errNoSnapshot  = errors.New("no configuration is in force yet")
-	errUpgrade     = errors.New("upgrades are not carried")
-	errHTTPVersion = errors.New("HTTP/1.1 or later is needed to prove an answer whole")
-	errNoRoute     = errors.New("no route for this host, path and method")
-	errRouteFull   = errors.New("the route's limit of requests in flight is reached")
-	errLateCaller  = errors.New("the deadline passed before work began")
+	errDraining           = errors.New("the proxy is leaving")
+	errNoSnapshot         = errors.New("no configuration is in force yet")
+	errUpgradeUnsupported = errors.New("upgrades are not carried")
+	errHTTPVersion        = errors.New("HTTP/1.1 or later is needed to prove an answer whole")
+	errNoRoute            = errors.New("no route for this host, path and method")
+	errRouteFull          = errors.New("the route's limit of requests in flight is reached")
+	errDeadlinePassed     = errors.New("the deadline passed before work began")
 )
 
 // call is one request of a caller. It is used by one goroutine.
@@ -47,9 +47,9 @@
 	// attempt counts from one.
 	attempt         int
 	retriedUpstream bool
-	// hurried: the caller allows less time than the service does.
-	hurried    bool
-	repeatable bool
+	// deadlineFromCaller: the caller allows less time than the service does.
+	deadlineFromCaller bool
+	repeatable         bool
 	// mayHaveRun: an earlier attempt ended unknown, so that no later refusal
 	// makes the call not run.
 	mayHaveRun bool
@@ -62,9 +62,9 @@
 func (c *call) serve() *outcome.Failure {
 	configuration := c.handler.current.Load()
 	if configuration == nil {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepSnapshot, retrySoon, errNoSnapshot)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepSnapshot, transientRetryAfter, errNoSnapshot)
 	}
-	if failure := c.check(); failure != nil {
+	if failure := c.validate(); failure != nil {
 		return failure
 	}
 	matched, found := configuration.table.Match(c.request.Method, c.request.Host, c.path)
@@ -72,25 +72,25 @@
 		return outcome.Refusal(http.StatusNotFound, outcome.StepMatch, 0, errNoRoute)
 	}
 	c.route = matched
-	c.repeatable = matched.repeats(c.request.Method)
-	if !matched.enter() {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, errRouteFull)
+	c.repeatable = matched.isRepeatable(c.request.Method)
+	if !matched.tryAcquire() {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, transientRetryAfter, errRouteFull)
 	}
-	defer matched.leave()
-	limit, failure := c.timeLimit()
+	defer matched.release()
+	timeout, failure := c.effectiveTimeout()
 	if failure != nil {
 		return failure
 	}
 	var cancel context.CancelFunc
-	c.context, cancel = context.WithDeadline(c.request.Context(), c.started.Add(limit))
+	c.context, cancel = context.WithDeadline(c.request.Context(), c.started.Add(timeout))
 	defer cancel()
 	return c.admit()
 }
 
-// check refuses what the proxy does not carry.
-func (c *call) check() *outcome.Failure {
+// validate refuses what the proxy does not carry.
+func (c *call) validate() *outcome.Failure {
 	if forward.WantsUpgrade(c.request) {
-		return outcome.Refusal(http.StatusNotImplemented, outcome.StepRequest, 0, errUpgrade)
+		return outcome.Refusal(http.StatusNotImplemented, outcome.StepRequest, 0, errUpgradeUnsupported)
 	}
 	if !c.request.ProtoAtLeast(1, 1) {
 		return outcome.Refusal(http.StatusHTTPVersionNotSupported, outcome.StepRequest, 0, errHTTPVersion)
@@ -103,29 +103,29 @@
 	return nil
 }
 
-// timeLimit is the service's deadline, cut by the caller's own. The markers of
+// effectiveTimeout is the service's deadline, cut by the caller's own. The markers of
 // a caller are believed only in the safe direction: less time, fewer attempts.
-func (c *call) timeLimit() (time.Duration, *outcome.Failure) {
-	limit := c.route.service.deadline
+func (c *call) effectiveTimeout() (time.Duration, *outcome.Failure) {
+	timeout := c.route.service.deadline
 	if text := c.request.Header.Get(outcome.HeaderAttempt); text != "" {
 		c.retriedUpstream = text != "1"
 	}
 	text := c.request.Header.Get(outcome.HeaderDeadline)
 	if text == "" {
-		return limit, nil
+		return timeout, nil
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return limit, nil
+		return timeout, nil
 	}
 	if milliseconds <= 0 {
-		return 0, outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, errLateCaller)
+		return 0, outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, transientRetryAfter, errDeadlinePassed)
 	}
-	if milliseconds < limit.Milliseconds() {
-		limit = time.Duration(milliseconds) * time.Millisecond
-		c.hurried = true
+	if milliseconds < timeout.Milliseconds() {
+		timeout = time.Duration(milliseconds) * time.Millisecond
+		c.deadlineFromCaller = true
 	}
-	return limit, nil
+	return timeout, nil
 }
 
 // admit reads a short body, takes a slot of the service and runs the attempts.
@@ -133,12 +133,12 @@
 func (c *call) admit() *outcome.Failure {
 	service := c.route.service
 	if service.endpoints.Load().Len() == 0 {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, retrySoon, balance.ErrNoEndpoint)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepChoose, transientRetryAfter, balance.ErrNoEndpoint)
 	}
 	if service.shared.limiter.Full() {
 		return c.limitRefusal(limit.ErrQueueFull)
 	}
-	body, err := forward.ReadBody(c.context, c.writer, c.request, c.handler.options.MaximumBodyBytes, c.hiddenHeader())
+	body, err := forward.ReadBody(c.context, c.writer, c.request, c.handler.options.MaximumBodyBytes, c.credentialHeader())
 	if err != nil {
 		return c.bodyRefusal(err)
 	}
@@ -150,7 +150,7 @@
 	defer service.shared.limiter.Release()
 	service.shared.budget.First()
 	c.id = c.handler.callPrefix + strconv.FormatUint(c.handler.callCount.Add(1), 36)
-	return c.attempts()
+	return c.runAttempts()
 }
 
 func (c *call) bodyRefusal(err error) *outcome.Failure {
@@ -166,31 +166,31 @@
 
 func (c *call) limitRefusal(err error) *outcome.Failure {
 	if errors.Is(err, limit.ErrDeadlineExceeded) {
-		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, err)
+		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, transientRetryAfter, err)
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, err)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, transientRetryAfter, err)
 }
 
-// attempts repeats until an answer is passed on or a failure is final.
-func (c *call) attempts() *outcome.Failure {
+// runAttempts repeats until an answer is passed on or a failure is final.
+func (c *call) runAttempts() *outcome.Failure {
 	var avoid *balance.Endpoint
 	for c.attempt = 1; ; c.attempt++ {
-		tried, result := c.try(avoid)
+		endpoint, result := c.sendAttempt(avoid)
 		if result.outcome == "" {
-			return c.pass(tried, result.response)
+			return c.forwardResponse(endpoint, result.response)
 		}
 		c.mayHaveRun = c.mayHaveRun || result.outcome != outcome.NotRun
-		if !c.again(result.outcome) {
-			return c.giveUp(tried, result)
+		if !c.prepareRetry(result.outcome) {
+			return c.finishWithFailure(endpoint, result)
 		}
 		result.discard()
-		release(tried)
-		avoid = tried
+		release(endpoint)
+		avoid = endpoint
 	}
 }
 
-// again decides on another attempt and waits for it.
-func (c *call) again(last outcome.Outcome) bool {
+// prepareRetry decides on another attempt and waits for it.
+func (c *call) prepareRetry(last outcome.Outcome) bool {
 	deadline, _ := c.context.Deadline()
 	decision := c.route.service.policy.Decide(retry.Attempt{
 		Number:          c.attempt,
@@ -219,28 +219,28 @@
 	}
 }
 
-// pass sends the answer to the caller, or aborts the caller's connection when
+// forwardResponse sends the answer to the caller, or aborts the caller's connection when
 // the answer breaks off.
-func (c *call) pass(from *balance.Endpoint, response *http.Response) *outcome.Failure {
-	defer release(from)
+func (c *call) forwardResponse(endpoint *balance.Endpoint, response *http.Response) *outcome.Failure {
+	defer release(endpoint)
 	c.status = response.StatusCode
-	c.cleanReply(response)
+	c.sanitizeResponse(response)
 	c.body.CloseUnlessRead(c.writer.Header())
-	err := forward.WriteReply(c.context, c.writer, response, c.hiddenHeader())
+	err := forward.WriteReply(c.context, c.writer, response, c.credentialHeader())
 	if err == nil {
-		c.observeWhole(from, response.StatusCode)
-		c.ended()
+		c.recordResponse(endpoint, response.StatusCode)
+		c.recordEnd()
 		return nil
 	}
 	if !errors.Is(err, forward.ErrCallerGone) && !c.endedByCaller() {
-		c.observeBroken(from, balance.FailureIncomplete)
+		c.recordFailure(endpoint, balance.FailureIncomplete)
 	}
-	c.abort(from, err)
+	c.abort(endpoint, err)
 	return nil
 }
 
-// cleanReply removes what concerns one hop or the mesh.
-func (c *call) cleanReply(response *http.Response) {
+// sanitizeResponse removes what concerns one hop or the mesh.
+func (c *call) sanitizeResponse(response *http.Response) {
 	forward.RemoveHopByHop(response.Header)
 	outcome.StripMarkers(response.Header)
 	if c.outcome != "" {
@@ -248,9 +248,9 @@
 	}
 }
 
-// hiddenHeader names the header that carries the credential; a back end that
+// credentialHeader names the header that carries the credential; a back end that
 // echoes it must not give it away.
-func (c *call) hiddenHeader() string {
+func (c *call) credentialHeader() string {
 	if c.route.secret == nil {
 		return ""
 	}
--- a/internal/proxy/outbound/configuration.go
+++ b/internal/proxy/outbound/configuration.go
@@ -61,10 +61,10 @@
 }
 
 // Methods that may be repeated when a route lists none.
-var defaultRepeatable = []string{"GET", "HEAD", "OPTIONS"}
+var defaultRepeatableMethods = []string{"GET", "HEAD", "OPTIONS"}
 
-// repeats reports whether a request of that method may be run more than once.
-func (r *route) repeats(method string) bool {
+// isRepeatable reports whether a request of that method may be run more than once.
+func (r *route) isRepeatable(method string) bool {
 	for _, repeatable := range r.repeatable {
 		if repeatable == method {
 			return true
@@ -73,21 +73,21 @@
 	return false
 }
 
-// enter counts a request in unless the route's bound is reached.
-func (r *route) enter() bool {
-	held := r.inFlight.Add(1)
-	if r.maximumInFlight > 0 && held > r.maximumInFlight {
+// tryAcquire counts a request in unless the route's bound is reached.
+func (r *route) tryAcquire() bool {
+	count := r.inFlight.Add(1)
+	if r.maximumInFlight > 0 && count > r.maximumInFlight {
 		r.inFlight.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (r *route) leave() { r.inFlight.Add(-1) }
+func (r *route) release() { r.inFlight.Add(-1) }
 
 func repeatableMethods(spec *resource.RouteSpec) []string {
 	if len(spec.RepeatableMethods) == 0 {
-		return defaultRepeatable
+		return defaultRepeatableMethods
 	}
 	return spec.RepeatableMethods
 }
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -91,7 +91,7 @@
 		h.registry.populate(target, h.now())
 	}
 	h.current.Store(compiled)
-	h.registry.retire(compiled)
+	h.registry.removeUnused(compiled)
 }
 
 // UpdateEndpoints takes in newer states of endpoints.
@@ -115,8 +115,8 @@
 func (h *Handler) RenewConnections() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, held := range h.registry.endpoints {
-		held.Pool.Renew()
+	for _, ep := range h.registry.endpoints {
+		ep.Pool.Renew()
 	}
 }
 
@@ -125,11 +125,11 @@
 func (h *Handler) Sweep(now time.Time) {
 	h.mutex.Lock()
 	if current := h.current.Load(); current != nil {
-		h.registry.retire(current)
+		h.registry.removeUnused(current)
 	}
 	pools := make([]*forward.Pool, 0, len(h.registry.endpoints))
-	for _, held := range h.registry.endpoints {
-		pools = append(pools, held.Pool)
+	for _, ep := range h.registry.endpoints {
+		pools = append(pools, ep.Pool)
 	}
 	h.mutex.Unlock()
 	for _, pool := range pools {
@@ -141,8 +141,8 @@
 func (h *Handler) Close() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for _, held := range h.registry.endpoints {
-		held.Pool.Close()
+	for _, ep := range h.registry.endpoints {
+		ep.Pool.Close()
 	}
 }
 
@@ -155,10 +155,10 @@
 	}
 	call := &call{handler: h, writer: w, request: r, started: time.Now()}
 	if phase == drain.Refusing {
-		call.reply(outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, retrySoon, errDraining))
+		call.sendFailure(outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, transientRetryAfter, errDraining))
 		return
 	}
 	if failure := call.serve(); failure != nil {
-		call.reply(failure)
+		call.sendFailure(failure)
 	}
 }
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -102,7 +102,7 @@
 func (r *registry) populate(target *service, now time.Duration) {
 	var usable []*balance.Endpoint
 	for _, candidate := range r.candidates(target) {
-		if r.accepts(candidate.id) {
+		if r.acceptsWork(candidate.id) {
 			usable = append(usable, r.endpoint(target, candidate, now))
 		}
 	}
@@ -132,14 +132,14 @@
 		return list
 	}
 	for id, announced := range r.states {
-		if id.Service == target.name && admits(target.view, announced) {
+		if id.Service == target.name && matchesSelector(target.view, announced) {
 			list = append(list, candidate{id: id, zone: announced.Zone, address: announced.Address})
 		}
 	}
 	return list
 }
 
-func admits(view *projection.Service, announced endpoint.Update) bool {
+func matchesSelector(view *projection.Service, announced endpoint.Update) bool {
 	if announced.Address == "" || !slices.Contains(view.AllowedZones, announced.Zone) {
 		return false
 	}
@@ -151,94 +151,94 @@
 	return true
 }
 
-// accepts reports whether new work may go to the endpoint as far as it is
+// acceptsWork reports whether new work may go to the endpoint as far as it is
 // known. A declared endpoint of which nothing was heard yet is tried.
-func (r *registry) accepts(id endpoint.ID) bool {
+func (r *registry) acceptsWork(id endpoint.ID) bool {
 	state, known := r.states[id]
 	return !known || state.State.AcceptsWork()
 }
 
-// warmedEndpoints is up to how many endpoints of a service get a connection
+// maxWarmedEndpoints is up to how many endpoints of a service get a connection
 // before the first call. More would cost every endpoint a connection from each
 // caller's proxy, used or not.
-const warmedEndpoints = 8
+const maxWarmedEndpoints = 8
 
-func (r *registry) endpoint(target *service, wanted candidate, now time.Duration) *balance.Endpoint {
-	key := endpointKey{id: wanted.id, address: wanted.address}
+func (r *registry) endpoint(target *service, selected candidate, now time.Duration) *balance.Endpoint {
+	key := endpointKey{id: selected.id, address: selected.address}
 	limits := r.options.connectionLimits(target.view.Connections)
-	held := r.endpoints[key]
-	if held == nil {
-		pool := forward.NewPool(wanted.address, limits, r.options.dialer(wanted.id, wanted.zone))
-		held = balance.NewEndpoint(wanted.id, wanted.zone, wanted.address, pool)
-		r.endpoints[key] = held
-		if r.states[wanted.id].State == endpoint.Warming {
-			held.BeginSlowStart(now)
+	ep := r.endpoints[key]
+	if ep == nil {
+		pool := forward.NewPool(selected.address, limits, r.options.dialer(selected.id, selected.zone))
+		ep = balance.NewEndpoint(selected.id, selected.zone, selected.address, pool)
+		r.endpoints[key] = ep
+		if r.states[selected.id].State == endpoint.Warming {
+			ep.BeginSlowStart(now)
 		}
-		if len(target.view.Endpoints) <= warmedEndpoints {
+		if len(target.view.Endpoints) <= maxWarmedEndpoints {
 			pool.Warm()
 		}
-		return held
+		return ep
 	}
-	held.Pool.SetLimits(limits)
-	return held
+	ep.Pool.SetLimits(limits)
+	return ep
 }
 
 // merge takes in newer states and returns the services they concern.
 func (r *registry) merge(updates []endpoint.Update, now time.Duration) map[string]bool {
 	affected := map[string]bool{}
 	for _, update := range updates {
-		held, known := r.states[update.ID]
-		if known && update.Compare(held) <= 0 && !update.Retracts(held) {
+		previous, known := r.states[update.ID]
+		if known && update.Compare(previous) <= 0 && !update.Retracts(previous) {
 			continue
 		}
 		r.states[update.ID] = update
 		affected[update.ID.Service] = true
-		r.follow(held, update, now)
+		r.applyState(previous, update, now)
 	}
 	return affected
 }
 
-// follow adapts the endpoint itself to its new state.
-func (r *registry) follow(previous, update endpoint.Update, now time.Duration) {
-	for key, held := range r.endpoints {
+// applyState adapts the endpoint itself to its new state.
+func (r *registry) applyState(previous, update endpoint.Update, now time.Duration) {
+	for key, ep := range r.endpoints {
 		if key.id != update.ID {
 			continue
 		}
 		if !update.State.AcceptsWork() {
-			held.Pool.CloseIdle()
+			ep.Pool.CloseIdle()
 			continue
 		}
 		if update.Incarnation > previous.Incarnation || !previous.State.AcceptsWork() {
-			held.Reinstate()
+			ep.Reinstate()
 		}
 		if update.State == endpoint.Warming && previous.State != endpoint.Warming {
-			held.BeginSlowStart(now)
+			ep.BeginSlowStart(now)
 		}
 	}
 }
 
-// retire drops what no service uses any more and nothing holds.
-func (r *registry) retire(current *configuration) {
+// removeUnused drops what no service uses any more and nothing holds.
+func (r *registry) removeUnused(current *configuration) {
 	maps.DeleteFunc(r.services, func(name string, shared *sharedService) bool {
 		return current.services[name] == nil && shared.limiter.InFlight()+shared.limiter.Waiting() == 0
 	})
 	maps.DeleteFunc(r.routes, func(name string, inFlight *atomic.Int64) bool {
 		return !current.routes[name] && inFlight.Load() == 0
 	})
-	r.retireEndpoints(current)
+	r.removeUnusedEndpoints(current)
 }
 
-// retireEndpoints closes the connections of endpoints out of use.
-func (r *registry) retireEndpoints(current *configuration) {
+// removeUnusedEndpoints closes the connections of endpoints out of use.
+func (r *registry) removeUnusedEndpoints(current *configuration) {
 	used := map[*balance.Endpoint]bool{}
-	for _, live := range current.services {
-		for _, held := range live.endpoints.Load().Endpoints() {
-			used[held] = true
+	for _, target := range current.services {
+		for _, ep := range target.endpoints.Load().Endpoints() {
+			used[ep] = true
 		}
 	}
-	for key, held := range r.endpoints {
-		if !used[held] && held.InFlight() == 0 {
-			held.Pool.Close()
+	for key, ep := range r.endpoints {
+		if !used[ep] && ep.InFlight() == 0 {
+			ep.Pool.Close()
 			delete(r.endpoints, key)
 		}
 	}
