--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -17,19 +17,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// attemptResult is what one attempt brought. outcome is empty for an answer of
-// the back end; otherwise either response, a reply of the proxy beside it, or
-// err is set.
+// attemptResult is the result of one attempt. outcome is empty if response is a response of the
+// back end. Otherwise either err is set, or response is a response of the inbound proxy itself.
 type attemptResult struct {
 	outcome  outcome.Outcome
 	response *http.Response
 	err      error
 }
 
-// discardLimit is how much of a refusal is read so that its connection can be
-// used again.
+// discardLimit limits how many bytes of a refusal are read and discarded so that its connection can
+// be reused.
 const discardLimit = 4 << 10
 
+// discard closes the response and makes its connection reusable if the rest of the body is short.
 func (r attemptResult) discard() {
 	if r.response != nil {
 		_, _ = io.CopyN(io.Discard, r.response.Body, discardLimit)
@@ -37,14 +37,15 @@
 	}
 }
 
+// release frees the endpoint's slot. The endpoint may be nil.
 func release(endpoint *balance.Endpoint) {
 	if endpoint != nil {
 		endpoint.Release()
 	}
 }
 
-// sendAttempt chooses an endpoint and sends the request to it once. The endpoint
-// returned, if any, is to be released.
+// sendAttempt selects an endpoint and sends the request to it once. The caller must release the
+// returned endpoint, which is nil if none was available.
 func (c *call) sendAttempt(avoid *balance.Endpoint) (*balance.Endpoint, attemptResult) {
 	endpoints := c.route.service.endpoints.Load()
 	endpoint, err := endpoints.Acquire(c.handler.now(), rand.Uint64(), avoid)
@@ -60,6 +61,8 @@
 	return endpoint, c.classifyResponse(endpoint, response)
 }
 
+// classifyError returns the result of a failed exchange and records it as a failure of the endpoint, unless
+// the caller or the limit of connections caused it.
 func (c *call) classifyError(endpoint *balance.Endpoint, err error) attemptResult {
 	var failed *forward.Error
 	if !errors.As(err, &failed) {
@@ -75,19 +78,20 @@
 	return attemptResult{outcome: failed.Outcome, err: err}
 }
 
-// endedByCaller reports whether the exchange ended because the caller left or
-// allowed too little time: that says nothing about the endpoint.
+// endedByCaller reports whether the exchange ended because the caller disconnected or because the
+// deadline that the caller set has passed. Neither counts as a failure of the endpoint.
 func (c *call) endedByCaller() bool {
 	return c.request.Context().Err() != nil || (c.deadlineFromCaller && c.context.Err() != nil)
 }
 
-// timedOutByCaller reports whether a reply says only that the caller allowed too
-// little time.
+// timedOutByCaller reports whether the status is a timeout caused by the deadline that the caller
+// set. It does not count as a failure of the endpoint.
 func (c *call) timedOutByCaller(status int) bool {
 	return c.deadlineFromCaller && status == http.StatusGatewayTimeout
 }
 
-// classifyResponse tells an answer of the back end from a reply of the mesh.
+// classifyResponse distinguishes responses of the back end from those that the inbound proxy
+// generated, and records what they reveal about the endpoint.
 func (c *call) classifyResponse(endpoint *balance.Endpoint, response *http.Response) attemptResult {
 	now := c.handler.now()
 	if load, valid := parseLoad(response.Header.Get(outcome.HeaderLoad)); valid {
@@ -107,7 +111,8 @@
 	}
 }
 
-// recordRefusal tells a full endpoint from one whose back end is gone.
+// recordRefusal records a refusal of the inbound proxy: as a failure if its back end cannot be
+// reached, otherwise as shedding by an endpoint at capacity.
 func (c *call) recordRefusal(endpoint *balance.Endpoint, response *http.Response) {
 	if strings.Contains(response.Header.Get(outcome.HeaderError), "step="+string(outcome.StepConnect)) {
 		c.recordFailure(endpoint, balance.FailureUnreachable)
@@ -116,6 +121,7 @@
 	endpoint.RecordShed(c.handler.now())
 }
 
+// recordFailure records a failure of the endpoint, and logs and counts the ejection if it causes one.
 func (c *call) recordFailure(endpoint *balance.Endpoint, kind balance.FailureKind) {
 	endpoints := c.route.service.endpoints.Load()
 	if endpoints.RecordFailure(c.handler.now(), endpoint, kind) {
@@ -126,9 +132,8 @@
 	}
 }
 
-// recordResponse takes a whole answer as a sign of health, unless its status
-// says that the back end could not do its work. Other errors may be the
-// request's own fault.
+// recordResponse records a complete response as a success, unless its status is 502, 503 or 504.
+// Other error statuses may be caused by the request itself.
 func (c *call) recordResponse(endpoint *balance.Endpoint, status int) {
 	switch {
 	case c.timedOutByCaller(status):
@@ -139,7 +144,8 @@
 	}
 }
 
-// parseLoad reads "<in flight>/<slots>".
+// parseLoad parses a load header of the form "<in flight>/<slots>" and returns the number of
+// requests in flight.
 func parseLoad(text string) (load int, valid bool) {
 	before, _, found := strings.Cut(text, "/")
 	if !found {
@@ -149,15 +155,15 @@
 	return load, err == nil && load >= 0
 }
 
-// outgoing builds the request to the chosen endpoint's proxy.
+// outgoing returns the request to send to the inbound proxy of the endpoint.
 func (c *call) outgoing(endpoint *balance.Endpoint) *http.Request {
 	outgoing := forward.NewRequest(c.context, c.request, endpoint.Address, c.attemptHeader(), c.interim)
 	c.body.Attach(outgoing)
 	return outgoing
 }
 
-// attemptHeader returns the headers with the markers of this attempt. Every
-// attempt has a map of its own: an earlier one may still be in use.
+// attemptHeader returns the header of the current attempt. Each attempt has its own map, since an
+// earlier attempt may still be reading its own.
 func (c *call) attemptHeader() http.Header {
 	if c.header == nil {
 		c.header = c.baseHeader()
@@ -176,8 +182,8 @@
 	return header
 }
 
-// baseHeader is the caller's header without markers from outside, with the
-// credential and the markers that are the same for every attempt.
+// baseHeader returns the caller's header without the mesh headers that the caller set, and with the
+// credential and the mesh headers that are the same for all attempts.
 func (c *call) baseHeader() http.Header {
 	header := forward.RequestHeader(c.request.Header, maxMarkers)
 	if c.route.secret != nil {
@@ -191,14 +197,14 @@
 	return header
 }
 
-// maxMarkers is how many headers a proxy adds at most.
+// maxMarkers is the largest number of headers that the proxy adds to a request.
 const maxMarkers = 8
 
-// headerValueTrue is shared and never modified.
+// headerValueTrue is shared by all requests and must not be modified.
 var headerValueTrue = []string{"true"}
 
-// finishWithFailure ends the call after its last attempt. A refusal of the endpoint's
-// proxy is passed on whole, since it may carry the back end's own words.
+// finishWithFailure ends the call after its last attempt. It forwards a refusal of the inbound
+// proxy completely, since the refusal may contain the back end's own response.
 func (c *call) finishWithFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	if c.mayHaveRun && result.outcome == outcome.NotRun {
 		return c.replaceRefusal(endpoint, result)
@@ -213,12 +219,12 @@
 	return c.newFailure(endpoint, result)
 }
 
-// errEarlierAttemptUnknown ends a call that may have been run by an earlier attempt than
-// the one refused.
+// errEarlierAttemptUnknown is the cause of failure if the last attempt was refused and an earlier
+// one has an unknown outcome.
 var errEarlierAttemptUnknown = errors.New("an earlier attempt may have been run, the last one was refused")
 
-// replaceRefusal keeps a refusal from a caller whose call may have been run by an
-// earlier attempt: its words would say that it was not.
+// replaceRefusal returns a failure of unknown outcome instead of a refusal. The refusal would tell
+// the caller that the call was not run, while an earlier attempt may have run it.
 func (c *call) replaceRefusal(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	failure := c.newFailure(endpoint, attemptResult{outcome: outcome.Unknown, err: result.err})
 	if result.response != nil {
@@ -230,6 +236,7 @@
 	return failure
 }
 
+// forwardRefusal sends a refusal of the inbound proxy to the caller.
 func (c *call) forwardRefusal(endpoint *balance.Endpoint, response *http.Response, errorHeader string) *outcome.Failure {
 	defer release(endpoint)
 	c.status = response.StatusCode
@@ -246,6 +253,7 @@
 	return nil
 }
 
+// newFailure returns the failure for the result of the last attempt.
 func (c *call) newFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	failure := &outcome.Failure{Outcome: result.outcome, Status: http.StatusBadGateway, Step: outcome.StepChoose, Cause: result.err}
 	var failed *forward.Error
@@ -261,7 +269,7 @@
 	return failure
 }
 
-// sendFailure sends a failure that the proxy answers itself.
+// sendFailure sends a response that the proxy itself generates for the failure.
 func (c *call) sendFailure(failure *outcome.Failure) {
 	c.status, c.outcome = failure.Status, failure.Outcome
 	defer forward.PrepareOwnReply(c.context, c.writer, c.request, c.body)()
@@ -273,7 +281,8 @@
 	c.recordEnd()
 }
 
-// abort ends the caller's connection: a part of an answer must not look whole.
+// abort closes the caller's connection, so that the caller cannot take a truncated response for a
+// complete one.
 func (c *call) abort(endpoint *balance.Endpoint, cause error) {
 	c.outcome = outcome.Unknown
 	c.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: endpoint.Address, Cause: cause})
@@ -281,6 +290,7 @@
 	panic(http.ErrAbortHandler)
 }
 
+// recordEnd reports the end of the call to the observer.
 func (c *call) recordEnd() {
 	name := ""
 	if c.route != nil {
@@ -290,7 +300,7 @@
 }
 
 func (c *call) logFailure(failure *outcome.Failure) {
-	// Checking first leaves out the fields of a message that is not written.
+	// Check avoids building the fields of a message that is not logged.
 	entry := c.handler.options.Logger.Check(zap.WarnLevel, "call failed")
 	if entry == nil {
 		return
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -16,10 +16,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/table"
 )
 
-// transientRetryAfter is the Retry-After of refusals that pass by themselves.
+// transientRetryAfter is the Retry-After value of refusals whose cause is temporary.
 const transientRetryAfter = time.Second
 
-// Causes of refusals.
+// Causes of refusals, which are part of the response.
 var (
 	errDraining           = errors.New("the proxy is leaving")
 	errNoSnapshot         = errors.New("no configuration is in force yet")
@@ -30,7 +30,7 @@
 	errDeadlinePassed     = errors.New("the deadline passed before work began")
 )
 
-// call is one request of a caller. It is used by one goroutine.
+// call is the state of one request of a caller. It is not safe for concurrent use.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
@@ -44,21 +44,22 @@
 	id      string
 	header  http.Header
 	interim *forward.Interim
-	// attempt counts from one.
+	// attempt is the number of the current attempt, counted from one.
 	attempt         int
 	retriedUpstream bool
-	// deadlineFromCaller: the caller allows less time than the service does.
+	// deadlineFromCaller is set if the deadline that the caller set is earlier than that of the
+	// service.
 	deadlineFromCaller bool
 	repeatable         bool
-	// mayHaveRun: an earlier attempt ended unknown, so that no later refusal
-	// makes the call not run.
+	// mayHaveRun is set once an attempt has an unknown outcome. A later refusal then does not prove
+	// that the call was not run.
 	mayHaveRun bool
 	status     int
 	outcome    outcome.Outcome
 }
 
-// serve carries the request through. A nil result means that the caller has
-// its answer; a failure is still to be sent.
+// serve processes the request. It returns nil if a response was sent to the caller, else the
+// failure that is still to be sent.
 func (c *call) serve() *outcome.Failure {
 	configuration := c.handler.current.Load()
 	if configuration == nil {
@@ -87,7 +88,7 @@
 	return c.admit()
 }
 
-// validate refuses what the proxy does not carry.
+// validate rejects requests that the proxy does not support.
 func (c *call) validate() *outcome.Failure {
 	if forward.WantsUpgrade(c.request) {
 		return outcome.Refusal(http.StatusNotImplemented, outcome.StepRequest, 0, errUpgradeUnsupported)
@@ -103,8 +104,9 @@
 	return nil
 }
 
-// effectiveTimeout is the service's deadline, cut by the caller's own. The markers of
-// a caller are believed only in the safe direction: less time, fewer attempts.
+// effectiveTimeout returns the timeout of the service, or that of the caller if it is shorter.
+// Headers of the caller are trusted only where they restrict the call: to less time or fewer
+// attempts.
 func (c *call) effectiveTimeout() (time.Duration, *outcome.Failure) {
 	timeout := c.route.service.deadline
 	if text := c.request.Header.Get(outcome.HeaderAttempt); text != "" {
@@ -128,8 +130,8 @@
 	return timeout, nil
 }
 
-// admit reads a short body, takes a slot of the service and runs the attempts.
-// What would be refused anyway is refused before its body is read.
+// admit reads a short body, acquires a slot of the service and runs the attempts. Requests that
+// would be refused anyway are refused before their body is read.
 func (c *call) admit() *outcome.Failure {
 	service := c.route.service
 	if service.endpoints.Load().Len() == 0 {
@@ -153,6 +155,7 @@
 	return c.runAttempts()
 }
 
+// bodyRefusal returns the refusal for an error of reading the request's body.
 func (c *call) bodyRefusal(err error) *outcome.Failure {
 	switch {
 	case errors.Is(err, forward.ErrBodyTooLarge):
@@ -164,6 +167,7 @@
 	}
 }
 
+// limitRefusal returns the refusal for an error of the service's limiter.
 func (c *call) limitRefusal(err error) *outcome.Failure {
 	if errors.Is(err, limit.ErrDeadlineExceeded) {
 		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, transientRetryAfter, err)
@@ -171,7 +175,7 @@
 	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, transientRetryAfter, err)
 }
 
-// runAttempts repeats until an answer is passed on or a failure is final.
+// runAttempts sends attempts until a response is forwarded or no retry is allowed.
 func (c *call) runAttempts() *outcome.Failure {
 	var avoid *balance.Endpoint
 	for c.attempt = 1; ; c.attempt++ {
@@ -189,7 +193,8 @@
 	}
 }
 
-// prepareRetry decides on another attempt and waits for it.
+// prepareRetry decides whether to retry, spends from the retry budget and waits for the backoff. It
+// returns false if no retry is allowed or if the deadline passes during the wait.
 func (c *call) prepareRetry(last outcome.Outcome) bool {
 	deadline, _ := c.context.Deadline()
 	decision := c.route.service.policy.Decide(retry.Attempt{
@@ -208,6 +213,7 @@
 	return c.sleep(decision.Wait)
 }
 
+// sleep waits and reports whether the call's deadline has not passed meanwhile.
 func (c *call) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -219,8 +225,8 @@
 	}
 }
 
-// forwardResponse sends the answer to the caller, or aborts the caller's connection when
-// the answer breaks off.
+// forwardResponse sends the response to the caller. It aborts the caller's connection if the
+// response is truncated.
 func (c *call) forwardResponse(endpoint *balance.Endpoint, response *http.Response) *outcome.Failure {
 	defer release(endpoint)
 	c.status = response.StatusCode
@@ -239,7 +245,7 @@
 	return nil
 }
 
-// sanitizeResponse removes what concerns one hop or the mesh.
+// sanitizeResponse removes hop-by-hop headers and headers of the mesh.
 func (c *call) sanitizeResponse(response *http.Response) {
 	forward.RemoveHopByHop(response.Header)
 	outcome.StripMarkers(response.Header)
@@ -248,8 +254,9 @@
 	}
 }
 
-// credentialHeader names the header that carries the credential; a back end that
-// echoes it must not give it away.
+// credentialHeader returns the name of the header that carries the credential, or the empty string.
+// The header is removed from responses, so that a back end that echoes it does not disclose the
+// credential.
 func (c *call) credentialHeader() string {
 	if c.route.secret == nil {
 		return ""
--- a/internal/proxy/outbound/configuration.go
+++ b/internal/proxy/outbound/configuration.go
@@ -1,6 +1,6 @@
-// Package outbound is the caller's side of the data path: it matches a request
-// to a route, chooses an endpoint in the allowed zones, forwards the request to
-// the proxy beside it and passes the whole answer back.
+// Package outbound implements the caller's side of the data path. It matches a request to a route,
+// selects an endpoint in the allowed zones, forwards the request to the inbound proxy of that
+// endpoint and returns the response.
 package outbound
 
 import (
@@ -15,13 +15,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// configuration is one compiled snapshot. A request loads it once and keeps it
-// to its end. Everything in it is immutable except the services' endpoint
-// sets, which follow the endpoints' soft state.
+// configuration is a compiled snapshot. A request loads it once and uses it until the request ends.
+// It is immutable except for the endpoint sets of the services, which are replaced when the state
+// of an endpoint changes.
 type configuration struct {
 	table    *table.Table[*route]
 	services map[string]*service
-	// routes holds the names of all routes.
+	// routes is the set of names of all routes.
 	routes map[string]bool
 }
 
@@ -31,39 +31,39 @@
 	service    *service
 	secret     *secret
 	repeatable []string
-	// inFlight is shared by all versions of the route.
+	// inFlight is shared with the same route of other snapshots.
 	inFlight        *atomic.Int64
 	maximumInFlight int64
 }
 
-// secret is a credential in the form in which it is attached.
+// secret is a credential as a header field to add to requests.
 type secret struct {
-	header string // canonical
+	header string // in canonical form
 	value  []string
 }
 
-// service is a service as one snapshot declares it.
+// service is a service as declared by one snapshot.
 type service struct {
 	name     string
 	view     *projection.Service
 	deadline time.Duration
 	policy   retry.Policy
-	// endpoints is replaced whenever an endpoint's state changes.
+	// endpoints is replaced whenever the state of an endpoint changes.
 	endpoints atomic.Pointer[balance.Set]
-	// shared outlives snapshots.
+	// shared is kept across snapshots.
 	shared *sharedService
 }
 
-// sharedService is what all versions of a service have in common.
+// sharedService is the state of a service that is kept across snapshots.
 type sharedService struct {
 	limiter *limit.Limiter
 	budget  *retry.Budget
 }
 
-// Methods that may be repeated when a route lists none.
+// defaultRepeatableMethods are the methods that may be run more than once if the route lists none.
 var defaultRepeatableMethods = []string{"GET", "HEAD", "OPTIONS"}
 
-// isRepeatable reports whether a request of that method may be run more than once.
+// isRepeatable reports whether a request with that method may be run more than once.
 func (r *route) isRepeatable(method string) bool {
 	for _, repeatable := range r.repeatable {
 		if repeatable == method {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// tryAcquire counts a request in unless the route's bound is reached.
+// tryAcquire increments the number of requests in flight unless the route's limit is reached.
 func (r *route) tryAcquire() bool {
 	count := r.inFlight.Add(1)
 	if r.maximumInFlight > 0 && count > r.maximumInFlight {
@@ -83,8 +83,10 @@
 	return true
 }
 
+// release ends a request that tryAcquire began.
 func (r *route) release() { r.inFlight.Add(-1) }
 
+// repeatableMethods returns the methods of a route that may be run more than once.
 func repeatableMethods(spec *resource.RouteSpec) []string {
 	if len(spec.RepeatableMethods) == 0 {
 		return defaultRepeatableMethods
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -17,38 +17,40 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// Options configure the handler.
+// Options configures a Handler.
 type Options struct {
-	// Gate counts requests and refuses them once the proxy is leaving.
+	// Gate counts requests and refuses new ones once the proxy is draining.
 	Gate *drain.Gate
-	// Dial returns the dialer of connections to one endpoint in a zone; nil
-	// means TCP.
+	// Dial returns the dialer for connections to an endpoint in a zone. TCP is used if Dial is nil.
 	Dial func(id endpoint.ID, zone string) forward.Dialer
-	// Connections bound the connections to one endpoint; the number itself
-	// comes from the service.
+	// Connections holds the limits of the connections to one endpoint. The number of connections is
+	// taken from the service instead.
 	Connections forward.Limits
-	// MaximumBodyBytes bounds a request's body.
+	// MaximumBodyBytes is the largest size of a request body.
 	MaximumBodyBytes int64
 	Logger           *zap.Logger
 	Observer         Observer
 }
 
-// Observer is told how calls went.
+// Observer receives the results of calls, for instance for metrics.
 type Observer interface {
-	// CallEnded: the caller has its answer, or its connection was aborted.
+	// CallEnded is called when the response was sent to the caller or the caller's connection was
+	// aborted.
 	CallEnded(service string, status int, outcome outcome.Outcome, elapsed time.Duration)
-	// Retried: an attempt is followed by another one.
+	// Retried is called before each retry.
 	Retried(service string)
-	// Ejected: an endpoint is left out for a while.
+	// Ejected is called when an endpoint is ejected from load balancing.
 	Ejected(id endpoint.ID)
 }
 
+// connectionLimits returns Connections with the given number of connections.
 func (o Options) connectionLimits(connections int) forward.Limits {
 	limits := o.Connections
 	limits.Connections = connections
 	return limits
 }
 
+// dialer returns the dialer for an endpoint, or nil for TCP.
 func (o Options) dialer(id endpoint.ID, zone string) forward.Dialer {
 	if o.Dial == nil {
 		return nil
@@ -56,11 +58,12 @@
 	return o.Dial(id, zone)
 }
 
-// Handler serves callers. Its configuration is one atomic pointer.
+// Handler serves the requests of callers. It loads its configuration atomically, so that requests
+// take no lock to read it.
 type Handler struct {
 	options Options
 	epoch   time.Time
-	// callPrefix makes call ids unique among processes.
+	// callPrefix makes call IDs unique across processes.
 	callPrefix string
 	callCount  atomic.Uint64
 	current    atomic.Pointer[configuration]
@@ -69,7 +72,7 @@
 	registry *registry
 }
 
-// New returns a handler that refuses everything until Apply.
+// New returns a handler that refuses all requests until Apply is called.
 func New(options Options) *Handler {
 	return &Handler{
 		options:    options,
@@ -79,10 +82,10 @@
 	}
 }
 
-// now is the time since the handler's epoch.
+// now returns the time since the handler's epoch.
 func (h *Handler) now() time.Duration { return time.Since(h.epoch) }
 
-// Apply puts a snapshot in force that was checked before.
+// Apply activates a snapshot, which must have been validated.
 func (h *Handler) Apply(snapshot *projection.Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -94,7 +97,7 @@
 	h.registry.removeUnused(compiled)
 }
 
-// UpdateEndpoints takes in newer states of endpoints.
+// UpdateEndpoints applies newer states of endpoints and ignores older ones.
 func (h *Handler) UpdateEndpoints(updates []endpoint.Update) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -110,8 +113,8 @@
 	}
 }
 
-// RenewConnections has every connection to an endpoint opened anew before its
-// next exchange. Exchanges under way end on theirs.
+// RenewConnections replaces every connection to an endpoint before its next exchange. Exchanges in
+// progress complete on the existing connections.
 func (h *Handler) RenewConnections() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -120,8 +123,8 @@
 	}
 }
 
-// Sweep closes idle connections that are too old or broken. It is to be called
-// every few seconds.
+// Sweep closes idle connections that are too old or broken, and releases state that is no longer
+// used. It must be called every few seconds.
 func (h *Handler) Sweep(now time.Time) {
 	h.mutex.Lock()
 	if current := h.current.Load(); current != nil {
@@ -137,7 +140,7 @@
 	}
 }
 
-// Close closes idle connections; those in use end with their exchange.
+// Close closes idle connections. Connections in use are closed when their exchange ends.
 func (h *Handler) Close() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -17,8 +17,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// registry holds what outlives snapshots: endpoints with their connections,
-// and the limits of services and routes. It is used under Handler.mutex.
+// registry holds the state that is kept across snapshots: endpoints with their connections, and the
+// limits of services and routes. It is guarded by Handler.mutex.
 type registry struct {
 	options   Options
 	states    map[endpoint.ID]endpoint.Update
@@ -27,7 +27,7 @@
 	routes    map[string]*atomic.Int64
 }
 
-// endpointKey identifies a back end at one address.
+// endpointKey identifies an endpoint at a certain address.
 type endpointKey struct {
 	id      endpoint.ID
 	address string
@@ -43,7 +43,7 @@
 	}
 }
 
-// compile builds the configuration of a snapshot.
+// compile returns the configuration of a snapshot.
 func (r *registry) compile(snapshot *projection.Snapshot) *configuration {
 	compiled := &configuration{
 		services: make(map[string]*service, len(snapshot.Services)),
@@ -67,6 +67,7 @@
 	return compiled
 }
 
+// compileSecrets returns the credentials by name.
 func compileSecrets(specs map[string]*resource.SecretSpec) map[string]*secret {
 	secrets := make(map[string]*secret, len(specs))
 	for name, spec := range specs {
@@ -75,6 +76,7 @@
 	return secrets
 }
 
+// newService returns a service of a new configuration with the shared state of its name.
 func (r *registry) newService(name string, view *projection.Service) *service {
 	policy := retry.Policy{Attempts: view.Retry.Attempts, BudgetPercent: view.Retry.BudgetPercent}.WithDefaults()
 	shared := r.services[name]
@@ -91,6 +93,7 @@
 	}
 }
 
+// routeCounter returns the number of requests in flight of a route.
 func (r *registry) routeCounter(name string) *atomic.Int64 {
 	if r.routes[name] == nil {
 		r.routes[name] = &atomic.Int64{}
@@ -98,7 +101,7 @@
 	return r.routes[name]
 }
 
-// populate gives a service its present endpoints and sizes its limits to them.
+// populate sets the usable endpoints of a service and scales its limits by their number.
 func (r *registry) populate(target *service, now time.Duration) {
 	var usable []*balance.Endpoint
 	for _, candidate := range r.candidates(target) {
@@ -111,15 +114,15 @@
 	target.shared.budget.SetPercent(target.policy.BudgetPercent)
 }
 
-// candidate is an endpoint that placement allows.
+// candidate is an endpoint that the placement rules allow.
 type candidate struct {
 	id      endpoint.ID
 	zone    string
 	address string
 }
 
-// candidates returns declared endpoints, or announced ones that bear the
-// labels of the service's selector; both only in allowed zones.
+// candidates returns the declared endpoints of a service and, if it has a selector, the announced
+// endpoints with matching labels. Only endpoints in allowed zones are returned.
 func (r *registry) candidates(target *service) []candidate {
 	var list []candidate
 	for _, declared := range target.view.Endpoints {
@@ -139,6 +142,8 @@
 	return list
 }
 
+// matchesSelector reports whether an announced endpoint is in an allowed zone and has all labels of the
+// selector.
 func matchesSelector(view *projection.Service, announced endpoint.Update) bool {
 	if announced.Address == "" || !slices.Contains(view.AllowedZones, announced.Zone) {
 		return false
@@ -151,18 +156,19 @@
 	return true
 }
 
-// acceptsWork reports whether new work may go to the endpoint as far as it is
-// known. A declared endpoint of which nothing was heard yet is tried.
+// acceptsWork reports whether the last known state of the endpoint allows new requests. Endpoints
+// of unknown state are used.
 func (r *registry) acceptsWork(id endpoint.ID) bool {
 	state, known := r.states[id]
 	return !known || state.State.AcceptsWork()
 }
 
-// maxWarmedEndpoints is up to how many endpoints of a service get a connection
-// before the first call. More would cost every endpoint a connection from each
-// caller's proxy, used or not.
+// maxWarmedEndpoints is the largest number of declared endpoints for which connections are opened
+// before the first call. With more, every endpoint would hold a connection from each outbound
+// proxy, whether it is used or not.
 const maxWarmedEndpoints = 8
 
+// endpoint returns the endpoint of a candidate, which it creates if necessary.
 func (r *registry) endpoint(target *service, selected candidate, now time.Duration) *balance.Endpoint {
 	key := endpointKey{id: selected.id, address: selected.address}
 	limits := r.options.connectionLimits(target.view.Connections)
@@ -183,7 +189,7 @@
 	return ep
 }
 
-// merge takes in newer states and returns the services they concern.
+// merge stores newer states of endpoints and returns the names of the affected services.
 func (r *registry) merge(updates []endpoint.Update, now time.Duration) map[string]bool {
 	affected := map[string]bool{}
 	for _, update := range updates {
@@ -198,7 +204,7 @@
 	return affected
 }
 
-// applyState adapts the endpoint itself to its new state.
+// applyState updates the pool, ejection and slow start of an endpoint after a change of its state.
 func (r *registry) applyState(previous, update endpoint.Update, now time.Duration) {
 	for key, ep := range r.endpoints {
 		if key.id != update.ID {
@@ -217,7 +223,8 @@
 	}
 }
 
-// removeUnused drops what no service uses any more and nothing holds.
+// removeUnused removes services, routes and endpoints that are not in the current configuration and
+// have no running or queued requests.
 func (r *registry) removeUnused(current *configuration) {
 	maps.DeleteFunc(r.services, func(name string, shared *sharedService) bool {
 		return current.services[name] == nil && shared.limiter.InFlight()+shared.limiter.Waiting() == 0
@@ -228,7 +235,7 @@
 	r.removeUnusedEndpoints(current)
 }
 
-// removeUnusedEndpoints closes the connections of endpoints out of use.
+// removeUnusedEndpoints removes unused endpoints and closes their connections.
 func (r *registry) removeUnusedEndpoints(current *configuration) {
 	used := map[*balance.Endpoint]bool{}
 	for _, target := range current.services {
