--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// retrySoon is the Retry-After of refusals that pass by themselves.
-	retrySoon = time.Second
-	// retention is how long a call is remembered beyond its deadline. No
-	// proxy sends a call after its deadline; this is for clocks that run at
-	// different speeds.
-	retention = 2 * time.Second
+	// transientRetryAfter is the Retry-After value of refusals whose cause is temporary.
+	transientRetryAfter = time.Second
+	// recordRetention is how long the record of a call is kept beyond the call's deadline. No proxy
+	// sends a call after its deadline; the retention allows for clocks that run at different
+	// speeds.
+	recordRetention = 2 * time.Second
 )
 
-// Causes of refusals.
+// Causes of refusals, which are part of the response.
 var (
-	errDraining   = errors.New("the back end is leaving")
-	errNoSnapshot = errors.New("no configuration of the back end's service is in force")
-	errUpgrade    = errors.New("upgrades are not carried")
-	errNoCall     = errors.New("the request bears no call id: it did not come through a proxy of the mesh")
-	errService    = errors.New("the request is meant for another service")
-	errDeadline   = errors.New("the request bears no valid remaining time")
-	errExpired    = errors.New("the deadline passed before work began")
+	errDraining           = errors.New("the back end is leaving")
+	errNoSnapshot         = errors.New("no configuration of the back end's service is in force")
+	errUpgradeUnsupported = errors.New("upgrades are not carried")
+	errNoCallID           = errors.New("the request bears no call id: it did not come through a proxy of the mesh")
+	errWrongService       = errors.New("the request is meant for another service")
+	errInvalidDeadline    = errors.New("the request bears no valid remaining time")
+	errDeadlinePassed     = errors.New("the deadline passed before work began")
 )
 
-// arrival is one request of a caller's proxy. It is used by one goroutine.
-type arrival struct {
+// inboundRequest is the state of one request from an outbound proxy. It is not safe for concurrent
+// use.
+type inboundRequest struct {
 	handler *Handler
 	writer  http.ResponseWriter
 	request *http.Request
@@ -46,186 +47,193 @@
 	settings *settings
 	context  context.Context
 	body     *forward.Body
-	call     string
-	// repeatable calls may be run again and are not remembered.
+	callID   string
+	// repeatable is set for calls that may be run more than once. They are not recorded.
 	repeatable bool
 	deadline   time.Time
 	status     int
 	outcome    outcome.Outcome
 }
 
-// serve carries the request through. A nil result means that the caller's
-// proxy has its answer; a failure is still to be sent.
-func (a *arrival) serve() *outcome.Failure {
-	a.settings = a.handler.current.Load()
-	if a.settings == nil {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepSnapshot, retrySoon, errNoSnapshot)
+// serve processes the request. It returns nil if a response was sent to the outbound proxy, else
+// the failure that is still to be sent.
+func (r *inboundRequest) serve() *outcome.Failure {
+	r.settings = r.handler.current.Load()
+	if r.settings == nil {
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepSnapshot, transientRetryAfter, errNoSnapshot)
 	}
-	if failure := a.check(); failure != nil {
+	if failure := r.validate(); failure != nil {
 		return failure
 	}
 	var cancel context.CancelFunc
-	a.context, cancel = context.WithDeadline(a.request.Context(), a.deadline)
+	r.context, cancel = context.WithDeadline(r.request.Context(), r.deadline)
 	defer cancel()
-	if a.handler.limiter.Full() {
+	if r.handler.limiter.Full() {
 		return limitRefusal(limit.ErrQueueFull)
 	}
-	body, err := forward.ReadBody(a.context, a.writer, a.request, a.handler.options.MaximumBodyBytes, "")
+	body, err := forward.ReadBody(r.context, r.writer, r.request, r.handler.options.MaximumBodyBytes, "")
 	if err != nil {
 		return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, err)
 	}
-	a.body = body
-	defer body.UnblockOnDone(a.context, a.writer)()
-	if err := a.handler.limiter.Acquire(a.context); err != nil {
+	r.body = body
+	defer body.UnblockOnDone(r.context, r.writer)()
+	if err := r.handler.limiter.Acquire(r.context); err != nil {
 		return limitRefusal(err)
 	}
-	defer a.handler.limiter.Release()
-	return a.run()
+	defer r.handler.limiter.Release()
+	return r.forwardCall()
 }
 
-func (a *arrival) check() *outcome.Failure {
-	header := a.request.Header
-	if forward.WantsUpgrade(a.request) {
-		return outcome.Refusal(http.StatusNotImplemented, outcome.StepRequest, 0, errUpgrade)
+// validate rejects requests that the proxy does not support or that do not come from an outbound proxy of
+// the mesh, and reads the headers of the mesh.
+func (r *inboundRequest) validate() *outcome.Failure {
+	header := r.request.Header
+	if forward.WantsUpgrade(r.request) {
+		return outcome.Refusal(http.StatusNotImplemented, outcome.StepRequest, 0, errUpgradeUnsupported)
 	}
-	a.call = header.Get(outcome.HeaderCallID)
-	if a.call == "" {
-		return outcome.Refusal(http.StatusForbidden, outcome.StepRequest, 0, errNoCall)
+	r.callID = header.Get(outcome.HeaderCallID)
+	if r.callID == "" {
+		return outcome.Refusal(http.StatusForbidden, outcome.StepRequest, 0, errNoCallID)
 	}
-	if header.Get(outcome.HeaderService) != a.handler.options.Service {
-		return outcome.Refusal(http.StatusMisdirectedRequest, outcome.StepRequest, 0, errService)
+	if header.Get(outcome.HeaderService) != r.handler.options.Service {
+		return outcome.Refusal(http.StatusMisdirectedRequest, outcome.StepRequest, 0, errWrongService)
 	}
-	a.repeatable = header.Get(outcome.HeaderRepeatable) == "true"
-	return a.checkDeadline(header.Get(outcome.HeaderDeadline))
+	r.repeatable = header.Get(outcome.HeaderRepeatable) == "true"
+	return r.validateDeadline(header.Get(outcome.HeaderDeadline))
 }
 
-func (a *arrival) checkDeadline(text string) *outcome.Failure {
+// validateDeadline sets the deadline to that of the request or of the service, whichever is earlier.
+func (r *inboundRequest) validateDeadline(text string) *outcome.Failure {
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, errDeadline)
+		return outcome.Refusal(http.StatusBadRequest, outcome.StepRequest, 0, errInvalidDeadline)
 	}
 	if milliseconds <= 0 {
-		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, errExpired)
+		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, transientRetryAfter, errDeadlinePassed)
 	}
-	limit := a.settings.deadline
-	if milliseconds < limit.Milliseconds() {
-		limit = time.Duration(milliseconds) * time.Millisecond
+	timeout := r.settings.deadline
+	if milliseconds < timeout.Milliseconds() {
+		timeout = time.Duration(milliseconds) * time.Millisecond
 	}
-	a.deadline = a.started.Add(limit)
+	r.deadline = r.started.Add(timeout)
 	return nil
 }
 
+// limitRefusal returns the refusal for an error of the limiter.
 func limitRefusal(err error) *outcome.Failure {
 	if errors.Is(err, limit.ErrDeadlineExceeded) {
-		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, retrySoon, err)
+		return outcome.Refusal(http.StatusGatewayTimeout, outcome.StepDeadline, transientRetryAfter, err)
 	}
-	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, err)
+	return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, transientRetryAfter, err)
 }
 
-// run records the call and passes it on. The record stays unless it is proven
-// that the back end did not run the call.
-func (a *arrival) run() *outcome.Failure {
-	if failure := a.remember(); failure != nil {
+// forwardCall records the call and forwards it to the back end. The record is kept unless it is
+// certain that the back end did not run the call.
+func (r *inboundRequest) forwardCall() *outcome.Failure {
+	if failure := r.recordCall(); failure != nil {
 		return failure
 	}
-	interim := forward.NewInterim(a.writer, "")
-	response, err := a.handler.pool.RoundTrip(a.outgoing(interim))
+	interim := forward.NewInterim(r.writer, "")
+	response, err := r.handler.pool.RoundTrip(r.outgoing(interim))
 	interim.Stop()
 	if err != nil {
-		return a.exchangeFailed(err)
+		return r.newFailure(err)
 	}
-	a.handler.options.Observer.BackendAnswered()
-	return a.pass(response)
+	r.handler.options.Observer.BackendAnswered()
+	return r.forwardResponse(response)
 }
 
-// remember refuses a second arrival. Its outcome is unknown, not "not run":
-// the call is the first arrival's, and that one may have been run.
-func (a *arrival) remember() *outcome.Failure {
-	if a.repeatable {
+// recordCall records the call and refuses a duplicate. The outcome of a duplicate is unknown
+// instead of "not run", since the first request of the same call may have been run.
+func (r *inboundRequest) recordCall() *outcome.Failure {
+	if r.repeatable {
 		return nil
 	}
-	err := a.handler.memory.Record(time.Now(), a.call, a.deadline.Add(retention))
+	err := r.handler.callRecords.Record(time.Now(), r.callID, r.deadline.Add(recordRetention))
 	if errors.Is(err, calls.ErrSecondArrival) {
 		return &outcome.Failure{Outcome: outcome.Unknown, Status: http.StatusConflict, Step: outcome.StepDuplicate, Cause: err}
 	}
 	if err != nil {
-		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, retrySoon, err)
+		return outcome.Refusal(http.StatusServiceUnavailable, outcome.StepAdmit, transientRetryAfter, err)
 	}
 	return nil
 }
 
-// forget drops the record of a call that provably was not run.
-func (a *arrival) forget() {
-	if !a.repeatable {
-		a.handler.memory.Forget(a.call)
+// removeRecord removes the record of a call that was certainly not run.
+func (r *inboundRequest) removeRecord() {
+	if !r.repeatable {
+		r.handler.callRecords.Forget(r.callID)
 	}
 }
 
-func (a *arrival) outgoing(interim *forward.Interim) *http.Request {
-	header := forward.RequestHeader(a.request.Header, markerCount)
-	header[outcome.HeaderCallID] = a.request.Header[outcome.HeaderCallID]
-	header[outcome.HeaderAttempt] = a.request.Header[outcome.HeaderAttempt]
-	remaining := max(time.Until(a.deadline).Milliseconds(), 1)
+// outgoing returns the request to send to the back end.
+func (r *inboundRequest) outgoing(interim *forward.Interim) *http.Request {
+	header := forward.RequestHeader(r.request.Header, maxMarkers)
+	header[outcome.HeaderCallID] = r.request.Header[outcome.HeaderCallID]
+	header[outcome.HeaderAttempt] = r.request.Header[outcome.HeaderAttempt]
+	remaining := max(time.Until(r.deadline).Milliseconds(), 1)
 	header[outcome.HeaderDeadline] = []string{strconv.FormatInt(remaining, 10)}
-	outgoing := forward.NewRequest(a.context, a.request, a.handler.options.Address, header, interim)
-	a.body.Attach(outgoing)
+	outgoing := forward.NewRequest(r.context, r.request, r.handler.options.Address, header, interim)
+	r.body.Attach(outgoing)
 	return outgoing
 }
 
-// markerCount is how many headers the proxy adds at most.
-const markerCount = 3
+// maxMarkers is the largest number of headers that the proxy adds to a request.
+const maxMarkers = 3
 
-func (a *arrival) exchangeFailed(err error) *outcome.Failure {
-	failure := &outcome.Failure{Outcome: outcome.Unknown, Status: http.StatusBadGateway, Step: outcome.StepAwait, Peer: a.handler.options.Address, Cause: err}
+// newFailure returns the failure for an error of the exchange with the back end.
+func (r *inboundRequest) newFailure(err error) *outcome.Failure {
+	failure := &outcome.Failure{Outcome: outcome.Unknown, Status: http.StatusBadGateway, Step: outcome.StepAwait, Peer: r.handler.options.Address, Cause: err}
 	var failed *forward.Error
 	if errors.As(err, &failed) {
 		failure.Outcome, failure.Step = failed.Outcome, failed.Step
 	}
 	if failure.Outcome == outcome.NotRun {
-		a.forget()
-		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, retrySoon
+		r.removeRecord()
+		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, transientRetryAfter
 	}
 	switch {
-	case a.context.Err() != nil:
+	case r.context.Err() != nil:
 		failure.Status = http.StatusGatewayTimeout
 	case errors.Is(err, forward.ErrNoConnection):
 		failure.Step = outcome.StepAdmit
 	case failure.Step == outcome.StepConnect:
-		a.handler.options.Observer.BackendUnreachable()
+		r.handler.options.Observer.BackendUnreachable()
 	}
 	return failure
 }
 
-// pass sends the back end's answer on, or aborts the connection when the
-// answer breaks off.
-func (a *arrival) pass(response *http.Response) *outcome.Failure {
-	a.status = response.StatusCode
-	a.adjustReply(response)
-	a.body.CloseUnlessRead(a.writer.Header())
-	if err := forward.WriteReply(a.context, a.writer, response, ""); err != nil {
-		a.abort(err)
+// forwardResponse sends the back end's response to the outbound proxy. It aborts the connection if
+// the response is truncated.
+func (r *inboundRequest) forwardResponse(response *http.Response) *outcome.Failure {
+	r.status = response.StatusCode
+	r.adjustResponse(response)
+	r.body.CloseUnlessRead(r.writer.Header())
+	if err := forward.WriteReply(r.context, r.writer, response, ""); err != nil {
+		r.abort(err)
 	}
-	a.ended()
+	r.recordEnd()
 	return nil
 }
 
-func (a *arrival) adjustReply(response *http.Response) {
-	a.handler.claim(response.Header.Get(outcome.HeaderLoad))
+// adjustResponse replaces the headers of one hop and of the mesh, and marks a shed request as not run.
+func (r *inboundRequest) adjustResponse(response *http.Response) {
+	r.handler.recordLoad(response.Header.Get(outcome.HeaderLoad))
 	forward.RemoveHopByHop(response.Header)
 	outcome.StripMarkers(response.Header)
-	response.Header[outcome.HeaderLoad] = []string{a.handler.load()}
-	if !shed(a.settings.shedMarker, response) {
+	response.Header[outcome.HeaderLoad] = []string{r.handler.loadHeader()}
+	if !isShed(r.settings.shedMarker, response) {
 		return
 	}
-	a.forget()
-	a.outcome = outcome.NotRun
+	r.removeRecord()
+	r.outcome = outcome.NotRun
 	response.Header.Set(outcome.HeaderOutcome, string(outcome.NotRun))
-	response.Header.Set(outcome.HeaderError, "step="+string(outcome.StepAdmit)+"; peer="+a.handler.options.Address)
+	response.Header.Set(outcome.HeaderError, "step="+string(outcome.StepAdmit)+"; peer="+r.handler.options.Address)
 }
 
-// shed reports whether the reply is the one by which the back end declares
-// that it did not run the request.
-func shed(marker *resource.ShedMarker, response *http.Response) bool {
+// isShed reports whether the response matches the marker by which the back end declares that it did
+// not run the request.
+func isShed(marker *resource.ShedMarker, response *http.Response) bool {
 	if marker == nil || response.StatusCode != marker.Status {
 		return false
 	}
@@ -239,36 +247,38 @@
 	return marker.Value == "" || values[0] == marker.Value
 }
 
-// reply sends a failure that the proxy answers itself.
-func (a *arrival) reply(failure *outcome.Failure) {
-	a.status, a.outcome = failure.Status, failure.Outcome
-	defer forward.PrepareOwnReply(a.context, a.writer, a.request, a.body)()
+// sendFailure sends a response that the proxy itself generates for the failure.
+func (r *inboundRequest) sendFailure(failure *outcome.Failure) {
+	r.status, r.outcome = failure.Status, failure.Outcome
+	defer forward.PrepareOwnReply(r.context, r.writer, r.request, r.body)()
 	if failure.Peer == "" {
-		failure.Peer = a.handler.options.Service + "/" + a.handler.options.Endpoint
+		failure.Peer = r.handler.options.Service + "/" + r.handler.options.Endpoint
 	}
-	a.writer.Header()[outcome.HeaderLoad] = []string{a.handler.load()}
-	a.logFailure(failure)
-	failure.WriteTo(a.writer)
-	a.ended()
+	r.writer.Header()[outcome.HeaderLoad] = []string{r.handler.loadHeader()}
+	r.logFailure(failure)
+	failure.WriteTo(r.writer)
+	r.recordEnd()
 }
 
-// abort ends the connection: a part of an answer must not look whole.
-func (a *arrival) abort(cause error) {
-	a.outcome = outcome.Unknown
-	a.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: a.handler.options.Address, Cause: cause})
-	a.ended()
+// abort closes the connection, so that the outbound proxy cannot take a truncated response for a
+// complete one.
+func (r *inboundRequest) abort(cause error) {
+	r.outcome = outcome.Unknown
+	r.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: r.handler.options.Address, Cause: cause})
+	r.recordEnd()
 	panic(http.ErrAbortHandler)
 }
 
-func (a *arrival) ended() {
-	a.handler.options.Observer.RequestEnded(a.status, a.outcome, time.Since(a.started))
+// recordEnd reports the end of the request to the observer.
+func (r *inboundRequest) recordEnd() {
+	r.handler.options.Observer.RequestEnded(r.status, r.outcome, time.Since(r.started))
 }
 
-func (a *arrival) logFailure(failure *outcome.Failure) {
-	// Checking first leaves out the fields of a message that is not written.
-	entry := a.handler.options.Logger.Check(zap.WarnLevel, "request failed")
+func (r *inboundRequest) logFailure(failure *outcome.Failure) {
+	// Check avoids building the fields of a message that is not logged.
+	entry := r.handler.options.Logger.Check(zap.WarnLevel, "request failed")
 	if entry == nil {
 		return
 	}
-	entry.Write(failure.Fields(a.call)...)
+	entry.Write(failure.Fields(r.callID)...)
 }
--- a/internal/proxy/inbound/handler.go
+++ b/internal/proxy/inbound/handler.go
@@ -1,6 +1,6 @@
-// Package inbound is the back end's side of the data path: it admits requests
-// of callers' proxies up to the back end's slots, refuses a second arrival of
-// a call and forwards to the local back end.
+// Package inbound implements the back end's side of the data path. It limits the requests of
+// outbound proxies to the back end's slots, refuses duplicates of a call and forwards requests to
+// the local back end.
 package inbound
 
 import (
@@ -19,69 +19,69 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// Options configure the handler.
+// Options configures a Handler.
 type Options struct {
-	// Service is the service that the back end belongs to.
+	// Service is the name of the back end's service.
 	Service string
-	// Endpoint is the back end's name within the service.
+	// Endpoint is the name of the back end within the service.
 	Endpoint string
-	// Address is the back end's own listener, host:port.
+	// Address is the host:port on which the back end listens.
 	Address string
-	// Gate counts requests and refuses them once the back end is leaving.
+	// Gate counts requests and refuses new ones once the back end is draining.
 	Gate *drain.Gate
-	// Dial opens connections to the back end; nil means TCP.
+	// Dial opens connections to the back end. TCP is used if Dial is nil.
 	Dial forward.Dialer
-	// Connections bound the connections to the back end; the number itself
-	// comes from the service.
+	// Connections holds the limits of the connections to the back end. The number of connections is
+	// taken from the service instead.
 	Connections forward.Limits
-	// MaximumBodyBytes bounds a request's body.
+	// MaximumBodyBytes is the largest size of a request body.
 	MaximumBodyBytes int64
-	// RememberedCalls is how many calls are remembered at once.
+	// RememberedCalls is the largest number of calls that are recorded at a time.
 	RememberedCalls int
 	Logger          *zap.Logger
 	Observer        Observer
 }
 
-// Observer is told how requests went at the back end.
+// Observer receives the results of requests, for instance for metrics.
 type Observer interface {
-	// RequestEnded: the caller's proxy has its answer, or was cut off.
+	// RequestEnded is called when the response was sent to the outbound proxy or the connection was
+	// aborted.
 	RequestEnded(status int, outcome outcome.Outcome, elapsed time.Duration)
-	// BackendAnswered: the back end sent the headers of a reply.
+	// BackendAnswered is called when the headers of a response of the back end were received.
 	BackendAnswered()
-	// BackendUnreachable: no connection to the back end could be opened.
+	// BackendUnreachable is called when no connection to the back end could be opened.
 	BackendUnreachable()
 }
 
-// settings are what a snapshot says about the back end's service. They are
-// immutable.
+// settings holds what a snapshot declares for the back end's service. It is immutable.
 type settings struct {
 	slots      int
 	deadline   time.Duration
 	shedMarker *resource.ShedMarker
 }
 
-// Handler serves callers' proxies.
+// Handler serves the requests of outbound proxies.
 type Handler struct {
-	options Options
-	current atomic.Pointer[settings]
-	limiter *limit.Limiter
-	pool    *forward.Pool
-	memory  *calls.Memory
-	claimed claimedLoad
+	options     Options
+	current     atomic.Pointer[settings]
+	limiter     *limit.Limiter
+	pool        *forward.Pool
+	callRecords *calls.Memory
+	reported    reportedLoad
 }
 
-// New returns a handler that refuses everything until Apply.
+// New returns a handler that refuses all requests until Apply is called.
 func New(options Options) *Handler {
 	return &Handler{
-		options: options,
-		limiter: limit.New(0, 0),
-		pool:    forward.NewPool(options.Address, options.Connections, options.Dial),
-		memory:  calls.NewMemory(options.RememberedCalls),
+		options:     options,
+		limiter:     limit.New(0, 0),
+		pool:        forward.NewPool(options.Address, options.Connections, options.Dial),
+		callRecords: calls.NewMemory(options.RememberedCalls),
 	}
 }
 
-// Apply puts a snapshot in force. A snapshot without the back end's service
-// makes the handler refuse everything.
+// Apply activates a snapshot. If the snapshot lacks the back end's service, the handler refuses all
+// requests.
 func (h *Handler) Apply(snapshot *projection.Snapshot) {
 	view := snapshot.Services[h.options.Service]
 	if view == nil {
@@ -100,19 +100,19 @@
 	h.pool.Warm()
 }
 
-// InFlight returns how many requests hold a slot of the back end.
+// InFlight returns the number of requests that hold a slot.
 func (h *Handler) InFlight() int { return h.limiter.InFlight() }
 
-// Waiting returns how many requests are queued for a slot.
+// Waiting returns the number of queued requests.
 func (h *Handler) Waiting() int { return h.limiter.Waiting() }
 
-// Connections returns how many connections to the back end are open.
+// Connections returns the number of open connections to the back end.
 func (h *Handler) Connections() int { return h.pool.Open() }
 
 // Sweep closes idle connections that are too old or broken.
 func (h *Handler) Sweep(now time.Time) { h.pool.Sweep(now) }
 
-// Close closes idle connections; those in use end with their exchange.
+// Close closes idle connections. Connections in use are closed when their exchange ends.
 func (h *Handler) Close() { h.pool.Close() }
 
 // ServeHTTP implements http.Handler.
@@ -122,12 +122,12 @@
 	if phase != drain.Serving {
 		w.Header().Set("Connection", "close")
 	}
-	arrival := &arrival{handler: h, writer: w, request: r, started: time.Now()}
+	inboundRequest := &inboundRequest{handler: h, writer: w, request: r, started: time.Now()}
 	if phase == drain.Refusing {
-		arrival.reply(outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, retrySoon, errDraining))
+		inboundRequest.sendFailure(outcome.Refusal(http.StatusServiceUnavailable, outcome.StepDrain, transientRetryAfter, errDraining))
 		return
 	}
-	if failure := arrival.serve(); failure != nil {
-		arrival.reply(failure)
+	if failure := inboundRequest.serve(); failure != nil {
+		inboundRequest.sendFailure(failure)
 	}
 }
--- a/internal/proxy/inbound/load.go
+++ b/internal/proxy/inbound/load.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// claimLifetime is how long a back end's claim about its load is kept.
-const claimLifetime = 250 * time.Millisecond
+// reportedLoadLifetime is how long a load that the back end reported is used.
+const reportedLoadLifetime = 250 * time.Millisecond
 
-// claimedLoad is what the back end last said of its own load.
-type claimedLoad struct {
-	// share is the claimed share of slots in use, as float64 bits.
+// reportedLoad is the load that the back end last reported.
+type reportedLoad struct {
+	// share is the reported share of slots in use, as float64 bits.
 	share atomic.Uint64
-	// taken is Unix nanoseconds.
-	taken atomic.Int64
+	// receivedAt is the time of receipt in Unix nanoseconds.
+	receivedAt atomic.Int64
 }
 
-// claim takes in the back end's own load header: the share of its slots in
-// use, from 0 to 1. Anything else is ignored.
-func (h *Handler) claim(text string) {
+// recordLoad records the load header of the back end: the share of its slots in use, from 0 to 1.
+// Other values are ignored.
+func (h *Handler) recordLoad(text string) {
 	if text == "" {
 		return
 	}
@@ -28,26 +28,28 @@
 	if err != nil || !(share >= 0 && share <= 1) {
 		return
 	}
-	h.claimed.share.Store(math.Float64bits(share))
-	h.claimed.taken.Store(time.Now().UnixNano())
+	h.reported.share.Store(math.Float64bits(share))
+	h.reported.receivedAt.Store(time.Now().UnixNano())
 }
 
-// load is the header value "<in flight>/<slots>". A claim of less than this
-// proxy observes contradicts it and is ignored; a claim of more is believed up
-// to all slots but one, since the back end just answered a request.
-func (h *Handler) load() string {
+// loadHeader returns the load header "<in flight>/<slots>". A reported load below the one that this
+// proxy observes contradicts it and is ignored. A reported load is capped at slots-1, since the
+// back end has just responded to a request.
+func (h *Handler) loadHeader() string {
 	slots := 0
 	if settings := h.current.Load(); settings != nil {
 		slots = settings.slots
 	}
 	observed := h.limiter.InFlight() + h.limiter.Waiting()
-	return strconv.Itoa(max(observed, h.claimedSlots(slots))) + "/" + strconv.Itoa(slots)
+	return strconv.Itoa(max(observed, h.reportedSlots(slots))) + "/" + strconv.Itoa(slots)
 }
 
-func (h *Handler) claimedSlots(slots int) int {
-	if time.Now().UnixNano()-h.claimed.taken.Load() > int64(claimLifetime) {
+// reportedSlots returns the number of slots in use by the load that the back end last reported, or 0 if that
+// report has expired.
+func (h *Handler) reportedSlots(slots int) int {
+	if time.Now().UnixNano()-h.reported.receivedAt.Load() > int64(reportedLoadLifetime) {
 		return 0
 	}
-	share := math.Float64frombits(h.claimed.share.Load())
+	share := math.Float64frombits(h.reported.share.Load())
 	return min(int(share*float64(slots)), slots-1)
 }
