--- a/internal/proxy/balance/ejection.go
+++ b/internal/proxy/balance/ejection.go
@@ -57,12 +57,13 @@
 	e.ejectedUntil.Store(0)
 }
 
+// canEject reports whether another ejection stays within MaximumPercent.
 func (s *Set) canEject(now time.Duration) bool {
 	return (s.countEjected(now)+1)*100 <= len(s.endpoints)*s.ejection.MaximumPercent
 }
 
-// duration returns the duration of the given consecutive ejection, counted from one. It doubles with
-// each.
+// duration returns the duration of the given consecutive ejection, counted from one. It doubles
+// with each.
 func (e EjectionPolicy) duration(ejections int32) time.Duration {
 	duration := e.BaseTime
 	for range ejections - 1 {
--- a/internal/proxy/balance/endpoint.go
+++ b/internal/proxy/balance/endpoint.go
@@ -1,6 +1,6 @@
 // Package balance selects the endpoint of a request by the power of two random choices, with slow
-// start of cold endpoints and ejection of failing ones. State is kept in atomics, without locks. The
-// current time and the random number are parameters.
+// start of cold endpoints and ejection of failing ones. State is kept in atomics, without locks.
+// The current time and the random number are parameters.
 package balance
 
 import (
@@ -24,8 +24,8 @@
 	shedBackoff = 50 * time.Millisecond
 )
 
-// Endpoint holds this proxy's connections to a back end and its view of the back end's load and health.
-// It is kept across configuration snapshots.
+// Endpoint holds this proxy's connections to a back end and its view of the back end's load and
+// health. It is kept across configuration snapshots.
 type Endpoint struct {
 	ID      endpoint.ID
 	Zone    string
@@ -102,9 +102,9 @@
 	return false
 }
 
-// load returns the estimated number of requests at the endpoint. A reported load below the number of
-// this proxy's own requests contradicts that number and is ignored. A reported load is capped at slots-1, since only a
-// refusal proves that no slot is free.
+// load returns the estimated number of requests at the endpoint. A reported load below the number
+// of this proxy's own requests contradicts that number and is ignored. A reported load is capped at
+// slots-1, since only a refusal proves that no slot is free.
 func (e *Endpoint) load(now time.Duration, slots int64) int64 {
 	observed := e.inFlight.Load()
 	if int64(now)-e.reportedAt.Load() > int64(reportedLoadLifetime) {
@@ -113,8 +113,8 @@
 	return max(observed, min(e.reportedLoad.Load(), slots-1))
 }
 
-// weight returns the weight of the endpoint, which grows linearly from coldWeight to fullWeight during
-// slow start.
+// weight returns the weight of the endpoint, which grows linearly from coldWeight to fullWeight
+// during slow start.
 func (e *Endpoint) weight(now time.Duration) int64 {
 	since := e.slowStartBegan.Load()
 	if since < 0 {
@@ -128,7 +128,8 @@
 	return coldWeight + (fullWeight-coldWeight)*max(elapsed, 0)/int64(slowStartDuration)
 }
 
-// cost returns the load divided by the weight. Endpoints of lower cost are preferred.
+// cost returns the load, with the new request included, divided by the weight. Endpoints of lower
+// cost are preferred.
 func (e *Endpoint) cost(now time.Duration, slots int64) int64 {
 	return (e.load(now, slots) + 1) * fullWeight * fullWeight / e.weight(now)
 }
--- a/internal/proxy/balance/set.go
+++ b/internal/proxy/balance/set.go
@@ -36,8 +36,8 @@
 // Endpoints returns the endpoints of the set. The caller must not modify the slice.
 func (s *Set) Endpoints() []*Endpoint { return s.endpoints }
 
-// Acquire selects an endpoint and acquires one of its slots, which Release frees. The endpoint avoid,
-// which may be nil, is selected only if no other usable one has a free slot.
+// Acquire selects an endpoint and acquires one of its slots, which Release frees. The endpoint
+// avoid, which may be nil, is selected only if no other usable one has a free slot.
 func (s *Set) Acquire(now time.Duration, random uint64, avoid *Endpoint) (*Endpoint, error) {
 	count := uint64(len(s.endpoints))
 	if count == 0 {
@@ -79,8 +79,8 @@
 		candidate.backoffUntil.Load() <= int64(now)
 }
 
-// scan acquires a slot of the endpoint with the lowest rank and cost among those that have a free one.
-// Ejected endpoints are considered only if all are ejected.
+// scan acquires a slot of the endpoint with the lowest rank and cost among those that have a free
+// one. Ejected endpoints are considered only if all are ejected.
 func (s *Set) scan(now time.Duration, start uint64, avoid *Endpoint) (*Endpoint, error) {
 	allEjected := s.countEjected(now) == len(s.endpoints)
 	var best *Endpoint
@@ -113,6 +113,7 @@
 	}
 }
 
+// countEjected returns the number of endpoints that are ejected.
 func (s *Set) countEjected(now time.Duration) int {
 	count := 0
 	for _, candidate := range s.endpoints {
--- a/internal/proxy/inbound/arrival.go
+++ b/internal/proxy/inbound/arrival.go
@@ -84,8 +84,8 @@
 	return r.forwardCall()
 }
 
-// validate rejects requests that the proxy does not support or that do not come from an outbound proxy of
-// the mesh, and reads the headers of the mesh.
+// validate rejects requests that the proxy does not support or that do not come from an outbound
+// proxy of the mesh, and reads the headers of the mesh.
 func (r *inboundRequest) validate() *outcome.Failure {
 	header := r.request.Header
 	if forward.WantsUpgrade(r.request) {
@@ -102,7 +102,8 @@
 	return r.validateDeadline(header.Get(outcome.HeaderDeadline))
 }
 
-// validateDeadline sets the deadline to that of the request or of the service, whichever is earlier.
+// validateDeadline sets the deadline to that of the request or of the service, whichever is
+// earlier.
 func (r *inboundRequest) validateDeadline(text string) *outcome.Failure {
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -216,7 +217,8 @@
 	return nil
 }
 
-// adjustResponse replaces the headers of one hop and of the mesh, and marks a shed request as not run.
+// adjustResponse replaces the headers of one hop and of the mesh, and marks a shed request as not
+// run.
 func (r *inboundRequest) adjustResponse(response *http.Response) {
 	r.handler.recordLoad(response.Header.Get(outcome.HeaderLoad))
 	forward.RemoveHopByHop(response.Header)
--- a/internal/proxy/inbound/load.go
+++ b/internal/proxy/inbound/load.go
@@ -44,8 +44,8 @@
 	return strconv.Itoa(max(observed, h.reportedSlots(slots))) + "/" + strconv.Itoa(slots)
 }
 
-// reportedSlots returns the number of slots in use by the load that the back end last reported, or 0 if that
-// report has expired.
+// reportedSlots returns the number of slots in use by the load that the back end last reported, or
+// 0 if that report has expired.
 func (h *Handler) reportedSlots(slots int) int {
 	if time.Now().UnixNano()-h.reported.receivedAt.Load() > int64(reportedLoadLifetime) {
 		return 0
--- a/internal/proxy/limit/limit.go
+++ b/internal/proxy/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit provides a concurrency limiter with a bounded queue that is ordered by deadline. Requests
-// for which neither a slot nor a place in the queue is free are shed immediately, before any work is
-// done for them.
+// Package limit provides a concurrency limiter with a bounded queue that is ordered by deadline.
+// Requests for which neither a slot nor a place in the queue is free are shed immediately, before
+// any work is done for them.
 package limit
 
 import (
@@ -50,8 +50,8 @@
 	return limiter
 }
 
-// Resize changes the numbers of slots and of places in the queue. Running and queued requests are not
-// affected, except that added slots are granted to queued ones immediately.
+// Resize changes the numbers of slots and of places in the queue. Running and queued requests are
+// not affected, except that added slots are granted to queued ones immediately.
 func (l *Limiter) Resize(capacity, queue int) {
 	l.capacity.Store(int64(capacity))
 	l.queueCapacity.Store(int64(queue))
@@ -112,8 +112,8 @@
 	}
 }
 
-// enqueue adds a waiter to the queue. It returns a nil waiter and a nil error if it acquired a slot that
-// became free in the meantime.
+// enqueue adds a waiter to the queue. It returns a nil waiter and a nil error if it acquired a slot
+// that became free in the meantime.
 func (l *Limiter) enqueue(ctx context.Context) (*waiter, error) {
 	if ctx.Err() != nil {
 		return nil, waitError(ctx)
@@ -164,8 +164,8 @@
 	l.waiting.Add(-1)
 }
 
-// confirmGrant releases a granted slot if the context has ended by then, so that no request starts after
-// its deadline.
+// confirmGrant releases a granted slot if the context has ended by then, so that no request starts
+// after its deadline.
 func (l *Limiter) confirmGrant(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
@@ -174,7 +174,8 @@
 	return waitError(ctx)
 }
 
-// cancelWait removes the waiter from the queue and releases its slot if one was granted concurrently.
+// cancelWait removes the waiter from the queue and releases its slot if one was granted
+// concurrently.
 func (l *Limiter) cancelWait(ctx context.Context, entry *waiter) error {
 	l.mutex.Lock()
 	if entry.index >= 0 {
--- a/internal/proxy/limit/limit_test.go
+++ b/internal/proxy/limit/limit_test.go
@@ -62,8 +62,9 @@
 	})
 }
 
-// TestASlotFreedAtTheDeadlineStartsNothing guards against a request that starts after its deadline: the
-// deadline and the release of the slot fall on the same instant and are processed in either order.
+// TestASlotFreedAtTheDeadlineStartsNothing guards against a request that starts after its deadline:
+// the deadline and the release of the slot fall on the same instant and are processed in either
+// order.
 func TestASlotFreedAtTheDeadlineStartsNothing(t *testing.T) {
 	for range 100 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/limit/queue.go
+++ b/internal/proxy/limit/queue.go
@@ -1,7 +1,7 @@
 package limit
 
-// waiterHeap is a heap of waiters, ordered by deadline and then by arrival. Waiters without a deadline
-// come last. It implements heap.Interface.
+// waiterHeap is a heap of waiters, ordered by deadline and then by arrival. Waiters without a
+// deadline come last. It implements heap.Interface.
 type waiterHeap struct {
 	entries  []*waiter
 	sequence uint64
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -61,8 +61,8 @@
 	return endpoint, c.classifyResponse(endpoint, response)
 }
 
-// classifyError returns the result of a failed exchange and records it as a failure of the endpoint, unless
-// the caller or the limit of connections caused it.
+// classifyError returns the result of a failed exchange and records it as a failure of the
+// endpoint, unless the caller or the limit of connections caused it.
 func (c *call) classifyError(endpoint *balance.Endpoint, err error) attemptResult {
 	var failed *forward.Error
 	if !errors.As(err, &failed) {
@@ -121,7 +121,8 @@
 	endpoint.RecordShed(c.handler.now())
 }
 
-// recordFailure records a failure of the endpoint, and logs and counts the ejection if it causes one.
+// recordFailure records a failure of the endpoint, and logs and counts the ejection if it causes
+// one.
 func (c *call) recordFailure(endpoint *balance.Endpoint, kind balance.FailureKind) {
 	endpoints := c.route.service.endpoints.Load()
 	if endpoints.RecordFailure(c.handler.now(), endpoint, kind) {
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -142,8 +142,8 @@
 	return list
 }
 
-// matchesSelector reports whether an announced endpoint is in an allowed zone and has all labels of the
-// selector.
+// matchesSelector reports whether an announced endpoint is in an allowed zone and has all labels of
+// the selector.
 func matchesSelector(view *projection.Service, announced endpoint.Update) bool {
 	if announced.Address == "" || !slices.Contains(view.AllowedZones, announced.Zone) {
 		return false
--- a/internal/proxy/table/path.go
+++ b/internal/proxy/table/path.go
@@ -14,9 +14,9 @@
 	ErrForbiddenCharacter = errors.New("the path holds a backslash or a control character")
 )
 
-// CheckPath returns the decoded path by which a request is matched. It rejects every path that a back end
-// could interpret differently from the table. An encoded slash stays encoded, since it is part of a
-// segment and not a separator.
+// CheckPath returns the decoded path by which a request is matched. It rejects every path that a
+// back end could interpret differently from the table. An encoded slash stays encoded, since it is
+// part of a segment and not a separator.
 func CheckPath(address *url.URL) (string, error) {
 	path := address.Path
 	if address.RawPath != "" {
@@ -28,8 +28,8 @@
 	return path, checkSegments(path)
 }
 
-// decodeSegments decodes the escapes of each segment, except in segments with an encoded slash, which stay as
-// they are. net/url has already checked that the escapes are well-formed.
+// decodeSegments decodes the escapes of each segment, except in segments with an encoded slash,
+// which stay as they are. net/url has already checked that the escapes are well-formed.
 func decodeSegments(raw string) string {
 	segments := strings.Split(raw, "/")
 	for index, segment := range segments {
@@ -41,8 +41,8 @@
 	return strings.Join(segments, "/")
 }
 
-// checkSegments returns an error unless the path is absolute, its segments are neither empty nor dots, and it
-// has no backslash or control character. A trailing slash is allowed.
+// checkSegments returns an error unless the path is absolute, its segments are neither empty nor
+// dots, and it has no backslash or control character. A trailing slash is allowed.
 func checkSegments(path string) error {
 	if path == "" || path[0] != '/' {
 		return ErrRelativePath
--- a/internal/proxy/table/table.go
+++ b/internal/proxy/table/table.go
@@ -1,6 +1,6 @@
-// Package table compiles routes into an immutable routing table. It has no side effects. A match costs one
-// map lookup for the host and one for each number of segments that the prefixes of the host have. It does
-// not allocate for a host in lower case.
+// Package table compiles routes into an immutable routing table. It has no side effects. A match
+// costs one map lookup for the host and one for each number of segments that the prefixes of the
+// host have. It does not allocate for a host in lower case.
 package table
 
 import (
@@ -14,8 +14,8 @@
 // AnyHost is the host of a route that matches every host.
 const AnyHost = "*"
 
-// Table matches requests to routes. T is the type of the value that Compile binds to each route. A Table
-// is immutable.
+// Table matches requests to routes. T is the type of the value that Compile binds to each route. A
+// Table is immutable.
 type Table[T any] struct {
 	hosts   map[string]*hostRoutes[T]
 	anyHost *hostRoutes[T]
@@ -24,8 +24,8 @@
 // hostRoutes holds the routes of one host, indexed by path prefix.
 type hostRoutes[T any] struct {
 	nodes map[string]*node[T]
-	// segmentCounts has bit n set if a prefix has n segments. Prefixes of more
-	// than maxIndexedSegments segments are in longPrefixes, the longest first.
+	// segmentCounts has bit n set if a prefix has n segments. Prefixes of more than
+	// maxIndexedSegments segments are in longPrefixes, the longest first.
 	segmentCounts uint64
 	longPrefixes  []*node[T]
 }
@@ -33,7 +33,8 @@
 // maxIndexedSegments is the largest number of segments that segmentCounts can represent.
 const maxIndexedSegments = 63
 
-// node holds the routes of one path prefix: those that list methods, and the one for all methods, if any.
+// node holds the routes of one path prefix: those that list methods, and the one for all methods,
+// if any.
 type node[T any] struct {
 	prefix  string
 	methods []methodRoute[T]
@@ -46,9 +47,9 @@
 	route  T
 }
 
-// Compile builds the table. bind returns the value that Match returns for a route. If several routes have the
-// same host, prefix and method, the first by name takes precedence, so that equal snapshots yield equal
-// tables.
+// Compile builds the table. bind returns the value that Match returns for a route. If several
+// routes have the same host, prefix and method, the first by name takes precedence, so that equal
+// snapshots yield equal tables.
 func Compile[T any](routes map[string]*resource.RouteSpec, bind func(name string, spec *resource.RouteSpec) T) *Table[T] {
 	nodesByHost := map[string]map[string]*node[T]{}
 	for _, name := range sortedNames(routes) {
@@ -85,8 +86,8 @@
 // normalizePrefix removes trailing slashes, since a prefix matches whole segments.
 func normalizePrefix(prefix string) string { return strings.TrimRight(prefix, "/") }
 
-// NormalizeHost returns the host in the form of the table's keys: in lower case, without port and trailing
-// dot. It returns AnyHost for the empty host.
+// NormalizeHost returns the host in the form of the table's keys: in lower case, without port and
+// trailing dot. It returns AnyHost for the empty host.
 func NormalizeHost(host string) string {
 	if host == "" {
 		return AnyHost
@@ -106,7 +107,8 @@
 	return host[:colon]
 }
 
-// add adds a route for the methods, or for all methods if there are none. Existing routes take precedence.
+// add adds a route for the methods, or for all methods if there are none. Existing routes take
+// precedence.
 func (n *node[T]) add(methods []string, route T) {
 	if len(methods) == 0 {
 		if n.any == nil {
@@ -152,9 +154,9 @@
 	return len(path) == len(prefix) || path[len(prefix)] == '/'
 }
 
-// Match returns the route of a request. The exact host takes precedence over AnyHost, then a longer prefix
-// over a shorter one, then a listed method over a route for all methods. The host may include a port. The
-// path must be one that CheckPath returned.
+// Match returns the route of a request. The exact host takes precedence over AnyHost, then a longer
+// prefix over a shorter one, then a listed method over a route for all methods. The host may
+// include a port. The path must be one that CheckPath returned.
 func (t *Table[T]) Match(method, host, path string) (route T, found bool) {
 	exact := t.hosts[normalizeRequestHost(host)]
 	if exact != nil {
@@ -170,8 +172,8 @@
 	return route, false
 }
 
-// normalizeRequestHost is like NormalizeHost, but keeps the empty host and does not allocate for a host in
-// lower case.
+// normalizeRequestHost is like NormalizeHost, but keeps the empty host and does not allocate for a
+// host in lower case.
 func normalizeRequestHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = stripPort(host)
@@ -209,12 +211,12 @@
 	return nil
 }
 
-// maxIndexedPath is the longest path whose segment ends fit into a uint16. Servers limit request lines to far
-// less; a longer path is matched by its first maxIndexedPath bytes.
+// maxIndexedPath is the longest path whose segment ends fit into a uint16. Servers limit request
+// lines to far less; a longer path is matched by its first maxIndexedPath bytes.
 const maxIndexedPath = 1<<16 - 1
 
-// segmentEnds stores the end offset of each segment of the path in ends, up to the largest number of
-// segments in segmentCounts, and returns the number of segments stored.
+// segmentEnds stores the end offset of each segment of the path in ends, up to the largest number
+// of segments in segmentCounts, and returns the number of segments stored.
 func (p *hostRoutes[T]) segmentEnds(path string, ends *[maxIndexedSegments + 1]uint16) int {
 	maxSegments := bits.Len64(p.segmentCounts) - 1
 	if len(path) > maxIndexedPath {
--- a/internal/proxy/table/table_test.go
+++ b/internal/proxy/table/table_test.go
@@ -133,8 +133,8 @@
 	})
 }
 
-// FuzzMatch guards against bypassing a route: it searches for paths that the table interprets differently from
-// a back end that decodes escapes, merges slashes or resolves dot segments.
+// FuzzMatch guards against bypassing a route: it searches for paths that the table interprets
+// differently from a back end that decodes escapes, merges slashes or resolves dot segments.
 func FuzzMatch(f *testing.F) {
 	for _, seed := range []string{"/public/x", "/public/..%2fadmin", "/public/%2e%2e/admin", "//admin", "/%61dmin", "/public\\..\\admin"} {
 		f.Add(seed)
