--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -17,19 +17,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/proxy/outcome"
 )
 
-// attemptResult is what one attempt brought. outcome is empty for an answer of
-// the back end; otherwise either response, a reply of the proxy beside it, or
-// err is set.
+// attemptResult is the result of one attempt. outcome is empty if response is a response of the
+// back end. Otherwise either err is set, or response is a response of the inbound proxy itself.
 type attemptResult struct {
 	outcome  outcome.Outcome
 	response *http.Response
 	err      error
 }
 
-// discardLimit is how much of a refusal is read so that its connection can be
-// used again.
+// discardLimit limits how many bytes of a refusal are read and discarded so that its connection can
+// be reused.
 const discardLimit = 4 << 10
 
+// discard closes the response and makes its connection reusable if the rest of the body is short.
 func (r attemptResult) discard() {
 	if r.response != nil {
 		_, _ = io.CopyN(io.Discard, r.response.Body, discardLimit)
@@ -37,30 +37,33 @@
 	}
 }
 
-func release(held *balance.Endpoint) {
-	if held != nil {
-		held.Release()
+// release frees the endpoint's slot. The endpoint may be nil.
+func release(endpoint *balance.Endpoint) {
+	if endpoint != nil {
+		endpoint.Release()
 	}
 }
 
-// try chooses an endpoint and sends the request to it once. The endpoint
-// returned, if any, is to be released.
-func (c *call) try(avoid *balance.Endpoint) (*balance.Endpoint, attemptResult) {
+// sendAttempt selects an endpoint and sends the request to it once. The caller must release the
+// returned endpoint, which is nil if none was available.
+func (c *call) sendAttempt(avoid *balance.Endpoint) (*balance.Endpoint, attemptResult) {
 	endpoints := c.route.service.endpoints.Load()
-	chosen, err := endpoints.Acquire(c.handler.now(), rand.Uint64(), avoid)
+	endpoint, err := endpoints.Acquire(c.handler.now(), rand.Uint64(), avoid)
 	if err != nil {
 		return nil, attemptResult{outcome: outcome.NotRun, err: err}
 	}
-	c.interim = forward.NewInterim(c.writer, c.hiddenHeader())
-	response, err := chosen.Pool.RoundTrip(c.outgoing(chosen))
+	c.interim = forward.NewInterim(c.writer, c.credentialHeader())
+	response, err := endpoint.Pool.RoundTrip(c.outgoing(endpoint))
 	c.interim.Stop()
 	if err != nil {
-		return chosen, c.exchangeFailed(chosen, err)
+		return endpoint, c.classifyError(endpoint, err)
 	}
-	return chosen, c.classify(chosen, response)
+	return endpoint, c.classifyResponse(endpoint, response)
 }
 
-func (c *call) exchangeFailed(chosen *balance.Endpoint, err error) attemptResult {
+// classifyError returns the result of a failed exchange and records it as a failure of the
+// endpoint, unless the caller or the limit of connections caused it.
+func (c *call) classifyError(endpoint *balance.Endpoint, err error) attemptResult {
 	var failed *forward.Error
 	if !errors.As(err, &failed) {
 		return attemptResult{outcome: outcome.Unknown, err: err}
@@ -68,78 +71,82 @@
 	switch {
 	case c.endedByCaller() || errors.Is(err, forward.ErrNoConnection):
 	case failed.Step == outcome.StepConnect && c.context.Err() == nil:
-		c.observeBroken(chosen, balance.FailureUnreachable)
+		c.recordFailure(endpoint, balance.FailureUnreachable)
 	default:
-		c.observeBroken(chosen, balance.FailureBroken)
+		c.recordFailure(endpoint, balance.FailureIncomplete)
 	}
 	return attemptResult{outcome: failed.Outcome, err: err}
 }
 
-// endedByCaller reports whether the exchange ended because the caller left or
-// allowed too little time: that says nothing about the endpoint.
+// endedByCaller reports whether the exchange ended because the caller disconnected or because the
+// deadline that the caller set has passed. Neither counts as a failure of the endpoint.
 func (c *call) endedByCaller() bool {
-	return c.request.Context().Err() != nil || (c.hurried && c.context.Err() != nil)
+	return c.request.Context().Err() != nil || (c.deadlineFromCaller && c.context.Err() != nil)
 }
 
-// lateByCaller reports whether a reply says only that the caller allowed too
-// little time.
-func (c *call) lateByCaller(status int) bool {
-	return c.hurried && status == http.StatusGatewayTimeout
+// timedOutByCaller reports whether the status is a timeout caused by the deadline that the caller
+// set. It does not count as a failure of the endpoint.
+func (c *call) timedOutByCaller(status int) bool {
+	return c.deadlineFromCaller && status == http.StatusGatewayTimeout
 }
 
-// classify tells an answer of the back end from a reply of the mesh.
-func (c *call) classify(chosen *balance.Endpoint, response *http.Response) attemptResult {
+// classifyResponse distinguishes responses of the back end from those that the inbound proxy
+// generated, and records what they reveal about the endpoint.
+func (c *call) classifyResponse(endpoint *balance.Endpoint, response *http.Response) attemptResult {
 	now := c.handler.now()
 	if load, valid := parseLoad(response.Header.Get(outcome.HeaderLoad)); valid {
-		chosen.Hint(now, load)
+		endpoint.RecordLoad(now, load)
 	}
-	switch said := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); said {
+	switch declared := outcome.Outcome(response.Header.Get(outcome.HeaderOutcome)); declared {
 	case "":
 		return attemptResult{response: response}
 	case outcome.NotRun:
-		c.observeRefusal(chosen, response)
+		c.recordRefusal(endpoint, response)
 		return attemptResult{outcome: outcome.NotRun, response: response}
 	default:
-		if !c.lateByCaller(response.StatusCode) {
-			c.observeBroken(chosen, balance.FailureBroken)
+		if !c.timedOutByCaller(response.StatusCode) {
+			c.recordFailure(endpoint, balance.FailureIncomplete)
 		}
 		return attemptResult{outcome: outcome.Unknown, response: response}
 	}
 }
 
-// observeRefusal tells a full endpoint from one whose back end is gone.
-func (c *call) observeRefusal(chosen *balance.Endpoint, response *http.Response) {
+// recordRefusal records a refusal of the inbound proxy: as a failure if its back end cannot be
+// reached, otherwise as shedding by an endpoint at capacity.
+func (c *call) recordRefusal(endpoint *balance.Endpoint, response *http.Response) {
 	if strings.Contains(response.Header.Get(outcome.HeaderError), "step="+string(outcome.StepConnect)) {
-		c.observeBroken(chosen, balance.FailureUnreachable)
+		c.recordFailure(endpoint, balance.FailureUnreachable)
 		return
 	}
-	chosen.Shed(c.handler.now())
+	endpoint.RecordShed(c.handler.now())
 }
 
-func (c *call) observeBroken(chosen *balance.Endpoint, kind balance.FailureKind) {
+// recordFailure records a failure of the endpoint, and logs and counts the ejection if it causes
+// one.
+func (c *call) recordFailure(endpoint *balance.Endpoint, kind balance.FailureKind) {
 	endpoints := c.route.service.endpoints.Load()
-	if endpoints.Failed(c.handler.now(), chosen, kind) {
-		c.handler.options.Observer.Ejected(chosen.ID)
+	if endpoints.RecordFailure(c.handler.now(), endpoint, kind) {
+		c.handler.options.Observer.Ejected(endpoint.ID)
 		c.handler.options.Logger.Warn("endpoint ejected",
-			zap.String("service", chosen.ID.Service), zap.String("endpoint", chosen.ID.Name),
-			zap.String("peer", chosen.Address))
+			zap.String("service", endpoint.ID.Service), zap.String("endpoint", endpoint.ID.Name),
+			zap.String("peer", endpoint.Address))
 	}
 }
 
-// observeWhole takes a whole answer as a sign of health, unless its status
-// says that the back end could not do its work. Other errors may be the
-// request's own fault.
-func (c *call) observeWhole(from *balance.Endpoint, status int) {
+// recordResponse records a complete response as a success, unless its status is 502, 503 or 504.
+// Other error statuses may be caused by the request itself.
+func (c *call) recordResponse(endpoint *balance.Endpoint, status int) {
 	switch {
-	case c.lateByCaller(status):
+	case c.timedOutByCaller(status):
 	case status == http.StatusBadGateway, status == http.StatusServiceUnavailable, status == http.StatusGatewayTimeout:
-		c.observeBroken(from, balance.FailureBroken)
+		c.recordFailure(endpoint, balance.FailureIncomplete)
 	default:
-		from.Succeeded()
+		endpoint.RecordSuccess()
 	}
 }
 
-// parseLoad reads "<in flight>/<slots>".
+// parseLoad parses a load header of the form "<in flight>/<slots>" and returns the number of
+// requests in flight.
 func parseLoad(text string) (load int, valid bool) {
 	before, _, found := strings.Cut(text, "/")
 	if !found {
@@ -149,15 +156,15 @@
 	return load, err == nil && load >= 0
 }
 
-// outgoing builds the request to the chosen endpoint's proxy.
-func (c *call) outgoing(chosen *balance.Endpoint) *http.Request {
-	outgoing := forward.NewRequest(c.context, c.request, chosen.Address, c.attemptHeader(), c.interim)
+// outgoing returns the request to send to the inbound proxy of the endpoint.
+func (c *call) outgoing(endpoint *balance.Endpoint) *http.Request {
+	outgoing := forward.NewRequest(c.context, c.request, endpoint.Address, c.attemptHeader(), c.interim)
 	c.body.Attach(outgoing)
 	return outgoing
 }
 
-// attemptHeader returns the headers with the markers of this attempt. Every
-// attempt has a map of its own: an earlier one may still be in use.
+// attemptHeader returns the header of the current attempt. Each attempt has its own map, since an
+// earlier attempt may still be reading its own.
 func (c *call) attemptHeader() http.Header {
 	if c.header == nil {
 		c.header = c.baseHeader()
@@ -176,84 +183,86 @@
 	return header
 }
 
-// baseHeader is the caller's header without markers from outside, with the
-// credential and the markers that are the same for every attempt.
+// baseHeader returns the caller's header without the mesh headers that the caller set, and with the
+// credential and the mesh headers that are the same for all attempts.
 func (c *call) baseHeader() http.Header {
-	header := forward.RequestHeader(c.request.Header, markerCount)
+	header := forward.RequestHeader(c.request.Header, maxMarkers)
 	if c.route.secret != nil {
 		header[c.route.secret.header] = c.route.secret.value
 	}
 	header[outcome.HeaderCallID] = []string{c.id}
 	header[outcome.HeaderService] = []string{c.route.service.name}
 	if c.repeatable {
-		header[outcome.HeaderRepeatable] = valueTrue
+		header[outcome.HeaderRepeatable] = headerValueTrue
 	}
 	return header
 }
 
-// markerCount is how many headers a proxy adds at most.
-const markerCount = 8
+// maxMarkers is the largest number of headers that the proxy adds to a request.
+const maxMarkers = 8
 
-// valueTrue is shared and never modified.
-var valueTrue = []string{"true"}
+// headerValueTrue is shared by all requests and must not be modified.
+var headerValueTrue = []string{"true"}
 
-// giveUp ends the call after its last attempt. A refusal of the endpoint's
-// proxy is passed on whole, since it may carry the back end's own words.
-func (c *call) giveUp(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
+// finishWithFailure ends the call after its last attempt. It forwards a refusal of the inbound
+// proxy completely, since the refusal may contain the back end's own response.
+func (c *call) finishWithFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	if c.mayHaveRun && result.outcome == outcome.NotRun {
-		return c.hideRefusal(tried, result)
+		return c.replaceRefusal(endpoint, result)
 	}
 	if result.response != nil {
 		c.outcome = result.outcome
-		peer := result.response.Header.Get(outcome.HeaderError)
-		c.logFailure(&outcome.Failure{Outcome: c.outcome, Step: outcome.StepAwait, Peer: tried.Address, Cause: errors.New(peer)})
-		return c.passRefusal(tried, result.response, peer)
+		errorHeader := result.response.Header.Get(outcome.HeaderError)
+		c.logFailure(&outcome.Failure{Outcome: c.outcome, Step: outcome.StepAwait, Peer: endpoint.Address, Cause: errors.New(errorHeader)})
+		return c.forwardRefusal(endpoint, result.response, errorHeader)
 	}
-	release(tried)
-	return c.finalFailure(tried, result)
+	release(endpoint)
+	return c.newFailure(endpoint, result)
 }
 
-// errRefusedAfter ends a call that may have been run by an earlier attempt than
-// the one refused.
-var errRefusedAfter = errors.New("an earlier attempt may have been run, the last one was refused")
+// errEarlierAttemptUnknown is the cause of failure if the last attempt was refused and an earlier
+// one has an unknown outcome.
+var errEarlierAttemptUnknown = errors.New("an earlier attempt may have been run, the last one was refused")
 
-// hideRefusal keeps a refusal from a caller whose call may have been run by an
-// earlier attempt: its words would say that it was not.
-func (c *call) hideRefusal(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
-	failure := c.finalFailure(tried, attemptResult{outcome: outcome.Unknown, err: result.err})
+// replaceRefusal returns a failure of unknown outcome instead of a refusal. The refusal would tell
+// the caller that the call was not run, while an earlier attempt may have run it.
+func (c *call) replaceRefusal(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
+	failure := c.newFailure(endpoint, attemptResult{outcome: outcome.Unknown, err: result.err})
 	if result.response != nil {
-		failure.Status, failure.Step, failure.Peer = result.response.StatusCode, outcome.StepAwait, tried.Address
-		failure.Cause = errRefusedAfter
+		failure.Status, failure.Step, failure.Peer = result.response.StatusCode, outcome.StepAwait, endpoint.Address
+		failure.Cause = errEarlierAttemptUnknown
 		result.discard()
 	}
-	release(tried)
+	release(endpoint)
 	return failure
 }
 
-func (c *call) passRefusal(from *balance.Endpoint, response *http.Response, short string) *outcome.Failure {
-	defer release(from)
+// forwardRefusal sends a refusal of the inbound proxy to the caller.
+func (c *call) forwardRefusal(endpoint *balance.Endpoint, response *http.Response, errorHeader string) *outcome.Failure {
+	defer release(endpoint)
 	c.status = response.StatusCode
-	c.cleanReply(response)
-	response.Header.Set(outcome.HeaderError, short)
+	c.sanitizeResponse(response)
+	response.Header.Set(outcome.HeaderError, errorHeader)
 	if c.outcome == outcome.NotRun {
-		outcome.EnsureRetryAfter(response.Header, retrySoon)
+		outcome.EnsureRetryAfter(response.Header, transientRetryAfter)
 	}
 	c.body.CloseUnlessRead(c.writer.Header())
-	if err := forward.WriteReply(c.context, c.writer, response, c.hiddenHeader()); err != nil {
-		c.abort(from, err)
+	if err := forward.WriteReply(c.context, c.writer, response, c.credentialHeader()); err != nil {
+		c.abort(endpoint, err)
 	}
-	c.ended()
+	c.recordEnd()
 	return nil
 }
 
-func (c *call) finalFailure(tried *balance.Endpoint, result attemptResult) *outcome.Failure {
+// newFailure returns the failure for the result of the last attempt.
+func (c *call) newFailure(endpoint *balance.Endpoint, result attemptResult) *outcome.Failure {
 	failure := &outcome.Failure{Outcome: result.outcome, Status: http.StatusBadGateway, Step: outcome.StepChoose, Cause: result.err}
 	var failed *forward.Error
 	if errors.As(result.err, &failed) {
 		failure.Step, failure.Peer = failed.Step, failed.Peer
 	}
 	if result.outcome == outcome.NotRun {
-		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, retrySoon
+		failure.Status, failure.RetryAfter = http.StatusServiceUnavailable, transientRetryAfter
 	}
 	if c.context.Err() != nil {
 		failure.Status = http.StatusGatewayTimeout
@@ -261,8 +270,8 @@
 	return failure
 }
 
-// reply sends a failure that the proxy answers itself.
-func (c *call) reply(failure *outcome.Failure) {
+// sendFailure sends a response that the proxy itself generates for the failure.
+func (c *call) sendFailure(failure *outcome.Failure) {
 	c.status, c.outcome = failure.Status, failure.Outcome
 	defer forward.PrepareLocalReply(c.context, c.writer, c.request, c.body)()
 	if failure.Peer == "" && c.route != nil {
@@ -270,18 +279,20 @@
 	}
 	c.logFailure(failure)
 	failure.WriteTo(c.writer)
-	c.ended()
+	c.recordEnd()
 }
 
-// abort ends the caller's connection: a part of an answer must not look whole.
-func (c *call) abort(from *balance.Endpoint, cause error) {
+// abort closes the caller's connection, so that the caller cannot take a truncated response for a
+// complete one.
+func (c *call) abort(endpoint *balance.Endpoint, cause error) {
 	c.outcome = outcome.Unknown
-	c.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: from.Address, Cause: cause})
-	c.ended()
+	c.logFailure(&outcome.Failure{Outcome: outcome.Unknown, Step: outcome.StepBody, Peer: endpoint.Address, Cause: cause})
+	c.recordEnd()
 	panic(http.ErrAbortHandler)
 }
 
-func (c *call) ended() {
+// recordEnd reports the end of the call to the observer.
+func (c *call) recordEnd() {
 	name := ""
 	if c.route != nil {
 		name = c.route.service.name
@@ -290,7 +301,7 @@
 }
 
 func (c *call) logFailure(failure *outcome.Failure) {
-	// Checking first leaves out the fields of a message that is not written.
+	// Check avoids building the fields of a message that is not logged.
 	entry := c.handler.options.Logger.Check(zap.WarnLevel, "call failed")
 	if entry == nil {
 		return
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -17,8 +17,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// registry holds what outlives snapshots: endpoints with their connections,
-// and the limits of services and routes. It is used under Handler.mutex.
+// registry holds the state that is kept across snapshots: endpoints with their connections, and the
+// limits of services and routes. It is guarded by Handler.mutex.
 type registry struct {
 	options   Options
 	states    map[endpoint.ID]endpoint.Update
@@ -27,7 +27,7 @@
 	routes    map[string]*atomic.Int64
 }
 
-// endpointKey identifies a back end at one address.
+// endpointKey identifies an endpoint at a certain address.
 type endpointKey struct {
 	id      endpoint.ID
 	address string
@@ -43,7 +43,7 @@
 	}
 }
 
-// compile builds the configuration of a snapshot.
+// compile returns the configuration of a snapshot.
 func (r *registry) compile(snapshot *projection.Snapshot) *configuration {
 	compiled := &configuration{
 		services: make(map[string]*service, len(snapshot.Services)),
@@ -67,6 +67,7 @@
 	return compiled
 }
 
+// compileSecrets returns the credentials by name.
 func compileSecrets(specs map[string]*resource.SecretSpec) map[string]*secret {
 	secrets := make(map[string]*secret, len(specs))
 	for name, spec := range specs {
@@ -75,6 +76,7 @@
 	return secrets
 }
 
+// newService returns a service of a new configuration with the shared state of its name.
 func (r *registry) newService(name string, view *projection.Service) *service {
 	policy := retry.Policy{Attempts: view.Retry.Attempts, BudgetPercent: view.Retry.BudgetPercent}.WithDefaults()
 	shared := r.services[name]
@@ -91,6 +93,7 @@
 	}
 }
 
+// routeCounter returns the number of requests in flight of a route.
 func (r *registry) routeCounter(name string) *atomic.Int64 {
 	if r.routes[name] == nil {
 		r.routes[name] = &atomic.Int64{}
@@ -98,28 +101,28 @@
 	return r.routes[name]
 }
 
-// populate gives a service its present endpoints and sizes its limits to them.
+// populate sets the usable endpoints of a service and scales its limits by their number.
 func (r *registry) populate(target *service, now time.Duration) {
 	var usable []*balance.Endpoint
 	for _, candidate := range r.candidates(target) {
-		if r.accepts(candidate.id) {
+		if r.acceptsWork(candidate.id) {
 			usable = append(usable, r.endpoint(target, candidate, now))
 		}
 	}
-	target.endpoints.Store(balance.NewSet(usable, target.view.Slots, balance.DefaultEjection()))
+	target.endpoints.Store(balance.NewSet(usable, target.view.Slots, balance.DefaultEjectionPolicy()))
 	target.shared.limiter.Resize(target.view.Slots*len(usable), target.view.Queue*len(usable))
 	target.shared.budget.SetPercent(target.policy.BudgetPercent)
 }
 
-// candidate is an endpoint that placement allows.
+// candidate is an endpoint that the placement rules allow.
 type candidate struct {
 	id      endpoint.ID
 	zone    string
 	address string
 }
 
-// candidates returns declared endpoints, or announced ones that bear the
-// labels of the service's selector; both only in allowed zones.
+// candidates returns the declared endpoints of a service and, if it has a selector, the announced
+// endpoints with matching labels. Only endpoints in allowed zones are returned.
 func (r *registry) candidates(target *service) []candidate {
 	var list []candidate
 	for _, declared := range target.view.Endpoints {
@@ -132,14 +135,16 @@
 		return list
 	}
 	for id, announced := range r.states {
-		if id.Service == target.name && admits(target.view, announced) {
+		if id.Service == target.name && matchesSelector(target.view, announced) {
 			list = append(list, candidate{id: id, zone: announced.Zone, address: announced.Address})
 		}
 	}
 	return list
 }
 
-func admits(view *projection.Service, announced endpoint.Update) bool {
+// matchesSelector reports whether an announced endpoint is in an allowed zone and has all labels of
+// the selector.
+func matchesSelector(view *projection.Service, announced endpoint.Update) bool {
 	if announced.Address == "" || !slices.Contains(view.AllowedZones, announced.Zone) {
 		return false
 	}
@@ -151,94 +156,96 @@
 	return true
 }
 
-// accepts reports whether new work may go to the endpoint as far as it is
-// known. A declared endpoint of which nothing was heard yet is tried.
-func (r *registry) accepts(id endpoint.ID) bool {
+// acceptsWork reports whether the last known state of the endpoint allows new requests. Endpoints
+// of unknown state are used.
+func (r *registry) acceptsWork(id endpoint.ID) bool {
 	state, known := r.states[id]
 	return !known || state.State.AcceptsWork()
 }
 
-// warmedEndpoints is up to how many endpoints of a service get a connection
-// before the first call. More would cost every endpoint a connection from each
-// caller's proxy, used or not.
-const warmedEndpoints = 8
+// maxWarmedEndpoints is the largest number of declared endpoints for which connections are opened
+// before the first call. With more, every endpoint would hold a connection from each outbound
+// proxy, whether it is used or not.
+const maxWarmedEndpoints = 8
 
-func (r *registry) endpoint(target *service, wanted candidate, now time.Duration) *balance.Endpoint {
-	key := endpointKey{id: wanted.id, address: wanted.address}
+// endpoint returns the endpoint of a candidate, which it creates if necessary.
+func (r *registry) endpoint(target *service, selected candidate, now time.Duration) *balance.Endpoint {
+	key := endpointKey{id: selected.id, address: selected.address}
 	limits := r.options.connectionLimits(target.view.Connections)
-	held := r.endpoints[key]
-	if held == nil {
-		pool := forward.NewPool(wanted.address, limits, r.options.dialer(wanted.id, wanted.zone))
-		held = balance.NewEndpoint(wanted.id, wanted.zone, wanted.address, pool)
-		r.endpoints[key] = held
-		if r.states[wanted.id].State == endpoint.Warming {
-			held.StartSlow(now)
+	ep := r.endpoints[key]
+	if ep == nil {
+		pool := forward.NewPool(selected.address, limits, r.options.dialer(selected.id, selected.zone))
+		ep = balance.NewEndpoint(selected.id, selected.zone, selected.address, pool)
+		r.endpoints[key] = ep
+		if r.states[selected.id].State == endpoint.Warming {
+			ep.BeginSlowStart(now)
 		}
-		if len(target.view.Endpoints) <= warmedEndpoints {
+		if len(target.view.Endpoints) <= maxWarmedEndpoints {
 			pool.Warm()
 		}
-		return held
+		return ep
 	}
-	held.Pool.SetLimits(limits)
-	return held
+	ep.Pool.SetLimits(limits)
+	return ep
 }
 
-// merge takes in newer states and returns the services they concern.
+// merge stores newer states of endpoints and returns the names of the affected services.
 func (r *registry) merge(updates []endpoint.Update, now time.Duration) map[string]bool {
 	affected := map[string]bool{}
 	for _, update := range updates {
-		held, known := r.states[update.ID]
-		if known && update.Compare(held) <= 0 && !update.Retracts(held) {
+		previous, known := r.states[update.ID]
+		if known && update.Compare(previous) <= 0 && !update.Retracts(previous) {
 			continue
 		}
 		r.states[update.ID] = update
 		affected[update.ID.Service] = true
-		r.follow(held, update, now)
+		r.applyState(previous, update, now)
 	}
 	return affected
 }
 
-// follow adapts the endpoint itself to its new state.
-func (r *registry) follow(previous, update endpoint.Update, now time.Duration) {
-	for key, held := range r.endpoints {
+// applyState updates the pool, ejection and slow start of an endpoint after a change of its state.
+func (r *registry) applyState(previous, update endpoint.Update, now time.Duration) {
+	for key, ep := range r.endpoints {
 		if key.id != update.ID {
 			continue
 		}
 		if !update.State.AcceptsWork() {
-			held.Pool.CloseIdle()
+			ep.Pool.CloseIdle()
 			continue
 		}
 		if update.Incarnation > previous.Incarnation || !previous.State.AcceptsWork() {
-			held.Reinstate()
+			ep.Reinstate()
 		}
 		if update.State == endpoint.Warming && previous.State != endpoint.Warming {
-			held.StartSlow(now)
+			ep.BeginSlowStart(now)
 		}
 	}
 }
 
-// retire drops what no service uses any more and nothing holds.
-func (r *registry) retire(current *configuration) {
+// removeUnused removes services, routes and endpoints that are not in the current configuration and
+// have no running or queued requests.
+func (r *registry) removeUnused(current *configuration) {
 	maps.DeleteFunc(r.services, func(name string, shared *sharedService) bool {
 		return current.services[name] == nil && shared.limiter.InFlight()+shared.limiter.Waiting() == 0
 	})
 	maps.DeleteFunc(r.routes, func(name string, inFlight *atomic.Int64) bool {
 		return !current.routes[name] && inFlight.Load() == 0
 	})
-	r.retireEndpoints(current)
+	r.removeUnusedEndpoints(current)
 }
 
-// retireEndpoints closes the connections of endpoints out of use.
-func (r *registry) retireEndpoints(current *configuration) {
+// removeUnusedEndpoints removes unused endpoints and closes their connections.
+func (r *registry) removeUnusedEndpoints(current *configuration) {
 	used := map[*balance.Endpoint]bool{}
-	for _, live := range current.services {
-		for _, held := range live.endpoints.Load().Endpoints() {
-			used[held] = true
+	for _, target := range current.services {
+		for _, ep := range target.endpoints.Load().Endpoints() {
+			used[ep] = true
 		}
 	}
-	for key, held := range r.endpoints {
-		if !used[held] && held.InFlight() == 0 {
-			held.Pool.Close()
+	for key, ep := range r.endpoints {
+		if !used[ep] && ep.InFlight() == 0 {
+			ep.Pool.Close()
 			delete(r.endpoints, key)
 		}
 	}
