--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -108,9 +108,9 @@
 	next := &Snapshot{
 		Version:  delta.Version,
 		Digest:   delta.Digest,
-		Services: patch(s.Services, delta.PutServices, delta.DeleteServices),
-		Routes:   patch(s.Routes, delta.PutRoutes, delta.DeleteRoutes),
-		Secrets:  patch(s.Secrets, delta.PutSecrets, delta.DeleteSecrets),
+		Services: patchMap(s.Services, delta.PutServices, delta.DeleteServices),
+		Routes:   patchMap(s.Routes, delta.PutRoutes, delta.DeleteRoutes),
+		Secrets:  patchMap(s.Secrets, delta.PutSecrets, delta.DeleteSecrets),
 	}
 	return next, next.Verify()
 }
@@ -146,7 +146,7 @@
 	return put, deleted
 }
 
-func patch[T any](base, put map[string]*T, deleted []string) map[string]*T {
+func patchMap[T any](base, put map[string]*T, deleted []string) map[string]*T {
 	next := maps.Clone(base)
 	if next == nil {
 		next = map[string]*T{}
--- a/internal/projection/projection.go
+++ b/internal/projection/projection.go
@@ -74,7 +74,7 @@
 		if declared == nil || snapshot.Services[name] != nil {
 			return
 		}
-		snapshot.Services[name] = viewService(declared.Service, placements[name], entitlement.Zone)
+		snapshot.Services[name] = projectService(declared.Service, placements[name], entitlement.Zone)
 	}
 	for _, route := range state.List(resource.KindRoute) {
 		if !entitlement.admits(route.Route.Consumers) {
@@ -103,7 +103,7 @@
 	return placements
 }
 
-func viewService(spec *resource.ServiceSpec, placements []*resource.PlacementSpec, zone string) *Service {
+func projectService(spec *resource.ServiceSpec, placements []*resource.PlacementSpec, zone string) *Service {
 	view := &Service{
 		Slots:        spec.Slots,
 		Connections:  spec.Connections,
