--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -66,7 +66,7 @@
 			state, err := resource.Admit(resource.NewState(), batch)
 			Expect(err).NotTo(HaveOccurred())
 			snapshot := projection.Project(state, entitlement)
-			Expect(snapshot.Closed()).To(Succeed())
+			Expect(snapshot.CheckReferences()).To(Succeed())
 			Expect(snapshot.Services).To(HaveLen(services))
 			Expect(snapshot.Routes).To(HaveLen(routes))
 			for name, service := range snapshot.Services {
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -170,7 +170,7 @@
 		if applied == nil {
 			continue
 		}
-		if applied.Version <= before || applied.Verify() != nil || applied.Closed() != nil {
+		if applied.Version <= before || applied.Verify() != nil || applied.CheckReferences() != nil {
 			t.Fatalf("applies %s over version %d", encoded(applied), before)
 		}
 		core.Applied(now, applied.Version)
--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -148,7 +148,7 @@
 	if snapshot.Version <= c.version {
 		return
 	}
-	if err := snapshot.Closed(); err != nil {
+	if err := snapshot.CheckReferences(); err != nil {
 		c.fail(now, distribution.ApplyFailure{Version: snapshot.Version, Step: stepClosed, Reason: err.Error()})
 		return
 	}
--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(encoded))
 }
 
-// Closed returns an error naming the first route whose service or secret the
+// CheckReferences returns an error naming the first route whose service or secret the
 // snapshot does not hold.
-func (s *Snapshot) Closed() error {
+func (s *Snapshot) CheckReferences() error {
 	for _, name := range slices.Sorted(maps.Keys(s.Routes)) {
 		route := s.Routes[name]
 		if s.Services[route.Service] == nil {
--- a/internal/projection/projection_test.go
+++ b/internal/projection/projection_test.go
@@ -73,7 +73,7 @@
 				gotZones[name] = endpointZones(view)
 			}
 			Expect(gotZones).To(Equal(wantZones))
-			Expect(snapshot.Closed()).To(Succeed())
+			Expect(snapshot.CheckReferences()).To(Succeed())
 			Expect(snapshot.Verify()).To(Succeed())
 		},
 		Entry("an edge caller under a placement", "a", []string{"apps"},
@@ -103,7 +103,7 @@
 			snapshot := projection.Project(resource.Restore(1, fixture), projection.Entitlement{Zone: "a", Services: []string{"apps"}})
 			remove(snapshot)
 			var open *projection.OpenReferenceError
-			Expect(errors.As(snapshot.Closed(), &open)).To(BeTrue())
+			Expect(errors.As(snapshot.CheckReferences(), &open)).To(BeTrue())
 			Expect([]any{open.Kind, open.Name}).To(Equal([]any{kind, name}))
 		},
 		Entry("missing service", func(s *projection.Snapshot) { delete(s.Services, "tariffs") }, resource.KindService, "tariffs"),
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -97,7 +97,7 @@
 	if err := snapshot.Verify(); err != nil {
 		return trace.Wrap(err, "apply snapshot: check digest")
 	}
-	if err := snapshot.Closed(); err != nil {
+	if err := snapshot.CheckReferences(); err != nil {
 		return trace.Wrap(err, "apply snapshot: check references")
 	}
 	p.outbound.Apply(snapshot)
--- a/internal/resource/fuzz_test.go
+++ b/internal/resource/fuzz_test.go
@@ -119,7 +119,7 @@
 					entitlement.Services = append(entitlement.Services, identity)
 				}
 			}
-			if err := projection.Project(state, entitlement).Closed(); err != nil {
+			if err := projection.Project(state, entitlement).CheckReferences(); err != nil {
 				t.Fatalf("class %s: %v", entitlement.Class(), err)
 			}
 		}
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -161,7 +161,7 @@
 	if previous != nil && current.Version < previous.Version {
 		c.breach(PromiseNeverBack, n.name, "went from version %d back to %d", previous.Version, current.Version)
 	}
-	if err := current.Closed(); err != nil {
+	if err := current.CheckReferences(); err != nil {
 		c.breach(PromiseClosed, n.name, "version %d: %v", current.Version, err)
 	}
 	c.checkContent(n, current)
