--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -29,24 +29,24 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Routes)) {
 		route := s.Routes[name]
 		if s.Services[route.Service] == nil {
-			return &OpenReferenceError{Route: name, Kind: resource.KindService, Name: route.Service}
+			return &DanglingReferenceError{Route: name, Kind: resource.KindService, Name: route.Service}
 		}
 		if route.Secret != "" && s.Secrets[route.Secret] == nil {
-			return &OpenReferenceError{Route: name, Kind: resource.KindSecret, Name: route.Secret}
+			return &DanglingReferenceError{Route: name, Kind: resource.KindSecret, Name: route.Secret}
 		}
 	}
 	return nil
 }
 
-// OpenReferenceError says that a route points at something not held.
-type OpenReferenceError struct {
+// DanglingReferenceError says that a route points at something not held.
+type DanglingReferenceError struct {
 	Route string
 	Kind  resource.Kind
 	Name  string
 }
 
 // Error names the route and what it lacks.
-func (e *OpenReferenceError) Error() string {
+func (e *DanglingReferenceError) Error() string {
 	return fmt.Sprintf("route %q refers to %s %q, which the snapshot does not hold", e.Route, e.Kind, e.Name)
 }
 
--- a/internal/projection/projection_test.go
+++ b/internal/projection/projection_test.go
@@ -102,7 +102,7 @@
 		func(remove func(*projection.Snapshot), kind resource.Kind, name string) {
 			snapshot := projection.Project(resource.Restore(1, fixture), projection.Entitlement{Zone: "a", Services: []string{"apps"}})
 			remove(snapshot)
-			var open *projection.OpenReferenceError
+			var open *projection.DanglingReferenceError
 			Expect(errors.As(snapshot.CheckReferences(), &open)).To(BeTrue())
 			Expect([]any{open.Kind, open.Name}).To(Equal([]any{kind, name}))
 		},
