--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -134,7 +134,7 @@
 func FuzzMessage(f *testing.F) {
 	snapshot := projection.Project(parent().State(), projection.Entitlement{Zone: "harbour", Services: []string{"clerk"}})
 	f.Add(encoded(distribution.Message{Version: 1, Snapshot: snapshot}), true)
-	f.Add(encoded(distribution.Message{Version: 2, Delta: projection.Diff(snapshot, snapshot.AtVersion(2))}), false)
+	f.Add(encoded(distribution.Message{Version: 2, Delta: projection.Diff(snapshot, snapshot.WithVersion(2))}), false)
 	f.Add(encoded(distribution.Message{Checkpoint: &distribution.Checkpoint{Version: 9, Resources: parent().State().All()}}), false)
 	f.Add(encoded(distribution.Message{Entries: []resource.Entry{{Version: 2, Batches: []resource.Batch{{
 		Changes: []resource.Change{{Action: resource.ActionDelete, Key: resource.Key{Kind: resource.KindRoute, Name: "tariffs"}}}}}}}}), false)
--- a/internal/distribution/relay/class.go
+++ b/internal/distribution/relay/class.go
@@ -59,7 +59,7 @@
 		k.rebuild(c)
 		return
 	}
-	k.replace(c, k.current.AtVersion(entry.Version))
+	k.replace(c, k.current.WithVersion(entry.Version))
 }
 
 func (k *class) replace(c *Core, next *projection.Snapshot) {
--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -129,7 +129,7 @@
 		c.distrust(now, version, stepDelta, errNoBase)
 		return
 	}
-	c.offer(now, base.AtVersion(version))
+	c.offer(now, base.WithVersion(version))
 }
 
 // distrust handles content that is not what its parent says it is: the child
--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// AtVersion returns the same content under another version.
-func (s *Snapshot) AtVersion(version uint64) *Snapshot {
+// WithVersion returns the same content under another version.
+func (s *Snapshot) WithVersion(version uint64) *Snapshot {
 	copied := *s
 	copied.Version = version
 	return &copied
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -213,7 +213,7 @@
 // apply puts the mesh's view in force at the next version everywhere.
 func (m *mesh) apply() {
 	m.version++
-	snapshot := m.view.AtVersion(m.version)
+	snapshot := m.view.WithVersion(m.version)
 	snapshot.Digest = snapshot.ComputeDigest()
 	for _, target := range m.proxies() {
 		if err := target.Apply(snapshot); err != nil {
