--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -88,12 +88,12 @@
 // DigestMismatchError says that content does not have the digest it claims.
 type DigestMismatchError struct {
 	Version       uint64
-	Claimed, Have string
+	Claimed, Computed string
 }
 
 // Error names the version and both digests.
 func (e *DigestMismatchError) Error() string {
-	return fmt.Sprintf("version %d claims digest %s, its content has %s", e.Version, e.Claimed, e.Have)
+	return fmt.Sprintf("version %d claims digest %s, its content has %s", e.Version, e.Claimed, e.Computed)
 }
 
 // ApplyDelta returns the snapshot a delta leads to, checked by digest. The
@@ -118,7 +118,7 @@
 // Verify checks the claimed digest against the content.
 func (s *Snapshot) Verify() error {
 	if have := s.ComputeDigest(); have != s.Digest {
-		return &DigestMismatchError{Version: s.Version, Claimed: s.Digest, Have: have}
+		return &DigestMismatchError{Version: s.Version, Claimed: s.Digest, Computed: have}
 	}
 	return nil
 }
