--- a/internal/distribution/relay/suspicion.go
+++ b/internal/distribution/relay/suspicion.go
@@ -53,7 +53,7 @@
 func (c *Core) declareLeaving(child *session) {
 	for _, update := range c.updatesFrom(origin{session: child.id}) {
 		if update.State.AcceptsWork() {
-			declared := update.Declared(endpoint.Draining)
+			declared := update.RelayOverride(endpoint.Draining)
 			c.declare(declared)
 			c.answer(child, declared)
 		}
@@ -147,7 +147,7 @@
 func (c *Core) expireEndpoint(from origin, update endpoint.Update) {
 	held, _ := c.endpoints.Get(update.ID)
 	if c.origins[update.ID] == from && held.Compare(update) == 0 {
-		c.declare(held.Declared(endpoint.Down))
+		c.declare(held.RelayOverride(endpoint.Down))
 	}
 }
 
--- a/internal/endpoint/authority_test.go
+++ b/internal/endpoint/authority_test.go
@@ -32,8 +32,8 @@
 		{name: "its own update", update: declared},
 		{name: "an earlier incarnation", update: endpoint.Update{ID: own.ID, Incarnation: own.Incarnation - 1, Sequence: 9}},
 		{name: "another endpoint", update: endpoint.Update{ID: endpoint.ID{Service: "tariff", Name: "b"}, Incarnation: later(time.Hour), Sequence: 9}},
-		{name: "declared down", update: declared.Declared(endpoint.Down), answered: true, state: endpoint.Ready},
-		{name: "declared draining", update: declared.Declared(endpoint.Draining), answered: true, state: endpoint.Draining},
+		{name: "declared down", update: declared.RelayOverride(endpoint.Down), answered: true, state: endpoint.Ready},
+		{name: "declared draining", update: declared.RelayOverride(endpoint.Draining), answered: true, state: endpoint.Draining},
 		{name: "a successor's, this process was paused", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Second), Sequence: 2, State: endpoint.Ready}},
 		{name: "a predecessor's, the clock was set back", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Hour), Sequence: 8, State: endpoint.Down}, answered: true, state: endpoint.Ready},
 		{name: "no incarnation is later", update: endpoint.Update{ID: own.ID, Incarnation: math.MaxUint64, Sequence: 8}},
@@ -64,7 +64,7 @@
 	warming := own
 	warming.State = endpoint.Warming
 	authority := endpoint.NewAuthority(warming)
-	_, answered := authority.Observe(began, authority.Current().Declared(endpoint.Draining))
+	_, answered := authority.Observe(began, authority.Current().RelayOverride(endpoint.Draining))
 	g.Expect(answered).To(BeTrue())
 	_, changed := authority.Set(endpoint.Ready)
 	g.Expect(changed).To(BeFalse())
@@ -91,9 +91,9 @@
 		heard   endpoint.Update
 		believe bool
 	}{
-		{"what was declared down", ready.Declared(endpoint.Down), ready, true},
-		{"an older update than what was declared down", ready.Declared(endpoint.Down), older, false},
-		{"what was declared draining", ready.Declared(endpoint.Draining), ready, false},
+		{"what was declared down", ready.RelayOverride(endpoint.Down), ready, true},
+		{"an older update than what was declared down", ready.RelayOverride(endpoint.Down), older, false},
+		{"what was declared draining", ready.RelayOverride(endpoint.Draining), ready, false},
 		{"what the authority itself ended", draining, older, false},
 	}
 	for _, heard := range cases {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -65,10 +65,10 @@
 	return cmp.Or(cmp.Compare(u.Incarnation, other.Incarnation), cmp.Compare(u.Sequence, other.Sequence))
 }
 
-// Declared returns the update by which a relay declares the endpoint to be in
+// RelayOverride returns the update by which a relay declares the endpoint to be in
 // a state on behalf of its authority: down after the authority fell silent,
 // draining when the platform lists the machine as leaving.
-func (u Update) Declared(state State) Update {
+func (u Update) RelayOverride(state State) Update {
 	u.State = state
 	u.Sequence |= 1
 	return u
@@ -79,7 +79,7 @@
 // declaration, from another relay, believes the one it is attached to; a relay
 // must not, since its children may hold the declaration too.
 func (u Update) Retracts(held Update) bool {
-	return held.State == Down && !u.ByRelay() && u.ID == held.ID && u.Declared(Down).Compare(held) == 0
+	return held.State == Down && !u.ByRelay() && u.ID == held.ID && u.RelayOverride(Down).Compare(held) == 0
 }
 
 // ByRelay reports whether a relay declared the update on the authority's
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -76,7 +76,7 @@
 
 	It("refutes that it is down, and stays itself a member", func() {
 		roster := membership.NewRoster(self, 7, seeds)
-		declared := roster.Announcement().Declared(endpoint.Down)
+		declared := roster.Announcement().RelayOverride(endpoint.Down)
 		refutation, refuted := roster.Observe(start, []endpoint.Update{declared})
 		Expect(refuted).To(BeTrue())
 		Expect(refutation.State).To(Equal(endpoint.Ready))
