--- a/internal/distribution/relay/endpoints.go
+++ b/internal/distribution/relay/endpoints.go
@@ -76,7 +76,7 @@
 // down is contradicted by the live session through which it is heard of here.
 // The declaration then goes to that child alone, for the authority to refute.
 func (c *Core) contradicts(held, update endpoint.Update) bool {
-	return update.ByRelay() && update.State == endpoint.Down &&
+	return update.IsRelayOverride() && update.State == endpoint.Down &&
 		update.Incarnation == held.Incarnation && update.Sequence > held.Sequence && held.State != endpoint.Down
 }
 
--- a/internal/endpoint/authority.go
+++ b/internal/endpoint/authority.go
@@ -67,7 +67,7 @@
 	if update.Incarnation != a.current.Incarnation || update.Sequence <= a.current.Sequence {
 		return Update{}, false
 	}
-	if update.State == Draining && update.ByRelay() {
+	if update.State == Draining && update.IsRelayOverride() {
 		a.takeLeaving()
 	}
 	a.current.Sequence = update.Sequence - update.Sequence%sequenceStep + sequenceStep
--- a/internal/endpoint/authority_test.go
+++ b/internal/endpoint/authority_test.go
@@ -52,7 +52,7 @@
 			g.Expect(answer.State).To(Equal(observed.state))
 			g.Expect(answer.Address).To(Equal(own.Address))
 			g.Expect(answer.Compare(observed.update)).To(BeNumerically(">", 0))
-			g.Expect(answer.ByRelay()).To(BeFalse())
+			g.Expect(answer.IsRelayOverride()).To(BeFalse())
 		})
 	}
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -79,12 +79,12 @@
 // declaration, from another relay, believes the one it is attached to; a relay
 // must not, since its children may hold the declaration too.
 func (u Update) Retracts(held Update) bool {
-	return held.State == Down && !u.ByRelay() && u.ID == held.ID && u.RelayOverride(Down).Compare(held) == 0
+	return held.State == Down && !u.IsRelayOverride() && u.ID == held.ID && u.RelayOverride(Down).Compare(held) == 0
 }
 
-// ByRelay reports whether a relay declared the update on the authority's
+// IsRelayOverride reports whether a relay declared the update on the authority's
 // behalf.
-func (u Update) ByRelay() bool { return u.Sequence%sequenceStep != 0 }
+func (u Update) IsRelayOverride() bool { return u.Sequence%sequenceStep != 0 }
 
 // Table holds the newest update of each endpoint. It is not safe for
 // concurrent use.
