--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -74,11 +74,11 @@
 	return u
 }
 
-// Retracts reports whether this update is the one from which a relay made the
+// RevertsDownOverride reports whether this update is the one from which a relay made the
 // held declaration that the endpoint is down. A proxy that hears it after the
 // declaration, from another relay, believes the one it is attached to; a relay
 // must not, since its children may hold the declaration too.
-func (u Update) Retracts(held Update) bool {
+func (u Update) RevertsDownOverride(held Update) bool {
 	return held.State == Down && !u.IsRelayOverride() && u.ID == held.ID && u.RelayOverride(Down).Compare(held) == 0
 }
 
@@ -117,7 +117,7 @@
 
 // MergeAtProxy is Merge for a table whose content goes to nobody else.
 func (t *Table) MergeAtProxy(update Update) bool {
-	if held, known := t.newest[update.ID]; known && update.Retracts(held) {
+	if held, known := t.newest[update.ID]; known && update.RevertsDownOverride(held) {
 		t.newest[update.ID] = update
 		return true
 	}
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -188,7 +188,7 @@
 	affected := map[string]bool{}
 	for _, update := range updates {
 		held, known := r.states[update.ID]
-		if known && update.Compare(held) <= 0 && !update.Retracts(held) {
+		if known && update.Compare(held) <= 0 && !update.RevertsDownOverride(held) {
 			continue
 		}
 		r.states[update.ID] = update
