--- a/internal/distribution/message.go
+++ b/internal/distribution/message.go
@@ -58,8 +58,8 @@
 	Time time.Time `json:"time"`
 }
 
-// Sooner returns the expiry that comes first; nil means none is known.
-func (e *Expiry) Sooner(other *Expiry) *Expiry {
+// Earlier returns the expiry that comes first; nil means none is known.
+func (e *Expiry) Earlier(other *Expiry) *Expiry {
 	if e == nil || (other != nil && other.Time.Before(e.Time)) {
 		return other
 	}
--- a/internal/distribution/relay/summary.go
+++ b/internal/distribution/relay/summary.go
@@ -61,7 +61,7 @@
 		summaries[session.node.Zone] = summary
 	}
 	summary.Proxies++
-	summary.FirstExpiry = summary.FirstExpiry.Sooner(session.expiry)
+	summary.FirstExpiry = summary.FirstExpiry.Earlier(session.expiry)
 	summary.Lowest = min(summary.Lowest, applied)
 	summary.Highest = max(summary.Highest, applied)
 	if applied < c.state.Version() && len(summary.Laggards) < c.config.MaximumLaggards {
--- a/internal/query/status.go
+++ b/internal/query/status.go
@@ -65,7 +65,7 @@
 
 func addSummary(zone *v1.ZoneStatus, summary distribution.ZoneStatus, version uint64) {
 	zone.Relays = append(zone.Relays, summary.Relay)
-	zone.FirstExpiry = zone.FirstExpiry.Sooner(summary.FirstExpiry)
+	zone.FirstExpiry = zone.FirstExpiry.Earlier(summary.FirstExpiry)
 	if summary.Proxies > 0 {
 		if zone.Proxies == 0 || summary.Lowest < zone.Lowest {
 			zone.Lowest = summary.Lowest
