--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -265,7 +265,7 @@
 // updateEligibility says who tries for a slot: the first candidates always,
 // the others once they have been without a parent for a while.
 func (c *Core) updateEligibility(now time.Time) {
-	c.takeReader(c.reader.Eligible(now, c.candidacy(now)))
+	c.takeReader(c.reader.SetCandidacy(now, c.candidacy(now)))
 }
 
 func (c *Core) candidacy(now time.Time) reader.Candidacy {
--- a/internal/distribution/reader/core.go
+++ b/internal/distribution/reader/core.go
@@ -133,9 +133,9 @@
 // belief may be wrong until the next renewal is answered.
 func (c *Core) Holding() bool { return c.holding }
 
-// Eligible says how this node stands toward the slots. A slot held is kept all
+// SetCandidacy says how this node stands toward the slots. A slot held is kept all
 // the same.
-func (c *Core) Eligible(now time.Time, candidacy Candidacy) Outputs {
+func (c *Core) SetCandidacy(now time.Time, candidacy Candidacy) Outputs {
 	if candidacy != c.candidacy {
 		c.candidacy = candidacy
 		c.schedule(now)
--- a/internal/distribution/reader/core_test.go
+++ b/internal/distribution/reader/core_test.go
@@ -25,7 +25,7 @@
 // watches from there.
 func watching() *reader.Core {
 	core := reader.New(reader.DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
-	Expect(operations(core.Eligible(start, reader.Leading))).To(Equal([]reader.Operation{reader.Acquire}))
+	Expect(operations(core.SetCandidacy(start, reader.Leading))).To(Equal([]reader.Operation{reader.Acquire}))
 	Expect(operations(core.Acquired(start, true, nil))).To(Equal([]reader.Operation{reader.Load}))
 	watch := core.Loaded(start, 10, nil)
 	Expect(watch.Requests).To(Equal([]reader.Request{{Operation: reader.Watch, Revision: 10}}))
@@ -95,14 +95,14 @@
 
 	It("that found every slot held tries again seldom, and not at all once it is no candidate", func() {
 		core := reader.New(reader.DefaultConfig(), rand.New(rand.NewPCG(1, 1)))
-		core.Eligible(start, reader.Leading)
+		core.SetCandidacy(start, reader.Leading)
 		core.Acquired(start, false, nil)
 		Expect(core.NextTick().Sub(start)).To(BeNumerically(">=", 5*time.Second))
-		core.Eligible(start, reader.Urgent)
+		core.SetCandidacy(start, reader.Urgent)
 		Expect(core.NextTick()).To(BeZero(), "the attempt runs")
 		core.Acquired(start, false, nil)
 		Expect(core.NextTick().Sub(start)).To(BeNumerically("<=", 2*time.Second))
-		core.Eligible(start, reader.NoCandidate)
+		core.SetCandidacy(start, reader.NoCandidate)
 		Expect(core.NextTick()).To(BeZero())
 	})
 })
