--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -271,7 +271,7 @@
 func (c *Core) candidacy(now time.Time) reader.Candidacy {
 	c.eligibleAt = time.Time{}
 	if c.stopping {
-		return reader.NoCandidate
+		return reader.NotCandidate
 	}
 	if !c.detachedAt.IsZero() {
 		at := c.detachedAt.Add(candidateDelay + time.Duration(c.rank)*candidateStep)
@@ -286,7 +286,7 @@
 	case c.rank < standbyFactor*c.config.Slots:
 		return reader.Standby
 	default:
-		return reader.NoCandidate
+		return reader.NotCandidate
 	}
 }
 
@@ -296,7 +296,7 @@
 	turn := c.startedAt.Add(time.Duration(c.rank) * leadingStep)
 	if now.Before(turn) {
 		c.eligibleAt = earliest(c.eligibleAt, turn)
-		return reader.NoCandidate
+		return reader.NotCandidate
 	}
 	return reader.Leading
 }
--- a/internal/distribution/reader/core.go
+++ b/internal/distribution/reader/core.go
@@ -51,8 +51,8 @@
 
 // The candidacies.
 const (
-	// NoCandidate does not try for a slot.
-	NoCandidate Candidacy = iota
+	// NotCandidate does not try for a slot.
+	NotCandidate Candidacy = iota
 	// Standby looks for a free slot from time to time.
 	Standby
 	// Leading tries at once, then from time to time.
@@ -147,7 +147,7 @@
 func (c *Core) schedule(now time.Time) {
 	switch {
 	case c.holding:
-	case c.candidacy == NoCandidate:
+	case c.candidacy == NotCandidate:
 		c.acquire.at = time.Time{}
 	case c.candidacy == Standby:
 		if c.acquire.at.IsZero() {
@@ -170,7 +170,7 @@
 		c.acquire.failures = 0
 		c.acquire.at = now.Add(c.spread(c.interval()))
 	}
-	if c.candidacy == NoCandidate {
+	if c.candidacy == NotCandidate {
 		c.acquire.at = time.Time{}
 	}
 	return c.finish(now)
@@ -214,7 +214,7 @@
 	c.renew.at, c.load.at, c.watch.at, c.poll.at = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.outputs.CancelWatch = c.watching
 	c.watching = false
-	if c.candidacy != NoCandidate {
+	if c.candidacy != NotCandidate {
 		c.acquire.at = now.Add(c.jitter(c.config.RetryBase))
 	}
 }
@@ -309,7 +309,7 @@
 
 // Stop gives the slot back, for a planned stop.
 func (c *Core) Stop(now time.Time) Outputs {
-	c.candidacy = NoCandidate
+	c.candidacy = NotCandidate
 	if c.holding {
 		c.lose(now)
 		c.outputs.Requests = append(c.outputs.Requests, Request{Operation: Release})
--- a/internal/distribution/reader/core_test.go
+++ b/internal/distribution/reader/core_test.go
@@ -102,7 +102,7 @@
 		Expect(core.NextTick()).To(BeZero(), "the attempt runs")
 		core.Acquired(start, false, nil)
 		Expect(core.NextTick().Sub(start)).To(BeNumerically("<=", 2*time.Second))
-		core.SetCandidacy(start, reader.NoCandidate)
+		core.SetCandidacy(start, reader.NotCandidate)
 		Expect(core.NextTick()).To(BeZero())
 	})
 })
