--- a/internal/distribution/reader/core.go
+++ b/internal/distribution/reader/core.go
@@ -138,20 +138,20 @@
 func (c *Core) SetCandidacy(now time.Time, candidacy Candidacy) Outputs {
 	if candidacy != c.candidacy {
 		c.candidacy = candidacy
-		c.schedule(now)
+		c.scheduleAcquire(now)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// schedule plans the first attempt of a new candidacy.
-func (c *Core) schedule(now time.Time) {
+// scheduleAcquire plans the first attempt of a new candidacy.
+func (c *Core) scheduleAcquire(now time.Time) {
 	switch {
 	case c.holding:
 	case c.candidacy == NotCandidate:
 		c.acquire.at = time.Time{}
 	case c.candidacy == Standby:
 		if c.acquire.at.IsZero() {
-			c.acquire.at = now.Add(c.spread(c.config.CandidateInterval))
+			c.acquire.at = now.Add(c.randomAround(c.config.CandidateInterval))
 		}
 	default:
 		c.acquire.at = now
@@ -165,25 +165,25 @@
 	case err != nil:
 		c.retry(now, &c.acquire)
 	case held:
-		c.hold(now)
+		c.beginHolding(now)
 	default:
 		c.acquire.failures = 0
-		c.acquire.at = now.Add(c.spread(c.interval()))
+		c.acquire.at = now.Add(c.randomAround(c.acquireInterval()))
 	}
 	if c.candidacy == NotCandidate {
 		c.acquire.at = time.Time{}
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-func (c *Core) interval() time.Duration {
+func (c *Core) acquireInterval() time.Duration {
 	if c.candidacy == Urgent {
 		return c.config.UrgentInterval
 	}
 	return c.config.CandidateInterval
 }
 
-func (c *Core) hold(now time.Time) {
+func (c *Core) beginHolding(now time.Time) {
 	c.holding = true
 	c.acquire = task{}
 	c.renew.at = now.Add(c.config.RenewInterval)
@@ -197,19 +197,19 @@
 	switch {
 	case !c.holding:
 	case errors.Is(err, store.ErrLeaseNotFound):
-		c.lose(now)
+		c.endHolding(now)
 	case err != nil:
 		c.retry(now, &c.renew)
 	default:
 		c.renew.failures = 0
 		c.renew.at = now.Add(c.config.RenewInterval)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// lose ends the holding; the node tries again for a slot at once, with jitter,
+// endHolding ends the holding; the node tries again for a slot at once, with jitter,
 // when it is still a candidate.
-func (c *Core) lose(now time.Time) {
+func (c *Core) endHolding(now time.Time) {
 	c.holding, c.loaded = false, false
 	c.renew.at, c.load.at, c.watch.at, c.poll.at = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.outputs.CancelWatch = c.watching
@@ -233,7 +233,7 @@
 		c.watch.at = now
 		c.poll.at = now.Add(c.config.PollInterval)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
 // Watching answers Watch.
@@ -248,7 +248,7 @@
 		c.watch = task{}
 		c.watching = true
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
 // WatchEnded says that the running watch ended.
@@ -257,7 +257,7 @@
 		c.watching = false
 		c.watchFailed(now, err)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
 // watchFailed starts over: from the revision reached, or by loading when the
@@ -265,7 +265,7 @@
 func (c *Core) watchFailed(now time.Time, err error) {
 	if errors.Is(err, store.ErrCompacted) {
 		c.poll.at = time.Time{}
-		c.restart(now)
+		c.reload(now)
 		return
 	}
 	c.retry(now, &c.watch)
@@ -283,7 +283,7 @@
 	switch {
 	case !c.holding:
 	case errors.Is(err, store.ErrCompacted):
-		c.restart(now)
+		c.reload(now)
 	case err != nil:
 		c.retry(now, &c.poll)
 	default:
@@ -296,11 +296,11 @@
 			c.watch.at = now
 		}
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// restart loads anew: what is held lies before what the log still has.
-func (c *Core) restart(now time.Time) {
+// reload loads anew: what is held lies before what the log still has.
+func (c *Core) reload(now time.Time) {
 	c.outputs.CancelWatch = c.watching
 	c.watching, c.loaded = false, false
 	c.watch.at = time.Time{}
@@ -311,15 +311,15 @@
 func (c *Core) Stop(now time.Time) Outputs {
 	c.candidacy = NotCandidate
 	if c.holding {
-		c.lose(now)
+		c.endHolding(now)
 		c.outputs.Requests = append(c.outputs.Requests, Request{Operation: Release})
 	}
 	c.acquire.at = time.Time{}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
 // Tick does whatever has come due.
-func (c *Core) Tick(now time.Time) Outputs { return c.finish(now) }
+func (c *Core) Tick(now time.Time) Outputs { return c.takeOutputs(now) }
 
 // NextTick returns when Tick has to be called next; the zero time when nothing
 // is due.
@@ -333,7 +333,7 @@
 	return next
 }
 
-func (c *Core) finish(now time.Time) Outputs {
+func (c *Core) takeOutputs(now time.Time) Outputs {
 	c.start(now, &c.acquire, Request{Operation: Acquire})
 	c.start(now, &c.renew, Request{Operation: Renew})
 	c.start(now, &c.load, Request{Operation: Load})
@@ -362,6 +362,6 @@
 	return time.Duration(c.random.Int64N(int64(bound) + 1))
 }
 
-func (c *Core) spread(mean time.Duration) time.Duration {
+func (c *Core) randomAround(mean time.Duration) time.Duration {
 	return mean/2 + c.jitter(mean)
 }
--- a/internal/distribution/wellformed.go
+++ b/internal/distribution/wellformed.go
@@ -12,12 +12,12 @@
 // though the receiving code relies on it.
 func (m *Message) WellFormed() error {
 	if m.Snapshot != nil {
-		if err := allPresent("snapshot", m.Snapshot.Services, m.Snapshot.Routes, m.Snapshot.Secrets); err != nil {
+		if err := checkMaps("snapshot", m.Snapshot.Services, m.Snapshot.Routes, m.Snapshot.Secrets); err != nil {
 			return err
 		}
 	}
 	if m.Delta != nil {
-		if err := allPresent("delta", m.Delta.PutServices, m.Delta.PutRoutes, m.Delta.PutSecrets); err != nil {
+		if err := checkMaps("delta", m.Delta.PutServices, m.Delta.PutRoutes, m.Delta.PutSecrets); err != nil {
 			return err
 		}
 	}
@@ -36,17 +36,17 @@
 	return nil
 }
 
-func allPresent[S, R, C any](field string, services map[string]*S, routes map[string]*R, secrets map[string]*C) error {
-	if err := present(field+".services", services); err != nil {
+func checkMaps[S, R, C any](field string, services map[string]*S, routes map[string]*R, secrets map[string]*C) error {
+	if err := checkNoNil(field+".services", services); err != nil {
 		return err
 	}
-	if err := present(field+".routes", routes); err != nil {
+	if err := checkNoNil(field+".routes", routes); err != nil {
 		return err
 	}
-	return present(field+".secrets", secrets)
+	return checkNoNil(field+".secrets", secrets)
 }
 
-func present[T any](field string, values map[string]*T) error {
+func checkNoNil[T any](field string, values map[string]*T) error {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		if values[name] == nil {
 			return &resource.MalformedError{Field: field + "." + name, Reason: "is missing"}
--- a/internal/endpoint/authority.go
+++ b/internal/endpoint/authority.go
@@ -59,7 +59,7 @@
 	if update.ID != a.current.ID {
 		return Update{}, false
 	}
-	if a.precedes(now, update) {
+	if a.fromPredecessor(now, update) {
 		a.current.Incarnation = update.Incarnation + 1
 		a.current.Sequence = sequenceStep
 		return a.current, true
@@ -68,21 +68,21 @@
 		return Update{}, false
 	}
 	if update.State == Draining && update.IsRelayOverride() {
-		a.takeLeaving()
+		a.markLeaving()
 	}
 	a.current.Sequence = update.Sequence - update.Sequence%sequenceStep + sequenceStep
 	return a.current, true
 }
 
-// precedes reports whether a later incarnation is a predecessor's all the same.
+// fromPredecessor reports whether a later incarnation is a predecessor's all the same.
 // A successor's began by now; it is left alone, since this process was paused
 // and replaced.
-func (a *Authority) precedes(now time.Time, update Update) bool {
+func (a *Authority) fromPredecessor(now time.Time, update Update) bool {
 	later := update.Incarnation > a.current.Incarnation && update.Incarnation < math.MaxUint64
 	return later && update.Incarnation > uint64(now.UnixMilli())
 }
 
-func (a *Authority) takeLeaving() {
+func (a *Authority) markLeaving() {
 	a.leaving = true
 	if a.current.State.AcceptsWork() {
 		a.current.State = Draining
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -89,36 +89,36 @@
 // Table holds the newest update of each endpoint. It is not safe for
 // concurrent use.
 type Table struct {
-	newest map[ID]Update
+	latest map[ID]Update
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{newest: map[ID]Update{}} }
+func NewTable() *Table { return &Table{latest: map[ID]Update{}} }
 
 // Merge takes an update in when it is newer than what is held, and reports
 // whether it was.
 func (t *Table) Merge(update Update) bool {
-	held, known := t.newest[update.ID]
+	held, known := t.latest[update.ID]
 	if known && update.Compare(held) <= 0 {
 		return false
 	}
-	t.newest[update.ID] = update
+	t.latest[update.ID] = update
 	return true
 }
 
 // Get returns the newest update of an endpoint.
 func (t *Table) Get(id ID) (Update, bool) {
-	update, known := t.newest[id]
+	update, known := t.latest[id]
 	return update, known
 }
 
 // Len returns how many endpoints the table holds.
-func (t *Table) Len() int { return len(t.newest) }
+func (t *Table) Len() int { return len(t.latest) }
 
 // MergeAtProxy is Merge for a table whose content goes to nobody else.
 func (t *Table) MergeAtProxy(update Update) bool {
-	if held, known := t.newest[update.ID]; known && update.RevertsDownOverride(held) {
-		t.newest[update.ID] = update
+	if held, known := t.latest[update.ID]; known && update.RevertsDownOverride(held) {
+		t.latest[update.ID] = update
 		return true
 	}
 	return t.Merge(update)
@@ -126,8 +126,8 @@
 
 // All returns the newest update of every endpoint, ordered by id.
 func (t *Table) All() []Update {
-	all := make([]Update, 0, len(t.newest))
-	for _, update := range t.newest {
+	all := make([]Update, 0, len(t.latest))
+	for _, update := range t.latest {
 		all = append(all, update)
 	}
 	slices.SortFunc(all, func(a, b Update) int { return a.ID.Compare(b.ID) })
