--- a/internal/projection/benchmark_test.go
+++ b/internal/projection/benchmark_test.go
@@ -8,15 +8,17 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// Sizes of the benchmarks: the target's services and upstreams.
+// Size of the benchmarked configuration: the services, endpoints per service
+// and zones of the deployment that the project targets.
 const (
 	benchmarkServices  = 39
 	benchmarkEndpoints = 26
 	benchmarkZones     = 11
 )
 
-// largeState holds so many routes over 39 services of 26 endpoints each, in 11
-// zones. Every tenth route admits every consumer, the others one of 39.
+// largeState returns a state with the given number of routes to 39 services of
+// 26 endpoints each, in 11 zones. Every tenth route admits every consumer, the
+// others admit one of the 39 services.
 func largeState(routes int) *resource.State {
 	zones := make([]string, benchmarkEndpoints)
 	for index := range zones {
@@ -37,7 +39,7 @@
 	return resource.Restore(1, declared)
 }
 
-// changed is the state after one route changed.
+// changed returns the state that follows from a change of one route.
 func changed(state *resource.State) *resource.State {
 	next, _ := state.Advance(resource.Entry{Version: state.Version() + 1, Batches: []resource.Batch{{
 		Changes: []resource.Change{{Action: resource.ActionPut, Resource: route("route-0000", "service-01", "", resource.AnyConsumer)}},
@@ -45,8 +47,8 @@
 	return next
 }
 
-// BenchmarkProjectClasses projects a changed state for the 39 classes of one
-// zone, as a relay does once for each change.
+// BenchmarkProjectClasses projects a changed state for the 39 entitlement classes
+// of one zone, as a relay does after every change.
 func BenchmarkProjectClasses(b *testing.B) {
 	for _, routes := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -62,7 +64,8 @@
 	}
 }
 
-// BenchmarkDiff compares the snapshots of one class before and after a change.
+// BenchmarkDiff computes the delta between the snapshots of one class before and
+// after a change.
 func BenchmarkDiff(b *testing.B) {
 	before := largeState(1000)
 	entitlement := projection.Entitlement{Zone: "zone-00", Services: []string{"service-00"}}
@@ -73,7 +76,8 @@
 	}
 }
 
-// BenchmarkApplyDelta applies a delta and checks its digest, as a proxy does.
+// BenchmarkApplyDelta applies a delta and verifies the resulting digest, as a
+// proxy does.
 func BenchmarkApplyDelta(b *testing.B) {
 	before := largeState(1000)
 	entitlement := projection.Entitlement{Zone: "zone-00", Services: []string{"service-00"}}
@@ -87,7 +91,7 @@
 	}
 }
 
-// BenchmarkAdvance moves a state past one change.
+// BenchmarkAdvance applies one log entry to a state.
 func BenchmarkAdvance(b *testing.B) {
 	state := largeState(1000)
 	b.ReportAllocs()
--- a/internal/projection/delta.go
+++ b/internal/projection/delta.go
@@ -12,19 +12,20 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// ComputeDigest digests the content without the version. Maps are encoded in
-// key order, so equal content has an equal digest.
+// ComputeDigest hashes the content of the snapshot without its version. The JSON
+// encoder sorts map keys, so equal content has an equal digest.
 func (s *Snapshot) ComputeDigest() string {
 	content := Snapshot{Services: s.Services, Routes: s.Routes, Secrets: s.Secrets}
 	encoded, err := json.Marshal(content)
 	if err != nil {
-		panic("projection: a snapshot of plain data always encodes: " + err.Error())
+		// A snapshot is plain data, which always encodes.
+		panic("projection: encoding a snapshot as JSON: " + err.Error())
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(encoded))
 }
 
-// CheckReferences returns an error naming the first route whose service or secret the
-// snapshot does not hold.
+// CheckReferences returns a DanglingReferenceError for the first route, in order
+// of name, whose service or secret is not in the snapshot.
 func (s *Snapshot) CheckReferences() error {
 	for _, name := range slices.Sorted(maps.Keys(s.Routes)) {
 		route := s.Routes[name]
@@ -38,19 +39,21 @@
 	return nil
 }
 
-// DanglingReferenceError says that a route points at something not held.
+// DanglingReferenceError reports a route that refers to a service or secret
+// that is not in the snapshot.
 type DanglingReferenceError struct {
 	Route string
 	Kind  resource.Kind
 	Name  string
 }
 
-// Error names the route and what it lacks.
+// Error returns a message with the route and the missing resource.
 func (e *DanglingReferenceError) Error() string {
 	return fmt.Sprintf("route %q refers to %s %q, which the snapshot does not hold", e.Route, e.Kind, e.Name)
 }
 
-// Delta turns the snapshot (FromVersion, FromDigest) into (Version, Digest).
+// Delta is the difference between the snapshot identified by FromVersion and
+// FromDigest and the one identified by Version and Digest.
 type Delta struct {
 	FromVersion    uint64                          `json:"fromVersion"`
 	FromDigest     string                          `json:"fromDigest"`
@@ -64,7 +67,7 @@
 	DeleteSecrets  []string                        `json:"deleteSecrets,omitempty"`
 }
 
-// Diff returns the delta that leads from one snapshot to another.
+// Diff returns the delta that turns one snapshot into another.
 func Diff(from, to *Snapshot) *Delta {
 	delta := &Delta{FromVersion: from.Version, FromDigest: from.Digest, Version: to.Version, Digest: to.Digest}
 	delta.PutServices, delta.DeleteServices = diffMaps(from.Services, to.Services)
@@ -73,31 +76,34 @@
 	return delta
 }
 
-// BaseMismatchError says that a delta starts from another snapshot than held.
+// BaseMismatchError reports a delta whose base is not the snapshot that it was
+// applied to.
 type BaseMismatchError struct {
 	HeldVersion, WantVersion uint64
 	HeldDigest, WantDigest   string
 }
 
-// Error names both bases.
+// Error returns a message with the version and digest of both bases.
 func (e *BaseMismatchError) Error() string {
 	return fmt.Sprintf("delta starts from version %d digest %s, held is version %d digest %s",
 		e.WantVersion, e.WantDigest, e.HeldVersion, e.HeldDigest)
 }
 
-// DigestMismatchError says that content does not have the digest it claims.
+// DigestMismatchError reports a snapshot whose content does not match the digest
+// that came with it.
 type DigestMismatchError struct {
-	Version       uint64
+	Version           uint64
 	Claimed, Computed string
 }
 
-// Error names the version and both digests.
+// Error returns a message with the version and both digests.
 func (e *DigestMismatchError) Error() string {
 	return fmt.Sprintf("version %d claims digest %s, its content has %s", e.Version, e.Claimed, e.Computed)
 }
 
-// ApplyDelta returns the snapshot a delta leads to, checked by digest. The
-// base is compared by digest: two versions of equal content are one base.
+// ApplyDelta returns the result of applying a delta to the snapshot, and an error
+// if the result does not match the delta's digest. Only the digest of the base
+// is compared, since versions of equal content are interchangeable as a base.
 func (s *Snapshot) ApplyDelta(delta *Delta) (*Snapshot, error) {
 	if delta.FromDigest != s.Digest {
 		return nil, &BaseMismatchError{
@@ -115,21 +121,24 @@
 	return next, next.Verify()
 }
 
-// Verify checks the claimed digest against the content.
+// Verify returns a DigestMismatchError if Digest does not match the content.
 func (s *Snapshot) Verify() error {
-	if have := s.ComputeDigest(); have != s.Digest {
-		return &DigestMismatchError{Version: s.Version, Claimed: s.Digest, Computed: have}
+	if computed := s.ComputeDigest(); computed != s.Digest {
+		return &DigestMismatchError{Version: s.Version, Claimed: s.Digest, Computed: computed}
 	}
 	return nil
 }
 
-// WithVersion returns the same content under another version.
+// WithVersion returns a copy of the snapshot with another version. The copy shares
+// the content.
 func (s *Snapshot) WithVersion(version uint64) *Snapshot {
 	copied := *s
 	copied.Version = version
 	return &copied
 }
 
+// diffMaps returns the entries of to that from lacks or holds with another
+// value, and the sorted keys that only from holds.
 func diffMaps[T any](from, to map[string]*T) (put map[string]*T, deleted []string) {
 	put = map[string]*T{}
 	for name, value := range to {
@@ -146,6 +155,8 @@
 	return put, deleted
 }
 
+// patchMap returns a copy of base without the deleted keys and with the put
+// entries.
 func patchMap[T any](base, put map[string]*T, deleted []string) map[string]*T {
 	next := maps.Clone(base)
 	if next == nil {
--- a/internal/projection/projection.go
+++ b/internal/projection/projection.go
@@ -1,6 +1,6 @@
-// Package projection computes what one class of proxies may hold: the part of
-// the configuration its zone and services are entitled to. The package is
-// pure.
+// Package projection computes the part of the configuration that a class of
+// proxies receives, given the zone and the services of the class, and the
+// deltas between such snapshots. It does no I/O and reads no clock.
 package projection
 
 import (
@@ -10,21 +10,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// Entitlement is a proxy's authenticated identity as far as configuration is
-// concerned. Proxies with equal entitlements receive equal snapshots.
+// Entitlement is the part of a proxy's authenticated identity that determines
+// its configuration. Proxies with equal entitlements receive equal snapshots.
 type Entitlement struct {
 	Zone string `json:"zone"`
-	// Services names the identities the proxy acts for, sorted: the services
-	// beside it and the consumers that call through it.
+	// Services are the sorted names of the identities that the proxy acts for:
+	// the services whose endpoints it fronts and the consumers that call
+	// through it.
 	Services []string `json:"services"`
 }
 
-// Class is the canonical text of an entitlement, usable as a map key.
+// Class returns a canonical string for the entitlement, usable as a map key.
+// It does not depend on the order of Services.
 func (e Entitlement) Class() string {
 	services := slices.Sorted(slices.Values(e.Services))
 	return e.Zone + "|" + strings.Join(services, ",")
 }
 
+// admits reports whether the consumers of a route include an identity of the
+// entitlement.
 func (e Entitlement) admits(consumers []string) bool {
 	for _, consumer := range consumers {
 		if consumer == resource.AnyConsumer || slices.Contains(e.Services, consumer) {
@@ -34,7 +38,8 @@
 	return false
 }
 
-// Service is a service as one entitlement class sees it.
+// Service is the specification of a service as projected for one entitlement
+// class.
 type Service struct {
 	Slots       int                        `json:"slots"`
 	Connections int                        `json:"connections"`
@@ -43,24 +48,27 @@
 	Retry       resource.RetryPolicy       `json:"retry,omitzero"`
 	ShedMarker  *resource.ShedMarker       `json:"shedMarker,omitempty"`
 	Selector    *resource.EndpointSelector `json:"selector,omitempty"`
-	// AllowedZones are the back-end zones callers of this class may use.
+	// AllowedZones are the back-end zones that callers of this class may use.
 	AllowedZones []string `json:"allowedZones"`
-	// Endpoints are the declared endpoints in AllowedZones.
+	// Endpoints are the declared endpoints that are in AllowedZones.
 	Endpoints []resource.Endpoint `json:"endpoints,omitempty"`
 }
 
-// Snapshot is everything one class of proxies holds at one version. It is
-// immutable once built. Map keys are resource names.
+// Snapshot is the configuration of one entitlement class at one version. It
+// must not be modified once built. The maps are keyed by resource name.
 type Snapshot struct {
 	Version uint64 `json:"version"`
-	// Digest is the content's digest; it does not cover Version.
+	// Digest is the hash of the content, as computed by ComputeDigest. It does
+	// not cover Version.
 	Digest   string                          `json:"digest"`
 	Services map[string]*Service             `json:"services,omitempty"`
 	Routes   map[string]*resource.RouteSpec  `json:"routes,omitempty"`
 	Secrets  map[string]*resource.SecretSpec `json:"secrets,omitempty"`
 }
 
-// Project computes the snapshot of an entitlement class.
+// Project computes the snapshot of an entitlement class. It holds the routes
+// that admit the class, the services and secrets that those refer to, and the
+// services of the entitlement itself.
 func Project(state *resource.State, entitlement Entitlement) *Snapshot {
 	snapshot := &Snapshot{
 		Version:  state.Version(),
@@ -94,6 +102,7 @@
 	return snapshot
 }
 
+// placementsByService groups the placements of the state by service.
 func placementsByService(state *resource.State) map[string][]*resource.PlacementSpec {
 	placements := map[string][]*resource.PlacementSpec{}
 	for _, placement := range state.List(resource.KindPlacement) {
@@ -103,6 +112,8 @@
 	return placements
 }
 
+// projectService limits a service to the endpoints that callers in the zone may
+// use.
 func projectService(spec *resource.ServiceSpec, placements []*resource.PlacementSpec, zone string) *Service {
 	view := &Service{
 		Slots:        spec.Slots,
@@ -122,9 +133,9 @@
 	return view
 }
 
-// AllowedZones returns, sorted, the back-end zones that callers of a zone may
-// use. Without any placement only the caller's own zone is allowed; with one,
-// a caller zone that no rule names is allowed nothing.
+// AllowedZones returns the sorted back-end zones that callers in a zone may use,
+// given the placements of a service. Without a placement only the caller's own
+// zone is allowed; with one, a caller zone that no rule names may use no zone.
 func AllowedZones(placements []*resource.PlacementSpec, callerZone string) []string {
 	if len(placements) == 0 {
 		return []string{callerZone}
--- a/internal/projection/projection_test.go
+++ b/internal/projection/projection_test.go
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("Project", func() {
-	DescribeTable("gives a class only what its zone and services are entitled to",
+	DescribeTable("includes only what the zone and services of the class are entitled to",
 		func(zone string, services, wantRoutes, wantSecrets []string, wantZones map[string][]string) {
 			snapshot := projection.Project(resource.Restore(7, fixture), projection.Entitlement{Zone: zone, Services: services})
 			Expect(snapshot.Version).To(Equal(uint64(7)))
@@ -76,35 +76,35 @@
 			Expect(snapshot.CheckReferences()).To(Succeed())
 			Expect(snapshot.Verify()).To(Succeed())
 		},
-		Entry("an edge caller under a placement", "a", []string{"apps"},
+		Entry("a caller in a zone that a placement rule names", "a", []string{"apps"},
 			[]string{"sessions", "tariffs"}, []string{"sessions-token"},
 			map[string][]string{"tariffs": {"a", "b"}, "sessions": {"a"}}),
-		Entry("a caller zone the placement does not name gets no endpoint", "b", []string{"apps"},
+		Entry("a caller zone that no placement rule names gets no endpoint", "b", []string{"apps"},
 			[]string{"sessions", "tariffs"}, []string{"sessions-token"},
 			map[string][]string{"tariffs": {}, "sessions": {"b"}}),
-		Entry("a service's own proxy holds its service and what it may call", "c", []string{"sessions"},
+		Entry("the proxy of a service receives that service and what it may call", "c", []string{"sessions"},
 			[]string{"billing", "tariffs"}, []string{"billing-token"},
 			map[string][]string{"tariffs": {}, "sessions": {}, "billing": {"c"}}),
-		Entry("an identity nobody admits holds the public part only", "a", []string{"stranger"},
+		Entry("an identity that no route names receives only the routes open to all", "a", []string{"stranger"},
 			[]string{"tariffs"}, []string(nil),
 			map[string][]string{"tariffs": {"a", "b"}}),
 	)
 
-	It("equal entitlements form one class whatever the order of services", func() {
+	It("puts entitlements that differ only in the order of services into one class", func() {
 		left := projection.Entitlement{Zone: "a", Services: []string{"x", "y"}}
 		right := projection.Entitlement{Zone: "a", Services: []string{"y", "x"}}
 		Expect(left.Class()).To(Equal(right.Class()))
 	})
 })
 
-var _ = Describe("Closed", func() {
-	DescribeTable("names the route and what it lacks",
+var _ = Describe("CheckReferences", func() {
+	DescribeTable("reports a route whose service or secret is missing",
 		func(remove func(*projection.Snapshot), kind resource.Kind, name string) {
 			snapshot := projection.Project(resource.Restore(1, fixture), projection.Entitlement{Zone: "a", Services: []string{"apps"}})
 			remove(snapshot)
-			var open *projection.DanglingReferenceError
-			Expect(errors.As(snapshot.CheckReferences(), &open)).To(BeTrue())
-			Expect([]any{open.Kind, open.Name}).To(Equal([]any{kind, name}))
+			var dangling *projection.DanglingReferenceError
+			Expect(errors.As(snapshot.CheckReferences(), &dangling)).To(BeTrue())
+			Expect([]any{dangling.Kind, dangling.Name}).To(Equal([]any{kind, name}))
 		},
 		Entry("missing service", func(s *projection.Snapshot) { delete(s.Services, "tariffs") }, resource.KindService, "tariffs"),
 		Entry("missing secret", func(s *projection.Snapshot) { delete(s.Secrets, "sessions-token") }, resource.KindSecret, "sessions-token"),
@@ -114,7 +114,7 @@
 var _ = Describe("Delta", func() {
 	class := projection.Entitlement{Zone: "a", Services: []string{"apps", "sessions"}}
 
-	It("leads from any state to any other, survives encoding, and refuses another base", func() {
+	It("turns any state into any other after a JSON round trip, and rejects another base", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
 			from := projection.Project(resource.Restore(1, subset(random)), class)
@@ -135,7 +135,7 @@
 		}
 	})
 
-	It("is refused when its content does not have the digest it claims", func() {
+	It("is rejected if the resulting content does not match its digest", func() {
 		from := projection.Project(resource.Restore(1, fixture), class)
 		to := projection.Project(resource.Restore(2, fixture[:len(fixture)-1]), class)
 		delta := projection.Diff(from, to)
@@ -146,7 +146,8 @@
 	})
 })
 
-// subset returns a random part of the fixture, its values altered at random.
+// subset returns a random part of the fixture, with some secrets changed at
+// random.
 func subset(random *rand.Rand) []*resource.Resource {
 	var picked []*resource.Resource
 	for _, r := range fixture {
