--- a/internal/distribution/reader/core.go
+++ b/internal/distribution/reader/core.go
@@ -98,13 +98,13 @@
 
 // task is one recurring operation.
 type task struct {
-	at       time.Time
+	dueAt    time.Time
 	running  bool
 	failures int
 }
 
-func (t *task) ready(now time.Time) bool {
-	return !t.running && !t.at.IsZero() && !now.Before(t.at)
+func (t *task) due(now time.Time) bool {
+	return !t.running && !t.dueAt.IsZero() && !now.Before(t.dueAt)
 }
 
 // Core is the state of one candidate or reader. It is not safe for concurrent
@@ -148,13 +148,13 @@
 	switch {
 	case c.holding:
 	case c.candidacy == NotCandidate:
-		c.acquire.at = time.Time{}
+		c.acquire.dueAt = time.Time{}
 	case c.candidacy == Standby:
-		if c.acquire.at.IsZero() {
-			c.acquire.at = now.Add(c.randomAround(c.config.CandidateInterval))
+		if c.acquire.dueAt.IsZero() {
+			c.acquire.dueAt = now.Add(c.randomAround(c.config.CandidateInterval))
 		}
 	default:
-		c.acquire.at = now
+		c.acquire.dueAt = now
 	}
 }
 
@@ -168,10 +168,10 @@
 		c.beginHolding(now)
 	default:
 		c.acquire.failures = 0
-		c.acquire.at = now.Add(c.randomAround(c.acquireInterval()))
+		c.acquire.dueAt = now.Add(c.randomAround(c.acquireInterval()))
 	}
 	if c.candidacy == NotCandidate {
-		c.acquire.at = time.Time{}
+		c.acquire.dueAt = time.Time{}
 	}
 	return c.takeOutputs(now)
 }
@@ -186,8 +186,8 @@
 func (c *Core) beginHolding(now time.Time) {
 	c.holding = true
 	c.acquire = task{}
-	c.renew.at = now.Add(c.config.RenewInterval)
-	c.load.at = now
+	c.renew.dueAt = now.Add(c.config.RenewInterval)
+	c.load.dueAt = now
 }
 
 // Renewed answers Renew. Only a lease that the store no longer knows ends the
@@ -202,7 +202,7 @@
 		c.retry(now, &c.renew)
 	default:
 		c.renew.failures = 0
-		c.renew.at = now.Add(c.config.RenewInterval)
+		c.renew.dueAt = now.Add(c.config.RenewInterval)
 	}
 	return c.takeOutputs(now)
 }
@@ -211,11 +211,11 @@
 // when it is still a candidate.
 func (c *Core) endHolding(now time.Time) {
 	c.holding, c.loaded = false, false
-	c.renew.at, c.load.at, c.watch.at, c.poll.at = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	c.renew.dueAt, c.load.dueAt, c.watch.dueAt, c.poll.dueAt = time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	c.outputs.CancelWatch = c.watching
 	c.watching = false
 	if c.candidacy != NotCandidate {
-		c.acquire.at = now.Add(c.jitter(c.config.RetryBase))
+		c.acquire.dueAt = now.Add(c.jitter(c.config.RetryBase))
 	}
 }
 
@@ -230,8 +230,8 @@
 		c.load = task{}
 		c.loaded = true
 		c.revision = revision
-		c.watch.at = now
-		c.poll.at = now.Add(c.config.PollInterval)
+		c.watch.dueAt = now
+		c.poll.dueAt = now.Add(c.config.PollInterval)
 	}
 	return c.takeOutputs(now)
 }
@@ -264,7 +264,7 @@
 // store no longer has it.
 func (c *Core) watchFailed(now time.Time, err error) {
 	if errors.Is(err, store.ErrCompacted) {
-		c.poll.at = time.Time{}
+		c.poll.dueAt = time.Time{}
 		c.reload(now)
 		return
 	}
@@ -288,12 +288,12 @@
 		c.retry(now, &c.poll)
 	default:
 		c.poll.failures = 0
-		c.poll.at = now.Add(c.config.PollInterval)
+		c.poll.dueAt = now.Add(c.config.PollInterval)
 		if missed && c.watching {
 			c.outputs.CancelWatch = true
 			c.watching = false
 			c.revision = max(c.revision, revision)
-			c.watch.at = now
+			c.watch.dueAt = now
 		}
 	}
 	return c.takeOutputs(now)
@@ -303,8 +303,8 @@
 func (c *Core) reload(now time.Time) {
 	c.outputs.CancelWatch = c.watching
 	c.watching, c.loaded = false, false
-	c.watch.at = time.Time{}
-	c.load.at = now
+	c.watch.dueAt = time.Time{}
+	c.load.dueAt = now
 }
 
 // Stop gives the slot back, for a planned stop.
@@ -314,7 +314,7 @@
 		c.endHolding(now)
 		c.outputs.Requests = append(c.outputs.Requests, Request{Operation: Release})
 	}
-	c.acquire.at = time.Time{}
+	c.acquire.dueAt = time.Time{}
 	return c.takeOutputs(now)
 }
 
@@ -326,8 +326,8 @@
 func (c *Core) NextTick() time.Time {
 	var next time.Time
 	for _, task := range []*task{&c.acquire, &c.renew, &c.load, &c.watch, &c.poll} {
-		if !task.running && !task.at.IsZero() && (next.IsZero() || task.at.Before(next)) {
-			next = task.at
+		if !task.running && !task.dueAt.IsZero() && (next.IsZero() || task.dueAt.Before(next)) {
+			next = task.dueAt
 		}
 	}
 	return next
@@ -345,9 +345,9 @@
 }
 
 func (c *Core) start(now time.Time, task *task, request Request) {
-	if task.ready(now) {
+	if task.due(now) {
 		task.running = true
-		task.at = time.Time{}
+		task.dueAt = time.Time{}
 		c.outputs.Requests = append(c.outputs.Requests, request)
 	}
 }
@@ -355,7 +355,7 @@
 func (c *Core) retry(now time.Time, task *task) {
 	bound := min(c.config.RetryBase<<min(task.failures, 10), c.config.RetryCap)
 	task.failures++
-	task.at = now.Add(c.config.RetryBase/2 + c.jitter(bound))
+	task.dueAt = now.Add(c.config.RetryBase/2 + c.jitter(bound))
 }
 
 func (c *Core) jitter(bound time.Duration) time.Duration {
--- a/internal/endpoint/authority_test.go
+++ b/internal/endpoint/authority_test.go
@@ -11,39 +11,40 @@
 )
 
 var (
-	began = time.UnixMilli(1_000_000)
-	own   = endpoint.Update{
-		ID: endpoint.ID{Service: "tariff", Name: "a"}, Incarnation: uint64(began.UnixMilli()), State: endpoint.Ready,
+	startTime = time.UnixMilli(1_000_000)
+	own       = endpoint.Update{
+		ID: endpoint.ID{Service: "tariff", Name: "a"}, Incarnation: uint64(startTime.UnixMilli()), State: endpoint.Ready,
 		Zone: "north", Address: "10.0.0.1:80",
 	}
 )
 
-// TestAuthorityObserves: what an authority makes of updates from elsewhere.
+// TestAuthorityObserves checks which updates from other nodes an authority
+// answers, and that its answer supersedes them.
 func TestAuthorityObserves(t *testing.T) {
-	later := func(after time.Duration) uint64 { return uint64(began.Add(after).UnixMilli()) }
-	declared := own
-	declared.Sequence = 2
+	later := func(after time.Duration) uint64 { return uint64(startTime.Add(after).UnixMilli()) }
+	initial := own
+	initial.Sequence = 2
 	cases := []struct {
 		name     string
 		update   endpoint.Update
 		answered bool
 		state    endpoint.State
 	}{
-		{name: "its own update", update: declared},
+		{name: "the authority's own update", update: initial},
 		{name: "an earlier incarnation", update: endpoint.Update{ID: own.ID, Incarnation: own.Incarnation - 1, Sequence: 9}},
 		{name: "another endpoint", update: endpoint.Update{ID: endpoint.ID{Service: "tariff", Name: "b"}, Incarnation: later(time.Hour), Sequence: 9}},
-		{name: "declared down", update: declared.RelayOverride(endpoint.Down), answered: true, state: endpoint.Ready},
-		{name: "declared draining", update: declared.RelayOverride(endpoint.Draining), answered: true, state: endpoint.Draining},
-		{name: "a successor's, this process was paused", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Second), Sequence: 2, State: endpoint.Ready}},
-		{name: "a predecessor's, the clock was set back", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Hour), Sequence: 8, State: endpoint.Down}, answered: true, state: endpoint.Ready},
-		{name: "no incarnation is later", update: endpoint.Update{ID: own.ID, Incarnation: math.MaxUint64, Sequence: 8}},
+		{name: "a relay's override to down", update: initial.RelayOverride(endpoint.Down), answered: true, state: endpoint.Ready},
+		{name: "a relay's override to draining", update: initial.RelayOverride(endpoint.Draining), answered: true, state: endpoint.Draining},
+		{name: "a successor's, after this process was paused", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Second), Sequence: 2, State: endpoint.Ready}},
+		{name: "a predecessor's, after the clock was set back", update: endpoint.Update{ID: own.ID, Incarnation: later(time.Hour), Sequence: 8, State: endpoint.Down}, answered: true, state: endpoint.Ready},
+		{name: "the highest incarnation, which cannot be superseded", update: endpoint.Update{ID: own.ID, Incarnation: math.MaxUint64, Sequence: 8}},
 	}
 	for _, observed := range cases {
 		t.Run(observed.name, func(t *testing.T) {
 			g := NewWithT(t)
 			authority := endpoint.NewAuthority(own)
 			before := authority.Current()
-			answer, answered := authority.Observe(began.Add(time.Minute), observed.update)
+			answer, answered := authority.Observe(startTime.Add(time.Minute), observed.update)
 			g.Expect(answered).To(Equal(observed.answered))
 			if !answered {
 				g.Expect(authority.Current()).To(Equal(before))
@@ -57,14 +58,14 @@
 	}
 }
 
-// TestLeavingMachineStaysDraining: a back end that comes up, or recovers, on a
-// machine that the platform lists as leaving receives no new work.
+// TestLeavingMachineStaysDraining checks that a back end which starts or recovers
+// on a machine that the platform lists as leaving receives no new work.
 func TestLeavingMachineStaysDraining(t *testing.T) {
 	g := NewWithT(t)
 	warming := own
 	warming.State = endpoint.Warming
 	authority := endpoint.NewAuthority(warming)
-	_, answered := authority.Observe(began, authority.Current().RelayOverride(endpoint.Draining))
+	_, answered := authority.Observe(startTime, authority.Current().RelayOverride(endpoint.Draining))
 	g.Expect(answered).To(BeTrue())
 	_, changed := authority.Set(endpoint.Ready)
 	g.Expect(changed).To(BeFalse())
@@ -77,8 +78,9 @@
 	g.Expect(up.State).To(Equal(endpoint.Draining))
 }
 
-// TestProxyBelievesTheRelayItIsAttachedTo: what one relay declared down another
-// one may still hold.
+// TestProxyBelievesTheRelayItIsAttachedTo checks that a proxy reverts an override
+// to down when the relay that it is attached to now still reports the update
+// that another relay overrode, and that a relay's table does not.
 func TestProxyBelievesTheRelayItIsAttachedTo(t *testing.T) {
 	ready := own
 	ready.Sequence = 4
@@ -86,28 +88,28 @@
 	older.Sequence = 2
 	draining.State = endpoint.Draining
 	cases := []struct {
-		name    string
-		held    endpoint.Update
-		heard   endpoint.Update
-		believe bool
+		name     string
+		held     endpoint.Update
+		received endpoint.Update
+		accepted bool
 	}{
-		{"what was declared down", ready.RelayOverride(endpoint.Down), ready, true},
-		{"an older update than what was declared down", ready.RelayOverride(endpoint.Down), older, false},
-		{"what was declared draining", ready.RelayOverride(endpoint.Draining), ready, false},
-		{"what the authority itself ended", draining, older, false},
+		{"the update that was overridden to down", ready.RelayOverride(endpoint.Down), ready, true},
+		{"an older update than the one overridden to down", ready.RelayOverride(endpoint.Down), older, false},
+		{"the update that was overridden to draining", ready.RelayOverride(endpoint.Draining), ready, false},
+		{"an older update than the authority's own draining", draining, older, false},
 	}
-	for _, heard := range cases {
-		t.Run(heard.name, func(t *testing.T) {
+	for _, received := range cases {
+		t.Run(received.name, func(t *testing.T) {
 			g := NewWithT(t)
-			atProxy, elsewhere := endpoint.NewTable(), endpoint.NewTable()
-			atProxy.Merge(heard.held)
-			elsewhere.Merge(heard.held)
-			g.Expect(atProxy.MergeAtProxy(heard.heard)).To(Equal(heard.believe))
-			g.Expect(elsewhere.Merge(heard.heard)).To(BeFalse())
+			atProxy, atRelay := endpoint.NewTable(), endpoint.NewTable()
+			atProxy.Merge(received.held)
+			atRelay.Merge(received.held)
+			g.Expect(atProxy.MergeAtProxy(received.received)).To(Equal(received.accepted))
+			g.Expect(atRelay.Merge(received.received)).To(BeFalse())
 			held, _ := atProxy.Get(own.ID)
-			want := heard.held
-			if heard.believe {
-				want = heard.heard
+			want := received.held
+			if received.accepted {
+				want = received.received
 			}
 			g.Expect(held).To(Equal(want))
 		})
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,7 @@
 // Package endpoint defines the soft state of back ends: which are ready,
-// warming, draining or down. It is spread over the distribution tree and never
-// written to the store. The package is pure.
+// warming, draining or down. The state is disseminated through the distribution
+// tree and never written to the store. The package does no I/O and reads no
+// clock.
 package endpoint
 
 import (
@@ -8,7 +9,7 @@
 	"slices"
 )
 
-// State is the condition of an endpoint as its authority reports it.
+// State is the availability of an endpoint for new work.
 type State string
 
 // The states of an endpoint.
@@ -17,18 +18,18 @@
 	Ready State = "ready"
 	// Warming endpoints receive a growing share of new work.
 	Warming State = "warming"
-	// Draining endpoints finish what they have and receive no new work.
+	// Draining endpoints complete the work in progress and receive no new work.
 	Draining State = "draining"
-	// Down endpoints receive nothing.
+	// Down endpoints receive no work.
 	Down State = "down"
 )
 
 // AcceptsWork reports whether an endpoint in this state may receive new work.
 func (s State) AcceptsWork() bool { return s == Ready || s == Warming }
 
-// ControlService is the service under which control daemons announce
-// themselves over the tree. It is no valid name of an operator's service, so
-// that neither can be taken for the other.
+// ControlService is the service name under which control daemons announce
+// themselves in the distribution tree. It is not a valid resource name, so it
+// cannot collide with a service that an operator declares.
 const ControlService = "_control"
 
 // ID identifies an endpoint within the mesh.
@@ -37,53 +38,54 @@
 	Name    string `json:"name"`
 }
 
-// Compare orders ids by service, then by name.
+// Compare orders IDs by service, then by name.
 func (id ID) Compare(other ID) int {
 	return cmp.Or(cmp.Compare(id.Service, other.Service), cmp.Compare(id.Name, other.Name))
 }
 
-// Update is one observation of an endpoint by its authority, the proxy beside
-// it, or by a relay on that proxy's silence. Of two updates for one endpoint
-// the higher (Incarnation, Sequence) wins.
+// Update is the state of an endpoint as reported by its authority, the proxy
+// beside it, or as overridden by a relay (see RelayOverride). Of two updates for
+// one endpoint, the one with the higher (Incarnation, Sequence) wins.
 type Update struct {
 	ID ID `json:"id"`
-	// Incarnation is the authority's start, in Unix milliseconds.
+	// Incarnation is the start time of the authority, in Unix milliseconds.
 	Incarnation uint64 `json:"incarnation"`
-	// Sequence orders the updates of one incarnation. The authority uses
-	// even numbers; a relay that declares the endpoint down uses the odd one
-	// above, so that the authority's next update is newer than that.
+	// Sequence orders the updates of one incarnation. The authority uses even
+	// numbers. A relay that overrides an update uses the next odd number, so
+	// that the authority's next update supersedes the override.
 	Sequence uint64 `json:"sequence"`
 	State    State  `json:"state"`
 	Zone     string `json:"zone"`
-	// Address is the inbound listener, host:port.
+	// Address is the host:port of the inbound listener.
 	Address string            `json:"address,omitempty"`
 	Labels  map[string]string `json:"labels,omitempty"`
 }
 
-// Compare orders updates of one endpoint by age: positive when u is newer.
+// Compare orders updates of one endpoint by age. The result is positive if u is
+// newer than other.
 func (u Update) Compare(other Update) int {
 	return cmp.Or(cmp.Compare(u.Incarnation, other.Incarnation), cmp.Compare(u.Sequence, other.Sequence))
 }
 
-// RelayOverride returns the update by which a relay declares the endpoint to be in
-// a state on behalf of its authority: down after the authority fell silent,
-// draining when the platform lists the machine as leaving.
+// RelayOverride returns the update with which a relay overrides u with another
+// state: Down after the authority has stopped reporting, Draining when the
+// platform lists the machine as leaving.
 func (u Update) RelayOverride(state State) Update {
 	u.State = state
 	u.Sequence |= 1
 	return u
 }
 
-// RevertsDownOverride reports whether this update is the one from which a relay made the
-// held declaration that the endpoint is down. A proxy that hears it after the
-// declaration, from another relay, believes the one it is attached to; a relay
-// must not, since its children may hold the declaration too.
+// RevertsDownOverride reports whether held is a relay's override of u to Down.
+// A proxy that receives u after the override, from another relay, trusts the
+// relay that it is attached to and reverts to u. A relay must not do so, since
+// its children may hold the override too.
 func (u Update) RevertsDownOverride(held Update) bool {
 	return held.State == Down && !u.IsRelayOverride() && u.ID == held.ID && u.RelayOverride(Down).Compare(held) == 0
 }
 
-// IsRelayOverride reports whether a relay declared the update on the authority's
-// behalf.
+// IsRelayOverride reports whether the update was made by a relay and not by the
+// authority of the endpoint.
 func (u Update) IsRelayOverride() bool { return u.Sequence%sequenceStep != 0 }
 
 // Table holds the newest update of each endpoint. It is not safe for
@@ -95,8 +97,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{latest: map[ID]Update{}} }
 
-// Merge takes an update in when it is newer than what is held, and reports
-// whether it was.
+// Merge stores an update if it is newer than the one held for the endpoint, and
+// reports whether it did.
 func (t *Table) Merge(update Update) bool {
 	held, known := t.latest[update.ID]
 	if known && update.Compare(held) <= 0 {
@@ -112,10 +114,11 @@
 	return update, known
 }
 
-// Len returns how many endpoints the table holds.
+// Len returns the number of endpoints in the table.
 func (t *Table) Len() int { return len(t.latest) }
 
-// MergeAtProxy is Merge for a table whose content goes to nobody else.
+// MergeAtProxy is like Merge, but also stores an update that reverts a relay's
+// override to Down. It is meant for proxies, which do not pass their table on.
 func (t *Table) MergeAtProxy(update Update) bool {
 	if held, known := t.latest[update.ID]; known && update.RevertsDownOverride(held) {
 		t.latest[update.ID] = update
@@ -124,7 +127,7 @@
 	return t.Merge(update)
 }
 
-// All returns the newest update of every endpoint, ordered by id.
+// All returns the newest update of every endpoint, ordered by ID.
 func (t *Table) All() []Update {
 	all := make([]Update, 0, len(t.latest))
 	for _, update := range t.latest {
--- a/internal/projection/projection_test.go
+++ b/internal/projection/projection_test.go
@@ -97,7 +97,7 @@
 	})
 })
 
-var _ = Describe("CheckReferences", func() {
+var _ = Describe("Closed", func() {
 	DescribeTable("reports a route whose service or secret is missing",
 		func(remove func(*projection.Snapshot), kind resource.Kind, name string) {
 			snapshot := projection.Project(resource.Restore(1, fixture), projection.Entitlement{Zone: "a", Services: []string{"apps"}})
