--- a/internal/distribution/reader/core.go
+++ b/internal/distribution/reader/core.go
@@ -1,10 +1,11 @@
-// Package reader is the decision core of a store reader: when to try for one
-// of the few reader slots, when to renew its lease, load, watch and poll, and
-// how to back off. The outputs are operations that the shell performs on the
-// store, at most one of a kind at a time; each must be answered in bounded
-// time. No promise rests on the lease: it only bounds the load on the store,
-// so a holder that can't reach the store goes on serving what it has. The
-// package has no goroutine, clock or socket.
+// Package reader implements the state machine of a store reader: when to acquire
+// one of the few reader slots, when to renew its lease, load, watch and poll, and
+// how to back off. Its outputs are operations that the caller performs on the
+// store, with at most one of each kind in progress; the caller must report the
+// result of each in bounded time. Correctness does not depend on the lease, which
+// only bounds the load on the store. A holder that cannot reach the store
+// therefore keeps serving what it has. The package has no goroutine, clock or
+// socket.
 package reader
 
 import (
@@ -15,25 +16,28 @@
 	"github.com/kestrelstream/kestrelstream/internal/store"
 )
 
-// Config holds the intervals of a reader.
+// Config holds the intervals and timeouts of a reader.
 type Config struct {
-	// LeaseTime is the time to live asked for a slot's lease.
+	// LeaseTime is the time to live requested for the lease of a slot.
 	LeaseTime time.Duration
-	// RenewInterval is the time between renewals.
+	// RenewInterval is the time between renewals of the lease.
 	RenewInterval time.Duration
-	// PollInterval is the time between checks that the watch has missed
-	// nothing.
+	// PollInterval is the time between polls of the log, which detect entries
+	// that the watch has missed.
 	PollInterval time.Duration
-	// RetryBase and RetryCap bound the full-jitter wait after a failure.
+	// RetryBase and RetryCap are the first and the largest upper bound of the
+	// random backoff after a failure. The bound doubles with each failure in a
+	// row, and half of RetryBase is added to the random wait.
 	RetryBase time.Duration
 	RetryCap  time.Duration
-	// CandidateInterval is the mean wait of a candidate that found every
-	// slot held; UrgentInterval the same for one without a parent.
+	// CandidateInterval is the mean time until a candidate tries again after it
+	// found all slots taken. UrgentInterval is the same for Urgent candidates.
 	CandidateInterval time.Duration
 	UrgentInterval    time.Duration
 }
 
-// DefaultConfig returns the values chosen in docs/design/0004.
+// DefaultConfig returns the default intervals, which are chosen in
+// docs/design/0004.
 func DefaultConfig() Config {
 	return Config{
 		LeaseTime:         6 * time.Second,
@@ -46,69 +50,75 @@
 	}
 }
 
-// Candidacy says how a node stands toward the reader slots.
+// Candidacy says whether and how eagerly a node tries to acquire a reader slot.
 type Candidacy int
 
-// The candidacies.
+// The values of Candidacy.
 const (
-	// NotCandidate does not try for a slot.
+	// NotCandidate nodes do not try to acquire a slot.
 	NotCandidate Candidacy = iota
-	// Standby looks for a free slot from time to time.
+	// Standby nodes try once every CandidateInterval on average.
 	Standby
-	// Leading tries at once, then from time to time.
+	// Leading nodes try immediately, then as often as Standby nodes.
 	Leading
-	// Urgent tries at once and often: the node has no parent.
+	// Urgent nodes have no parent. They try immediately, then once every
+	// UrgentInterval on average.
 	Urgent
 )
 
-// Operation is something the shell does on the store.
+// Operation is a kind of operation that the caller performs on the store.
 type Operation string
 
-// The operations.
+// The operations and the methods of Core that report their results.
 const (
-	// Acquire tries for a free slot with a new lease; answered by Acquired.
+	// Acquire tries to acquire a free slot with a new lease. The result is
+	// reported with Acquired.
 	Acquire Operation = "acquire"
-	// Renew keeps the lease alive; answered by Renewed.
+	// Renew renews the lease. The result is reported with Renewed.
 	Renew Operation = "renew"
-	// Load reads what follows the version held, or the checkpoint and what
-	// follows it; answered by Loaded once the relay has taken it in.
+	// Load reads the log after the version held, or the checkpoint and the log
+	// after that. The result is reported with Loaded once the relay has applied
+	// it.
 	Load Operation = "load"
-	// Watch starts the watch of the log after Request.Revision; answered by
-	// Watching, later by WatchEnded.
+	// Watch starts a watch of the log after Request.Revision. The result is
+	// reported with Watching, and the end of the watch with WatchEnded.
 	Watch Operation = "watch"
-	// Poll reads the log after the version held; answered by Polled.
+	// Poll reads the log after the version held. The result is reported with
+	// Polled.
 	Poll Operation = "poll"
-	// Release gives the slot back.
+	// Release releases the slot. Its result is not reported.
 	Release Operation = "release"
 )
 
-// Request is one operation with its argument.
+// Request is an operation with its argument.
 type Request struct {
 	Operation Operation
-	// Revision is where a watch starts.
+	// Revision is the store revision after which a watch starts.
 	Revision uint64
 }
 
-// Outputs is what the shell has to do.
+// Outputs lists what the caller has to do after a call.
 type Outputs struct {
 	Requests []Request
-	// CancelWatch ends the running watch, first.
+	// CancelWatch says to cancel the running watch before any request is made.
 	CancelWatch bool
 }
 
-// task is one recurring operation.
+// task is the schedule of one recurring operation.
 type task struct {
+	// dueAt is when the operation is due; zero if it is not scheduled.
 	dueAt    time.Time
 	running  bool
 	failures int
 }
 
+// due reports whether the operation should be started.
 func (t *task) due(now time.Time) bool {
 	return !t.running && !t.dueAt.IsZero() && !now.Before(t.dueAt)
 }
 
-// Core is the state of one candidate or reader. It is not safe for concurrent
-// use.
+// Core is the state machine of a node as a candidate for a slot and as a reader.
+// It is not safe for concurrent use.
 type Core struct {
 	config Config
 	random *rand.Rand
@@ -117,24 +127,26 @@
 	holding   bool
 	loaded    bool
 	watching  bool
-	revision  uint64
+	// revision is the store revision after which the next watch starts.
+	revision uint64
 
 	acquire, renew, load, watch, poll task
 
 	outputs Outputs
 }
 
-// New returns a core that is no candidate and holds nothing.
+// New returns a core that is not a candidate and holds no slot.
 func New(config Config, random *rand.Rand) *Core {
 	return &Core{config: config, random: random}
 }
 
-// Holding reports whether the core believes to hold a slot. After a pause the
-// belief may be wrong until the next renewal is answered.
+// Holding reports whether the node holds a slot as far as it knows. If the lease
+// expired while the process was paused, the result is out of date until the next
+// renewal completes.
 func (c *Core) Holding() bool { return c.holding }
 
-// SetCandidacy says how this node stands toward the slots. A slot held is kept all
-// the same.
+// SetCandidacy sets the candidacy of the node. It does not make the node release a
+// slot that it holds.
 func (c *Core) SetCandidacy(now time.Time, candidacy Candidacy) Outputs {
 	if candidacy != c.candidacy {
 		c.candidacy = candidacy
@@ -143,7 +155,7 @@
 	return c.takeOutputs(now)
 }
 
-// scheduleAcquire plans the first attempt of a new candidacy.
+// scheduleAcquire schedules the first attempt after a change of candidacy.
 func (c *Core) scheduleAcquire(now time.Time) {
 	switch {
 	case c.holding:
@@ -158,7 +170,7 @@
 	}
 }
 
-// Acquired answers Acquire: held says whether a slot was won.
+// Acquired reports the result of Acquire; held says whether a slot was acquired.
 func (c *Core) Acquired(now time.Time, held bool, err error) Outputs {
 	c.acquire.running = false
 	switch {
@@ -176,6 +188,7 @@
 	return c.takeOutputs(now)
 }
 
+// acquireInterval returns the mean time between attempts to acquire a slot.
 func (c *Core) acquireInterval() time.Duration {
 	if c.candidacy == Urgent {
 		return c.config.UrgentInterval
@@ -183,6 +196,7 @@
 	return c.config.CandidateInterval
 }
 
+// beginHolding records that a slot was acquired and starts to load.
 func (c *Core) beginHolding(now time.Time) {
 	c.holding = true
 	c.acquire = task{}
@@ -190,8 +204,8 @@
 	c.load.dueAt = now
 }
 
-// Renewed answers Renew. Only a lease that the store no longer knows ends the
-// holding; a store that can't be reached does not.
+// Renewed reports the result of Renew. The slot is lost only if the store no longer
+// knows the lease, not if the store cannot be reached.
 func (c *Core) Renewed(now time.Time, err error) Outputs {
 	c.renew.running = false
 	switch {
@@ -207,8 +221,8 @@
 	return c.takeOutputs(now)
 }
 
-// endHolding ends the holding; the node tries again for a slot at once, with jitter,
-// when it is still a candidate.
+// endHolding records that the slot is lost. A node that is still a candidate tries
+// to acquire one again after a short random wait.
 func (c *Core) endHolding(now time.Time) {
 	c.holding, c.loaded = false, false
 	c.renew.dueAt, c.load.dueAt, c.watch.dueAt, c.poll.dueAt = time.Time{}, time.Time{}, time.Time{}, time.Time{}
@@ -219,7 +233,7 @@
 	}
 }
 
-// Loaded answers Load with the store's revision at that moment.
+// Loaded reports the result of Load and the store revision at which it was read.
 func (c *Core) Loaded(now time.Time, revision uint64, err error) Outputs {
 	c.load.running = false
 	switch {
@@ -236,7 +250,7 @@
 	return c.takeOutputs(now)
 }
 
-// Watching answers Watch.
+// Watching reports whether the watch was started.
 func (c *Core) Watching(now time.Time, err error) Outputs {
 	c.watch.running = false
 	switch {
@@ -251,7 +265,7 @@
 	return c.takeOutputs(now)
 }
 
-// WatchEnded says that the running watch ended.
+// WatchEnded reports the end of the running watch.
 func (c *Core) WatchEnded(now time.Time, err error) Outputs {
 	if c.watching {
 		c.watching = false
@@ -260,8 +274,8 @@
 	return c.takeOutputs(now)
 }
 
-// watchFailed starts over: from the revision reached, or by loading when the
-// store no longer has it.
+// watchFailed schedules a new watch from the last revision seen, or a load if the
+// store has compacted that revision.
 func (c *Core) watchFailed(now time.Time, err error) {
 	if errors.Is(err, store.ErrCompacted) {
 		c.poll.dueAt = time.Time{}
@@ -271,13 +285,14 @@
 	c.retry(now, &c.watch)
 }
 
-// WatchEvent notes the revision that the watch has reached.
+// WatchEvent records the store revision that the watch has reached.
 func (c *Core) WatchEvent(revision uint64) {
 	c.revision = max(c.revision, revision)
 }
 
-// Polled answers Poll: missed says that the log held entries that the watch
-// had not delivered, revision is the store's at that moment.
+// Polled reports the result of Poll. If missed is set, the log held entries that
+// the watch had not delivered, and the watch is started again. The revision is that
+// of the store when the log was read.
 func (c *Core) Polled(now time.Time, missed bool, revision uint64, err error) Outputs {
 	c.poll.running = false
 	switch {
@@ -299,7 +314,8 @@
 	return c.takeOutputs(now)
 }
 
-// reload loads anew: what is held lies before what the log still has.
+// reload schedules a new load, since the log after the version held has been
+// compacted.
 func (c *Core) reload(now time.Time) {
 	c.outputs.CancelWatch = c.watching
 	c.watching, c.loaded = false, false
@@ -307,7 +323,7 @@
 	c.load.dueAt = now
 }
 
-// Stop gives the slot back, for a planned stop.
+// Stop withdraws the candidacy and releases the slot, for a planned stop.
 func (c *Core) Stop(now time.Time) Outputs {
 	c.candidacy = NotCandidate
 	if c.holding {
@@ -318,11 +334,11 @@
 	return c.takeOutputs(now)
 }
 
-// Tick does whatever has come due.
+// Tick starts the operations that are due.
 func (c *Core) Tick(now time.Time) Outputs { return c.takeOutputs(now) }
 
-// NextTick returns when Tick has to be called next; the zero time when nothing
-// is due.
+// NextTick returns the time at which Tick must be called next, or the zero time if
+// no operation is scheduled.
 func (c *Core) NextTick() time.Time {
 	var next time.Time
 	for _, task := range []*task{&c.acquire, &c.renew, &c.load, &c.watch, &c.poll} {
@@ -333,6 +349,8 @@
 	return next
 }
 
+// takeOutputs starts the operations that are due and returns the outputs collected
+// since the last call.
 func (c *Core) takeOutputs(now time.Time) Outputs {
 	c.start(now, &c.acquire, Request{Operation: Acquire})
 	c.start(now, &c.renew, Request{Operation: Renew})
@@ -344,6 +362,7 @@
 	return outputs
 }
 
+// start requests an operation if it is due.
 func (c *Core) start(now time.Time, task *task, request Request) {
 	if task.due(now) {
 		task.running = true
@@ -352,16 +371,20 @@
 	}
 }
 
+// retry schedules a failed operation again with exponential backoff and jitter.
 func (c *Core) retry(now time.Time, task *task) {
 	bound := min(c.config.RetryBase<<min(task.failures, 10), c.config.RetryCap)
 	task.failures++
 	task.dueAt = now.Add(c.config.RetryBase/2 + c.jitter(bound))
 }
 
+// jitter returns a random duration from 0 up to the bound.
 func (c *Core) jitter(bound time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(bound) + 1))
 }
 
+// randomAround returns a random duration between half and one and a half times the
+// mean.
 func (c *Core) randomAround(mean time.Duration) time.Duration {
 	return mean/2 + c.jitter(mean)
 }
