--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -24,27 +24,28 @@
 
 const secretValue = "planted-secret"
 
-func put(kind resource.Kind, name string, fill func(*resource.Resource)) resource.Change {
+// putChange returns a change that puts a resource completed by fill.
+func putChange(kind resource.Kind, name string, fill func(*resource.Resource)) resource.Change {
 	declared := &resource.Resource{Kind: kind, Metadata: resource.Metadata{Name: name}}
 	fill(declared)
 	return resource.Change{Action: resource.ActionPut, Resource: declared}
 }
 
-// parent is a relay at version 1 with one route for the peer and one, with a
-// secret, for others.
-func parent() *relay.Core {
+// newParent returns a relay at version 1 with one route that admits the peer, and
+// one with a secret that does not.
+func newParent() *relay.Core {
 	core := relay.New(relay.DefaultConfig(), distribution.Node{Name: "r1", Incarnation: 1, Zone: "harbour"})
 	core.SetSource(start, distribution.Source{})
 	changes := []resource.Change{
-		put(resource.KindService, "tariffs", func(r *resource.Resource) { r.Service = &resource.ServiceSpec{Slots: 1} }),
-		put(resource.KindService, "billing", func(r *resource.Resource) { r.Service = &resource.ServiceSpec{Slots: 1} }),
-		put(resource.KindSecret, "key", func(r *resource.Resource) {
+		putChange(resource.KindService, "tariffs", func(r *resource.Resource) { r.Service = &resource.ServiceSpec{Slots: 1} }),
+		putChange(resource.KindService, "billing", func(r *resource.Resource) { r.Service = &resource.ServiceSpec{Slots: 1} }),
+		putChange(resource.KindSecret, "key", func(r *resource.Resource) {
 			r.Secret = &resource.SecretSpec{Header: "Authorization", Value: secretValue}
 		}),
-		put(resource.KindRoute, "tariffs", func(r *resource.Resource) {
+		putChange(resource.KindRoute, "tariffs", func(r *resource.Resource) {
 			r.Route = &resource.RouteSpec{Service: "tariffs", Consumers: []string{"driver-app"}}
 		}),
-		put(resource.KindRoute, "billing", func(r *resource.Resource) {
+		putChange(resource.KindRoute, "billing", func(r *resource.Resource) {
 			r.Route = &resource.RouteSpec{Service: "billing", Secret: "key", Consumers: []string{"clerk"}}
 		}),
 	}
@@ -52,7 +53,8 @@
 	return core
 }
 
-func encoded(value any) []byte {
+// mustEncode returns the value as JSON.
+func mustEncode(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -60,12 +62,13 @@
 	return text
 }
 
-// FuzzHello: whatever a proxy says on opening a stream, it gets its own view
-// or a refusal, and the configuration stays as it is.
+// FuzzHello checks that whatever Hello a proxy opens a stream with, it receives
+// only what it is entitled to or a refusal, the relay's configuration does not
+// change, and another proxy can attach a minute later.
 func FuzzHello(f *testing.F) {
-	f.Add(encoded(distribution.Hello{Node: node, Kind: distribution.ChildProxy, Entitlement: peer.Entitlement()}))
-	f.Add(encoded(distribution.Hello{Node: node, Kind: distribution.ChildControl}))
-	f.Add(encoded(distribution.Hello{Node: node, Kind: distribution.ChildProxy, Version: 1 << 63, Digest: "0",
+	f.Add(mustEncode(distribution.Hello{Node: node, Kind: distribution.ChildProxy, Entitlement: peer.Entitlement()}))
+	f.Add(mustEncode(distribution.Hello{Node: node, Kind: distribution.ChildControl}))
+	f.Add(mustEncode(distribution.Hello{Node: node, Kind: distribution.ChildProxy, Version: 1 << 63, Digest: "0",
 		Endpoints: []endpoint.Update{{ID: endpoint.ID{Service: "driver-app", Name: "e"}, Zone: "harbour", State: endpoint.Down}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var hello distribution.Hello
@@ -73,88 +76,91 @@
 			return
 		}
 		if hello.Kind != distribution.ChildProxy || hello.Entitlement.Class() != peer.Entitlement().Class() {
-			t.Fatalf("admitted %+v", hello)
+			t.Fatalf("admitted a Hello of another identity: %+v", hello)
 		}
-		core := parent()
+		core := newParent()
 		outputs := core.Attach(start, 1, hello)
 		for _, send := range outputs.Sends {
-			checkView(t, send.Message)
+			checkEntitled(t, send.Message)
 		}
 		if core.State().Version() != 1 {
-			t.Fatalf("the configuration moved to version %d", core.State().Version())
+			t.Fatalf("the configuration changed to version %d", core.State().Version())
 		}
 		after := start.Add(time.Minute)
 		core.Tick(after)
-		newcomer := distribution.Hello{Node: distribution.Node{Name: "m2", Incarnation: 1, Zone: "harbour"},
+		other := distribution.Hello{Node: distribution.Node{Name: "m2", Incarnation: 1, Zone: "harbour"},
 			Kind: distribution.ChildProxy, Entitlement: peer.Entitlement()}
-		if refused := core.Attach(after, 2, newcomer).Refusals; len(refused) > 0 {
-			t.Fatalf("a newcomer is refused after a minute: %v", refused)
+		if refused := core.Attach(after, 2, other).Refusals; len(refused) > 0 {
+			t.Fatalf("another proxy is refused a minute later: %v", refused)
 		}
 	})
 }
 
-// checkView fails when a message holds what the peer is not entitled to.
-func checkView(t *testing.T, message *distribution.Message) {
+// checkEntitled fails the test if a message holds anything that the peer is not
+// entitled to.
+func checkEntitled(t *testing.T, message *distribution.Message) {
 	if message.Checkpoint != nil || message.Entries != nil || message.Readers != nil || message.Zones != nil {
-		t.Fatalf("a proxy was sent what control daemons get: %s", encoded(message))
+		t.Fatalf("a proxy was sent fields that are only for control daemons: %s", mustEncode(message))
 	}
 	if message.Snapshot != nil && (len(message.Snapshot.Secrets) > 0 || message.Snapshot.Routes["billing"] != nil) {
-		t.Fatalf("a proxy was sent another consumer's route: %s", encoded(message))
+		t.Fatalf("a proxy was sent a route or secret of another consumer: %s", mustEncode(message))
 	}
 }
 
-// FuzzReport: whatever a proxy reports, the configuration stays as it is and
-// no version is said to be in force that the relay has not reached.
+// FuzzReport checks that whatever a proxy reports, the relay's configuration does
+// not change and no version above the relay's own counts as in force.
 func FuzzReport(f *testing.F) {
-	f.Add(encoded(distribution.Report{Node: node, Applied: 1}))
-	f.Add(encoded(distribution.Report{Node: node, Applied: 1 << 63, Failure: &distribution.ApplyFailure{Version: 2, Reason: "x"}}))
-	f.Add(encoded(distribution.Report{Node: node, Zones: []distribution.ZoneStatus{{Zone: "harbour", Highest: 9}}}))
+	f.Add(mustEncode(distribution.Report{Node: node, Applied: 1}))
+	f.Add(mustEncode(distribution.Report{Node: node, Applied: 1 << 63, Failure: &distribution.ApplyFailure{Version: 2, Reason: "x"}}))
+	f.Add(mustEncode(distribution.Report{Node: node, Zones: []distribution.ZoneStatus{{Zone: "harbour", Highest: 9}}}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		var report distribution.Report
 		if json.Unmarshal(body, &report) != nil || identity.AdmitReport(peer, &report) != nil {
 			return
 		}
-		core := parent()
+		core := newParent()
 		core.Attach(start, 1, distribution.Hello{Node: node, Kind: distribution.ChildProxy, Entitlement: peer.Entitlement()})
 		core.Report(start, 1, report)
 		core.Tick(start.Add(time.Minute))
 		if core.State().Version() != 1 || core.Floor("harbour") > 1 {
-			t.Fatalf("version %d, floor %d", core.State().Version(), core.Floor("harbour"))
+			t.Fatalf("the relay reports version %d and floor %d", core.State().Version(), core.Floor("harbour"))
 		}
 		for _, zone := range core.Zones() {
 			if zone.Highest > 1 {
-				t.Fatalf("version %d is said to be in force", zone.Highest)
+				t.Fatalf("version %d counts as in force, though the relay has not reached it", zone.Highest)
 			}
 		}
 	})
 }
 
-// FuzzMessage: whatever a parent sends, a child applies only whole, closed
-// content above what it has in force; a control child's relay takes it in.
+// FuzzMessage checks that whatever a parent sends, a proxy applies only content
+// with a matching digest, no dangling references and a version above the one in
+// force, and that the relay of a control child processes it without a panic.
 func FuzzMessage(f *testing.F) {
-	snapshot := projection.Project(parent().State(), projection.Entitlement{Zone: "harbour", Services: []string{"clerk"}})
-	f.Add(encoded(distribution.Message{Version: 1, Snapshot: snapshot}), true)
-	f.Add(encoded(distribution.Message{Version: 2, Delta: projection.Diff(snapshot, snapshot.WithVersion(2))}), false)
-	f.Add(encoded(distribution.Message{Checkpoint: &distribution.Checkpoint{Version: 9, Resources: parent().State().All()}}), false)
-	f.Add(encoded(distribution.Message{Entries: []resource.Entry{{Version: 2, Batches: []resource.Batch{{
+	snapshot := projection.Project(newParent().State(), projection.Entitlement{Zone: "harbour", Services: []string{"clerk"}})
+	f.Add(mustEncode(distribution.Message{Version: 1, Snapshot: snapshot}), true)
+	f.Add(mustEncode(distribution.Message{Version: 2, Delta: projection.Diff(snapshot, snapshot.WithVersion(2))}), false)
+	f.Add(mustEncode(distribution.Message{Checkpoint: &distribution.Checkpoint{Version: 9, Resources: newParent().State().All()}}), false)
+	f.Add(mustEncode(distribution.Message{Entries: []resource.Entry{{Version: 2, Batches: []resource.Batch{{
 		Changes: []resource.Change{{Action: resource.ActionDelete, Key: resource.Key{Kind: resource.KindRoute, Name: "tariffs"}}}}}}}}), false)
 	f.Add([]byte(`{"snapshot":{"version":3,"routes":{"a":null}}}`), true)
 	f.Add([]byte(`{"checkpoint":{"version":3,"resources":[null]}}`), true)
 	f.Add([]byte(`{"entries":[{"version":2,"batches":[{"changes":[{"action":"put"}]}]}]}`), true)
-	f.Fuzz(func(t *testing.T, line []byte, rightDigest bool) {
+	f.Fuzz(func(t *testing.T, line []byte, setDigest bool) {
 		message := &distribution.Message{}
 		if json.Unmarshal(line, message) != nil || message.WellFormed() != nil {
 			return
 		}
-		if rightDigest && message.Snapshot != nil {
+		if setDigest && message.Snapshot != nil {
 			message.Snapshot.Digest = message.Snapshot.ComputeDigest()
 		}
-		takeAsProxy(t, message)
-		takeAsControl(message)
+		receiveAsProxy(t, message)
+		receiveAsControl(message)
 	})
 }
 
-func child(kind distribution.ChildKind) *subscriber.Core {
+// newChild returns a subscriber that is connected to a parent.
+func newChild(kind distribution.ChildKind) *subscriber.Core {
 	core := subscriber.New(subscriber.DefaultConfig(), node, kind, peer.Entitlement(), rand.New(rand.NewPCG(1, 1)))
 	core.Parents(start, []subscriber.Parent{{Node: "r1", Address: "127.0.0.1:1"}})
 	core.Tick(start.Add(time.Minute))
@@ -162,8 +168,9 @@
 	return core
 }
 
-func takeAsProxy(t *testing.T, message *distribution.Message) {
-	core, now := child(distribution.ChildProxy), start.Add(time.Minute)
+// receiveAsProxy delivers the message to a proxy twice and checks what it applies.
+func receiveAsProxy(t *testing.T, message *distribution.Message) {
+	core, now := newChild(distribution.ChildProxy), start.Add(time.Minute)
 	for range 2 {
 		before := core.Version()
 		applied := core.Received(now, message).Apply
@@ -171,21 +178,23 @@
 			continue
 		}
 		if applied.Version <= before || applied.Verify() != nil || applied.CheckReferences() != nil {
-			t.Fatalf("applies %s over version %d", encoded(applied), before)
+			t.Fatalf("applied %s over version %d", mustEncode(applied), before)
 		}
 		core.Applied(now, applied.Version)
 	}
 }
 
-func takeAsControl(message *distribution.Message) {
-	core, now := child(distribution.ChildControl), start.Add(time.Minute)
+// receiveAsControl delivers the message to a control child and passes its outputs on
+// to a relay.
+func receiveAsControl(message *distribution.Message) {
+	core, now := newChild(distribution.ChildControl), start.Add(time.Minute)
 	outputs := core.Received(now, message)
-	relaying := parent()
+	relayCore := newParent()
 	if outputs.Checkpoint != nil {
-		relaying.Restore(now, *outputs.Checkpoint)
+		relayCore.Restore(now, *outputs.Checkpoint)
 	}
-	relaying.Advance(now, outputs.Entries)
-	relaying.ParentZones(now, "r1", outputs.Zones)
-	relaying.SetReaders(now, slices.Clone(outputs.Readers))
-	projection.Project(relaying.State(), peer.Entitlement())
+	relayCore.Advance(now, outputs.Entries)
+	relayCore.ParentZones(now, "r1", outputs.Zones)
+	relayCore.SetReaders(now, slices.Clone(outputs.Readers))
+	projection.Project(relayCore.State(), peer.Entitlement())
 }
--- a/internal/distribution/message.go
+++ b/internal/distribution/message.go
@@ -1,7 +1,8 @@
-// Package distribution defines the messages that carry configuration and
-// endpoint state from store readers through zone relays to proxies, and
-// acknowledgements back up. A stream is one long-lived HTTP/1.1 response of
-// JSON messages, one a line; reports travel up as small requests.
+// Package distribution defines the messages of the distribution tree. They carry
+// configuration and endpoint state from store readers through zone relays to
+// proxies, and acknowledgements back. A stream is one long-lived HTTP/1.1 response
+// with one JSON message per line; children send reports to their parent as small
+// requests.
 package distribution
 
 import (
@@ -12,53 +13,53 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// ChildKind says what a child of a stream wants to receive.
+// ChildKind is the kind of a child, which determines what it receives.
 type ChildKind string
 
 // The kinds of children.
 const (
 	// ChildProxy receives the projection of its entitlement class.
 	ChildProxy ChildKind = "proxy"
-	// ChildControl is another control daemon and receives log entries.
+	// ChildControl is a control daemon and receives log entries.
 	ChildControl ChildKind = "control"
 )
 
-// Node identifies one start of one process.
+// Node identifies one run of a process.
 type Node struct {
 	Name string `json:"name"`
-	// Incarnation is the start of the process in Unix milliseconds; a
-	// returning process has a higher one than its predecessor.
+	// Incarnation is the start time of the process in Unix milliseconds. A
+	// restarted process has a higher one than its predecessor.
 	Incarnation uint64 `json:"incarnation"`
 	Zone        string `json:"zone"`
 	Region      string `json:"region,omitempty"`
 }
 
-// Hello opens a stream. Version and Digest are what the child holds; version
-// zero means nothing.
+// Hello is the request that opens a stream. Version and Digest identify the
+// configuration that the child holds; version zero means that it holds none.
 type Hello struct {
 	Node        Node                   `json:"node"`
 	Kind        ChildKind              `json:"kind"`
 	Entitlement projection.Entitlement `json:"entitlement,omitzero"`
 	Version     uint64                 `json:"version"`
 	Digest      string                 `json:"digest,omitempty"`
-	// Endpoints are the child's own endpoints, or for a control child the
-	// ones its children are the authorities of.
+	// Endpoints are the endpoints for which the child is the authority, or for
+	// a control child those for which its own children are.
 	Endpoints []endpoint.Update `json:"endpoints,omitempty"`
-	// Readers are the slots that a child which is a reader itself knows to
-	// be held, its own included, so that its peers find it.
+	// Readers are set by a child that is a store reader: all slots that it
+	// knows to be held, including its own, so that the other readers find it.
 	Readers []Reader `json:"readers,omitempty"`
-	// CertificateExpires is set by the parent from the child's certificate;
-	// it does not travel. Zero without mutual TLS.
+	// CertificateExpires is set by the parent from the child's certificate and
+	// is not transmitted. It is zero without mutual TLS.
 	CertificateExpires time.Time `json:"-"`
 }
 
-// Expiry says when a node's certificate expires.
+// Expiry is the expiry time of a node's certificate.
 type Expiry struct {
 	Node string    `json:"node"`
 	Time time.Time `json:"time"`
 }
 
-// Earlier returns the expiry that comes first; nil means none is known.
+// Earlier returns the earlier of two expiries, where nil means that none is known.
 func (e *Expiry) Earlier(other *Expiry) *Expiry {
 	if e == nil || (other != nil && other.Time.Before(e.Time)) {
 		return other
@@ -66,7 +67,7 @@
 	return e
 }
 
-// Same reports whether two expiries are equal.
+// Same reports whether two expiries are equal or both nil.
 func (e *Expiry) Same(other *Expiry) bool {
 	if e == nil || other == nil {
 		return e == other
@@ -77,99 +78,106 @@
 // Reader is a control daemon that holds one of the store reader slots.
 type Reader struct {
 	Slot int `json:"slot"`
-	// Node is empty once the holder gave the slot up.
+	// Node is the name of the holder, or empty once it has released the slot.
 	Node    string `json:"node"`
 	Address string `json:"address"`
 	Region  string `json:"region,omitempty"`
-	// Revision is the store revision of the slot; of two views of one slot
-	// the higher wins.
+	// Revision is the store revision of the slot. Of two records of one slot,
+	// the one with the higher revision wins.
 	Revision uint64 `json:"revision"`
 }
 
-// Source says how fresh a parent may be. It travels on the first message of a
-// stream and whenever it changes.
+// Source describes a parent's path to the store, which determines how up to date
+// the parent can be. It is sent with the first message of a stream and whenever it
+// changes.
 type Source struct {
-	// Hops is the distance to a store reader; zero at a reader.
+	// Hops is the number of hops from the parent to a store reader; zero at a
+	// reader.
 	Hops int `json:"hops"`
-	// Detached: the parent has no live path to a reader.
+	// Detached says that the parent has no live path to a reader.
 	Detached bool `json:"detached,omitempty"`
-	// Floor, when set, is a version in force in the zone that the parent
-	// itself has not reached yet.
+	// Floor is a version that is in force in the zone although the parent has
+	// not reached it yet; zero if there is none.
 	Floor uint64 `json:"floor,omitempty"`
 }
 
-// Checkpoint is the whole configuration at one version.
+// Checkpoint is the complete configuration at one version.
 type Checkpoint struct {
 	Version   uint64               `json:"version"`
 	Resources []*resource.Resource `json:"resources"`
 }
 
-// Message is one line of a stream. Exactly one of the pointers or lists that
-// its purpose needs is set; Version alone means that the child's content is
-// unchanged at that version. An empty message is a heartbeat.
+// Message is one line of a stream. At most one of Snapshot, Delta, Checkpoint and
+// Entries is set; the other fields are set as needed. A message with a version
+// alone says that the child's content is unchanged at that version. An empty
+// message is a heartbeat.
 type Message struct {
-	// Version is the configuration version the parent is at.
+	// Version is the version of the configuration that the parent holds.
 	Version    uint64               `json:"version,omitempty"`
 	Snapshot   *projection.Snapshot `json:"snapshot,omitempty"`
 	Delta      *projection.Delta    `json:"delta,omitempty"`
 	Checkpoint *Checkpoint          `json:"checkpoint,omitempty"`
 	Entries    []resource.Entry     `json:"entries,omitempty"`
 	Endpoints  []endpoint.Update    `json:"endpoints,omitempty"`
-	// Heard are endpoint states that a reader passes on to a peer and has from
-	// another peer itself: news, but no sign that the sender hears of them.
+	// Heard are endpoint states that a reader forwards to one peer after
+	// receiving them from another. They carry new states, but do not show that
+	// the sender has a path to the authority of the endpoint.
 	Heard []endpoint.Update `json:"heard,omitempty"`
-	// Source describes the parent, on the first message and on change.
+	// Source describes the parent's path to the store.
 	Source *Source `json:"source,omitempty"`
-	// Readers are the slots known to be held; control children only.
+	// Readers are the slots known to be held. Only control children receive
+	// them.
 	Readers []Reader `json:"readers,omitempty"`
-	// Zones are summaries that changed; control children only. A summary
-	// without proxies removes the earlier one.
+	// Zones are the summaries that changed. Only control children receive them.
+	// A summary without proxies removes the previous one of the same zone and
+	// relay.
 	Zones []ZoneStatus `json:"zones,omitempty"`
-	// Goodbye asks the child to move to another parent at once.
+	// Goodbye asks the child to switch to another parent immediately.
 	Goodbye bool `json:"goodbye,omitempty"`
 }
 
-// ApplyFailure says why a child refused a version.
+// ApplyFailure reports the step at which a child failed to apply a version, and
+// why.
 type ApplyFailure struct {
 	Version uint64 `json:"version"`
 	Step    string `json:"step"`
 	Reason  string `json:"reason"`
 }
 
-// Report travels from a child to its parent.
+// Report is sent by a child to its parent.
 type Report struct {
 	Node Node `json:"node"`
 	// Applied is the version in force at the child.
 	Applied   uint64            `json:"applied"`
 	Failure   *ApplyFailure     `json:"failure,omitempty"`
 	Endpoints []endpoint.Update `json:"endpoints,omitempty"`
-	// Zones sums up the children of a relay or reader.
+	// Zones are the summaries of the children of a relay or reader.
 	Zones []ZoneStatus `json:"zones,omitempty"`
 }
 
-// ZoneStatus sums up the proxies of one zone as far as one relay sees them.
+// ZoneStatus is one relay's summary of the proxies of a zone.
 type ZoneStatus struct {
 	Zone string `json:"zone"`
-	// Relay names the relay that made the summary.
+	// Relay is the name of the relay that made the summary.
 	Relay string `json:"relay"`
-	// Stamp orders the summaries of one relay: Unix milliseconds, raised
-	// where needed so that it only grows.
+	// Stamp orders the summaries of one relay. It is the time in Unix
+	// milliseconds, increased if needed to keep it monotonic.
 	Stamp   uint64 `json:"stamp"`
 	Proxies int    `json:"proxies"`
-	// Lowest is the lowest version in force at any of those proxies.
+	// Lowest is the lowest version in force at any of the proxies.
 	Lowest uint64 `json:"lowest"`
-	// Highest is the highest version in force at any of those proxies.
+	// Highest is the highest version in force at any of the proxies.
 	Highest  uint64    `json:"highest,omitempty"`
 	Laggards []Laggard `json:"laggards,omitempty"`
-	// FirstExpiry is the certificate among those proxies that expires first.
+	// FirstExpiry is the earliest expiry among the certificates of the proxies.
 	FirstExpiry *Expiry `json:"firstExpiry,omitempty"`
 }
 
-// Laggard is a proxy that is behind.
+// Laggard is a proxy that has not applied the relay's version.
 type Laggard struct {
 	Node    string        `json:"node"`
 	Applied uint64        `json:"applied"`
 	Failure *ApplyFailure `json:"failure,omitempty"`
-	// Silent is how long nothing was heard from it.
+	// Silent is the time since anything was received from the proxy.
 	Silent time.Duration `json:"silent,omitempty"`
 }
--- a/internal/distribution/wellformed.go
+++ b/internal/distribution/wellformed.go
@@ -8,8 +8,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// WellFormed reports the first thing in a decoded message that is missing,
-// though the receiving code relies on it.
+// WellFormed returns an error for the first value that is missing in a decoded
+// message although the code that handles the message requires it, such as a null
+// map entry.
 func (m *Message) WellFormed() error {
 	if m.Snapshot != nil {
 		if err := checkMaps("snapshot", m.Snapshot.Services, m.Snapshot.Routes, m.Snapshot.Secrets); err != nil {
@@ -36,6 +37,8 @@
 	return nil
 }
 
+// checkMaps returns an error for the first nil value in the maps of a snapshot or
+// delta.
 func checkMaps[S, R, C any](field string, services map[string]*S, routes map[string]*R, secrets map[string]*C) error {
 	if err := checkNoNil(field+".services", services); err != nil {
 		return err
@@ -46,6 +49,8 @@
 	return checkNoNil(field+".secrets", secrets)
 }
 
+// checkNoNil returns an error for the first key, in sorted order, whose value is
+// nil.
 func checkNoNil[T any](field string, values map[string]*T) error {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		if values[name] == nil {
