--- a/internal/distribution/wellformed.go
+++ b/internal/distribution/wellformed.go
@@ -23,15 +23,15 @@
 		}
 	}
 	if m.Checkpoint != nil {
-		for index, held := range m.Checkpoint.Resources {
-			if fault := held.WellFormed(); fault != nil {
-				return fault.Within(fmt.Sprintf("checkpoint.resources[%d]", index))
+		for index, declared := range m.Checkpoint.Resources {
+			if malformed := declared.WellFormed(); malformed != nil {
+				return malformed.Within(fmt.Sprintf("checkpoint.resources[%d]", index))
 			}
 		}
 	}
 	for index, entry := range m.Entries {
-		if fault := entry.WellFormed(); fault != nil {
-			return fault.Within(fmt.Sprintf("entries[%d]", index))
+		if malformed := entry.WellFormed(); malformed != nil {
+			return malformed.Within(fmt.Sprintf("entries[%d]", index))
 		}
 	}
 	return nil
--- a/internal/endpoint/authority.go
+++ b/internal/endpoint/authority.go
@@ -44,8 +44,8 @@
 	return a.current, true
 }
 
-// Reannounce returns the unchanged state with a new sequence number, which
-// supersedes a relay's override to Down.
+// Reannounce returns the unchanged state with a new sequence number, so that nodes
+// which have lost contact with the authority learn that it is alive.
 func (a *Authority) Reannounce() Update {
 	a.current.Sequence += sequenceStep
 	return a.current
--- a/internal/projection/projection.go
+++ b/internal/projection/projection.go
@@ -115,7 +115,7 @@
 // projectService limits a service to the endpoints that callers in the zone may
 // use.
 func projectService(spec *resource.ServiceSpec, placements []*resource.PlacementSpec, zone string) *Service {
-	view := &Service{
+	projected := &Service{
 		Slots:        spec.Slots,
 		Connections:  spec.Connections,
 		Queue:        spec.Queue,
@@ -126,11 +126,11 @@
 		AllowedZones: AllowedZones(placements, zone),
 	}
 	for _, endpoint := range spec.Endpoints {
-		if slices.Contains(view.AllowedZones, endpoint.Zone) {
-			view.Endpoints = append(view.Endpoints, endpoint)
+		if slices.Contains(projected.AllowedZones, endpoint.Zone) {
+			projected.Endpoints = append(projected.Endpoints, endpoint)
 		}
 	}
-	return view
+	return projected
 }
 
 // AllowedZones returns the sorted back-end zones that callers in a zone may use,
--- a/internal/projection/projection_test.go
+++ b/internal/projection/projection_test.go
@@ -123,10 +123,10 @@
 			Expect(err).NotTo(HaveOccurred())
 			var delta projection.Delta
 			Expect(json.Unmarshal(encoded, &delta)).To(Succeed())
-			reached, err := from.ApplyDelta(&delta)
+			result, err := from.ApplyDelta(&delta)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reached.Digest).To(Equal(to.Digest))
-			Expect(reached.Version).To(Equal(to.Version))
+			Expect(result.Digest).To(Equal(to.Digest))
+			Expect(result.Version).To(Equal(to.Version))
 			if from.Digest != to.Digest {
 				_, err = to.ApplyDelta(&delta)
 				var mismatch *projection.BaseMismatchError
