--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -129,7 +129,7 @@
 		c.distrust(now, version, stepDelta, errNoBase)
 		return
 	}
-	c.offer(now, base.AtVersion(version))
+	c.offer(now, base.WithVersion(version))
 }
 
 // distrust handles content that is not what its parent says it is: the child
@@ -148,7 +148,7 @@
 	if snapshot.Version <= c.version {
 		return
 	}
-	if err := snapshot.Closed(); err != nil {
+	if err := snapshot.CheckReferences(); err != nil {
 		c.fail(now, distribution.ApplyFailure{Version: snapshot.Version, Step: stepClosed, Reason: err.Error()})
 		return
 	}
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -215,7 +215,7 @@
 // apply applies the configuration to all proxies under the next version number.
 func (m *mesh) apply() {
 	m.version++
-	snapshot := m.config.AtVersion(m.version)
+	snapshot := m.config.WithVersion(m.version)
 	snapshot.Digest = snapshot.ComputeDigest()
 	for _, target := range m.proxies() {
 		if err := target.Apply(snapshot); err != nil {
--- a/internal/proxy/outbound/registry.go
+++ b/internal/proxy/outbound/registry.go
@@ -194,7 +194,7 @@
 	affected := map[string]bool{}
 	for _, update := range updates {
 		previous, known := r.states[update.ID]
-		if known && update.Compare(previous) <= 0 && !update.Retracts(previous) {
+		if known && update.Compare(previous) <= 0 && !update.RevertsDownOverride(previous) {
 			continue
 		}
 		r.states[update.ID] = update
