--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -148,7 +148,7 @@
 func TestFIFOOrderUnderRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const patience = 350 * time.Millisecond
+		const maximumWait = 350 * time.Millisecond
 		gate := newLimitedGate(100, 10)
 		for range 10 {
 			_, err := gate.Acquire(t.Context(), info(1, 0))
@@ -159,7 +159,7 @@
 		var mu sync.Mutex
 		for range 8 {
 			go func() {
-				_, err := gate.Acquire(t.Context(), info(1, patience))
+				_, err := gate.Acquire(t.Context(), info(1, maximumWait))
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -110,15 +110,15 @@
 // TestOnWakeIsCalledOnce checks that a listener is called once for each suspension.
 func TestOnWakeIsCalledOnce(t *testing.T) {
 	g := NewWithT(t)
-	heard := make(chan time.Duration, 4)
-	defer OnWake(func(slept time.Duration) { heard <- slept })()
+	suspensions := make(chan time.Duration, 4)
+	defer OnWake(func(slept time.Duration) { suspensions <- slept })()
 	suspended := time.Duration(0)
 	defer SetSuspensionSource(func() (time.Duration, error) { return suspended, nil })()
 	suspended = 3 * time.Second
 	DetectSuspension()
-	g.Eventually(heard).Should(Receive(BeNumerically("~", 3*time.Second, time.Second)))
+	g.Eventually(suspensions).Should(Receive(BeNumerically("~", 3*time.Second, time.Second)))
 	DetectSuspension()
-	g.Consistently(heard, "50ms").ShouldNot(Receive())
+	g.Consistently(suspensions, "50ms").ShouldNot(Receive())
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/sidecar/configuration/follower_test.go
+++ b/internal/sidecar/configuration/follower_test.go
@@ -184,15 +184,15 @@
 		synctest.Wait()
 		g.Expect(keeper.Version()).To(BeEquivalentTo(5))
 
-		told := func(key string, version int) {
+		sendEvent := func(key string, version int) {
 			held.running.events <- store.Event{KeyValue: store.KeyValue{Key: key, Value: fmt.Append(nil, version), Revision: 101}}
 			synctest.Wait()
 		}
-		told(configurationKey, harmful)
+		sendEvent(configurationKey, harmful)
 		g.Expect(keeper.Version()).To(BeEquivalentTo(5))
-		told(configurationKey+"/order", 1)
+		sendEvent(configurationKey+"/order", 1)
 		g.Expect(orders).To(Equal(1))
-		told(configurationKey, harmful+1)
+		sendEvent(configurationKey, harmful+1)
 		g.Expect(keeper.Version()).To(BeEquivalentTo(harmful + 1))
 		end()
 		close(held.running.events)
@@ -227,16 +227,16 @@
 		expectAge(3 * time.Second)
 		held.running.events <- store.Event{Current: time.Now().Add(-time.Second)}
 		expectAge(time.Second)
-		told := func(version int, current time.Time) {
+		sendVersion := func(version int, current time.Time) {
 			held.running.events <- store.Event{
 				KeyValue: store.KeyValue{Key: configurationKey, Value: fmt.Append(nil, version), Revision: 101}, Current: current,
 			}
 		}
-		told(7, time.Now())
+		sendVersion(7, time.Now())
 		expectAge(0)
 		g.Expect(keeper.Version()).To(BeEquivalentTo(7))
 		time.Sleep(time.Second)
-		told(9, time.Now())
+		sendVersion(9, time.Now())
 		expectAge(time.Second)
 		held.running.events <- store.Event{Current: time.Now()}
 		expectAge(time.Second)
--- a/internal/sidecar/egress/notice_test.go
+++ b/internal/sidecar/egress/notice_test.go
@@ -64,12 +64,12 @@
 // a response of the back end has none.
 func TestLimitSentToPeer(t *testing.T) {
 	g := NewWithT(t)
-	var told atomic.Pointer[string]
+	var receivedLimit atomic.Pointer[string]
 	reply := "Kestrel-Limit: 12800 9000\r\n"
 	refuses := false
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		line := r.Header.Get(hop.HeaderLimit)
-		told.Store(&line)
+		receivedLimit.Store(&line)
 		w.Header().Set(hop.HeaderReply, "1 0 0 8 50000 1000 1000")
 		if refuses {
 			w.Header().Set(outcome.HeaderOutcome, string(outcome.NotRun))
@@ -84,15 +84,15 @@
 	defer server.Close()
 	handler := newHandler(t, &fakeObserver{}, probeOK, &peer{address: server.Listener.Addr().String()})
 	sendRequest(handler)
-	g.Expect(*told.Load()).To(BeEmpty())
+	g.Expect(*receivedLimit.Load()).To(BeEmpty())
 	refuses = true
 	sendRequest(handler)
-	g.Expect(*told.Load()).To(Equal("12800 0"))
+	g.Expect(*receivedLimit.Load()).To(Equal("12800 0"))
 	refuses, reply = false, ""
 	sendRequest(handler)
-	g.Expect(*told.Load()).To(Equal("12800 0"), "a refusal by the node itself says nothing")
+	g.Expect(*receivedLimit.Load()).To(Equal("12800 0"), "a refusal by the node itself says nothing")
 	sendRequest(handler)
-	g.Expect(*told.Load()).To(BeEmpty())
+	g.Expect(*receivedLimit.Load()).To(BeEmpty())
 }
 
 // TestLeavingBackEndSkipped: the node that received a leaving notice sends the back end nothing
--- a/internal/sidecar/egress/regions_test.go
+++ b/internal/sidecar/egress/regions_test.go
@@ -15,11 +15,11 @@
 // none are left.
 func TestAllowedZones(t *testing.T) {
 	cases := []struct {
-		name     string
-		emptied  []string
-		route    []string
-		tenant   []string
-		expected []string // zones
+		name      string
+		evacuated []string
+		route     []string
+		tenant    []string
+		expected  []string // zones
 	}{
 		{"anywhere", nil, nil, nil, []string{"a", "b", "c"}},
 		{"the own zone is evacuated", []string{"a"}, nil, nil, []string{"b", "c"}},
@@ -46,7 +46,7 @@
 			handler.options.Evacuated = orders.Zones
 			before := handler.subset(members.View(), "s", rollout.All(), regions{})
 			g.Expect(before.records).To(HaveLen(9))
-			for i, zone := range test.emptied {
+			for i, zone := range test.evacuated {
 				orders.ApplyOrder(evacuation.Order{Zone: zone, Revision: uint64(i + 1), Evacuated: true})
 			}
 			found := map[string]bool{}
--- a/internal/sidecar/egress/rejected_test.go
+++ b/internal/sidecar/egress/rejected_test.go
@@ -16,12 +16,12 @@
 // are served at all are served in time.
 func TestRetryAfterRandomRejection(t *testing.T) {
 	const (
-		callers  = 4000
-		rejects  = 0.55
-		attempts = 3
-		work     = 380 * time.Millisecond
-		aim      = time.Second
-		patience = 6 * time.Second
+		callers       = 4000
+		rejects       = 0.55
+		attempts      = 3
+		work          = 380 * time.Millisecond
+		aim           = time.Second
+		callerTimeout = 6 * time.Second
 	)
 	// play returns the fractions of callers that are served in time, and late.
 	play := func(room bool) (inTime, late float64) {
@@ -38,12 +38,12 @@
 					}
 					break
 				}
-				left := patience - clock.Since(began)
+				remaining := callerTimeout - clock.Since(began)
 				refused := &call{
-					started: clock.Now(), deadline: clock.Now().Add(left), callerTime: left,
+					started: clock.Now(), deadline: clock.Now().Add(remaining), callerTime: remaining,
 					returning: attempt > 0, rejectedWithFreeSlots: room,
 				}
-				time.Sleep(min(refused.clampRetryAfter(minimumRetryAfter), left/3))
+				time.Sleep(min(refused.clampRetryAfter(minimumRetryAfter), remaining/3))
 			}
 		}
 		return inTime / callers, late / callers
--- a/internal/sidecar/egress/share_test.go
+++ b/internal/sidecar/egress/share_test.go
@@ -36,7 +36,7 @@
 			handler.randomFloat = rand.New(rand.NewPCG(1, 0)).Float64
 			handler.options.Contended = func() bool { return test.contended }
 			of := shares.Flow{Service: "s", Tenant: "acme", Priority: 5}
-			marked, told := 0, 0
+			marked, withShare := 0, 0
 			for range 100 {
 				// The simulated node reports no shares itself.
 				handler.tenantShares.Observe(of, shares.Allocation{Share: time.Second, Demand: 10 * time.Second}, clock.Now())
@@ -48,14 +48,14 @@
 					marked++
 				}
 				if node.headers[i].Get(hop.HeaderShare) != "" {
-					told++
+					withShare++
 				}
 			}
 			g.Expect(marked).To(And(BeNumerically(">=", test.least), BeNumerically("<=", test.most)))
 			if test.least > 0 {
-				g.Expect(told).To(Equal(100 - marked))
+				g.Expect(withShare).To(Equal(100 - marked))
 			} else {
-				g.Expect(told).To(BeZero())
+				g.Expect(withShare).To(BeZero())
 			}
 		})
 	}
--- a/internal/sidecar/egress/suspension_test.go
+++ b/internal/sidecar/egress/suspension_test.go
@@ -18,12 +18,12 @@
 // reports whether the request succeeds.
 func remainingTimePeer(t *testing.T, left chan<- time.Duration, served func() bool) *peer {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
+		hopRequest, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		left <- told.Remaining
+		left <- hopRequest.Remaining
 		if !served() {
 			w.Header().Set(outcome.HeaderOutcome, string(outcome.Unknown))
 			w.Header().Set(outcome.HeaderError, "step=await")
--- a/internal/sidecar/egress/tenant_test.go
+++ b/internal/sidecar/egress/tenant_test.go
@@ -50,11 +50,11 @@
 func newRecordingNode(t *testing.T) *recordingNode {
 	created := &recordingNode{}
 	created.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		told, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
+		hopRequest, err := hop.ParseRequest(r.Header.Get(hop.HeaderHop))
 		if err != nil {
 			t.Error(err)
 		}
-		created.headers, created.hops = append(created.headers, r.Header), append(created.hops, told)
+		created.headers, created.hops = append(created.headers, r.Header), append(created.hops, hopRequest)
 		w.Header().Set(hop.HeaderReply, "1 0 0 8 50000 1000 1000")
 		w.Header().Set("Connection", "close")
 	}))
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -27,17 +27,17 @@
 }
 
 // Zones is an immutable set of evacuated zones. A nil set is empty.
-type Zones struct{ emptied map[string]bool }
+type Zones struct{ evacuated map[string]bool }
 
 // Contains reports whether the zone is evacuated.
-func (z *Zones) Contains(zone string) bool { return z != nil && z.emptied[zone] }
+func (z *Zones) Contains(zone string) bool { return z != nil && z.evacuated[zone] }
 
 // Names returns the zones in order.
 func (z *Zones) Names() []string {
 	if z == nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(z.emptied))
+	return slices.Sorted(maps.Keys(z.evacuated))
 }
 
 const (
@@ -56,7 +56,7 @@
 	Broadcast func()
 	// OnChange is called for each zone that is evacuated or whose evacuation is revoked. It must
 	// not block.
-	OnChange func(zone string, emptied bool)
+	OnChange func(zone string, evacuated bool)
 	Logger   *zap.Logger
 }
 
@@ -173,7 +173,7 @@
 	if len(next) == 0 {
 		o.zones.Store(nil)
 	} else {
-		o.zones.Store(&Zones{emptied: next})
+		o.zones.Store(&Zones{evacuated: next})
 	}
 	message := "zone is emptied"
 	if !order.Evacuated {
--- a/internal/sidecar/evacuation/evacuation_test.go
+++ b/internal/sidecar/evacuation/evacuation_test.go
@@ -26,8 +26,8 @@
 	made.Orders = evacuation.New(evacuation.Options{
 		ZoneExists: func(string) bool { return true },
 		Broadcast:  func() { made.spreads++ },
-		OnChange: func(zone string, emptied bool) {
-			made.changes = append(made.changes, fmt.Sprint(zone, " ", emptied))
+		OnChange: func(zone string, evacuated bool) {
+			made.changes = append(made.changes, fmt.Sprint(zone, " ", evacuated))
 		},
 		Logger: zap.NewNop(),
 	})
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -329,12 +329,12 @@
 // in the zone.
 func (e *Exchanger) mergeState(state *SharedState) {
 	e.mergeEra(state)
-	moved := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Import(state.Rollouts)
-	emptied := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Import(state.Evacuations)
+	rolloutsChanged := e.options.Rollouts != nil && len(state.Rollouts) > 0 && e.options.Rollouts.Import(state.Rollouts)
+	evacuationsChanged := e.options.Evacuations != nil && len(state.Evacuations) > 0 && e.options.Evacuations.Import(state.Evacuations)
 	if state.SharedMachines && e.options.Contention != nil {
 		e.options.Contention.SetShared()
 	}
-	if moved || emptied {
+	if rolloutsChanged || evacuationsChanged {
 		go e.notifyZone()
 	}
 }
--- a/internal/sidecar/exchange/spread_test.go
+++ b/internal/sidecar/exchange/spread_test.go
@@ -143,7 +143,7 @@
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(uint64(size), 1))
 		const plays = 200
-		heardShare, sent := 0.0, 0
+		informedFraction, sent := 0.0, 0
 		for range plays {
 			received := make([]bool, size)
 			next := random.Perm(size)[:min(size, maxZonePeers)]
@@ -160,11 +160,11 @@
 			}
 			for _, has := range received {
 				if has {
-					heardShare += 1 / float64(size*plays)
+					informedFraction += 1 / float64(size*plays)
 				}
 			}
 		}
-		g.Expect(heardShare).To(BeNumerically(">", 0.97), "%d nodes", size)
+		g.Expect(informedFraction).To(BeNumerically(">", 0.97), "%d nodes", size)
 		g.Expect(float64(sent)/plays/float64(size)).To(BeNumerically("<", 5.2), "messages per node")
 	}
 	g := NewWithT(t)
--- a/internal/sidecar/ingress/trial_test.go
+++ b/internal/sidecar/ingress/trial_test.go
@@ -17,15 +17,15 @@
 
 // fakeQuarantine returns preset answers.
 type fakeQuarantine struct {
-	holds, suspects atomic.Bool
-	survived        atomic.Int64
-	crashes         chan roster.Crash
+	quarantined, suspects atomic.Bool
+	survived              atomic.Int64
+	crashes               chan roster.Crash
 }
 
 func newFakeQuarantine() *fakeQuarantine { return &fakeQuarantine{crashes: make(chan roster.Crash, 8)} }
 
-func (s *fakeQuarantine) Idle() bool                                   { return !s.holds.Load() && !s.suspects.Load() }
-func (s *fakeQuarantine) IsQuarantined(fingerprint.Fingerprint) bool   { return s.holds.Load() }
+func (s *fakeQuarantine) Idle() bool                                   { return !s.quarantined.Load() && !s.suspects.Load() }
+func (s *fakeQuarantine) IsQuarantined(fingerprint.Fingerprint) bool   { return s.quarantined.Load() }
 func (s *fakeQuarantine) IsSuspect(fingerprint.Fingerprint) bool       { return s.suspects.Load() }
 func (s *fakeQuarantine) RecordCrash(crash roster.Crash)               { s.crashes <- crash }
 func (s *fakeQuarantine) RecordSurvival(print fingerprint.Fingerprint) { s.survived.Add(1) }
@@ -45,10 +45,10 @@
 	g := NewWithT(t)
 	f := newCrashFixture(t)
 	runs := f.countRequests()
-	f.quarantine.holds.Store(true)
+	f.quarantine.quarantined.Store(true)
 	g.Expect(refusedAt(f.receive(t.Context()))).To(Equal("step=quarantine"))
 	g.Expect(runs.Load()).To(BeZero())
-	f.quarantine.holds.Store(false)
+	f.quarantine.quarantined.Store(false)
 	g.Expect(refusedAt(f.receive(t.Context()))).To(BeEmpty())
 	g.Expect(runs.Load()).To(BeEquivalentTo(1))
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -235,8 +235,8 @@
 		return factor
 	})
 	gauge("kestrel_sidecar_pace_told", "How much longer work takes at the local back end by its own last report, 0 without one.", func() float64 {
-		_, told, _ := s.ingress.Pace()
-		return told
+		_, reported, _ := s.ingress.Pace()
+		return reported
 	})
 	gauge("kestrel_sidecar_pace_told_age_seconds", "Age of that report.", func() float64 {
 		_, _, age := s.ingress.Pace()
--- a/internal/sidecar/quarantine/quarantine_test.go
+++ b/internal/sidecar/quarantine/quarantine_test.go
@@ -79,17 +79,17 @@
 func TestCrashIsBroadcastBeforeReturn(t *testing.T) {
 	g := NewWithT(t)
 	members := roster.New(roster.Record{Node: "n-1", Epoch: 1, Counter: 1})
-	var told []roster.Crash
+	var broadcastCrashes []roster.Crash
 	held := quarantine.New(quarantine.Options{
 		Members: members, Broadcast: func() {}, Logger: zap.NewNop(), Registry: prometheus.NewRegistry(),
-		BroadcastAndWait: func() { told = members.Own().Evidence.Crashes },
+		BroadcastAndWait: func() { broadcastCrashes = members.Own().Evidence.Crashes },
 	})
 	held.RecordCrash(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
-	g.Expect(told).To(HaveLen(1))
+	g.Expect(broadcastCrashes).To(HaveLen(1))
 
-	told = nil
+	broadcastCrashes = nil
 	held.RecordCrash(roster.Crash{Endpoint: "i-1", Service: "one", Running: []fingerprint.Fingerprint{fingerprintOf(1)}})
-	g.Expect(told).To(BeNil(), "already reported")
+	g.Expect(broadcastCrashes).To(BeNil(), "already reported")
 }
 
 // TestQuarantineOfOneCaller checks that content that is harmful for one caller only is still served
--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -16,9 +16,9 @@
 type IncarnationTracker struct {
 	// Interval is the expected time between two heartbeats.
 	Interval time.Duration
-	// lastHeard is when the current incarnation last sent a heartbeat since this process started.
+	// lastHeartbeat is when the current incarnation last sent a heartbeat since this process started.
 	// It is zero if none has arrived or the back end's process is known to have ended.
-	lastHeard time.Time
+	lastHeartbeat time.Time
 	// candidate is another incarnation that has sent heartbeats since then, and candidateHeartbeats
 	// their number in a row.
 	candidate           Endpoint
@@ -68,7 +68,7 @@
 // silent reports whether the current incarnation has sent no heartbeat for too long, or none since
 // this process started.
 func (c *IncarnationTracker) silent(now time.Time) bool {
-	return c.lastHeard.IsZero() || now.Sub(c.lastHeard) > maxSilentIntervals*c.Interval
+	return c.lastHeartbeat.IsZero() || now.Sub(c.lastHeartbeat) > maxSilentIntervals*c.Interval
 }
 
 // countCandidate counts a candidate's heartbeat and reports whether it has sent enough in a row to
@@ -90,7 +90,7 @@
 	if current.State == Draining {
 		reported.State = Draining // an earlier heartbeat may arrive after a response that announced draining
 	}
-	c.lastHeard, c.candidateHeartbeats = now, 0
+	c.lastHeartbeat, c.candidateHeartbeats = now, 0
 	changed = current.State != reported.State || current.Slots != reported.Slots || current.Service != reported.Service ||
 		current.Version != reported.Version
 	record.Endpoint = &reported
@@ -98,7 +98,7 @@
 }
 
 func (c *IncarnationTracker) replace(record Record, reported Endpoint, now time.Time) Record {
-	c.lastHeard, c.candidateHeartbeats = now, 0
+	c.lastHeartbeat, c.candidateHeartbeats = now, 0
 	record.Endpoint = &reported
 	return record
 }
@@ -108,7 +108,7 @@
 // refused as unknown for another 1.4 to 1.7 s, until their second heartbeat.
 func (c *IncarnationTracker) MarkLost(record Record, incarnation string) {
 	if record.Endpoint != nil && record.Endpoint.Incarnation().String() == incarnation {
-		c.lastHeard = time.Time{}
+		c.lastHeartbeat = time.Time{}
 	}
 }
 
--- a/internal/sidecar/roster/roster_test.go
+++ b/internal/sidecar/roster/roster_test.go
@@ -371,11 +371,11 @@
 		first, second := start(0), start(1)
 		g.Expect(first.View().Digest()).To(Equal(second.View().Digest()))
 		// The previous run had published more than the store has.
-		unheard := *left[0]
-		unheard.Counter++
-		unheard.Endpoint = &roster.Endpoint{ID: "i-0", Service: "s", Slots: 4, State: roster.Draining, Sequence: 9}
-		g.Expect(first.Merge([]*roster.Record{&unheard})).To(HaveLen(1))
-		g.Expect(first.Own().Newer(&unheard)).To(BeTrue())
+		newer := *left[0]
+		newer.Counter++
+		newer.Endpoint = &roster.Endpoint{ID: "i-0", Service: "s", Slots: 4, State: roster.Draining, Sequence: 9}
+		g.Expect(first.Merge([]*roster.Record{&newer})).To(HaveLen(1))
+		g.Expect(first.Own().Newer(&newer)).To(BeTrue())
 		g.Expect(first.Own().Endpoint.State).To(Equal(roster.Draining))
 		g.Expect(first.Own().RunID).To(BeEquivalentTo(1 << 40))
 	}
