--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// initialConfigurationWait is how long a node without a configuration does not read it from
-	// the store if it has discovered no peers, or if the whole system starts for the first time
-	// and the node is not selected as a reader.
+	// initialConfigurationWait is the time for which a node without a configuration does not read
+	// it from the store if it has discovered no peers, or if the whole system starts for the first
+	// time and the node is not selected as a reader.
 	initialConfigurationWait = 5 * time.Second
-	// peerConfigurationWait is how long a started node that has discovered peers waits to
-	// receive the configuration from one of them before it reads the store itself. After a
-	// restart of 195 nodes most received a configuration of 0.5 MB from peers within 0.42 s of
-	// their start; the store needs 0.8 s to send it to all of them over 1,000 Mbit/s.
+	// peerConfigurationWait is the time for which a started node that has discovered peers waits to
+	// receive the configuration from one of them before it reads the store itself. The store needs
+	// 0.8 s to send a configuration of 0.5 MB to 195 nodes over 1,000 Mbit/s.
 	peerConfigurationWait = 400 * time.Millisecond
 	// peerConfigurationWaitPerNode is added to peerConfigurationWait for each known node. The
 	// store needs 2 ms to send 0.25 MB to one node over 1,000 Mbit/s, so if all nodes start and
 	// read the store, the last one receives the configuration no sooner than after this time.
 	peerConfigurationWaitPerNode = 2 * time.Millisecond
-	// firstStartMargin is how much longer than the heartbeat interval, in which every back end
-	// sends its first heartbeat, nodes need to learn of each other at the first start of the
-	// whole system. Before that nearly every node considers itself a reader. After the margin
-	// has passed once more, a node without a configuration reads the store in any case.
+	// firstStartMargin is the time that nodes need beyond the heartbeat interval, in which every
+	// back end sends its first heartbeat, to learn of each other at the first start of the whole
+	// system. Before that nearly every node considers itself a reader. After the margin has passed
+	// once more, a node without a configuration reads the store in any case.
 	firstStartMargin = 2500 * time.Millisecond
 	// minWatchTimeout and maxWatchTimeout bound the timeout of a watch call.
 	minWatchTimeout = 50 * time.Millisecond
@@ -43,8 +42,8 @@
 	return readers.IsReader(s.members.View(), s.members.Own(), s.exchanger.Reachable)
 }
 
-// maxCompactors is how many of the nodes that read the store maintain the snapshot of all records;
-// each takes over from the one before.
+// maxCompactors is the maximum number of nodes among the store readers that maintain the snapshot
+// of all records; each takes over from the one before.
 const maxCompactors = 3
 
 // compactionRank returns the node's rank among the nodes that maintain the snapshot, and whether it
@@ -93,7 +92,7 @@
 
 // handlePeersDiscovered announces this node to the peers found in the store and exchanges state with
 // some of them. A node that resumed the record of its previous run unchanged has nothing new to
-// send; it only tells some peers that it is reachable.
+// send; it only notifies some peers that it is reachable.
 func (s *Sidecar) handlePeersDiscovered(resumed bool) {
 	now := clock.Now()
 	s.peersDiscovered.CompareAndSwap(nil, &now)
