--- a/internal/sidecar/configuration/keeper.go
+++ b/internal/sidecar/configuration/keeper.go
@@ -41,7 +41,7 @@
 	decode Decoder
 	logger *zap.Logger
 	active atomic.Pointer[active]
-	// proof is when the node was last known to be up to date.
+	// proof is the time at which the node was last known to be up to date.
 	proof proof
 
 	mutex     sync.Mutex // serializes Offer; guards observers
@@ -64,8 +64,8 @@
 	lostKeys map[uint64]map[string]bool
 }
 
-// maxPast is how many past documents are kept, so that peers that hold one of
-// them are sent only the change from it.
+// maxPast is the number of past documents that are kept, so that peers that hold one of them are
+// sent only the change from it.
 const maxPast = 6
 
 // NewKeeper returns a keeper without a table.
@@ -163,8 +163,8 @@
 	return k.activate(document, notes, source)
 }
 
-// ApplyChange applies a peer's change to the document in force and puts the result in
-// force. The error is route.ErrBase when the change is based on another version.
+// ApplyChange applies a peer's change to the document in force and puts the result in force. The
+// error is route.ErrBaseMismatch when the change is based on another version.
 func (k *Keeper) ApplyChange(change *route.Change) error {
 	return k.containPanic(strconv.FormatUint(change.Version, 10), SourcePeer, func() error { return k.applyChange(change) })
 }
