--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -45,7 +45,8 @@
 	// urgency much shorter ones go first: more requests are served that way, and calls that back ends
 	// make while they work are short.
 	Work time.Duration
-	// MaximumWait is how long the request may wait: if it started later, its response would be too late.
+	// MaximumWait is the maximum time that the request may wait: if it started later, its response would
+	// be too late.
 	MaximumWait time.Duration
 	// Peer is the node that sent the request.
 	Peer string
--- a/internal/sidecar/admission/kind.go
+++ b/internal/sidecar/admission/kind.go
@@ -8,14 +8,16 @@
 type kind struct {
 	class     *class
 	magnitude int
-	// lastGrant is when the kind last got a slot, or began to arrive; lastArrival is when its last
-	// request arrived. Both are zero before the first request with PreventStarvation.
+	// lastGrant is the time at which the kind last got a slot, or began to arrive; lastArrival is
+	// the arrival time of its last request. Both are zero before the first request with
+	// PreventStarvation.
 	lastGrant, lastArrival time.Time
 	// waiting is the number of its waiting requests.
 	waiting int
 }
 
-// starvationBound is how long requests of a kind may keep arriving without one getting a slot.
+// starvationBound is the maximum time for which requests of a kind may keep arriving without one
+// getting a slot.
 const starvationBound = time.Second
 
 // grantsPerOverdue is the number of grants of which one may go to an overdue kind: with many kinds and
--- a/internal/sidecar/admission/limit.go
+++ b/internal/sidecar/admission/limit.go
@@ -74,7 +74,7 @@
 // Remaining returns the rate of the limit, in requests per second, and the remaining number of requests
 // like this one that it allows, which is negative if requests wait for it; limited is false if there is no
 // limit. If the request was refused with an error, the result is consistent with the wait that the error
-// tells its peer.
+// reports to its peer.
 func (g *Gate) Remaining(info RequestInfo, refused *RateLimitError) (perSecond, remaining float64, limited bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/sidecar/admission/queue.go
+++ b/internal/sidecar/admission/queue.go
@@ -13,10 +13,11 @@
 type waiter struct {
 	info   RequestInfo
 	result chan error
-	// entered is when the request arrived, predicted the wait that was expected then.
+	// entered is the arrival time of the request, predicted the wait that was expected then.
 	entered   time.Time
 	predicted time.Duration
-	// work is how long it is expected to hold a slot, charged how much its tenant was charged for it.
+	// work is the time that it is expected to hold a slot, charged the amount that its tenant was
+	// charged for it.
 	work, charged time.Duration
 	// account is the account of its tenant.
 	account *account
--- a/internal/sidecar/admission/reserve.go
+++ b/internal/sidecar/admission/reserve.go
@@ -10,7 +10,8 @@
 // them to end. The reserve grows when urgent requests start too late, and shrinks when they start in time
 // or do not arrive. The caller holds the lock.
 type reserve struct {
-	// urgent is the most urgent recent priority, seen is when it last arrived; zero before the first.
+	// urgent is the most urgent recent priority, seen the time of its last arrival; zero before the
+	// first.
 	urgent int
 	seen   time.Time
 	// size is the reserve in slots at the time updated.
@@ -27,7 +28,7 @@
 	maxReserveShare = 1.0 / 3
 	// reserveHalfLife is the half-life with which the reserve decays.
 	reserveHalfLife = 3 * time.Second
-	// urgentRetention is how long a priority is remembered as the most urgent.
+	// urgentRetention is the time for which a priority is remembered as the most urgent.
 	urgentRetention = 5 * time.Second
 )
 
--- a/internal/sidecar/admission/standing.go
+++ b/internal/sidecar/admission/standing.go
@@ -48,8 +48,8 @@
 	// nestedClass is the class of nested calls, which running requests wait for; others are classified by
 	// priority.
 	nestedClass = -1
-	// accountRetention is how long a tenant without requests is remembered: its earlier use is irrelevant
-	// to the capacity available now.
+	// accountRetention is the time for which a tenant without requests is remembered: its earlier use is
+	// irrelevant to the capacity available now.
 	accountRetention = 10 * time.Second
 	// Between minSweepThreshold and maxTenants a sweep is due whenever the tenants of a class have
 	// doubled; from maxTenants on, a sweep removes all tenants without requests.
--- a/internal/sidecar/assembly/providers.go
+++ b/internal/sidecar/assembly/providers.go
@@ -35,7 +35,7 @@
 	// logRepeatInterval and logRepeatBurst limit the rate of repeated messages.
 	logRepeatInterval = time.Second
 	logRepeatBurst    = 500
-	// logQueueLines is how many log lines are buffered for the output.
+	// logQueueLines is the number of log lines that are buffered for the output.
 	logQueueLines = 1024
 
 	headerTimeout = 10 * time.Second
--- a/internal/sidecar/backend.go
+++ b/internal/sidecar/backend.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// Deregister records that a back end has ended for good, and tells the peers.
+// Deregister records that a back end has ended for good, and notifies the peers.
 func (s *Sidecar) Deregister(ctx context.Context, ended roster.Incarnation) {
 	_, changed := s.members.Update(func(record roster.Record) (roster.Record, bool) { return record.MarkEnded(ended) })
 	if changed {
--- a/internal/sidecar/choice/balance.go
+++ b/internal/sidecar/choice/balance.go
@@ -6,7 +6,8 @@
 	// slotLoadCost is the cost of a back end whose service time equals the target latency and whose
 	// slots are all taken. Twice as many requests per slot cost four times as much.
 	slotLoadCost = 0.18
-	// balancedSampleSize is how many local and how many remote back ends are compared at a time.
+	// balancedSampleSize is the number of local, and of remote, back ends that are compared at a
+	// time.
 	balancedSampleSize = 3
 )
 
--- a/internal/sidecar/choice/draw.go
+++ b/internal/sidecar/choice/draw.go
@@ -12,17 +12,18 @@
 }
 
 const (
-	// sampleSize is how many local and how many remote back ends are compared at a time. With two,
-	// the load of the busiest back end stays close to the mean however old the load reports are.
-	// With more, all nodes that received the same report choose the same back end (Mitzenmacher,
-	// "How Useful Is Old Information?"). TestFleet of package occupancy simulates it.
+	// sampleSize is the number of local, and of remote, back ends that are compared at a time. With
+	// two, the load of the busiest back end stays close to the mean however old the load reports
+	// are. With more, all nodes that received the same report choose the same back end
+	// (Mitzenmacher, "How Useful Is Old Information?"). TestFleet of package occupancy simulates
+	// it.
 	sampleSize = 2
 	// acceptableCost is the cost at which sampling stops, since the answer is likely to be in time.
 	// It lies between the cost of an idle back end at half the usual speed and that of one several
 	// times slower.
 	acceptableCost = 0.25
-	// maximumSamples is how many samples are drawn in search of an acceptable candidate. When two
-	// of five back ends are slow, three samples contain only slow ones in 1 of 250 cases.
+	// maximumSamples is the maximum number of samples drawn in search of an acceptable candidate.
+	// When two of five back ends are slow, three samples contain only slow ones in 1 of 250 cases.
 	maximumSamples = 3
 )
 
--- a/internal/sidecar/choice/pace.go
+++ b/internal/sidecar/choice/pace.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	// paceSamples is how many requests the learned factor averages over.
+	// paceSamples is the number of requests that the learned factor averages over.
 	paceSamples = 24
 	// Bounds of the ratio that a single request contributes.
 	lowestRatio, highestRatio = 0.1, 12
@@ -36,8 +36,8 @@
 	highestFactor = 2 * highestRatio
 	// neutralFactor is the factor of a back end without observations.
 	neutralFactor = 1
-	// priorSamples is how many requests at the neutral factor precede the first observation in the
-	// average.
+	// priorSamples is the number of requests at the neutral factor that precede the first
+	// observation in the average.
 	priorSamples = 3
 	// paceHalfLife is the minimum half-life of a factor that is not refreshed, so that a back end
 	// that was slow is tried again.
@@ -169,7 +169,7 @@
 	samples float64
 }
 
-// serviceTimeSamples is how many requests the mean averages over.
+// serviceTimeSamples is the number of requests that the mean averages over.
 const serviceTimeSamples = 100
 
 // Observe records the service time of one request.
--- a/internal/sidecar/choice/patience.go
+++ b/internal/sidecar/choice/patience.go
@@ -9,12 +9,12 @@
 	// Remaining is the time until the caller's deadline or the route's timeout, whichever is
 	// earlier.
 	Remaining time.Duration
-	// CallerRemaining is how long the caller itself waits for the answer and retries after a
-	// refusal. The route's timeout does not shorten it.
+	// CallerRemaining is the time for which the caller itself still waits for the answer and
+	// retries after a refusal. The route's timeout does not shorten it.
 	CallerRemaining time.Duration
 	// Elapsed is the time since the request was received.
 	Elapsed time.Duration
-	// ExpectedServiceTime is how long the back end is expected to work on the request.
+	// ExpectedServiceTime is the time that the back end is expected to work on the request.
 	ExpectedServiceTime time.Duration
 	// Returning: the caller was refused before and is retrying.
 	Returning bool
@@ -31,10 +31,10 @@
 	maximumWaitShare = 0.5
 	// serviceTimeMargin is the factor by which the service time may exceed the expected one.
 	serviceTimeMargin = 1.5
-	// retryLatencyTargets is how many target latencies a caller must wait in total for a refusal to
-	// be useful to it: it is refused, backs off and is served on the retry.
+	// retryLatencyTargets is the minimum total wait of a caller, in target latencies, for a refusal
+	// to be useful to it: it is refused, backs off and is served on the retry.
 	retryLatencyTargets = 3
-	// shortWaitSends is how many of a request's first sends wait only shortWaitShare of the
+	// shortWaitSends is the number of a request's first sends that wait only shortWaitShare of the
 	// permitted time before the request tries another node. Queue lengths known to a node are out
 	// of date, so the next queue is usually shorter (docs/design/0010-the-shifted-work.md).
 	shortWaitSends = 2
--- a/internal/sidecar/clock/clock.go
+++ b/internal/sidecar/clock/clock.go
@@ -24,8 +24,8 @@
 	// WatchInterval is the polling interval of Watch, and thus the longest delay until a
 	// suspension is detected while nothing calls Now.
 	WatchInterval = 200 * time.Millisecond
-	// wakeUncertainty is how long after a suspension a message that is read may still have
-	// arrived during it.
+	// wakeUncertainty is the time after a suspension during which a message that is read may still
+	// have arrived during the suspension.
 	wakeUncertainty = 250 * time.Millisecond
 )
 
@@ -49,7 +49,7 @@
 	mu sync.Mutex // guards all below
 	// read returns the total time of suspension since the machine started.
 	read func() (time.Duration, error)
-	// initial is what read returned when the process started.
+	// initial is the value that read returned when the process started.
 	initial   time.Duration
 	listeners map[*wakeListener]struct{}
 	deadlines map[*deadline]struct{}
--- a/internal/sidecar/contention.go
+++ b/internal/sidecar/contention.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/nested"
 )
 
-// recordLoad records the load that the back end reports. It returns whether requests compete for
-// capacity, which is when the load is taken into account.
+// recordLoad records the load that the back end reports. It reports whether requests compete for
+// capacity; only then is the load taken into account.
 func (s *Sidecar) recordLoad(load hop.BackendLoad) (contended bool) {
 	if load.Factor > 0 && s.contention.SetShared() {
 		s.logger.Info("the back end shares its machine", zap.Float64("factor", load.Factor), zap.Bool("overloadControl", s.contention.On()))
--- a/internal/sidecar/dial/dial.go
+++ b/internal/sidecar/dial/dial.go
@@ -14,7 +14,8 @@
 // PeerTimeouts bound how long a connection waits for a peer that acknowledges
 // nothing.
 type PeerTimeouts struct {
-	// Unacknowledged is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT).
+	// Unacknowledged is the maximum time for which sent data may remain unacknowledged
+	// (TCP_USER_TIMEOUT).
 	Unacknowledged time.Duration
 	// Idle is the time without traffic after which keep-alive probes begin, and
 	// the interval between them. The system counts it in whole seconds.
--- a/internal/sidecar/egress/call.go
+++ b/internal/sidecar/egress/call.go
@@ -292,10 +292,10 @@
 }
 
 // returningWaitFraction is the fraction of its remaining time after which a caller that was refused
-// again is told to come back. With a Retry-After from the queue's length it came back to the same
-// queue that had just refused it twice (docs/design/0010-the-shifted-work.md). Callers heed a third
-// of their remaining time at most. It does not apply to a caller that was rejected by a back end
-// with free slots: no queue gets shorter while it waits, and a third attempt after 1.8 s of 6 s comes
+// again is asked to retry. With a Retry-After from the queue's length it returned to the same queue
+// that had just refused it twice (docs/design/0010-the-shifted-work.md). Callers heed a third of
+// their remaining time at most. It does not apply to a caller that was rejected by a back end with
+// free slots: no queue gets shorter while it waits, and a third attempt after 1.8 s of 6 s comes
 // 0.8 s too late for a target latency of 1 s (TestRetryAfterRandomRejection reproduces the load).
 const returningWaitFraction = 0.3
 
--- a/internal/sidecar/egress/choose.go
+++ b/internal/sidecar/egress/choose.go
@@ -55,7 +55,7 @@
 	*subset
 	call   *call
 	origin location
-	// expectedWork is how long back ends of the service take to process such a request.
+	// expectedWork is the time that back ends of the service take to process such a request.
 	expectedWork time.Duration
 	now          time.Time
 	// contention: overload control is active.
--- a/internal/sidecar/egress/handler.go
+++ b/internal/sidecar/egress/handler.go
@@ -56,7 +56,7 @@
 	// to ask.
 	Freshness Freshness
 	// Nested recognizes calls that the local back end makes while it processes a request; nil where
-	// they are not told apart.
+	// they are not distinguished from others.
 	Nested Nested
 	// Contended reports whether overload control is active, so that back ends are chosen by their
 	// load and tenants have shares; nil for never.
--- a/internal/sidecar/egress/share.go
+++ b/internal/sidecar/egress/share.go
@@ -35,8 +35,8 @@
 	c.overShare = c.shareFraction < shares.FullFraction && c.handler.randomFloat() >= c.shareFraction
 }
 
-// setShareHeader tells the sidecar of the back end for which fraction of the tenant's requests this
-// one stands.
+// setShareHeader reports to the sidecar of the back end the fraction of the tenant's requests that are
+// within its share, which this request represents.
 func (c *call) setShareHeader(header http.Header) {
 	if c.overShare {
 		return
--- a/internal/sidecar/egress/silence.go
+++ b/internal/sidecar/egress/silence.go
@@ -20,7 +20,7 @@
 	minProbeDelay    = 120 * time.Millisecond
 	// probeInterval is the time between two probes of a node that does not answer.
 	probeInterval = 150 * time.Millisecond
-	// silentAvoidance is how long a node is avoided after each unanswered probe.
+	// silentAvoidance is the time for which a node is avoided after each unanswered probe.
 	silentAvoidance = 1500 * time.Millisecond
 	// maxSilentProbes limits how often such a node is probed in a row.
 	maxSilentProbes = 40
@@ -40,7 +40,7 @@
 	entries map[*pending]struct{}
 	// probing: a probe is in progress, or the node did not answer and is probed repeatedly.
 	probing bool
-	// alive is when the node last answered anything.
+	// alive is the time of the node's last answer of any kind.
 	alive time.Time
 }
 
--- a/internal/sidecar/egress/target.go
+++ b/internal/sidecar/egress/target.go
@@ -47,13 +47,13 @@
 }
 
 const (
-	// baseAvoidance is how long a target is avoided after its first failure; each further one
-	// doubles it, up to maxAvoidance.
+	// baseAvoidance is the time for which a target is avoided after its first failure; each further
+	// one doubles it, up to maxAvoidance.
 	baseAvoidance = 200 * time.Millisecond
 	maxAvoidance  = 2 * time.Second
-	// coldAvoidance is how long a target is avoided whose back end is warming up and has reached
-	// its limit. Such a back end takes a few requests per second, so trying it several times a
-	// second finds its free capacity.
+	// coldAvoidance is the time for which a target is avoided whose back end is warming up and has
+	// reached its limit. Such a back end takes a few requests per second, so trying it several
+	// times a second finds its free capacity.
 	coldAvoidance = 250 * time.Millisecond
 )
 
@@ -122,8 +122,8 @@
 	return own != "" && other != "" && own != other
 }
 
-// candidate describes the target for the choice. expectedWork is how long back ends of the service
-// take to process such a request.
+// candidate describes the target for the choice. expectedWork is the time that back ends of the
+// service take to process such a request.
 func (t *target) candidate(record *roster.Record, origin location, expectedWork time.Duration, now time.Time) choice.Candidate {
 	described := choice.Candidate{
 		SameZone: record.Zone == origin.zone, OtherRegion: origin.crossesRegion(record.Zone),
--- a/internal/sidecar/egress/zoneload.go
+++ b/internal/sidecar/egress/zoneload.go
@@ -48,7 +48,7 @@
 	// at roomThreshold or below. The gap keeps the log from reporting every fluctuation.
 	fullThreshold = 1.5
 	roomThreshold = 0.8
-	// zoneRetention is how long a zone is kept without a response that reports on it.
+	// zoneRetention is the time for which a zone is kept without a response that reports on it.
 	zoneRetention = 5 * time.Minute
 )
 
--- a/internal/sidecar/evacuation/evacuation.go
+++ b/internal/sidecar/evacuation/evacuation.go
@@ -68,7 +68,8 @@
 
 	mu     sync.Mutex // guards the fields below and replacing zones
 	orders map[string]Order
-	// missingSince is when an order was first missing from a store that was restored from a copy.
+	// missingSince is the time at which an order was first missing from a store that was restored
+	// from a copy.
 	missingSince map[string]time.Time
 }
 
@@ -87,8 +88,8 @@
 	}
 }
 
-// RewriteGracePeriod is how long an order is kept that is missing from a store restored from an
-// older copy, so that operators have time to write it again.
+// RewriteGracePeriod is the time for which an order is kept that is missing from a store restored
+// from an older copy, so that operators have time to write it again.
 const RewriteGracePeriod = 10 * time.Second
 
 // Reconcile compares the known orders with a full listing of the store at a revision. An order that
--- a/internal/sidecar/exchange/catchup.go
+++ b/internal/sidecar/exchange/catchup.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// watchDelay is how long a reader that is behind waits for its own watch,
-	// zoneDelay how long another node waits for a peer of its zone.
+	// watchDelay is the time for which a reader that is behind waits for its own watch, zoneDelay
+	// the time for which another node waits for a peer of its zone.
 	watchDelay = 600 * time.Millisecond
 	zoneDelay  = 300 * time.Millisecond
 	// hedgeDelay is the time without a byte from any peer that is asked after which another peer
@@ -29,7 +29,7 @@
 	// document of 0.75 MB takes 0.6 s over 10 Mbit/s.
 	fetchTimeout = 2 * time.Second
 	storeTimeout = 1500 * time.Millisecond
-	// storeDelay is how long peers are asked before the store is, whose calls are billed;
+	// storeDelay is the time for which peers are asked before the store is, whose calls are billed;
 	// minStorePause and maxStorePause bound the pauses between unsuccessful reads.
 	storeDelay    = 450 * time.Millisecond
 	minStorePause = 500 * time.Millisecond
@@ -40,10 +40,9 @@
 	maxCheckInterval = time.Second
 )
 
-// catchUp brings the node to the newest version that a peer has reported. That version and the
-// peers that reported it are remembered: reports that arrive while a fetch is running are not
-// lost, and a running catch-up ends only when the node is up to date. It is safe for concurrent
-// use.
+// catchUp updates the node to the newest version that a peer has reported. That version and the
+// peers that reported it are remembered: reports that arrive while a fetch is running are not lost,
+// and a running catch-up ends only when the node is up to date. It is safe for concurrent use.
 type catchUp struct {
 	exchanger *Exchanger
 	logger    *zap.Logger
@@ -56,8 +55,8 @@
 	ended   chan struct{}
 	// newest is the highest version that a peer has reported.
 	newest uint64
-	// behindSince is when a peer first reported a newer version, and firstPeer which one; both are
-	// valid while running.
+	// behindSince is the time at which a peer first reported a newer version, firstPeer that peer;
+	// both are valid while running.
 	behindSince time.Time
 	firstPeer   string
 	peers       sources
--- a/internal/sidecar/exchange/confirm.go
+++ b/internal/sidecar/exchange/confirm.go
@@ -14,8 +14,8 @@
 	// is refused, confirmTimeout how long the request may wait for a confirmation.
 	confirmHedgeDelay = 60 * time.Millisecond
 	confirmTimeout    = 350 * time.Millisecond
-	// confirmationLifetime is how long a confirmation serves other requests: a flood of requests that
-	// match no route causes at most ten confirmations a second.
+	// confirmationLifetime is the time for which a confirmation serves other requests: a flood of
+	// requests that match no route causes at most ten confirmations a second.
 	confirmationLifetime = 100 * time.Millisecond
 	// maxConfirmPeers bounds the nodes that are asked for one confirmation; after confirmPeersBeforeStore
 	// of them the store is read as well.
@@ -67,8 +67,8 @@
 	return level
 }
 
-// await asks until a reply brings proof or the time is over. Proof that the node obtained elsewhere
-// is accepted once several nodes were asked without success.
+// await asks until a reply contains proof or the time is over. Proof that the node obtained
+// elsewhere is accepted once several nodes were asked without success.
 func (c *confirmation) await() bool {
 	hedge := time.NewTicker(confirmHedgeDelay)
 	defer hedge.Stop()
--- a/internal/sidecar/exchange/exchanger.go
+++ b/internal/sidecar/exchange/exchanger.go
@@ -103,7 +103,7 @@
 	exchangeTimeout = 700 * time.Millisecond
 	maxIdlePerPeer  = 1
 	peerIdleTimeout = 20 * time.Second
-	// pingTimeout bounds the reply to a ping, pingAttempts is how many are sent.
+	// pingTimeout bounds the reply to a ping, pingAttempts is the number of pings sent.
 	pingTimeout  = 240 * time.Millisecond
 	pingAttempts = 2
 	// crossZoneShare is the largest share of exchanges with other zones. In zones with more
--- a/internal/sidecar/exchange/level.go
+++ b/internal/sidecar/exchange/level.go
@@ -28,7 +28,7 @@
 	minPollInterval = 25 * time.Millisecond
 	// checkTimeout bounds one request for a peer's version.
 	checkTimeout = 600 * time.Millisecond
-	// staleFor is how long a node that had no new proof when it was asked is avoided.
+	// staleFor is the time for which a node that had no new proof when it was asked is avoided.
 	staleFor = 600 * time.Millisecond
 	// maxReplyBytes bounds one reply.
 	maxReplyBytes = 4 << 10
@@ -41,7 +41,7 @@
 	exchanger *Exchanger
 	// confirming lets concurrent requests share one confirmation.
 	confirming singleflight.Group
-	// confirmed is when proof for a refusal was last obtained.
+	// confirmed is the time at which proof for a refusal was last obtained.
 	confirmed atomicTime
 	// pending holds the names of the nodes that were asked and have not replied yet, stale the
 	// moments at which nodes replied without new proof or failed to reply.
--- a/internal/sidecar/exchange/lost.go
+++ b/internal/sidecar/exchange/lost.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// lostRetention is how long a peer that did not respond is retried more often.
+	// lostRetention is the time for which a peer that did not respond is retried more often.
 	lostRetention = 30 * time.Second
 	// lostShare is the share of the exchanges that go to lost peers in a small fleet;
 	// in a large one it falls, so that all nodes together try a lost peer about
--- a/internal/sidecar/exchange/message.go
+++ b/internal/sidecar/exchange/message.go
@@ -36,7 +36,7 @@
 	SharedState
 }
 
-// SharedState is what the sender knows of operators' orders other than the configuration, and of
+// SharedState is the sender's knowledge of operators' orders other than the configuration, and of
 // facts that hold for the whole deployment.
 type SharedState struct {
 	// Era is how often the store was restored from an older copy.
--- a/internal/sidecar/exchange/question.go
+++ b/internal/sidecar/exchange/question.go
@@ -15,7 +15,8 @@
 type fetchAttempt struct {
 	source *source
 	cancel context.CancelFunc
-	// lastData is when the response last brought data, the start of the fetch before that.
+	// lastData is the time at which data of the response was last received, the start of the fetch
+	// before that.
 	lastData atomicTime
 	// responding reports whether the response has begun; abandoned, whether the fetch was given up in
 	// favor of another peer. Both are guarded by the lock of the catch-up.
@@ -50,8 +51,8 @@
 	}()
 }
 
-// receivedData records that a fetch brings data. When its response begins, the fetches that bring no
-// data are abandoned: only one copy of a large response should use the node's link.
+// receivedData records that a fetch receives data. When its response begins, the fetches that
+// receive no data are abandoned: only one copy of a large response should use the node's link.
 func (c *catchUp) receivedData(attempt *fetchAttempt) {
 	now := clock.Now()
 	attempt.lastData.set(now)
--- a/internal/sidecar/exchange/sources.go
+++ b/internal/sidecar/exchange/sources.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// retryBase is how long a peer is not asked again after a failed fetch; each further failure
-	// doubles it, up to retryMax. Peers with fewer failures are asked first.
+	// retryBase is the time for which a peer is not asked again after a failed fetch; each further
+	// failure doubles it, up to retryMax. Peers with fewer failures are asked first.
 	retryBase = 200 * time.Millisecond
 	retryMax  = 1600 * time.Millisecond
 )
--- a/internal/sidecar/exchange/spread.go
+++ b/internal/sidecar/exchange/spread.go
@@ -17,23 +17,23 @@
 	// maxZonePeers bounds how many nodes of its own zone a node notifies of a change;
 	// the others learn of it by exchanges.
 	maxZonePeers = 32
-	// relaysPerZone is how many nodes of each other zone receive a notice, maxRelayAttempts
-	// how many are tried to reach that number.
+	// relaysPerZone is the number of nodes of each other zone that receive a notice,
+	// maxRelayAttempts the number tried to reach it.
 	relaysPerZone    = 2
 	maxRelayAttempts = 4
 	// smallZoneSize is the size up to which all nodes of another zone are notified
 	// directly.
 	smallZoneSize = 3
-	// relayFanout is how many nodes of its zone a relay forwards a notice to.
+	// relayFanout is the number of nodes of its zone to which a relay forwards a notice.
 	relayFanout = 8
-	// leavingFanout is how many nodes of its zone each node notifies that learns that another one no longer
-	// accepts work. Each node forwards a notice only once, when it is new to it, so forwarding ends by itself.
-	// Nearly all nodes of a large zone learn of it within a few consecutive messages, and the others by
-	// exchanges. Without forwarding, the number of nodes that wait for exchanges grows with the zone
+	// leavingFanout is the number of nodes of its zone notified by each node that learns that another one no
+	// longer accepts work. Each node forwards a notice only once, when it is new to it, so forwarding ends by
+	// itself. Nearly all nodes of a large zone learn of it within a few consecutive messages, and the others
+	// by exchanges. Without forwarding, the number of nodes that wait for exchanges grows with the zone
 	// (TestLeavingNoticeSpreadsInZone). Other notices are not worth the messages.
 	leavingFanout = 4
-	// maxParallelNotices is how many peers are notified in parallel: all that one node notifies, so that peers
-	// that hang do not delay notices to others.
+	// maxParallelNotices is the maximum number of peers notified in parallel: all that one node notifies, so
+	// that peers that hang do not delay notices to others.
 	maxParallelNotices = maxZonePeers + relayFanout
 )
 
@@ -147,7 +147,7 @@
 	}
 }
 
-// presencePeers is how many nodes of its zone a node notifies that it is reachable again.
+// presencePeers is the number of nodes of its zone that a node notifies that it is reachable again.
 const presencePeers = 8
 
 // AnnouncePresence notifies some peers of the zone that the node is reachable, so that those that
@@ -162,7 +162,7 @@
 	_ = group.Wait()
 }
 
-// greetedPeers is how many peers a node exchanges state with at start.
+// greetedPeers is the number of peers with which a node exchanges state at start.
 const greetedPeers = 3
 
 // Greet exchanges state with some peers of the zone at once: a node that has started gets
--- a/internal/sidecar/hop/limit.go
+++ b/internal/sidecar/hop/limit.go
@@ -20,8 +20,8 @@
 type Limit struct {
 	// PerSecond is the rate that the back end accepts from all nodes together.
 	PerSecond float64
-	// Remaining is how many requests like the answered one the limit admits now; it is negative while
-	// requests wait.
+	// Remaining is the number of requests like the answered one that the limit admits now; it is
+	// negative while requests wait.
 	Remaining float64
 }
 
--- a/internal/sidecar/hop/line.go
+++ b/internal/sidecar/hop/line.go
@@ -20,9 +20,9 @@
 	Remaining time.Duration
 	// Priority ranks requests; zero is the most urgent.
 	Priority int
-	// MaximumWait is how long the request may wait for a slot.
+	// MaximumWait is the maximum time that the request may wait for a slot.
 	MaximumWait time.Duration
-	// ExpectedServiceTime is how long back ends usually work on such a request.
+	// ExpectedServiceTime is the time that back ends usually work on such a request.
 	ExpectedServiceTime time.Duration
 	// Returning: the caller was refused before and is retrying.
 	Returning bool
@@ -132,7 +132,7 @@
 	HoldTime                time.Duration
 	// Factor is the service time of the back end relative to that of others.
 	Factor float64
-	// ServiceTime is how long the back end worked on this request; zero if it did not.
+	// ServiceTime is the time that the back end worked on this request; zero if it did not.
 	ServiceTime time.Duration
 	// FailureRate is the share of the back end's requests that fail.
 	FailureRate float64
--- a/internal/sidecar/ingress/arrival.go
+++ b/internal/sidecar/ingress/arrival.go
@@ -35,8 +35,8 @@
 	errEvacuated       = errors.New("the zone is being evacuated")
 )
 
-// initialReadLimit is how many bytes are read of a body that the caller's node sends after a 100
-// Continue, before the request goes to the back end.
+// initialReadLimit is the number of bytes that are read of a body that the caller's node sends
+// after a 100 Continue, before the request goes to the back end.
 const initialReadLimit = 64 << 10
 
 // arrival is one request from a node. It is used by a single goroutine, except for print.
--- a/internal/sidecar/ingress/ends.go
+++ b/internal/sidecar/ingress/ends.go
@@ -22,8 +22,8 @@
 	// probeTimeout bounds the probe for the back end's process. It runs on the same machine, so the
 	// connection is refused at once if the process has ended.
 	probeTimeout = 50 * time.Millisecond
-	// lossRetention is how long after a connection loss the arrival of a back end with another id
-	// shows that the former process crashed.
+	// lossRetention is the time after a connection loss within which the arrival of a back end with
+	// another id shows that the former process crashed.
 	lossRetention = 10 * time.Second
 	// lossWindow is the time within which broken connections count as one loss.
 	lossWindow = 2 * probeTimeout
@@ -44,7 +44,7 @@
 type Running struct {
 	RequestID   string
 	Fingerprint fingerprint.Fingerprint
-	// For is how long the request had been active.
+	// For is the time for which the request had been active.
 	For time.Duration
 	// Trial: the request was already suspected of crashing back ends.
 	Trial bool
--- a/internal/sidecar/ingress/exchange.go
+++ b/internal/sidecar/ingress/exchange.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// hangFactor is how many times the expected service time a cancelled request must have been at the
-// back end to count as a failure of the back end.
+// hangFactor is the multiple of the expected service time that a cancelled request must have been
+// at the back end to count as a failure of the back end.
 const hangFactor = 4
 
 // countFailure counts a failure against the back end: a bad answer, a broken connection, or no
--- a/internal/sidecar/ingress/handler.go
+++ b/internal/sidecar/ingress/handler.go
@@ -121,8 +121,8 @@
 const (
 	// dialTimeout bounds connecting to the back end, which is on the same machine.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout is how long an idle connection is kept unless the back end announces another
-	// time.
+	// idleTimeout is the time for which an idle connection is kept unless the back end announces
+	// another time.
 	idleTimeout = 3 * time.Second
 	// replyHeaderBytes bounds the size of an answer's headers.
 	replyHeaderBytes = 64 << 10
--- a/internal/sidecar/ingress/notice.go
+++ b/internal/sidecar/ingress/notice.go
@@ -30,7 +30,7 @@
 	draining bool
 	// unreadable: the last notice could not be decoded.
 	unreadable bool
-	// lastLogged is when the limit was last logged.
+	// lastLogged is the time at which the limit was last logged.
 	lastLogged time.Time
 }
 
--- a/internal/sidecar/ingress/transfer.go
+++ b/internal/sidecar/ingress/transfer.go
@@ -21,8 +21,8 @@
 	// carries in that time. With more, each transfer takes longer and delays other traffic on the
 	// link; with less, a slow link has room for few bodies at a time.
 	transferWindow = 100 * time.Millisecond
-	// reservationTimeout is how long a body reserves its capacity at most: a slow sender does not
-	// use the link.
+	// reservationTimeout is the maximum time for which a body reserves its capacity: a slow sender
+	// does not use the link.
 	reservationTimeout = 10 * transferWindow
 	// linkWaitShare is the part of its maximum wait that a request may wait for the link; the rest
 	// is left for the transfer and the slot.
--- a/internal/sidecar/lending/carrier/carrier.go
+++ b/internal/sidecar/lending/carrier/carrier.go
@@ -27,7 +27,7 @@
 var ErrNoGranter = errors.New("no granter for the account")
 
 const (
-	// granterCacheTTL is how long a selection of granters is reused.
+	// granterCacheTTL is the time for which a selection of granters is reused.
 	granterCacheTTL = 200 * time.Millisecond
 	// granterPollInterval is the interval at which Run checks whether the granters have changed.
 	granterPollInterval = 100 * time.Millisecond
@@ -53,7 +53,7 @@
 	Terms func(account string, memberCount int) (lending.Terms, bool)
 	// Accounts returns the names of all accounts.
 	Accounts func() []string
-	// Prefetch is for how long the tokens of one request should last.
+	// Prefetch is the time that the tokens of one request should last.
 	Prefetch time.Duration
 	// Send sends a request to another node and returns its response.
 	Send func(ctx context.Context, to *roster.Record, request *lending.GrantRequest) (*lending.GrantResponse, error)
--- a/internal/sidecar/lending/holder.go
+++ b/internal/sidecar/lending/holder.go
@@ -20,13 +20,13 @@
 // holding is the state of one account.
 type holding struct {
 	batches []tokenBatch
-	// deniedUntil is when the granter may be asked again, nextTokenAt when it expects to have a
-	// token.
+	// deniedUntil is the time from which the granter may be asked again, nextTokenAt the time at
+	// which it expects to have a token.
 	deniedUntil, nextTokenAt time.Time
 	// lentTo is the granter that uses the share, at most until lentUntil.
 	lentTo    string
 	lentUntil time.Time
-	// ownTokens is what the share has yielded while it was not lent.
+	// ownTokens is the number of tokens that the share has yielded while it was not lent.
 	ownTokens  float64
 	ownUpdated time.Time
 	earnings   earnings
@@ -35,9 +35,9 @@
 	demandUpdated time.Time
 }
 
-// maxDenial is for how long one denial refuses further requests of an account. It limits the load
-// that a flood puts on the granter to ten requests per second and node, and lets tokens that become
-// available early be found.
+// maxDenial is the maximum time for which one denial refuses further requests of an account. It
+// limits the load that a flood puts on the granter to ten requests per second and node, and lets
+// tokens that become available early be found.
 const maxDenial = 100 * time.Millisecond
 
 // minExpectedUse is the expected number of tokens spent within TokenLifetime below which none are
@@ -54,7 +54,7 @@
 type Token struct {
 	account     string
 	from, until time.Time
-	// Wait is how long the request must wait before it is sent.
+	// Wait is the time that the request must wait before it is sent.
 	Wait time.Duration
 }
 
--- a/internal/sidecar/lending/lending.go
+++ b/internal/sidecar/lending/lending.go
@@ -33,11 +33,11 @@
 }
 
 const (
-	// TokenLifetime is how long a token may be spent after it was granted or, if that is later,
-	// became due.
+	// TokenLifetime is the time for which a token may be spent after it was granted or, if that is
+	// later, became due.
 	TokenLifetime = 500 * time.Millisecond
-	// MaxTokenDelay is how long before it is due a token may be granted: for a caller, a short wait
-	// is better than a refusal.
+	// MaxTokenDelay is the maximum time by which a token may be granted before it is due: for a
+	// caller, a short wait is better than a refusal.
 	MaxTokenDelay = 100 * time.Millisecond
 	// RequestTimeout limits one GrantRequest to a granter. It is far above the round-trip time
 	// between zones, so that only a lost or hanging peer reaches it.
@@ -52,8 +52,8 @@
 	leasePerMember = 10 * time.Millisecond
 	// renewalsPerLease is how often a lease is renewed before it would expire.
 	renewalsPerLease = 3
-	// leaseMargin is how much longer the lender considers a share lent than the granter does. It
-	// covers the time that the message may take.
+	// leaseMargin is the time by which the lender considers a share lent longer than the granter
+	// does. It covers the time that the message may take.
 	leaseMargin = 250 * time.Millisecond
 )
 
--- a/internal/sidecar/lending/sum.go
+++ b/internal/sidecar/lending/sum.go
@@ -8,8 +8,8 @@
 // SlidingSum sums amounts over a sliding time window. Its zero value is empty.
 type SlidingSum struct {
 	buckets [slidingSumBuckets]float64
-	// start is when the first amount was added. current is the number of the latest bucket, counted
-	// from start.
+	// start is the time at which the first amount was added. current is the number of the latest
+	// bucket, counted from start.
 	start   time.Time
 	current int64
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -35,13 +35,13 @@
 	// others. Its reads may return data that is seconds old, as the nodes exchange changes among
 	// themselves.
 	refreshInterval = 20 * time.Second
-	// endpointWaitHeartbeats is how long the first write waits for the back end to announce itself,
-	// in heartbeat intervals, so that one write is enough. The second interval covers a late
-	// heartbeat.
+	// endpointWaitHeartbeats is the maximum time for which the first write waits for the back end
+	// to announce itself, in heartbeat intervals, so that one write is enough. The second interval
+	// covers a late heartbeat.
 	endpointWaitHeartbeats = 2
-	// contactDelay is how long after its write a node waits for contact from another one before it
-	// reads the keys again. When many nodes start together, the first ones to read inform the
-	// others.
+	// contactDelay is the time after its write for which a node waits for contact from another one
+	// before it reads the keys again. When many nodes start together, the first ones to read inform
+	// the others.
 	contactDelay = 1500 * time.Millisecond
 	// maxContactDelay bounds the time between two such reads of a node that stays isolated.
 	maxContactDelay = refreshInterval
@@ -136,7 +136,7 @@
 	}
 }
 
-// previousState is what a previous run of the node left in the store.
+// previousState is the state that a previous run of the node left in the store.
 type previousState struct {
 	// item is the own key, record the record in it, and snapshot the own record in the snapshot.
 	// Each is nil if absent.
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -45,8 +45,8 @@
 // latencyBuckets are the histogram buckets of all latencies, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// maxRouteLabels is how many routes have a label of their own. Labels go to the routes that are
-// called first, since deployments have many routes that nobody calls.
+// maxRouteLabels is the maximum number of routes with a label of their own. Labels go to the routes
+// that are called first, since deployments have many routes that nobody calls.
 const maxRouteLabels = 64
 
 // boundedLabels limits the values of a label: the first maxLabels names keep theirs, all others
--- a/internal/sidecar/nested/nested.go
+++ b/internal/sidecar/nested/nested.go
@@ -88,18 +88,20 @@
 func (c *repeatCounter) probability() float64 { return c.repeated / max(c.requests, 1) }
 
 const (
-	// maximumReadDelay is how long after its sending a call may be read on a busy machine. Its
-	// deadline is computed from the time of reading.
+	// maximumReadDelay is the maximum time between the sending and the reading of a call on a busy
+	// machine. The deadline of the call is computed from the time of reading.
 	maximumReadDelay = 100 * time.Millisecond
-	// minimumRequests is how many requests of a route must be seen before it is classified.
+	// minimumRequests is the number of requests of a route that must be seen before it is
+	// classified.
 	minimumRequests = 8
 	// maximumClientShare is the share of a called route's requests that may look like requests of
 	// clients: calls that overlap with the end of the request that they serve.
 	maximumClientShare = 0.02
-	// windowRequests is how many requests of a route are counted before the counts are halved.
+	// windowRequests is the number of requests of a route that are counted before the counts are
+	// halved.
 	windowRequests = 256
-	// startupDelay is how long after its start a node cannot classify requests, since requests that
-	// began before are not in ActiveRequests.
+	// startupDelay is the time after its start for which a node cannot classify requests, since
+	// requests that began before are not in ActiveRequests.
 	startupDelay = time.Second
 )
 
--- a/internal/sidecar/occupancy/occupancy.go
+++ b/internal/sidecar/occupancy/occupancy.go
@@ -12,7 +12,7 @@
 type Estimate struct {
 	// others is the number of requests from other nodes in the last report.
 	others float64
-	// reportedAt is when the last report arrived; zero before the first.
+	// reportedAt is the arrival time of the last report; zero before the first.
 	reportedAt time.Time
 	// gap is the smoothed interval between reports; zero before the second.
 	gap time.Duration
--- a/internal/sidecar/quarantine/blame.go
+++ b/internal/sidecar/quarantine/blame.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// minCrashes is how many back ends must have crashed while running a request before it is
-	// quarantined. A single crash has as many suspects as the back end had slots. With two, fewer
-	// back ends are lost than the three crashes from which an outside observer could identify the
-	// request.
+	// minCrashes is the number of back ends that must have crashed while running a request before
+	// it is quarantined. A single crash has as many suspects as the back end had slots. With two,
+	// fewer back ends are lost than the three crashes from which an outside observer could identify
+	// the request.
 	minCrashes = 2
 	// conclusiveCrashes is the number of crashes from which on a request is quarantined even if
 	// another suspect was running at one of them, or a back end crashed without it at about the
@@ -29,7 +29,7 @@
 // openCrash is an unexplained crash and the requests that may have caused it.
 type openCrash struct {
 	endpoint string
-	// at is when the node learned of the crash.
+	// at is the time at which the node learned of the crash.
 	at      time.Time
 	digests []fingerprint.Digest
 	// trial is the one of them that was a suspect before, the zero digest if there was none.
--- a/internal/sidecar/quarantine/quarantine.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -37,8 +37,9 @@
 }
 
 const (
-	// clearanceDelay is how long a clearance waits to be broadcast together with others: requests
-	// that were running beside a harmful one complete within some milliseconds of each other.
+	// clearanceDelay is the time for which a clearance waits to be broadcast together with others:
+	// requests that were running beside a harmful one complete within some milliseconds of each
+	// other.
 	clearanceDelay = 10 * time.Millisecond
 	// maxEntries bounds the quarantined requests of all nodes that a node keeps.
 	maxEntries = 4096
@@ -57,13 +58,13 @@
 	evidence map[string]*roster.Evidence
 	// gone are those of them whose back end has ended. Their records are forgotten after a while.
 	gone map[string]bool
-	// firstSeen is when the node learned of each published crash, by back end.
+	// firstSeen is the time at which the node learned of each published crash, by back end.
 	firstSeen map[string]time.Time
 	// known are the quarantined requests. They stay when their evidence is removed.
 	known map[fingerprint.Digest]roster.Quarantined
 }
 
-// state is what requests are checked against. It is immutable.
+// state is the data against which requests are checked. It is immutable.
 type state struct {
 	held map[fingerprint.Digest]roster.Quarantined
 	// suspects are the requests that were running at unexplained crashes.
--- a/internal/sidecar/quota/bounds.go
+++ b/internal/sidecar/quota/bounds.go
@@ -8,7 +8,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/lending"
 )
 
-// Limit is what a tenant may send through all nodes together.
+// Limit is the rate limit of a tenant across all nodes together.
 type Limit struct {
 	// Rate is in requests per second, Burst in requests.
 	Rate, Burst float64
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -24,13 +24,14 @@
 )
 
 const (
-	// maxFailedRequests is how many token requests may fail for one request of a caller.
+	// maxFailedRequests is the maximum number of token requests that may fail for one request of a
+	// caller.
 	maxFailedRequests = 4
-	// maxRequestTime is for how long one request of a caller goes on requesting tokens from a
-	// granter that answers. Other requests that wait for the same response may spend all the tokens
-	// that it brings.
+	// maxRequestTime is the maximum time for which one request of a caller goes on requesting
+	// tokens from a granter that answers. Other requests that wait for the same response may spend
+	// all the tokens that it contains.
 	maxRequestTime = 300 * time.Millisecond
-	// minRetryAfter is the shortest wait that a refused caller is told.
+	// minRetryAfter is the minimum retry delay that is sent to a refused caller.
 	minRetryAfter = 50 * time.Millisecond
 )
 
--- a/internal/sidecar/ratelimit/bucket.go
+++ b/internal/sidecar/ratelimit/bucket.go
@@ -1,6 +1,6 @@
 // Package ratelimit enforces the rate that a back end advertises for itself, in requests per second from
 // all nodes together. Limit decides: it is kept by the node beside the back end, which every request
-// passes. Estimate is what another node knows of the limit, so that it sends few requests that would be
+// passes. Estimate is another node's knowledge of the limit, so that it sends few requests that would be
 // refused. The package does no I/O and takes the time as an argument.
 package ratelimit
 
@@ -10,8 +10,9 @@
 	// minRate is the lowest rate, in requests per second, at which requests are sent to a back end: only
 	// a response can tell that its limit has ended.
 	minRate = 0.25
-	// burstTime is how much unused rate is kept for a burst; at least one request. A back end that gets
-	// no more requests in any second than its limit has none of them refused.
+	// burstTime is the time for which unused rate accumulates for a burst; at least one request is
+	// kept. A back end that gets no more requests in any second than its limit has none of them
+	// refused.
 	burstTime = time.Second
 )
 
--- a/internal/sidecar/ratelimit/limit.go
+++ b/internal/sidecar/ratelimit/limit.go
@@ -22,10 +22,11 @@
 // zero value allows everything. The caller holds a lock.
 type Limit struct {
 	advertised Advertised
-	// changedAt is when this limit was first advertised, confirmedAt when it was last.
+	// changedAt is the time at which this limit was first advertised, confirmedAt the time at which
+	// it was last.
 	changedAt, confirmedAt time.Time
-	// limitedSince is when a limit was advertised after a time without one; lastMinimumShare is when a
-	// request last passed by its minimum share.
+	// limitedSince is the time at which a limit was advertised after a time without one;
+	// lastMinimumShare is the time at which a request last passed by its minimum share.
 	limitedSince, lastMinimumShare time.Time
 	bucket                         bucket
 	recent                         recent
--- a/internal/sidecar/ratelimit/usage.go
+++ b/internal/sidecar/ratelimit/usage.go
@@ -13,8 +13,8 @@
 type usage struct {
 	counts  [classes]float64
 	updated time.Time
-	// lastConsumed is when a request of each class last passed, lastAsked when one last asked to pass
-	// ahead of its turn.
+	// lastConsumed is the time at which a request of each class last passed, lastAsked the time at
+	// which one last asked to pass ahead of its turn.
 	lastConsumed, lastAsked [classes]time.Time
 }
 
--- a/internal/sidecar/repeats/budget.go
+++ b/internal/sidecar/repeats/budget.go
@@ -57,9 +57,8 @@
 	return b.tokens
 }
 
-// drain removes all tokens and returns how many are missing to the capacity, that is how many were
-// spent recently beyond what had flowed in. It returns 0 if the budget was not used since the last
-// drain.
+// drain removes all tokens and returns the number missing to the capacity, that is the number spent
+// recently beyond those added. It returns 0 if the budget was not used since the last drain.
 func (b *budget) drain(limits Limits, members int, now time.Time) (deficit float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -78,8 +77,8 @@
 	return limits.Slack * slackFraction / 2 / float64(max(members, 1))
 }
 
-// capacity is how many tokens can be saved up. It is at least one repeat, which each of many nodes
-// with few requests has to save up for.
+// capacity is the maximum number of tokens that can be saved up. It is at least one repeat, which
+// each of many nodes with few requests has to save up for.
 func (b *budget) capacity(limits Limits, members int) float64 {
 	return max(halfSlack(limits, members)+limits.Ratio*ratioFraction*b.requests, 1)
 }
--- a/internal/sidecar/repeats/repeats.go
+++ b/internal/sidecar/repeats/repeats.go
@@ -36,13 +36,13 @@
 )
 
 const (
-	// prefetchTime is for how long a batch of tokens should last. With a longer time more tokens
+	// prefetchTime is the time that a batch of tokens should last. With a longer time more tokens
 	// expire unspent, with a shorter one there are more requests to granters.
 	prefetchTime = 200 * time.Millisecond
 	// lowWaterMark is the time for which the held tokens must last; below it, a new batch is
 	// requested.
 	lowWaterMark = 50 * time.Millisecond
-	// requestPause is how long no granter is asked after one did not answer.
+	// requestPause is the time for which no granter is asked after one did not answer.
 	requestPause = 100 * time.Millisecond
 )
 
@@ -87,7 +87,7 @@
 	nestedDemand demandCounter
 
 	mu sync.Mutex // guards all below
-	// requestAfter is when a granter may be asked again.
+	// requestAfter is the time from which a granter may be asked again.
 	requestAfter time.Time
 }
 
--- a/internal/sidecar/repeats/terms.go
+++ b/internal/sidecar/repeats/terms.go
@@ -10,7 +10,7 @@
 type Limits struct {
 	// Ratio is the maximum number of repeats per request.
 	Ratio float64
-	// Slack is how many repeats beyond that are allowed in any Window.
+	// Slack is the number of repeats that are allowed beyond Ratio in any Window.
 	Slack float64
 	// Window is the time over which repeats are counted.
 	Window time.Duration
--- a/internal/sidecar/repeats/worth.go
+++ b/internal/sidecar/repeats/worth.go
@@ -51,7 +51,8 @@
 const (
 	// minReserve is the smallest reserve, in tokens, that is kept.
 	minReserve = 0.1
-	// reserveTime is for how long the reserve should last, since more tokens may not arrive before.
+	// reserveTime is the time that the reserve should last, since more tokens may not arrive
+	// before.
 	reserveTime = 200 * time.Millisecond
 )
 
--- a/internal/sidecar/rollout/controller/controller.go
+++ b/internal/sidecar/rollout/controller/controller.go
@@ -46,12 +46,12 @@
 const (
 	// tickInterval is the interval at which rollouts in progress are evaluated.
 	tickInterval = 50 * time.Millisecond
-	// maxWithhold is how long a version without an order gets no requests, since its order may not
-	// have arrived yet. After that the version is taken as deployed without an order and is
-	// used.
+	// maxWithhold is the maximum time for which a version without an order gets no requests, since
+	// its order may not have arrived yet. After that the version is taken as deployed without an
+	// order and is used.
 	maxWithhold = 10 * time.Second
-	// propagationGrace is how long after promotion the back ends of other versions still accept
-	// requests from nodes that have not learned of it.
+	// propagationGrace is the time after promotion for which the back ends of other versions still
+	// accept requests from nodes that have not learned of it.
 	propagationGrace = 200 * time.Millisecond
 )
 
@@ -80,11 +80,12 @@
 	rollout.State
 	// orderRevision is the revision of the order that all fields below refer to.
 	orderRevision uint64
-	// startedAt is when the node received the order, requestsAtStart the number of requests of
-	// the service that it had divided by then.
+	// startedAt is the time at which the node received the order, requestsAtStart the number of
+	// requests of the service that it had divided by then.
 	startedAt       time.Time
 	requestsAtStart int64
-	// promotedAt is when this node sent all requests to the version; zero before.
+	// promotedAt is the time at which this node began to send all requests to the version; zero
+	// before.
 	promotedAt time.Time
 	// due is the phase to be written, dueSince the time since which it is due.
 	due      rollout.Phase
@@ -412,7 +413,7 @@
 	c.plans.Store(&updated)
 }
 
-// minRateWindow is how long requests are counted before their rate is used.
+// minRateWindow is the minimum time for which requests are counted before their rate is used.
 const minRateWindow = time.Second
 
 // requestRate returns the rate of a rollout's requests at this node. The lock must be held.
--- a/internal/sidecar/rollout/controller/judging.go
+++ b/internal/sidecar/rollout/controller/judging.go
@@ -18,7 +18,7 @@
 	detector    *rollout.Detector
 
 	mu sync.Mutex // guards all below
-	// faulty is what was last published, published is when.
+	// faulty is the verdict last published, published the time at which it was.
 	faulty    bool
 	published time.Time
 }
--- a/internal/sidecar/rollout/decide.go
+++ b/internal/sidecar/rollout/decide.go
@@ -9,8 +9,9 @@
 	CauseInsufficientEvidence = "too little was seen of the version, or it has too few back ends"
 )
 
-// expiryGrace is how long after its deadline a rollout without a known result counts as rolled
-// back. A node that receives the result from its peers alone may learn of it that much later.
+// expiryGrace is the time past its deadline after which a rollout without a known result counts as
+// rolled back. A node that receives the result from its peers alone may learn of it that much
+// later.
 const expiryGrace = 1500 * time.Millisecond
 
 // Evaluate returns the state after an evaluation of the evidence, and whether it changed. Every
--- a/internal/sidecar/rollout/schedule.go
+++ b/internal/sidecar/rollout/schedule.go
@@ -35,19 +35,18 @@
 	// maxPromotion bounds the time between promotion and deadline. Requests in progress on
 	// other versions have ended by then.
 	maxPromotion = 2 * time.Second
-	// completionFraction is how long before the deadline the rollout is declared completed, as
-	// a fraction of the promotion time; minCompletion is a lower bound on that time and
-	// maxCompletionFraction an upper bound on the fraction. It covers an order received late,
-	// the write to the store and the polling interval of the operator's tool: with a lead
-	// of 0.11 s in a rollout of 8 s, a completed rollout was counted as late.
+	// completionFraction is the time before the deadline at which the rollout is declared
+	// completed, as a fraction of the promotion time; minCompletion is a lower bound on that time
+	// and maxCompletionFraction an upper bound on the fraction. It covers an order received late,
+	// the write to the store and the polling interval of the operator's tool: with a lead of 0.11 s
+	// in a rollout of 8 s, a completed rollout was counted as late.
 	completionFraction    = 0.35
 	minCompletion         = 300 * time.Millisecond
 	maxCompletionFraction = 0.5
-	// turnDuration is how long one set of back ends is on trial before the next.
+	// turnDuration is the time for which one set of back ends is on trial before the next.
 	turnDuration = time.Second
-	// trialBackEnds is the number of back ends that are on trial in turn. With few of them
-	// evidence accumulates quickly, and a single bad back end can be told apart from a bad
-	// version.
+	// trialBackEnds is the number of back ends that are on trial in turn. With few of them evidence
+	// accumulates quickly, and a single bad back end can be distinguished from a bad version.
 	trialBackEnds = 3
 )
 
@@ -73,7 +72,7 @@
 	return limits.Slack * slackFraction / float64(max(rate.Members, 1)) / expected
 }
 
-// promotion is how long before the deadline the version is promoted to all requests.
+// promotion returns the time before the deadline at which the version is promoted to all requests.
 func (s State) promotion(limits Limits) time.Duration {
 	return min(time.Duration(float64(s.Duration)*limits.Share*promotionFraction), maxPromotion)
 }
--- a/internal/sidecar/roster/claims.go
+++ b/internal/sidecar/roster/claims.go
@@ -16,8 +16,8 @@
 type IncarnationTracker struct {
 	// Interval is the expected time between two heartbeats.
 	Interval time.Duration
-	// lastHeartbeat is when the current incarnation last sent a heartbeat since this process started.
-	// It is zero if none has arrived or the back end's process is known to have ended.
+	// lastHeartbeat is the time of the current incarnation's last heartbeat since this process
+	// started. It is zero if none has arrived or the back end's process is known to have ended.
 	lastHeartbeat time.Time
 	// candidate is another incarnation that has sent heartbeats since then, and candidateHeartbeats
 	// their number in a row.
@@ -26,10 +26,10 @@
 }
 
 const (
-	// maxSilentIntervals is how many heartbeat intervals the current incarnation may be silent
-	// before another one replaces it at once.
+	// maxSilentIntervals is the maximum number of heartbeat intervals for which the current
+	// incarnation may be silent before another one replaces it at once.
 	maxSilentIntervals = 3
-	// minCandidateHeartbeats is how many heartbeats in a row a candidate must send.
+	// minCandidateHeartbeats is the number of consecutive heartbeats that a candidate must send.
 	minCandidateHeartbeats = 2
 )
 
--- a/internal/sidecar/roster/evidence.go
+++ b/internal/sidecar/roster/evidence.go
@@ -6,7 +6,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/fingerprint"
 )
 
-// Evidence is what a node knows about requests that crash the back ends that run them. It is
+// Evidence is a node's knowledge of requests that crash the back ends that run them. It is
 // immutable.
 type Evidence struct {
 	// Crashes are the most recent crashes of the node's own back end whose cause is not yet known,
--- a/internal/sidecar/roster/record.go
+++ b/internal/sidecar/roster/record.go
@@ -55,7 +55,7 @@
 	// LastAssessment is the node's assessment of its back end while a version of the software is
 	// being rolled out, nil otherwise. It may be of an earlier incarnation; see Assessment.
 	LastAssessment *Assessment `json:"judged,omitempty"`
-	// Evidence is what the node knows about requests that crash back ends, nil if nothing.
+	// Evidence is the node's knowledge of requests that crash back ends, nil if it has none.
 	Evidence *Evidence `json:"evidence,omitempty"`
 	// Ended lists the most recent incarnations that have ended, newest last.
 	Ended []string `json:"ended,omitempty"`
--- a/internal/sidecar/roster/roster.go
+++ b/internal/sidecar/roster/roster.go
@@ -19,13 +19,14 @@
 	// dirty are the nodes whose records have changed since the view was built.
 	dirty     map[string]struct{}
 	observers []func(changed []*Record)
-	// published is when the view was last replaced. publishPending means that a replacement is
-	// scheduled.
+	// published is the time at which the view was last replaced. publishPending means that a
+	// replacement is scheduled.
 	published      time.Time
 	publishPending bool
 	// batchDepth counts the running calls of Batch, each of which replaces the view when it ends.
 	batchDepth int
-	// goneSince is when a record was first seen in the state Gone. Only Forget uses it.
+	// goneSince is the time at which a record was first seen in the state Gone. Only Forget uses
+	// it.
 	goneSince map[string]time.Time
 }
 
@@ -86,8 +87,8 @@
 	return changed
 }
 
-// goneRetention is how long the record of a node whose back end has ended is kept, so that a
-// process restarted on that node learns from others which incarnations have ended.
+// goneRetention is the time for which the record of a node whose back end has ended is kept, so
+// that a process restarted on that node learns from others which incarnations have ended.
 const goneRetention = 5 * time.Minute
 
 // Forget removes the records of other nodes whose back end ended goneRetention ago, and returns
--- a/internal/sidecar/route/document.go
+++ b/internal/sidecar/route/document.go
@@ -58,8 +58,8 @@
 	HealthPath string
 	// MaximumConnections bounds the connections to one back end from all callers together.
 	MaximumConnections int
-	// WarmupTime is how long a back end stays cold after its start, WarmupRate the request rate per
-	// second that it accepts meanwhile; zero means any rate.
+	// WarmupTime is the time for which a back end stays cold after its start, WarmupRate the
+	// request rate per second that it accepts meanwhile; zero means any rate.
 	WarmupTime time.Duration `json:",omitempty"`
 	WarmupRate float64       `json:",omitempty"`
 }
--- a/internal/sidecar/route/tenant.go
+++ b/internal/sidecar/route/tenant.go
@@ -26,7 +26,7 @@
 	// Keys are the currently valid keys. They are unique across tenants.
 	Keys []Key
 	// Rate is the number of requests per second allowed across all nodes, zero for no limit. Burst
-	// is how many more may be sent at once.
+	// is the number of further requests that may be sent at once.
 	Rate, Burst float64 `json:",omitempty"`
 	// Priority overrides the priority of the routes; nil keeps it.
 	Priority *int `json:",omitempty"`
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -41,8 +41,8 @@
 	// ApplyBound is the maximum time from the acknowledgement of a version until it is in force;
 	// zero means exchange.DefaultBound.
 	ApplyBound time.Duration
-	// DrainBound is how long a back end may still receive new requests after it has announced
-	// that it is leaving.
+	// DrainBound is the maximum time for which a back end may still receive new requests after it
+	// has announced that it is leaving.
 	DrainBound time.Duration
 	// Grace is the time between the request to stop and the forced end of the process.
 	Grace time.Duration
--- a/internal/sidecar/shares/heard.go
+++ b/internal/sidecar/shares/heard.go
@@ -33,7 +33,7 @@
 type Tracker struct {
 	mu    sync.RWMutex // guards all below
 	flows map[Flow]*flowEstimate
-	// sweptAt is when stale flows were last removed.
+	// sweptAt is the time at which stale flows were last removed.
 	sweptAt time.Time
 }
 
@@ -44,7 +44,7 @@
 	// separately, since demand varies randomly between back ends: the mean of the ratios would
 	// be below the ratio of the means.
 	share, demand float64
-	// lastReply is when the last reply arrived; zero before the first.
+	// lastReply is the arrival time of the last reply; zero before the first.
 	lastReply time.Time
 }
 
--- a/internal/sidecar/shares/shares.go
+++ b/internal/sidecar/shares/shares.go
@@ -49,9 +49,9 @@
 
 func clampFraction(fraction float64) float64 { return min(max(fraction, minFraction), FullFraction) }
 
-// Allocation is what a back end's node reports about a tenant: the maximum that one tenant may
-// use of the capacity there, and the tenant's demand. The zero value means that capacity is
-// sufficient for all.
+// Allocation is the report of a back end's node about a tenant: the maximum that one tenant may use
+// of the capacity there, and the tenant's demand. The zero value means that capacity is sufficient
+// for all.
 type Allocation struct{ Share, Demand time.Duration }
 
 // unlimitedHeader is the header value of the zero Allocation.
@@ -113,7 +113,7 @@
 	// share is the maximum work that a tenant may have served; infinite while capacity is
 	// sufficient.
 	share float64
-	// updatedAt is when the shares were last computed.
+	// updatedAt is the time at which the shares were last computed.
 	updatedAt time.Time
 	// scratch is a buffer that is reused.
 	scratch []float64
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -85,8 +85,8 @@
 	peerDialTimeout   = 400 * time.Millisecond
 	storeDialTimeout  = time.Second
 	storeAckTimeout   = 3 * time.Second
-	// WatchBatchDelay is how long a watch of the store waits after an event before the next call,
-	// so that one call returns several changes made in quick succession.
+	// WatchBatchDelay is the time for which a watch of the store waits after an event before the
+	// next call, so that one call returns several changes made in quick succession.
 	WatchBatchDelay = 500 * time.Millisecond
 )
 
@@ -114,15 +114,16 @@
 	stopping       atomic.Bool
 	// following is true while the node watches the configuration in the store.
 	following atomic.Bool
-	// started is when the node was created. peersDiscovered is when the store first returned
-	// the other nodes; nil before.
+	// started is the time at which the node was created. peersDiscovered is the time at which the
+	// store first returned the other nodes; nil before.
 	started         time.Time
 	peersDiscovered atomic.Pointer[time.Time]
 	// settings is replaced when settings are reloaded.
 	settings atomic.Pointer[Settings]
-	// lastHeartbeat is when the last heartbeat arrived, as a clock.Stamp; zero before the first.
+	// lastHeartbeat is the arrival time of the last heartbeat, as a clock.Stamp; zero before the
+	// first.
 	lastHeartbeat atomic.Int64
-	// warmedUp is when the back end's warm-up ends, as a clock.Stamp; zero if it has reported
+	// warmedUp is the end time of the back end's warm-up, as a clock.Stamp; zero if it has reported
 	// no warm-up.
 	warmedUp atomic.Int64
 	// stalls records when this process was not scheduled. It runs only while the back end's
--- a/internal/sidecar/stall/watch.go
+++ b/internal/sidecar/stall/watch.go
@@ -7,7 +7,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/clock"
 )
 
-// monitorTime is how long the monitor keeps ticking after the last call of Extend.
+// monitorTime is the time for which the monitor keeps ticking after the last call of Extend.
 const monitorTime = 2 * time.Second
 
 // Monitor ticks for a limited time after each call of Extend and detects stalls. It is safe for
@@ -15,7 +15,7 @@
 type Monitor struct {
 	mu      sync.Mutex // guards all below
 	tracker Tracker
-	// until is when the monitor stops, zero while it does not tick.
+	// until is the time at which the monitor stops, zero while it does not tick.
 	until time.Time
 }
 
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -13,7 +13,7 @@
 const (
 	// drainPollInterval is the time between two checks whether the drain is done.
 	drainPollInterval = 50 * time.Millisecond
-	// minDrainTime is how long a stopping node keeps serving at least: the platform takes
+	// minDrainTime is the minimum time for which a stopping node keeps serving: the platform takes
 	// that long to direct callers to another node.
 	minDrainTime = 2300 * time.Millisecond
 	// minDrainGraceShare bounds minDrainTime by a fraction of the grace time, for short
@@ -21,21 +21,21 @@
 	minDrainGraceShare = 0.4
 	// quietPeriod is the time without a call after which no more calls are expected.
 	quietPeriod = 600 * time.Millisecond
-	// announceShare is the fraction of the grace time after which peers are told to send no
-	// more requests. Until then the back end's slots are still useful, since local callers
-	// keep arriving for about that long.
+	// announceShare is the fraction of the grace time after which peers are notified to send no
+	// more requests. Until then the back end's slots are still useful, since local callers keep
+	// arriving for about that long.
 	announceShare = 0.3
 	// acceptShare is the fraction of the grace time in which new calls are accepted. By then
 	// the platform has directed callers elsewhere, unless most nodes of the zone are down; in
 	// that case the sooner this node restarts the better.
 	acceptShare = 0.4
-	// cutoffMargin is how long before the forced end the remaining requests are cancelled.
+	// cutoffMargin is the time before the forced end at which the remaining requests are cancelled.
 	cutoffMargin = 900 * time.Millisecond
 	// withdrawTimeout bounds the removal of the node's record from the store.
 	withdrawTimeout = 300 * time.Millisecond
 )
 
-// Drain performs the planned stop of the node: it stops being ready, tells its peers, and serves
+// Drain performs the planned stop of the node: it stops being ready, notifies its peers, and serves
 // further requests until none arrive or the grace time is nearly over. The caller closes the
 // listeners afterwards.
 func (s *Sidecar) Drain() {
@@ -55,7 +55,7 @@
 		zap.Int("running", s.ingress.Load().Running), zap.Duration("elapsed", clock.Since(started)))
 }
 
-// announceLeaving tells the peers to send no more requests to the back end.
+// announceLeaving notifies the peers to send no more requests to the back end.
 func (s *Sidecar) announceLeaving() {
 	s.repeats.Close()
 	s.quota.Close() // peers that learn that the node is leaving assume that its quota is closed
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -8,7 +8,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/sidecar/admission"
 )
 
-// maxTenantLabels is how many tenants have a label of their own: those that held slots longest.
+// maxTenantLabels is the maximum number of tenants with a label of their own: those that held slots
+// longest.
 const maxTenantLabels = 10
 
 // tenantCollector reports how long the requests of each tenant held slots of the local back end. It
--- a/internal/sidecar/warmup/warmup.go
+++ b/internal/sidecar/warmup/warmup.go
@@ -13,8 +13,8 @@
 const (
 	// window is the period over which requests to a cold back end are counted.
 	window = time.Second
-	// maxSilence is how long a back end may go without a response before it may have restarted unnoticed.
-	// Shorter outages are detected by refused connections.
+	// maxSilence is the maximum time that a back end may go without a response before it may have
+	// restarted unnoticed. Shorter outages are detected by refused connections.
 	maxSilence = 500 * time.Millisecond
 	// probeInterval is the minimum time between two probes of whether the back end is cold.
 	probeInterval = 100 * time.Millisecond
@@ -32,20 +32,21 @@
 	mu sync.Mutex // guards all below
 	// configured: the configuration of the back end's service has been applied.
 	configured bool
-	// maxPerWindow is how many requests a cold back end can serve per window, zero for any number.
+	// maxPerWindow is the maximum number of requests that a cold back end can serve per window,
+	// zero for any number.
 	maxPerWindow int
-	// warmupTime is how long a back end stays cold after its start.
+	// warmupTime is the time for which a back end stays cold after its start.
 	warmupTime time.Duration
 	// admitted is a ring buffer of the times of the last admitted requests, as many as maxPerWindow; next
 	// is the index of the oldest, which is overwritten next.
 	admitted []time.Time
 	next     int
-	// coldUntil is when a reported warm-up ends, suspectedUntil when one would end that may have begun
+	// coldUntil is the end time of a reported warm-up, suspectedUntil that of one that may have begun
 	// unnoticed.
 	coldUntil, suspectedUntil time.Time
-	// suspectedAt is when a restart was last suspected.
+	// suspectedAt is the time at which a restart was last suspected.
 	suspectedAt time.Time
-	// lastResponse is when the back end last responded, lastProbe when it was last probed.
+	// lastResponse is the time of the back end's last response, lastProbe that of its last probe.
 	lastResponse, lastProbe time.Time
 }
 
