--- a/internal/sidecar/admission/limit_test.go
+++ b/internal/sidecar/admission/limit_test.go
@@ -21,8 +21,8 @@
 	return gate
 }
 
-// TestGateEnforcesRateLimit checks that, with free slots, requests wait for the rate limit or are told
-// when to retry.
+// TestGateEnforcesRateLimit checks that, with free slots, requests wait for the rate limit or are
+// refused with a retry time.
 func TestGateEnforcesRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/sidecar/egress/call_test.go
+++ b/internal/sidecar/egress/call_test.go
@@ -277,7 +277,8 @@
 	}
 	cases := []struct {
 		name, method, path, body string
-		// first is what the suspected node does before it answers, nil when it never does.
+		// first is the behaviour of the suspected node before it answers, nil when it never
+		// answers.
 		first, second func(*peer, net.Conn, *bufio.Reader)
 		missed        int64
 		status        int
--- a/internal/sidecar/egress/notice_test.go
+++ b/internal/sidecar/egress/notice_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestLimitExceeded: if no back end's limit has capacity, the caller is refused without an attempt
-// and told when to come back.
+// and receives a Retry-After.
 func TestLimitExceeded(t *testing.T) {
 	g := NewWithT(t)
 	full := newPeer(t, answerWith("Kestrel-Limit: 500 -3000\r\n"))
--- a/internal/sidecar/egress/rejected_test.go
+++ b/internal/sidecar/egress/rejected_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestRetryAfterRandomRejection simulates callers of back ends that reject 0.55 of their requests
-// although they have free slots. Each caller comes back twice, when it was told to. Nearly all that
-// are served at all are served in time.
+// although they have free slots. Each caller retries twice, after the time it was asked to wait.
+// Nearly all that are served at all are served in time.
 func TestRetryAfterRandomRejection(t *testing.T) {
 	const (
 		callers       = 4000
--- a/internal/sidecar/exchange/slow_test.go
+++ b/internal/sidecar/exchange/slow_test.go
@@ -78,8 +78,9 @@
 
 // TestSlowLinkCarriesOneCopy guards against competing copies of a change on a slow link. A change of 0.25 MB
 // takes longer over such a link than hedgeDelay; the peers that report it must not all be asked for it, and
-// a fetch that brings data must not be abandoned. Every node of a fleet with links of 5 Mbit/s once fetched
-// 0.3 MB from four peers at a time, abandoned the fetches before they ended, and was behind for 9.8 s.
+// a fetch that receives data must not be abandoned. Every node of a fleet with links of 5 Mbit/s once
+// fetched 0.3 MB from four peers at a time, abandoned the fetches before they ended, and was behind
+// for 9.8 s.
 func TestSlowLinkCarriesOneCopy(t *testing.T) {
 	for _, megabits := range []int{2, 5, 10} {
 		t.Run(fmt.Sprint(megabits), func(t *testing.T) {
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -281,7 +281,7 @@
 }
 
 // TestFirstStartFindsExistingKey checks that the key of a previous run is found even if the node is
-// told that the system starts for the first time.
+// configured for the first start of the system.
 func TestFirstStartFindsExistingKey(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, g *WithT, target *countingStore) {
 		before := startNode(t, target, "a", true, true)
--- a/internal/sidecar/occupancy/fleet_test.go
+++ b/internal/sidecar/occupancy/fleet_test.go
@@ -62,7 +62,8 @@
 	demand []float64
 	// burstSize is the number of requests that a node starts at once; zero for one.
 	burstSize int
-	// joinsAt is when the first back end starts to accept requests; zero for the start.
+	// joinsAt is the time at which the first back end starts to accept requests; zero for the
+	// start.
 	joinsAt time.Duration
 	// shared is the other work on the back ends' machines.
 	shared shared
@@ -99,7 +100,7 @@
 	// contention is the fraction by which work takes longer at a full back end.
 	contention = 0.3
 	roundTrip  = 400 * time.Microsecond
-	// maxAttempts is how many back ends may refuse a request before it fails.
+	// maxAttempts is the number of back ends that may refuse a request before it fails.
 	maxAttempts = 3
 	// crossZoneTrip is the additional round trip time to another zone.
 	crossZoneTrip = 3 * time.Millisecond
@@ -141,8 +142,8 @@
 	// interference is the factor by which other work on the machine slows this back end at
 	// present.
 	interference float64
-	// busyTime is how long its slots were held, without interference. startedRequests counts
-	// the requests that were started.
+	// busyTime is the time for which its slots were held, without interference. startedRequests
+	// counts the requests that were started.
 	busyTime        float64
 	startedRequests int
 }
--- a/internal/sidecar/quarantine/fleet_test.go
+++ b/internal/sidecar/quarantine/fleet_test.go
@@ -49,8 +49,8 @@
 	// when mark was called.
 	crashesByRequest map[fingerprint.Fingerprint]int
 	markedCrashes    int
-	// thirdCrashAt is when the third back end crashed under a harmful request. sentAfterThird
-	// counts how often back ends received it more than convergenceTime later.
+	// thirdCrashAt is the time at which the third back end crashed under a harmful request.
+	// sentAfterThird counts how often back ends received it more than convergenceTime later.
 	thirdCrashAt   map[fingerprint.Fingerprint]time.Time
 	sentAfterThird int
 }
--- a/internal/sidecar/ratelimit/fleet_test.go
+++ b/internal/sidecar/ratelimit/fleet_test.go
@@ -17,7 +17,7 @@
 	fleetLatency  = 4 * time.Millisecond
 	fleetMaxWait  = 100 * time.Millisecond
 	fleetDuration = 30 * time.Second
-	// fleetMaxSends is how many nodes a request is sent to before it is refused.
+	// fleetMaxSends is the maximum number of nodes to which a request is sent before it is refused.
 	fleetMaxSends = 5
 )
 
--- a/internal/sidecar/ratelimit/limit_test.go
+++ b/internal/sidecar/ratelimit/limit_test.go
@@ -226,8 +226,8 @@
 	g.Expect(passed[0]).To(BeNumerically(">=", 0.75*perSecond*seconds))
 }
 
-// TestWaitAccountsForMoreUrgentClasses checks that less urgent requests are told a longer wait by the
-// rate that more urgent ones use.
+// TestWaitAccountsForMoreUrgentClasses checks that the wait reported to less urgent requests is
+// longer by the rate that more urgent ones use.
 func TestWaitAccountsForMoreUrgentClasses(t *testing.T) {
 	g := NewWithT(t)
 	limit, now := newLimit(10), start
--- a/internal/sidecar/shares/fleet_test.go
+++ b/internal/sidecar/shares/fleet_test.go
@@ -24,8 +24,8 @@
 	fleetStep     = 50 * time.Millisecond
 	fleetAttempts = 4
 	fleetMaxWait  = 150 * time.Millisecond
-	// fleetCutAt is when a third of the nodes is partitioned off; fleetSettle is the time after
-	// it from which the bound applies.
+	// fleetCutAt is the time at which a third of the nodes is partitioned off; fleetSettle is the
+	// time after it from which the bound applies.
 	fleetCutAt  = 4 * time.Second
 	fleetSettle = 2 * time.Second
 	fleetEnd    = 8 * time.Second
@@ -64,7 +64,7 @@
 	marked       bool
 	fraction     float64
 	tried        []int
-	// deadline is when it is refused unless it has got a slot.
+	// deadline is the time at which it is refused unless it has got a slot.
 	deadline time.Time
 }
 
