--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -45,8 +45,8 @@
 // latencyBuckets are the histogram buckets of all latencies, in seconds.
 var latencyBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// maxRouteLabels is how many routes have a label of their own. Labels go to the routes that are
-// called first, since deployments have many routes that nobody calls.
+// maxRouteLabels is the maximum number of routes with a label of their own. Labels go to the routes
+// that are called first, since deployments have many routes that nobody calls.
 const maxRouteLabels = 64
 
 // boundedLabels limits the values of a label: the first maxLabels names keep theirs, all others
@@ -235,8 +235,8 @@
 		return factor
 	})
 	gauge("kestrel_sidecar_pace_told", "How much longer work takes at the local back end by its own last report, 0 without one.", func() float64 {
-		_, told, _ := s.ingress.Pace()
-		return told
+		_, reported, _ := s.ingress.Pace()
+		return reported
 	})
 	gauge("kestrel_sidecar_pace_told_age_seconds", "Age of that report.", func() float64 {
 		_, _, age := s.ingress.Pace()
