--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -46,7 +46,7 @@
 	core        *control.Core
 	local       *localChild
 	holding     bool
-	sharer      *stream.Sharer
+	sharer      *stream.EncodingCache
 	sessions    map[relay.SessionID]*session
 	byToken     map[string]relay.SessionID
 	lastSession relay.SessionID
--- a/internal/distribution/stream/encoding.go
+++ b/internal/distribution/stream/encoding.go
@@ -51,24 +51,24 @@
 // sharedMessages is how many recent messages a Sharer remembers.
 const sharedMessages = 64
 
-// Sharer gives one Encoded to every session that is sent the same message. It
+// EncodingCache gives one Encoded to every session that is sent the same message. It
 // is not safe for concurrent use; its owner is the loop that dispatches sends.
-type Sharer struct {
+type EncodingCache struct {
 	byMessage map[*distribution.Message]*Encoded
 	recent    []*distribution.Message
 	next      int
 }
 
 // NewSharer returns an empty sharer.
-func NewSharer() *Sharer {
-	return &Sharer{
+func NewSharer() *EncodingCache {
+	return &EncodingCache{
 		byMessage: make(map[*distribution.Message]*Encoded, sharedMessages),
 		recent:    make([]*distribution.Message, sharedMessages),
 	}
 }
 
 // Encode returns the shared encoding of a message.
-func (s *Sharer) Encode(message *distribution.Message) *Encoded {
+func (s *EncodingCache) Encode(message *distribution.Message) *Encoded {
 	if encoded := s.byMessage[message]; encoded != nil {
 		return encoded
 	}
