--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -82,7 +82,7 @@
 		history:  newHistory(parts.HistoryLength),
 		members:  parts.Members,
 		core:     parts.Core,
-		sharer:   stream.NewSharer(),
+		sharer:   stream.NewEncodingCache(),
 		sessions: map[relay.SessionID]*session{},
 		byToken:  map[string]relay.SessionID{},
 		links:    map[string]*uplink{},
--- a/internal/distribution/stream/encoding.go
+++ b/internal/distribution/stream/encoding.go
@@ -59,8 +59,8 @@
 	next      int
 }
 
-// NewSharer returns an empty sharer.
-func NewSharer() *EncodingCache {
+// NewEncodingCache returns an empty sharer.
+func NewEncodingCache() *EncodingCache {
 	return &EncodingCache{
 		byMessage: make(map[*distribution.Message]*Encoded, sharedMessages),
 		recent:    make([]*distribution.Message, sharedMessages),
--- a/internal/distribution/stream/encoding_test.go
+++ b/internal/distribution/stream/encoding_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("Sharer", func() {
 	It("encodes one message once and forgets old ones", func() {
-		sharer := stream.NewSharer()
+		sharer := stream.NewEncodingCache()
 		message := &distribution.Message{Version: 1}
 		first := sharer.Encode(message)
 		Expect(sharer.Encode(message)).To(BeIdenticalTo(first))
@@ -37,7 +37,7 @@
 
 // BenchmarkSharedEncoding measures what a message costs each further session.
 func BenchmarkSharedEncoding(b *testing.B) {
-	sharer := stream.NewSharer()
+	sharer := stream.NewEncodingCache()
 	message := &distribution.Message{Endpoints: manyEndpoints(100)}
 	for b.Loop() {
 		if _, err := sharer.Encode(message).Line(); err != nil {
