--- a/internal/distribution/stream/link.go
+++ b/internal/distribution/stream/link.go
@@ -17,9 +17,9 @@
 // context ended, except for a call that had begun.
 type LinkEvents struct {
 	Connected func()
-	// Offered brings the parents that the child may turn to. The goroutine
+	// ParentsAdvertised brings the parents that the child may turn to. The goroutine
 	// that sends reports may call it, beside the link's.
-	Offered  func(parents []Parent)
+	ParentsAdvertised  func(parents []Parent)
 	Received func(message *distribution.Message)
 	// Refused says that the parent turned the child down.
 	Refused func(refused *RefusedError)
@@ -122,7 +122,7 @@
 }
 
 func offer(events LinkEvents, parents []Parent) {
-	if len(parents) > 0 && events.Offered != nil {
-		events.Offered(parents)
+	if len(parents) > 0 && events.ParentsAdvertised != nil {
+		events.ParentsAdvertised(parents)
 	}
 }
--- a/internal/distribution/subscription/link.go
+++ b/internal/distribution/subscription/link.go
@@ -21,7 +21,7 @@
 	step := func(next input) { s.step(ctx, attempt, next) }
 	s.link = s.client.Link(ctx, order.Parent.Address, order.Hello, stream.LinkEvents{
 		Connected: func() { step(s.core.Connected) },
-		Offered: func(offered []stream.Parent) {
+		ParentsAdvertised: func(offered []stream.Parent) {
 			if s.rank != nil {
 				step(func(now time.Time) subscriber.Outputs { return s.core.Parents(now, s.rank(offered)) })
 			}
