--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -208,7 +208,7 @@
 	if credentials.Plain() {
 		return stream.Unauthenticated{}
 	}
-	return stream.Authenticated{}
+	return stream.CertificateAuthorizer{}
 }
 
 func provideCommands(loaded settings.Daemon, log *versionlog.Log, host *controlhost.Host) *command.Service {
--- a/internal/distribution/stream/authenticated.go
+++ b/internal/distribution/stream/authenticated.go
@@ -7,14 +7,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/identity"
 )
 
-// Authenticated is the Authorizer of mutual TLS: what a child may receive and
+// CertificateAuthorizer is the Authorizer of mutual TLS: what a child may receive and
 // report comes from its certificate. Its requests have passed
 // identity.Credentials.Authenticate.
-type Authenticated struct{}
+type CertificateAuthorizer struct{}
 
 // Authorize returns the hello with the entitlement of the child's certificate.
 // A claim that goes beyond the certificate is refused.
-func (Authenticated) Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error) {
+func (CertificateAuthorizer) Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error) {
 	peer, found := identity.FromRequest(request)
 	if !found {
 		return hello, forbidden("the request carries no identity")
@@ -27,7 +27,7 @@
 }
 
 // AuthorizeReport refuses a report that goes beyond the child's certificate.
-func (Authenticated) AuthorizeReport(request *http.Request, report distribution.Report) error {
+func (CertificateAuthorizer) AuthorizeReport(request *http.Request, report distribution.Report) error {
 	peer, found := identity.FromRequest(request)
 	if !found {
 		return forbidden("the request carries no identity")
