--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -206,7 +206,7 @@
 
 func provideAuthorizer(credentials *identity.Credentials) stream.Authorizer {
 	if credentials.Plain() {
-		return stream.Unauthenticated{}
+		return stream.PermissiveAuthorizer{}
 	}
 	return stream.CertificateAuthorizer{}
 }
--- a/internal/distribution/stream/authorize.go
+++ b/internal/distribution/stream/authorize.go
@@ -6,17 +6,17 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// Unauthenticated is the Authorizer of plain HTTP: it believes what children
+// PermissiveAuthorizer is the Authorizer of plain HTTP: it believes what children
 // claim. It is for machines that nobody else can reach, and is switched on by
 // an explicit setting.
-type Unauthenticated struct{}
+type PermissiveAuthorizer struct{}
 
 // Authorize returns the hello as claimed; the zone of the entitlement is the
 // node's.
-func (Unauthenticated) Authorize(_ *http.Request, hello distribution.Hello) (distribution.Hello, error) {
+func (PermissiveAuthorizer) Authorize(_ *http.Request, hello distribution.Hello) (distribution.Hello, error) {
 	hello.Entitlement.Zone = hello.Node.Zone
 	return hello, nil
 }
 
 // AuthorizeReport accepts every report.
-func (Unauthenticated) AuthorizeReport(*http.Request, distribution.Report) error { return nil }
+func (PermissiveAuthorizer) AuthorizeReport(*http.Request, distribution.Report) error { return nil }
--- a/internal/distribution/stream/pipe_test.go
+++ b/internal/distribution/stream/pipe_test.go
@@ -126,7 +126,7 @@
 func startPeer(t testing.TB) *peer {
 	t.Helper()
 	p := &peer{host: newFakeHost(), listener: newPipeListener(), serverTraffic: &stream.Traffic{}, clientTraffic: &stream.Traffic{}}
-	handler := stream.NewServer(p.host, stream.Unauthenticated{}, p.serverTraffic, zap.NewNop()).Handler()
+	handler := stream.NewServer(p.host, stream.PermissiveAuthorizer{}, p.serverTraffic, zap.NewNop()).Handler()
 	p.server = &http.Server{Handler: handler}
 	served := make(chan struct{})
 	go func() {
