--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -85,7 +85,7 @@
 // a forced one.
 func (a *Agent) Run(ctx context.Context) error {
 	servers := a.servers()
-	a.subscription.FollowOffers(a.parents.rank)
+	a.subscription.SetRankFunc(a.parents.rank)
 	a.logger.Info("serving", zap.Any("addresses", a.Addresses()))
 	return lifecycle.Serve(ctx, a.tasks(servers), func() error { return a.drain(servers) })
 }
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -109,9 +109,9 @@
 	return s.submit(ctx, func(now time.Time) subscriber.Outputs { return s.core.Parents(now, parents) })
 }
 
-// FollowOffers has the candidates replaced whenever a parent names others. It is
+// SetRankFunc has the candidates replaced whenever a parent names others. It is
 // called before Run.
-func (s *Subscription) FollowOffers(rank Rank) { s.rank = rank }
+func (s *Subscription) SetRankFunc(rank Rank) { s.rank = rank }
 
 // EndpointChanged reports a change of an endpoint that this process is the
 // authority of. It never blocks.
