--- a/internal/agent/attachment/attachment.go
+++ b/internal/agent/attachment/attachment.go
@@ -66,8 +66,8 @@
 	announcer *Announcer
 }
 
-// Take applies a snapshot and the endpoint states that came with it.
-func (s *sink) Take(_ context.Context, received subscriber.Outputs) subscription.Outcome {
+// Handle applies a snapshot and the endpoint states that came with it.
+func (s *sink) Handle(_ context.Context, received subscriber.Outputs) subscription.Outcome {
 	if received.Attached != "" {
 		s.announcer.repeat()
 	}
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -30,7 +30,7 @@
 
 // Sink takes what a stream brings. Take is called by one goroutine.
 type Sink interface {
-	Take(ctx context.Context, received subscriber.Outputs) Outcome
+	Handle(ctx context.Context, received subscriber.Outputs) Outcome
 }
 
 // Rank orders the parents that a parent named, and those known from the start,
@@ -180,7 +180,7 @@
 	if outputs.Report != nil && s.link != nil {
 		s.link.Report(*outputs.Report)
 	}
-	outcome := s.sink.Take(ctx, outputs)
+	outcome := s.sink.Handle(ctx, outputs)
 	switch {
 	case outcome.Failure != nil:
 		s.logger.Error("configuration refused", zap.Uint64("version", outcome.Failure.Version),
