--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -104,7 +104,7 @@
 	nodes := identity.AcceptRoles(identity.RoleProxy, identity.RoleControl)
 	api := d.credentials.Listen(d.listeners.API, operators)
 	// Bytes are counted below TLS.
-	streams := d.credentials.Listen(d.traffic.Listener(stream.DetectLoss(d.listeners.Stream)), nodes)
+	streams := d.credentials.Listen(d.traffic.Listener(stream.DetectDeadPeers(d.listeners.Stream)), nodes)
 	resources := httpserver.New("api", api, d.api, limits, d.logger)
 	resources.OnStop(d.api.endWatches)
 	return []*httpserver.Server{
--- a/internal/distribution/stream/loss_linux.go
+++ b/internal/distribution/stream/loss_linux.go
@@ -13,9 +13,9 @@
 // far more often, so that a machine which vanished is noticed within it.
 const lossTimeout = 5 * time.Second
 
-// DetectLoss returns a listener whose connections fail soon after the other
+// DetectDeadPeers returns a listener whose connections fail soon after the other
 // machine vanished, though nothing was read from them meanwhile.
-func DetectLoss(listener net.Listener) net.Listener { return &lossListener{listener} }
+func DetectDeadPeers(listener net.Listener) net.Listener { return &lossListener{listener} }
 
 type lossListener struct{ net.Listener }
 
--- a/internal/distribution/stream/loss_linux_test.go
+++ b/internal/distribution/stream/loss_linux_test.go
@@ -14,7 +14,7 @@
 	g := NewWithT(t)
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	listener := stream.DetectLoss(bound)
+	listener := stream.DetectDeadPeers(bound)
 	defer listener.Close()
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/distribution/stream/loss_other.go
+++ b/internal/distribution/stream/loss_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// DetectLoss returns the listener itself: the option is one of Linux.
-func DetectLoss(listener net.Listener) net.Listener { return listener }
+// DetectDeadPeers returns the listener itself: the option is one of Linux.
+func DetectDeadPeers(listener net.Listener) net.Listener { return listener }
