--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -33,9 +33,9 @@
 	Handle(ctx context.Context, received subscriber.Outputs) Outcome
 }
 
-// Rank orders the parents that a parent named, and those known from the start,
+// RankFunc orders the parents that a parent named, and those known from the start,
 // most preferred first.
-type Rank func(offered []stream.Parent) []subscriber.Parent
+type RankFunc func(offered []stream.Parent) []subscriber.Parent
 
 // input is one step of the core, run on the loop's goroutine.
 type input func(now time.Time) subscriber.Outputs
@@ -45,7 +45,7 @@
 type Subscription struct {
 	client *stream.Client
 	// rank is nil when what parents name is ignored.
-	rank   Rank
+	rank   RankFunc
 	sink   Sink
 	logger *zap.Logger
 	inputs chan input
@@ -111,7 +111,7 @@
 
 // SetRankFunc has the candidates replaced whenever a parent names others. It is
 // called before Run.
-func (s *Subscription) SetRankFunc(rank Rank) { s.rank = rank }
+func (s *Subscription) SetRankFunc(rank RankFunc) { s.rank = rank }
 
 // EndpointChanged reports a change of an endpoint that this process is the
 // authority of. It never blocks.
