--- a/internal/distribution/controlhost/session.go
+++ b/internal/distribution/controlhost/session.go
@@ -21,7 +21,7 @@
 	node     distribution.Node
 	kind     distribution.ChildKind
 	host     *Host
-	messages chan *stream.Encoded
+	messages chan *stream.EncodedMessage
 	// refusal and greeted are set by the loop before the attach is answered.
 	refusal *stream.RefusedError
 	greeted []stream.Parent
@@ -33,7 +33,7 @@
 func (s *session) ID() string { return s.token }
 
 // Messages delivers what the child is sent.
-func (s *session) Messages() <-chan *stream.Encoded { return s.messages }
+func (s *session) Messages() <-chan *stream.EncodedMessage { return s.messages }
 
 // Parents are the daemons that the child is told of as it attaches.
 func (s *session) Parents() []stream.Parent { return s.greeted }
@@ -74,7 +74,7 @@
 		node:     hello.Node,
 		kind:     hello.Kind,
 		host:     h,
-		messages: make(chan *stream.Encoded, 1),
+		messages: make(chan *stream.EncodedMessage, 1),
 	}
 	answered := make(chan struct{})
 	err := h.submit(ctx, func(now time.Time) control.Outputs {
--- a/internal/distribution/stream/encoding.go
+++ b/internal/distribution/stream/encoding.go
@@ -27,9 +27,9 @@
 // compressor and decompressor.
 const zstdWindowBytes = 32 << 10
 
-// Encoded is a message together with its JSON line, which is computed once
+// EncodedMessage is a message together with its JSON line, which is computed once
 // however many sessions send it.
-type Encoded struct {
+type EncodedMessage struct {
 	message *distribution.Message
 	once    sync.Once
 	line    []byte
@@ -37,10 +37,10 @@
 }
 
 // Encode prepares a message for sending; the JSON is computed on first use.
-func Encode(message *distribution.Message) *Encoded { return &Encoded{message: message} }
+func Encode(message *distribution.Message) *EncodedMessage { return &EncodedMessage{message: message} }
 
 // Line returns the message as JSON with a line end.
-func (e *Encoded) Line() ([]byte, error) {
+func (e *EncodedMessage) Line() ([]byte, error) {
 	e.once.Do(func() {
 		e.line, e.err = json.Marshal(e.message)
 		e.line = append(e.line, '\n')
@@ -54,7 +54,7 @@
 // EncodingCache gives one Encoded to every session that is sent the same message. It
 // is not safe for concurrent use; its owner is the loop that dispatches sends.
 type EncodingCache struct {
-	byMessage map[*distribution.Message]*Encoded
+	byMessage map[*distribution.Message]*EncodedMessage
 	recent    []*distribution.Message
 	next      int
 }
@@ -62,13 +62,13 @@
 // NewEncodingCache returns an empty sharer.
 func NewEncodingCache() *EncodingCache {
 	return &EncodingCache{
-		byMessage: make(map[*distribution.Message]*Encoded, sharedMessages),
+		byMessage: make(map[*distribution.Message]*EncodedMessage, sharedMessages),
 		recent:    make([]*distribution.Message, sharedMessages),
 	}
 }
 
 // Encode returns the shared encoding of a message.
-func (s *EncodingCache) Encode(message *distribution.Message) *Encoded {
+func (s *EncodingCache) Encode(message *distribution.Message) *EncodedMessage {
 	if encoded := s.byMessage[message]; encoded != nil {
 		return encoded
 	}
--- a/internal/distribution/stream/pipe_test.go
+++ b/internal/distribution/stream/pipe_test.go
@@ -76,7 +76,7 @@
 	if h.refusal != nil {
 		return nil, h.refusal
 	}
-	session := &fakeSession{id: hello.Node.Name, messages: make(chan *stream.Encoded, 1), sent: make(chan struct{}, 64), detached: make(chan struct{})}
+	session := &fakeSession{id: hello.Node.Name, messages: make(chan *stream.EncodedMessage, 1), sent: make(chan struct{}, 64), detached: make(chan struct{})}
 	h.sessions[session.id] = session
 	h.hellos = append(h.hellos, hello)
 	h.attached <- session
@@ -98,7 +98,7 @@
 
 type fakeSession struct {
 	id       string
-	messages chan *stream.Encoded
+	messages chan *stream.EncodedMessage
 	sent     chan struct{}
 	detached chan struct{}
 	once     sync.Once
@@ -108,7 +108,7 @@
 func (s *fakeSession) Parents() []stream.Parent {
 	return []stream.Parent{{Node: "other", Address: "10.0.0.2:1"}}
 }
-func (s *fakeSession) Messages() <-chan *stream.Encoded { return s.messages }
+func (s *fakeSession) Messages() <-chan *stream.EncodedMessage { return s.messages }
 func (s *fakeSession) Sent()                            { s.sent <- struct{}{} }
 func (s *fakeSession) Detach()                          { s.once.Do(func() { close(s.detached) }) }
 
--- a/internal/distribution/stream/server.go
+++ b/internal/distribution/stream/server.go
@@ -36,7 +36,7 @@
 	Parents() []Parent
 	// Messages delivers one message at a time and is closed when the host
 	// ends the session. The next message comes only after Sent.
-	Messages() <-chan *Encoded
+	Messages() <-chan *EncodedMessage
 	// Sent says that the last message was written to the connection.
 	Sent()
 	// Detach ends the session from the child's side.
@@ -160,7 +160,7 @@
 	}
 }
 
-func (s *Server) sendMessage(controller *http.ResponseController, compressor flushWriter, message *Encoded) error {
+func (s *Server) sendMessage(controller *http.ResponseController, compressor flushWriter, message *EncodedMessage) error {
 	line, err := message.Line()
 	if err != nil {
 		return trace.Wrap(err, "encode message")
