--- a/internal/distribution/stream/client.go
+++ b/internal/distribution/stream/client.go
@@ -31,10 +31,10 @@
 // Client opens streams to parents and delivers reports. It is safe for
 // concurrent use.
 type Client struct {
-	httpClient *http.Client
-	scheme     string
-	traffic    *Traffic
-	accept     string
+	httpClient     *http.Client
+	scheme         string
+	traffic        *Traffic
+	acceptEncoding string
 	// MaximumMessageBytes bounds one decoded message.
 	MaximumMessageBytes int
 }
@@ -51,7 +51,7 @@
 		},
 		scheme:              scheme,
 		traffic:             traffic,
-		accept:              string(EncodingZstd),
+		acceptEncoding:      string(EncodingZstd),
 		MaximumMessageBytes: DefaultMaximumMessageBytes,
 	}
 }
@@ -68,7 +68,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConnection{Conn: connection, traffic: traffic}, nil
+			return &countingConnection{Conn: connection, traffic: traffic}, nil
 		},
 		DisableCompression:    true,
 		ResponseHeaderTimeout: responseHeaderTimeout,
@@ -88,8 +88,8 @@
 	counted *countingReader
 	traffic *Traffic
 	limit   int
-	// taken is how many body bytes were accounted for.
-	taken int
+	// accounted is how many body bytes were accounted for.
+	accounted int
 }
 
 // Open opens a stream to the parent at address. It returns a *RefusedError,
@@ -147,7 +147,7 @@
 	}
 	request.Header.Set("User-Agent", "")
 	if path == PathStream {
-		request.Header.Set("Accept-Encoding", c.accept)
+		request.Header.Set("Accept-Encoding", c.acceptEncoding)
 	}
 	if session != "" {
 		request.Header.Set(HeaderSession, session)
@@ -192,8 +192,8 @@
 	if err := message.WellFormed(); err != nil {
 		return nil, trace.Wrap(err, "decode message")
 	}
-	s.traffic.received[KindOf(message)].add(s.counted.read - s.taken)
-	s.taken = s.counted.read
+	s.traffic.received[KindOf(message)].add(s.counted.read - s.accounted)
+	s.accounted = s.counted.read
 	return message, nil
 }
 
--- a/internal/distribution/stream/encoding.go
+++ b/internal/distribution/stream/encoding.go
@@ -48,8 +48,8 @@
 	return e.line, e.err
 }
 
-// sharedMessages is how many recent messages a Sharer remembers.
-const sharedMessages = 64
+// cachedMessages is how many recent messages a Sharer remembers.
+const cachedMessages = 64
 
 // EncodingCache gives one Encoded to every session that is sent the same message. It
 // is not safe for concurrent use; its owner is the loop that dispatches sends.
@@ -62,8 +62,8 @@
 // NewEncodingCache returns an empty sharer.
 func NewEncodingCache() *EncodingCache {
 	return &EncodingCache{
-		byMessage: make(map[*distribution.Message]*EncodedMessage, sharedMessages),
-		recent:    make([]*distribution.Message, sharedMessages),
+		byMessage: make(map[*distribution.Message]*EncodedMessage, cachedMessages),
+		recent:    make([]*distribution.Message, cachedMessages),
 	}
 }
 
@@ -76,7 +76,7 @@
 		delete(s.byMessage, oldest)
 	}
 	s.recent[s.next] = message
-	s.next = (s.next + 1) % sharedMessages
+	s.next = (s.next + 1) % cachedMessages
 	encoded := Encode(message)
 	s.byMessage[message] = encoded
 	return encoded
@@ -93,8 +93,8 @@
 func (identityWriter) Flush() error { return nil }
 func (identityWriter) Close() error { return nil }
 
-// negotiate picks the best encoding that the request accepts.
-func negotiate(header http.Header) Encoding {
+// negotiateEncoding picks the best encoding that the request accepts.
+func negotiateEncoding(header http.Header) Encoding {
 	accepted := strings.Join(header.Values("Accept-Encoding"), ",")
 	for _, encoding := range []Encoding{EncodingZstd, EncodingGzip} {
 		for token := range strings.SplitSeq(accepted, ",") {
--- a/internal/distribution/stream/encoding_test.go
+++ b/internal/distribution/stream/encoding_test.go
@@ -13,14 +13,14 @@
 
 var _ = Describe("Sharer", func() {
 	It("encodes one message once and forgets old ones", func() {
-		sharer := stream.NewEncodingCache()
+		cache := stream.NewEncodingCache()
 		message := &distribution.Message{Version: 1}
-		first := sharer.Encode(message)
-		Expect(sharer.Encode(message)).To(BeIdenticalTo(first))
+		first := cache.Encode(message)
+		Expect(cache.Encode(message)).To(BeIdenticalTo(first))
 		for range 100 {
-			sharer.Encode(&distribution.Message{})
+			cache.Encode(&distribution.Message{})
 		}
-		Expect(sharer.Encode(message)).NotTo(BeIdenticalTo(first))
+		Expect(cache.Encode(message)).NotTo(BeIdenticalTo(first))
 	})
 })
 
@@ -37,10 +37,10 @@
 
 // BenchmarkSharedEncoding measures what a message costs each further session.
 func BenchmarkSharedEncoding(b *testing.B) {
-	sharer := stream.NewEncodingCache()
+	cache := stream.NewEncodingCache()
 	message := &distribution.Message{Endpoints: manyEndpoints(100)}
 	for b.Loop() {
-		if _, err := sharer.Encode(message).Line(); err != nil {
+		if _, err := cache.Encode(message).Line(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/distribution/stream/link.go
+++ b/internal/distribution/stream/link.go
@@ -19,8 +19,8 @@
 	Connected func()
 	// ParentsAdvertised brings the parents that the child may turn to. The goroutine
 	// that sends reports may call it, beside the link's.
-	ParentsAdvertised  func(parents []Parent)
-	Received func(message *distribution.Message)
+	ParentsAdvertised func(parents []Parent)
+	Received          func(message *distribution.Message)
 	// Refused says that the parent turned the child down.
 	Refused func(refused *RefusedError)
 	// Lost says that the attempt failed or that the stream ended.
@@ -33,7 +33,7 @@
 	client  *Client
 	address string
 	cancel  context.CancelCauseFunc
-	reports *waitingReport
+	reports *pendingReport
 }
 
 var errLinkClosed = errors.New("link closed")
@@ -45,7 +45,7 @@
 		client:  c,
 		address: address,
 		cancel:  cancel,
-		reports: newWaitingReport(),
+		reports: newPendingReport(),
 	}
 	go link.run(linkContext, hello, events)
 	return link
@@ -60,7 +60,7 @@
 
 func (l *Link) run(ctx context.Context, hello distribution.Hello, events LinkEvents) {
 	defer l.cancel(errLinkClosed)
-	err := l.follow(ctx, hello, events)
+	err := l.receiveMessages(ctx, hello, events)
 	cause := context.Cause(ctx)
 	var refused *RefusedError
 	switch {
@@ -74,15 +74,15 @@
 	}
 }
 
-// follow opens the stream and hands on every message until the stream ends.
-func (l *Link) follow(ctx context.Context, hello distribution.Hello, events LinkEvents) error {
+// receiveMessages opens the stream and hands on every message until the stream ends.
+func (l *Link) receiveMessages(ctx context.Context, hello distribution.Hello, events LinkEvents) error {
 	opened, err := l.client.Open(ctx, l.address, hello)
 	if err != nil {
 		return err
 	}
 	defer opened.Close()
 	events.Connected()
-	offer(events, opened.Parents())
+	notifyParents(events, opened.Parents())
 	go l.sendReports(ctx, opened.Session(), events)
 	for {
 		message, err := opened.Receive()
@@ -100,28 +100,28 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.reports.filled:
+		case <-l.reports.available:
 			report := l.reports.take()
 			if report == nil {
 				continue
 			}
-			offered, err := l.sendReport(ctx, session, *report)
+			advertised, err := l.sendReport(ctx, session, *report)
 			if err != nil {
 				l.cancel(err)
 				return
 			}
-			offer(events, offered)
+			notifyParents(events, advertised)
 		}
 	}
 }
 
 func (l *Link) sendReport(ctx context.Context, session string, report distribution.Report) ([]Parent, error) {
-	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
+	reportContext, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return l.client.Report(bounded, l.address, session, report)
+	return l.client.Report(reportContext, l.address, session, report)
 }
 
-func offer(events LinkEvents, parents []Parent) {
+func notifyParents(events LinkEvents, parents []Parent) {
 	if len(parents) > 0 && events.ParentsAdvertised != nil {
 		events.ParentsAdvertised(parents)
 	}
--- a/internal/distribution/stream/link_test.go
+++ b/internal/distribution/stream/link_test.go
@@ -16,7 +16,7 @@
 func TestReportsToABusyParentAreCombined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		p.host.gate = make(chan struct{})
 		lost := make(chan error, 1)
 		link := p.client.Link(t.Context(), "parent:1", hello("child"), stream.LinkEvents{
--- a/internal/distribution/stream/loss_linux.go
+++ b/internal/distribution/stream/loss_linux.go
@@ -8,43 +8,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// lossTimeout is how long what was written to a child may stay unacknowledged
+// userTimeout is how long what was written to a child may stay unacknowledged
 // by the child's machine before its connection is lost. Heartbeats are written
 // far more often, so that a machine which vanished is noticed within it.
-const lossTimeout = 5 * time.Second
+const userTimeout = 5 * time.Second
 
 // DetectDeadPeers returns a listener whose connections fail soon after the other
 // machine vanished, though nothing was read from them meanwhile.
-func DetectDeadPeers(listener net.Listener) net.Listener { return &lossListener{listener} }
+func DetectDeadPeers(listener net.Listener) net.Listener { return &deadPeerListener{listener} }
 
-type lossListener struct{ net.Listener }
+type deadPeerListener struct{ net.Listener }
 
 // Accept returns the next connection.
-func (l *lossListener) Accept() (net.Conn, error) {
+func (l *deadPeerListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	// A connection without the option is noticed later, by its silence.
-	_ = setLossTimeout(connection)
+	_ = setUserTimeout(connection)
 	return connection, nil
 }
 
-func setLossTimeout(connection net.Conn) error {
-	owner, ok := connection.(syscall.Conn)
+func setUserTimeout(connection net.Conn) error {
+	syscallConnection, ok := connection.(syscall.Conn)
 	if !ok {
 		return syscall.ENOTSOCK
 	}
-	raw, err := owner.SyscallConn()
+	raw, err := syscallConnection.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failure error
+	var optionError error
 	err = raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(lossTimeout/time.Millisecond))
+		optionError = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionError
 }
--- a/internal/distribution/stream/loss_linux_test.go
+++ b/internal/distribution/stream/loss_linux_test.go
@@ -26,10 +26,10 @@
 	raw, err := accepted.(*net.TCPConn).SyscallConn()
 	g.Expect(err).NotTo(HaveOccurred())
 	var milliseconds int
-	var failure error
+	var optionError error
 	g.Expect(raw.Control(func(descriptor uintptr) {
-		milliseconds, failure = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		milliseconds, optionError = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	})).To(Succeed())
-	g.Expect(failure).NotTo(HaveOccurred())
+	g.Expect(optionError).NotTo(HaveOccurred())
 	g.Expect(milliseconds).To(Equal(5000))
 }
--- a/internal/distribution/stream/pipe_test.go
+++ b/internal/distribution/stream/pipe_test.go
@@ -43,10 +43,10 @@
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
 func (l *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	select {
-	case l.connections <- far:
-		return near, nil
+	case l.connections <- serverEnd:
+		return clientEnd, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -109,11 +109,11 @@
 	return []stream.Parent{{Node: "other", Address: "10.0.0.2:1"}}
 }
 func (s *fakeSession) Messages() <-chan *stream.EncodedMessage { return s.messages }
-func (s *fakeSession) Sent()                            { s.sent <- struct{}{} }
-func (s *fakeSession) Detach()                          { s.once.Do(func() { close(s.detached) }) }
+func (s *fakeSession) Sent()                                   { s.sent <- struct{}{} }
+func (s *fakeSession) Detach()                                 { s.once.Do(func() { close(s.detached) }) }
 
-// peer is a server and what is needed to reach it.
-type peer struct {
+// testServer is a server and what is needed to reach it.
+type testServer struct {
 	host          *fakeHost
 	listener      *pipeListener
 	server        *http.Server
@@ -123,9 +123,9 @@
 	client        *stream.Client
 }
 
-func startPeer(t testing.TB) *peer {
+func startTestServer(t testing.TB) *testServer {
 	t.Helper()
-	p := &peer{host: newFakeHost(), listener: newPipeListener(), serverTraffic: &stream.Traffic{}, clientTraffic: &stream.Traffic{}}
+	p := &testServer{host: newFakeHost(), listener: newPipeListener(), serverTraffic: &stream.Traffic{}, clientTraffic: &stream.Traffic{}}
 	handler := stream.NewServer(p.host, stream.PermissiveAuthorizer{}, p.serverTraffic, zap.NewNop()).Handler()
 	p.server = &http.Server{Handler: handler}
 	served := make(chan struct{})
--- a/internal/distribution/stream/server.go
+++ b/internal/distribution/stream/server.go
@@ -79,12 +79,12 @@
 func (s *Server) serveStream(writer http.ResponseWriter, request *http.Request) {
 	hello, err := s.readHello(writer, request)
 	if err != nil {
-		refuse(writer, "hello", err)
+		writeRefusal(writer, "hello", err)
 		return
 	}
 	session, err := s.host.Attach(request.Context(), hello)
 	if err != nil {
-		refuse(writer, "attach", err)
+		writeRefusal(writer, "attach", err)
 		return
 	}
 	defer session.Detach()
@@ -100,13 +100,13 @@
 		return hello, err
 	}
 	s.traffic.received[KindHello].add(size)
-	if err := checkHello(hello); err != nil {
+	if err := validateHello(hello); err != nil {
 		return hello, err
 	}
 	return s.authorizer.Authorize(request, hello)
 }
 
-func checkHello(hello distribution.Hello) error {
+func validateHello(hello distribution.Hello) error {
 	switch {
 	case hello.Node.Name == "":
 		return badRequest("node.name is missing")
@@ -122,7 +122,7 @@
 }
 
 func (s *Server) sendMessages(writer http.ResponseWriter, request *http.Request, session Session) error {
-	encoding := negotiate(request.Header)
+	encoding := negotiateEncoding(request.Header)
 	header := writer.Header()
 	header.Set("Content-Type", "application/jsonl")
 	header.Set(HeaderSession, session.ID())
@@ -181,20 +181,20 @@
 	var report distribution.Report
 	size, err := readBody(writer, request, maximumReportBytes, &report)
 	if err != nil {
-		refuse(writer, "report", err)
+		writeRefusal(writer, "report", err)
 		return
 	}
 	s.traffic.received[KindReport].add(size)
 	if err := s.authorizer.AuthorizeReport(request, report); err != nil {
-		refuse(writer, "report", err)
+		writeRefusal(writer, "report", err)
 		return
 	}
-	offered, err := s.host.Report(request.Context(), request.Header.Get(HeaderSession), report)
+	advertised, err := s.host.Report(request.Context(), request.Header.Get(HeaderSession), report)
 	if err == nil {
-		err = setParents(writer.Header(), offered)
+		err = setParents(writer.Header(), advertised)
 	}
 	if err != nil {
-		refuse(writer, "report", err)
+		writeRefusal(writer, "report", err)
 		return
 	}
 	// Reports are frequent and nobody reads the date of their answers.
@@ -222,8 +222,8 @@
 	return &RefusedError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// refuse writes the answer to a request that was not taken.
-func refuse(writer http.ResponseWriter, step string, err error) {
+// writeRefusal writes the answer to a request that was not taken.
+func writeRefusal(writer http.ResponseWriter, step string, err error) {
 	refusal := &RefusedError{Status: http.StatusInternalServerError, Reason: err.Error()}
 	errors.As(err, &refusal)
 	header := writer.Header()
--- a/internal/distribution/stream/stream_test.go
+++ b/internal/distribution/stream/stream_test.go
@@ -20,7 +20,7 @@
 func TestMessagesArriveAsSentAndAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
@@ -57,10 +57,10 @@
 	})
 }
 
-func TestAnUnchangedVersionIsCheap(t *testing.T) {
+func TestVersionMessagesAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
@@ -81,7 +81,7 @@
 func TestASlowChildDoesNotDelayItsSiblings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		slow, err := p.client.Open(t.Context(), "parent:1", hello("slow"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer slow.Close()
@@ -122,7 +122,7 @@
 func TestCancellationDetachesTheSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		opened, err := p.client.Open(ctx, "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -143,7 +143,7 @@
 	for name, refusal := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			p := startPeer(t)
+			p := startTestServer(t)
 			p.host.refusal = &refusal
 			_, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 			var got *stream.RefusedError
@@ -174,7 +174,7 @@
 	for name, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			p := startPeer(t)
+			p := startTestServer(t)
 			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://parent:1"+c.path, strings.NewReader(c.body))
 			g.Expect(err).NotTo(HaveOccurred())
 			response, err := p.transport.RoundTrip(request)
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestHostileParents covers what a child may read from a parent that is
+// TestReceiveRejectsMalformedStreams covers what a child may read from a parent that is
 // broken: the child gets an error and holds no more than the bound.
-func TestHostileParents(t *testing.T) {
+func TestReceiveRejectsMalformedStreams(t *testing.T) {
 	endless := strings.Repeat("x", 8<<10)
 	cases := map[string]struct {
 		respond http.HandlerFunc
@@ -250,7 +250,7 @@
 func TestReportsNameTheirSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
--- a/internal/distribution/stream/traffic.go
+++ b/internal/distribution/stream/traffic.go
@@ -86,8 +86,8 @@
 // Traffic counts the control traffic of one process. It is safe for
 // concurrent use; the zero value is ready.
 type Traffic struct {
-	sent, received                   [messageKinds]counter
-	connectionSent, connectionGotten atomic.Uint64
+	sent, received                     [messageKinds]counter
+	connectionSent, connectionReceived atomic.Uint64
 }
 
 // Totals returns what was counted so far.
@@ -96,18 +96,18 @@
 		Sent:                    map[string]Count{},
 		Received:                map[string]Count{},
 		ConnectionBytesSent:     t.connectionSent.Load(),
-		ConnectionBytesReceived: t.connectionGotten.Load(),
+		ConnectionBytesReceived: t.connectionReceived.Load(),
 	}
 	for kind := range messageKinds {
-		collect(totals.Sent, kind, &t.sent[kind])
-		collect(totals.Received, kind, &t.received[kind])
+		addCount(totals.Sent, kind, &t.sent[kind])
+		addCount(totals.Received, kind, &t.received[kind])
 	}
 	return totals
 }
 
-func collect(into map[string]Count, kind MessageKind, counted *counter) {
+func addCount(counts map[string]Count, kind MessageKind, counted *counter) {
 	if messages := counted.messages.Load(); messages > 0 {
-		into[kind.String()] = Count{Messages: messages, Bytes: counted.bytes.Load()}
+		counts[kind.String()] = Count{Messages: messages, Bytes: counted.bytes.Load()}
 	}
 }
 
@@ -142,34 +142,34 @@
 
 // Listener returns a listener whose connections are counted.
 func (t *Traffic) Listener(listener net.Listener) net.Listener {
-	return &countedListener{Listener: listener, traffic: t}
+	return &countingListener{Listener: listener, traffic: t}
 }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
 	traffic *Traffic
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConnection{Conn: connection, traffic: l.traffic}, nil
+	return &countingConnection{Conn: connection, traffic: l.traffic}, nil
 }
 
-type countedConnection struct {
+type countingConnection struct {
 	net.Conn
 	traffic *Traffic
 }
 
-func (c *countedConnection) Read(buffer []byte) (int, error) {
+func (c *countingConnection) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
-	c.traffic.connectionGotten.Add(uint64(n))
+	c.traffic.connectionReceived.Add(uint64(n))
 	return n, err
 }
 
-func (c *countedConnection) Write(buffer []byte) (int, error) {
+func (c *countingConnection) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.traffic.connectionSent.Add(uint64(n))
 	return n, err
--- a/internal/distribution/stream/waiting.go
+++ b/internal/distribution/stream/waiting.go
@@ -8,24 +8,24 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// waitingReport combines the reports that wait for a parent. It holds the
+// pendingReport combines the reports that wait for a parent. It holds the
 // newest of each endpoint and of each summary, so it does not grow while the
 // parent is slow, however many reports are put.
-type waitingReport struct {
-	// filled receives when there is something to take.
-	filled chan struct{}
+type pendingReport struct {
+	// available receives when there is something to take.
+	available chan struct{}
 
 	// mutex guards report, which is nil while nothing waits.
 	mutex  sync.Mutex
 	report *distribution.Report
 }
 
-func newWaitingReport() *waitingReport {
-	return &waitingReport{filled: make(chan struct{}, 1)}
+func newPendingReport() *pendingReport {
+	return &pendingReport{available: make(chan struct{}, 1)}
 }
 
 // put adds a report that is later than those put before. It never blocks.
-func (w *waitingReport) put(report distribution.Report) {
+func (w *pendingReport) put(report distribution.Report) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.report != nil {
@@ -33,13 +33,13 @@
 	}
 	w.report = &report
 	select {
-	case w.filled <- struct{}{}:
+	case w.available <- struct{}{}:
 	default:
 	}
 }
 
 // take returns what waits; nil when an earlier take had it already.
-func (w *waitingReport) take() *distribution.Report {
+func (w *pendingReport) take() *distribution.Report {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	taken := w.report
@@ -64,15 +64,15 @@
 // combineZones keeps the later summary of each relay of a zone.
 func combineZones(earlier, later []distribution.ZoneStatus) []distribution.ZoneStatus {
 	combined := slices.Clone(earlier)
-	for _, summary := range later {
-		at := slices.IndexFunc(combined, func(held distribution.ZoneStatus) bool {
-			return held.Zone == summary.Zone && held.Relay == summary.Relay
+	for _, status := range later {
+		index := slices.IndexFunc(combined, func(existing distribution.ZoneStatus) bool {
+			return existing.Zone == status.Zone && existing.Relay == status.Relay
 		})
-		if at < 0 {
-			combined = append(combined, summary)
+		if index < 0 {
+			combined = append(combined, status)
 			continue
 		}
-		combined[at] = summary
+		combined[index] = status
 	}
 	return combined
 }
--- a/internal/distribution/stream/waiting_test.go
+++ b/internal/distribution/stream/waiting_test.go
@@ -10,11 +10,11 @@
 
 func TestAReportPutBeforeTheTakeIsTakenOnce(t *testing.T) {
 	g := NewWithT(t)
-	waiting := newWaitingReport()
-	waiting.put(distribution.Report{Applied: 1})
-	<-waiting.filled
-	waiting.put(distribution.Report{Applied: 2})
-	g.Expect(waiting.take()).To(Equal(&distribution.Report{Applied: 2}))
-	g.Expect(waiting.filled).To(Receive(), "the second put was signalled too")
-	g.Expect(waiting.take()).To(BeNil())
+	pending := newPendingReport()
+	pending.put(distribution.Report{Applied: 1})
+	<-pending.available
+	pending.put(distribution.Report{Applied: 2})
+	g.Expect(pending.take()).To(Equal(&distribution.Report{Applied: 2}))
+	g.Expect(pending.available).To(Receive(), "the second put was signalled too")
+	g.Expect(pending.take()).To(BeNil())
 }
