--- a/internal/distribution/subscription/endpointbox.go
+++ b/internal/distribution/subscription/endpointbox.go
@@ -6,33 +6,33 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// endpointBox gathers updates until they are taken. It holds the newest of
+// endpointBuffer gathers updates until they are taken. It holds the newest of
 // each endpoint, so it does not grow while the loop is busy.
-type endpointBox struct {
-	// filled receives when there is something to take.
-	filled chan struct{}
+type endpointBuffer struct {
+	// available receives when there is something to take.
+	available chan struct{}
 
 	// mutex guards table.
 	mutex sync.Mutex
 	table *endpoint.Table
 }
 
-func newEndpointBox() *endpointBox {
-	return &endpointBox{filled: make(chan struct{}, 1), table: endpoint.NewTable()}
+func newEndpointBuffer() *endpointBuffer {
+	return &endpointBuffer{available: make(chan struct{}, 1), table: endpoint.NewTable()}
 }
 
-func (b *endpointBox) put(update endpoint.Update) {
+func (b *endpointBuffer) put(update endpoint.Update) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.Merge(update)
 	select {
-	case b.filled <- struct{}{}:
+	case b.available <- struct{}{}:
 	default:
 	}
 }
 
 // take empties the box.
-func (b *endpointBox) take() []endpoint.Update {
+func (b *endpointBuffer) take() []endpoint.Update {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	taken := b.table.All()
--- a/internal/distribution/subscription/link.go
+++ b/internal/distribution/subscription/link.go
@@ -14,28 +14,28 @@
 
 // connect starts an attempt in place of the current link. Events of a link
 // that is no longer the current one are dropped.
-func (s *Subscription) connect(ctx context.Context, order subscriber.Connect) {
+func (s *Subscription) connect(ctx context.Context, request subscriber.Connect) {
 	s.disconnect()
 	s.attempt++
-	attempt, peer := s.attempt, zap.String(telemetry.PeerField, order.Parent.Node)
-	step := func(next input) { s.step(ctx, attempt, next) }
-	s.link = s.client.Link(ctx, order.Parent.Address, order.Hello, stream.LinkEvents{
-		Connected: func() { step(s.core.Connected) },
-		ParentsAdvertised: func(offered []stream.Parent) {
+	attempt, peer := s.attempt, zap.String(telemetry.PeerField, request.Parent.Node)
+	submitForAttempt := func(next input) { s.submitForAttempt(ctx, attempt, next) }
+	s.link = s.client.Link(ctx, request.Parent.Address, request.Hello, stream.LinkEvents{
+		Connected: func() { submitForAttempt(s.core.Connected) },
+		ParentsAdvertised: func(advertised []stream.Parent) {
 			if s.rank != nil {
-				step(func(now time.Time) subscriber.Outputs { return s.core.Parents(now, s.rank(offered)) })
+				submitForAttempt(func(now time.Time) subscriber.Outputs { return s.core.Parents(now, s.rank(advertised)) })
 			}
 		},
 		Received: func(message *distribution.Message) {
-			step(func(now time.Time) subscriber.Outputs { return s.core.Received(now, message) })
+			submitForAttempt(func(now time.Time) subscriber.Outputs { return s.core.Received(now, message) })
 		},
 		Refused: func(refused *stream.RefusedError) {
 			s.logger.Info("refused by parent", peer, telemetry.Error(refused))
-			step(func(now time.Time) subscriber.Outputs { return s.core.Refused(now, refused.RetryAfter) })
+			submitForAttempt(func(now time.Time) subscriber.Outputs { return s.core.Refused(now, refused.RetryAfter) })
 		},
 		Lost: func(err error) {
 			s.logger.Info("stream failed", peer, telemetry.Error(err))
-			step(func(now time.Time) subscriber.Outputs { return s.core.Disconnected(now, err) })
+			submitForAttempt(func(now time.Time) subscriber.Outputs { return s.core.Disconnected(now, err) })
 		},
 	})
 }
@@ -47,8 +47,8 @@
 	}
 }
 
-// step submits an input that belongs to one attempt.
-func (s *Subscription) step(ctx context.Context, attempt uint64, next input) {
+// submitForAttempt submits an input that belongs to one attempt.
+func (s *Subscription) submitForAttempt(ctx context.Context, attempt uint64, next input) {
 	_ = s.submit(ctx, func(now time.Time) subscriber.Outputs {
 		if s.link == nil || s.attempt != attempt {
 			return subscriber.Outputs{}
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -16,9 +16,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// inputQueue is how many inputs may wait for the loop; further ones block
+// inputQueueLength is how many inputs may wait for the loop; further ones block
 // their senders.
-const inputQueue = 64
+const inputQueueLength = 64
 
 // Outcome says what became of received content.
 type Outcome struct {
@@ -49,8 +49,8 @@
 	sink   Sink
 	logger *zap.Logger
 	inputs chan input
-	// changed gathers new states of the process's own endpoints.
-	changed *endpointBox
+	// changedEndpoints gathers new states of the process's own endpoints.
+	changedEndpoints *endpointBuffer
 	// stopped is closed when the loop has ended.
 	stopped chan struct{}
 
@@ -65,13 +65,13 @@
 // New returns a subscription around a core; Run starts it.
 func New(core *subscriber.Core, client *stream.Client, sink Sink, logger *zap.Logger) *Subscription {
 	return &Subscription{
-		client:  client,
-		sink:    sink,
-		logger:  logger,
-		inputs:  make(chan input, inputQueue),
-		changed: newEndpointBox(),
-		stopped: make(chan struct{}),
-		core:    core,
+		client:           client,
+		sink:             sink,
+		logger:           logger,
+		inputs:           make(chan input, inputQueueLength),
+		changedEndpoints: newEndpointBuffer(),
+		stopped:          make(chan struct{}),
+		core:             core,
 	}
 }
 
@@ -86,12 +86,12 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case step := <-s.inputs:
-			s.carryOut(ctx, step(time.Now()))
-		case <-s.changed.filled:
-			s.carryOut(ctx, s.core.EndpointChanged(time.Now(), s.changed.take()))
+		case next := <-s.inputs:
+			s.execute(ctx, next(time.Now()))
+		case <-s.changedEndpoints.available:
+			s.execute(ctx, s.core.EndpointChanged(time.Now(), s.changedEndpoints.take()))
 		case <-timer.C:
-			s.carryOut(ctx, s.core.Tick(time.Now()))
+			s.execute(ctx, s.core.Tick(time.Now()))
 		}
 	}
 }
@@ -115,7 +115,7 @@
 
 // EndpointChanged reports a change of an endpoint that this process is the
 // authority of. It never blocks.
-func (s *Subscription) EndpointChanged(update endpoint.Update) { s.changed.put(update) }
+func (s *Subscription) EndpointChanged(update endpoint.Update) { s.changedEndpoints.put(update) }
 
 // Status is what a subscription shows of itself.
 type Status struct {
@@ -151,9 +151,9 @@
 // errStopped says that the loop has ended.
 var errStopped = errors.New("subscription: stopped")
 
-func (s *Subscription) submit(ctx context.Context, step input) error {
+func (s *Subscription) submit(ctx context.Context, next input) error {
 	select {
-	case s.inputs <- step:
+	case s.inputs <- next:
 		return nil
 	case <-s.stopped:
 		return errStopped
@@ -162,9 +162,9 @@
 	}
 }
 
-// carryOut does what the core asked for. Taking content in gives the core a
+// execute does what the core asked for. Taking content in gives the core a
 // further input, whose outputs are carried out in turn.
-func (s *Subscription) carryOut(ctx context.Context, outputs subscriber.Outputs) {
+func (s *Subscription) execute(ctx context.Context, outputs subscriber.Outputs) {
 	if outputs.Disconnect {
 		s.disconnect()
 	}
@@ -185,8 +185,8 @@
 	case outcome.Failure != nil:
 		s.logger.Error("configuration refused", zap.Uint64("version", outcome.Failure.Version),
 			zap.String(telemetry.StepField, outcome.Failure.Step), zap.String("reason", outcome.Failure.Reason))
-		s.carryOut(ctx, s.core.ApplyFailed(time.Now(), *outcome.Failure))
+		s.execute(ctx, s.core.ApplyFailed(time.Now(), *outcome.Failure))
 	case outcome.Applied > 0:
-		s.carryOut(ctx, s.core.Applied(time.Now(), outcome.Applied))
+		s.execute(ctx, s.core.Applied(time.Now(), outcome.Applied))
 	}
 }
