--- a/internal/distribution/subscription/endpointbox.go
+++ b/internal/distribution/subscription/endpointbox.go
@@ -6,10 +6,11 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// endpointBuffer gathers updates until they are taken. It holds the newest of
-// each endpoint, so it does not grow while the loop is busy.
+// endpointBuffer collects endpoint updates until the loop takes them. It keeps
+// only the newest update of each endpoint, so it does not grow with the number
+// of updates while the loop is busy.
 type endpointBuffer struct {
-	// available receives when there is something to take.
+	// available receives a value when there are updates to take.
 	available chan struct{}
 
 	// mutex guards table.
@@ -21,6 +22,7 @@
 	return &endpointBuffer{available: make(chan struct{}, 1), table: endpoint.NewTable()}
 }
 
+// put adds an update. It never blocks.
 func (b *endpointBuffer) put(update endpoint.Update) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -31,7 +33,7 @@
 	}
 }
 
-// take empties the box.
+// take returns the buffered updates and empties the buffer.
 func (b *endpointBuffer) take() []endpoint.Update {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/distribution/subscription/link.go
+++ b/internal/distribution/subscription/link.go
@@ -12,7 +12,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// connect starts an attempt in place of the current link. Events of a link
+// connect closes the current link and starts a new attempt. Events of a link
 // that is no longer the current one are dropped.
 func (s *Subscription) connect(ctx context.Context, request subscriber.Connect) {
 	s.disconnect()
@@ -40,6 +40,7 @@
 	})
 }
 
+// disconnect closes the current link, if any.
 func (s *Subscription) disconnect() {
 	if s.link != nil {
 		s.link.Close()
@@ -47,7 +48,8 @@
 	}
 }
 
-// submitForAttempt submits an input that belongs to one attempt.
+// submitForAttempt submits an input that is skipped when the attempt it belongs
+// to is no longer the current one.
 func (s *Subscription) submitForAttempt(ctx context.Context, attempt uint64, next input) {
 	_ = s.submit(ctx, func(now time.Time) subscriber.Outputs {
 		if s.link == nil || s.attempt != attempt {
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -1,5 +1,5 @@
-// Package subscription runs a proxy's subscriber core: one goroutine owns the
-// core and carries out its outputs.
+// Package subscription runs the subscriber core of a proxy: one goroutine owns
+// the core, feeds it inputs and executes its outputs.
 package subscription
 
 import (
@@ -16,53 +16,55 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// inputQueueLength is how many inputs may wait for the loop; further ones block
-// their senders.
+// inputQueueLength is the number of inputs that may wait for the loop; senders
+// of further inputs block.
 const inputQueueLength = 64
 
-// Outcome says what became of received content.
+// Outcome is the result of handling the outputs of the core.
 type Outcome struct {
-	// Applied is the version in force; zero when there was no content.
+	// Applied is the version in force after content was applied; zero when the
+	// outputs held no content.
 	Applied uint64
-	// Failure, when set, says why content was refused.
+	// Failure describes why content could not be applied; nil on success.
 	Failure *distribution.ApplyFailure
 }
 
-// Sink takes what a stream brings. Take is called by one goroutine.
+// Sink receives the outputs of the core. Handle is called from one goroutine
+// only.
 type Sink interface {
 	Handle(ctx context.Context, received subscriber.Outputs) Outcome
 }
 
-// RankFunc orders the parents that a parent named, and those known from the start,
-// most preferred first.
+// RankFunc returns the candidate parents, most preferred first: those that a
+// parent advertised and those known from the start.
 type RankFunc func(offered []stream.Parent) []subscriber.Parent
 
-// input is one step of the core, run on the loop's goroutine.
+// input is one call into the core, run on the loop's goroutine.
 type input func(now time.Time) subscriber.Outputs
 
 // Subscription runs one subscriber core. Its methods are safe for concurrent
 // use.
 type Subscription struct {
 	client *stream.Client
-	// rank is nil when what parents name is ignored.
+	// rank is nil when advertised parents are ignored.
 	rank   RankFunc
 	sink   Sink
 	logger *zap.Logger
 	inputs chan input
-	// changedEndpoints gathers new states of the process's own endpoints.
+	// changedEndpoints buffers state changes of the process's own endpoints.
 	changedEndpoints *endpointBuffer
 	// stopped is closed when the loop has ended.
 	stopped chan struct{}
 
 	// The fields below are owned by the loop's goroutine.
 	core *subscriber.Core
-	// link is the attempt or stream; nil while there is none. attempt numbers
-	// the links.
+	// link is the current attempt or open stream, or nil. attempt is the number
+	// of the latest link.
 	link    *stream.Link
 	attempt uint64
 }
 
-// New returns a subscription around a core; Run starts it.
+// New returns a subscription that drives core; Run starts it.
 func New(core *subscriber.Core, client *stream.Client, sink Sink, logger *zap.Logger) *Subscription {
 	return &Subscription{
 		client:           client,
@@ -75,7 +77,7 @@
 	}
 }
 
-// Run runs the core until ctx ends; then the stream is closed.
+// Run runs the core until ctx ends, then closes the stream.
 func (s *Subscription) Run(ctx context.Context) error {
 	defer close(s.stopped)
 	defer s.disconnect()
@@ -96,7 +98,7 @@
 	}
 }
 
-// resetTimer arms the timer for the next tick; without one it stays unarmed.
+// resetTimer sets the timer to the next tick, or stops it when next is zero.
 func resetTimer(timer *time.Timer, next time.Time) {
 	timer.Stop()
 	if !next.IsZero() {
@@ -104,20 +106,21 @@
 	}
 }
 
-// Parents replaces the candidates, most preferred first.
+// Parents replaces the candidate parents, most preferred first.
 func (s *Subscription) Parents(ctx context.Context, parents []subscriber.Parent) error {
 	return s.submit(ctx, func(now time.Time) subscriber.Outputs { return s.core.Parents(now, parents) })
 }
 
-// SetRankFunc has the candidates replaced whenever a parent names others. It is
-// called before Run.
+// SetRankFunc makes the subscription replace its candidate parents with the
+// result of rank whenever a parent advertises parents. It must be called before
+// Run.
 func (s *Subscription) SetRankFunc(rank RankFunc) { s.rank = rank }
 
-// EndpointChanged reports a change of an endpoint that this process is the
-// authority of. It never blocks.
+// EndpointChanged reports a state change of an endpoint for which this process
+// is authoritative. It never blocks.
 func (s *Subscription) EndpointChanged(update endpoint.Update) { s.changedEndpoints.put(update) }
 
-// Status is what a subscription shows of itself.
+// Status describes the current parent and configuration of a subscription.
 type Status struct {
 	Parent   string              `json:"parent"`
 	Address  string              `json:"address,omitempty"`
@@ -126,7 +129,7 @@
 	Applied  uint64              `json:"applied"`
 }
 
-// Status returns the present state, or the zero value once Run ended.
+// Status returns the current status, or the zero value once Run has returned.
 func (s *Subscription) Status() Status {
 	answer := make(chan Status, 1)
 	err := s.submit(context.Background(), func(time.Time) subscriber.Outputs {
@@ -148,9 +151,11 @@
 	}
 }
 
-// errStopped says that the loop has ended.
+// errStopped is returned for inputs submitted after the loop has ended.
 var errStopped = errors.New("subscription: stopped")
 
+// submit queues an input for the loop. It blocks while the queue is full, until
+// ctx ends or the loop stops.
 func (s *Subscription) submit(ctx context.Context, next input) error {
 	select {
 	case s.inputs <- next:
@@ -162,8 +167,8 @@
 	}
 }
 
-// execute does what the core asked for. Taking content in gives the core a
-// further input, whose outputs are carried out in turn.
+// execute performs the outputs of the core. The outcome of applying content is
+// a further input to the core, whose outputs are executed in turn.
 func (s *Subscription) execute(ctx context.Context, outputs subscriber.Outputs) {
 	if outputs.Disconnect {
 		s.disconnect()
