--- a/internal/distribution/stream/authenticated.go
+++ b/internal/distribution/stream/authenticated.go
@@ -7,13 +7,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/identity"
 )
 
-// CertificateAuthorizer is the Authorizer of mutual TLS: what a child may receive and
-// report comes from its certificate. Its requests have passed
+// CertificateAuthorizer is the Authorizer for mutual TLS: a child's certificate
+// determines what it may receive and report. Requests must have passed
 // identity.Credentials.Authenticate.
 type CertificateAuthorizer struct{}
 
 // Authorize returns the hello with the entitlement of the child's certificate.
-// A claim that goes beyond the certificate is refused.
+// It refuses a hello that claims more than the certificate allows.
 func (CertificateAuthorizer) Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error) {
 	peer, found := identity.FromRequest(request)
 	if !found {
@@ -26,7 +26,8 @@
 	return hello, nil
 }
 
-// AuthorizeReport refuses a report that goes beyond the child's certificate.
+// AuthorizeReport refuses a report that claims more than the child's certificate
+// allows.
 func (CertificateAuthorizer) AuthorizeReport(request *http.Request, report distribution.Report) error {
 	peer, found := identity.FromRequest(request)
 	if !found {
--- a/internal/distribution/stream/authorize.go
+++ b/internal/distribution/stream/authorize.go
@@ -6,13 +6,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// PermissiveAuthorizer is the Authorizer of plain HTTP: it believes what children
-// claim. It is for machines that nobody else can reach, and is switched on by
+// PermissiveAuthorizer is the Authorizer for plain HTTP: it accepts what children
+// claim without proof. It is meant for isolated machines and has to be enabled by
 // an explicit setting.
 type PermissiveAuthorizer struct{}
 
-// Authorize returns the hello as claimed; the zone of the entitlement is the
-// node's.
+// Authorize returns the hello unchanged, except that its entitlement gets the
+// zone of the node.
 func (PermissiveAuthorizer) Authorize(_ *http.Request, hello distribution.Hello) (distribution.Hello, error) {
 	hello.Entitlement.Zone = hello.Node.Zone
 	return hello, nil
--- a/internal/distribution/stream/client.go
+++ b/internal/distribution/stream/client.go
@@ -19,7 +19,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// Bounds of the client's own waiting.
+// Timeouts and buffer sizes of the client.
 const (
 	dialTimeout           = 2 * time.Second
 	responseHeaderTimeout = 5 * time.Second
@@ -35,14 +35,14 @@
 	scheme         string
 	traffic        *Traffic
 	acceptEncoding string
-	// MaximumMessageBytes bounds one decoded message.
+	// MaximumMessageBytes limits the size of one decompressed message line.
 	MaximumMessageBytes int
 }
 
 // Dial opens a connection to a parent.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client over transport; scheme is "http" or "https".
+// NewClient returns a client that uses transport; scheme is "http" or "https".
 func NewClient(transport http.RoundTripper, scheme string, traffic *Traffic) *Client {
 	return &Client{
 		httpClient: &http.Client{
@@ -56,8 +56,8 @@
 	}
 }
 
-// NewTransport returns the transport of control connections, counted in
-// traffic. A nil dial means TCP.
+// NewTransport returns the HTTP transport for control connections. It counts
+// their bytes in traffic. A nil dial means TCP.
 func NewTransport(traffic *Traffic, dial Dial) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -77,8 +77,8 @@
 	}
 }
 
-// Stream is one open stream of a child. Receive is called by one goroutine;
-// Close may be called by any.
+// Stream is an open stream from a parent. Receive must be called from one
+// goroutine only; Close may be called from any.
 type Stream struct {
 	session string
 	parents []Parent
@@ -88,12 +88,12 @@
 	counted *countingReader
 	traffic *Traffic
 	limit   int
-	// accounted is how many body bytes were accounted for.
+	// accounted is the number of body bytes already counted in traffic.
 	accounted int
 }
 
-// Open opens a stream to the parent at address. It returns a *RefusedError,
-// wrapped, when the parent refuses. The stream ends with ctx.
+// Open opens a stream to the parent at address. If the parent refuses, the error
+// wraps a *RefusedError. The stream ends when ctx does.
 func (c *Client) Open(ctx context.Context, address string, hello distribution.Hello) (*Stream, error) {
 	response, size, err := c.post(ctx, address, PathStream, "", hello)
 	if err != nil {
@@ -117,8 +117,8 @@
 }
 
 // Report delivers a report for the session to the parent at address. It returns
-// the parents that the child may turn to, if the parent named others than
-// before.
+// the parents that the child may attach to if the parent advertised a changed
+// list, and nil otherwise.
 func (c *Client) Report(ctx context.Context, address, session string, report distribution.Report) ([]Parent, error) {
 	response, size, err := c.post(ctx, address, PathReport, session, report)
 	if err != nil {
@@ -131,10 +131,12 @@
 	return readParents(response.Header), trace.Wrap(response.Body.Close(), "report to %s", address)
 }
 
-// CloseIdleConnections closes connections without a request, so that parents
-// need not wait for one on their own planned stop.
+// CloseIdleConnections closes connections that carry no request, so that parents
+// need not wait for one when they shut down gracefully.
 func (c *Client) CloseIdleConnections() { c.httpClient.CloseIdleConnections() }
 
+// post sends content as JSON and returns the response and the size of the
+// request body in bytes.
 func (c *Client) post(ctx context.Context, address, path, session string, content any) (*http.Response, int, error) {
 	body, err := json.Marshal(content)
 	if err != nil {
@@ -156,6 +158,7 @@
 	return response, len(body), err
 }
 
+// readRefusal reads a refused response into a *RefusedError and closes its body.
 func readRefusal(response *http.Response) error {
 	defer response.Body.Close()
 	reason, err := io.ReadAll(io.LimitReader(response.Body, maximumReasonBytes))
@@ -172,14 +175,15 @@
 	return refusal
 }
 
-// Session names the stream in reports.
+// Session returns the session ID that reports of this stream carry.
 func (s *Stream) Session() string { return s.session }
 
-// Parents are the parents that the child may turn to, as told by the parent.
+// Parents returns the parents that the child may attach to, as the parent
+// advertised them when it opened the stream.
 func (s *Stream) Parents() []Parent { return s.parents }
 
-// Receive returns the next message. It returns io.EOF when the parent ended
-// the stream in order, a *MessageTooLargeError for a line beyond the bound.
+// Receive returns the next message. It returns io.EOF when the parent closed
+// the stream cleanly, and a *MessageTooLargeError for a line above the limit.
 func (s *Stream) Receive() (*distribution.Message, error) {
 	line, err := s.readLine()
 	if err != nil {
@@ -197,6 +201,7 @@
 	return message, nil
 }
 
+// readLine reads one line of at most limit bytes, including the line end.
 func (s *Stream) readLine() ([]byte, error) {
 	if s.reader == nil {
 		s.reader = bufio.NewReaderSize(s.decoder, initialLineBytes)
@@ -214,7 +219,7 @@
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF) && len(line) > 0:
-			return nil, trace.Wrap(io.ErrUnexpectedEOF, "stream cut within a message")
+			return nil, trace.Wrap(io.ErrUnexpectedEOF, "stream ended within a message")
 		default:
 			return nil, err
 		}
@@ -224,6 +229,7 @@
 // Close ends the stream; a Receive in progress returns an error.
 func (s *Stream) Close() error { return s.body.Close() }
 
+// countingReader counts the bytes read from source.
 type countingReader struct {
 	source io.Reader
 	read   int
@@ -235,8 +241,8 @@
 	return n, err
 }
 
-// lazyDecompressor opens the decompressor on the first read, since opening
-// one may wait for the parent's first message.
+// lazyDecompressor opens the decompressor on the first read, because opening it
+// may block until the parent's first message arrives.
 type lazyDecompressor struct {
 	encoding Encoding
 	source   io.Reader
--- a/internal/distribution/stream/encoding.go
+++ b/internal/distribution/stream/encoding.go
@@ -13,22 +13,22 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// Encoding is a content encoding of a stream's response.
+// Encoding is the content encoding of a stream response.
 type Encoding string
 
-// The encodings a server can write and a client can read.
+// The encodings supported by servers and clients.
 const (
 	EncodingIdentity Encoding = "identity"
 	EncodingGzip     Encoding = "gzip"
 	EncodingZstd     Encoding = "zstd"
 )
 
-// zstdWindowBytes bounds the history, and so the memory, of one stream's
+// zstdWindowBytes is the window size, which bounds the memory of one stream's
 // compressor and decompressor.
 const zstdWindowBytes = 32 << 10
 
-// EncodedMessage is a message together with its JSON line, which is computed once
-// however many sessions send it.
+// EncodedMessage is a message with its JSON encoding, which is computed only once
+// even if several sessions send the message.
 type EncodedMessage struct {
 	message *distribution.Message
 	once    sync.Once
@@ -39,7 +39,7 @@
 // Encode prepares a message for sending; the JSON is computed on first use.
 func Encode(message *distribution.Message) *EncodedMessage { return &EncodedMessage{message: message} }
 
-// Line returns the message as JSON with a line end.
+// Line returns the message as JSON, terminated by a newline.
 func (e *EncodedMessage) Line() ([]byte, error) {
 	e.once.Do(func() {
 		e.line, e.err = json.Marshal(e.message)
@@ -48,18 +48,19 @@
 	return e.line, e.err
 }
 
-// cachedMessages is how many recent messages a Sharer remembers.
+// cachedMessages is the number of recent messages that an EncodingCache keeps.
 const cachedMessages = 64
 
-// EncodingCache gives one Encoded to every session that is sent the same message. It
-// is not safe for concurrent use; its owner is the loop that dispatches sends.
+// EncodingCache returns the same EncodedMessage to all sessions that send the
+// same message, identified by its pointer. It is not safe for concurrent use: the
+// loop that dispatches messages to sessions owns it.
 type EncodingCache struct {
 	byMessage map[*distribution.Message]*EncodedMessage
 	recent    []*distribution.Message
 	next      int
 }
 
-// NewEncodingCache returns an empty sharer.
+// NewEncodingCache returns an empty cache.
 func NewEncodingCache() *EncodingCache {
 	return &EncodingCache{
 		byMessage: make(map[*distribution.Message]*EncodedMessage, cachedMessages),
@@ -67,7 +68,8 @@
 	}
 }
 
-// Encode returns the shared encoding of a message.
+// Encode returns the cached encoding of a message and adds it when it is missing,
+// in place of the oldest one.
 func (s *EncodingCache) Encode(message *distribution.Message) *EncodedMessage {
 	if encoded := s.byMessage[message]; encoded != nil {
 		return encoded
@@ -82,18 +84,21 @@
 	return encoded
 }
 
-// flushWriter is a compressor whose output is complete up to each Flush.
+// flushWriter is a compressor. After Flush the receiver can decode everything
+// written before.
 type flushWriter interface {
 	io.WriteCloser
 	Flush() error
 }
 
+// identityWriter is a flushWriter that doesn't compress.
 type identityWriter struct{ io.Writer }
 
 func (identityWriter) Flush() error { return nil }
 func (identityWriter) Close() error { return nil }
 
-// negotiateEncoding picks the best encoding that the request accepts.
+// negotiateEncoding returns the preferred encoding among those that the request
+// accepts: zstd, then gzip, then identity. It ignores quality values.
 func negotiateEncoding(header http.Header) Encoding {
 	accepted := strings.Join(header.Values("Accept-Encoding"), ",")
 	for _, encoding := range []Encoding{EncodingZstd, EncodingGzip} {
--- a/internal/distribution/stream/encoding_test.go
+++ b/internal/distribution/stream/encoding_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Sharer", func() {
-	It("encodes one message once and forgets old ones", func() {
+	It("encodes a message once and evicts old ones", func() {
 		cache := stream.NewEncodingCache()
 		message := &distribution.Message{Version: 1}
 		first := cache.Encode(message)
@@ -35,7 +35,8 @@
 	Entry(nil, distribution.Message{Goodbye: true}, "goodbye"),
 )
 
-// BenchmarkSharedEncoding measures what a message costs each further session.
+// BenchmarkSharedEncoding measures the cost of a message for each session after
+// the first.
 func BenchmarkSharedEncoding(b *testing.B) {
 	cache := stream.NewEncodingCache()
 	message := &distribution.Message{Endpoints: manyEndpoints(100)}
--- a/internal/distribution/stream/link.go
+++ b/internal/distribution/stream/link.go
@@ -8,27 +8,28 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// reportTimeout bounds one report. A parent that takes none is left: what is
-// lost travels in the next hello.
+// reportTimeout limits the delivery of one report. On a timeout the link ends;
+// the next hello carries the content of the lost report.
 const reportTimeout = 5 * time.Second
 
-// LinkEvents are called, one after the other, by the goroutine of a link. A
-// link calls Refused or Lost last, and nothing after it was closed or its
-// context ended, except for a call that had begun.
+// LinkEvents holds the callbacks of a link. The link's goroutine calls them one
+// at a time; Refused or Lost is the last one. After the link was closed or its
+// context ended there is no further call, except one already in progress.
 type LinkEvents struct {
 	Connected func()
-	// ParentsAdvertised brings the parents that the child may turn to. The goroutine
-	// that sends reports may call it, beside the link's.
+	// ParentsAdvertised receives the parents that the child may attach to. The
+	// goroutine that sends reports calls it too, possibly at the same time as the
+	// link's goroutine calls another callback.
 	ParentsAdvertised func(parents []Parent)
 	Received          func(message *distribution.Message)
-	// Refused says that the parent turned the child down.
+	// Refused is called when the parent refused the stream.
 	Refused func(refused *RefusedError)
-	// Lost says that the attempt failed or that the stream ended.
+	// Lost is called when the attempt failed or the stream ended.
 	Lost func(err error)
 }
 
-// Link is a child's attempt to open a stream and, once open, the stream with
-// its reports.
+// Link is a child's attempt to open a stream to a parent and, after it succeeds,
+// the open stream and the reports sent for it.
 type Link struct {
 	client  *Client
 	address string
@@ -38,7 +39,8 @@
 
 var errLinkClosed = errors.New("link closed")
 
-// Link starts an attempt. It ends with ctx or by Close.
+// Link starts an attempt to open a stream. The link ends when ctx does or when
+// Close is called.
 func (c *Client) Link(ctx context.Context, address string, hello distribution.Hello, events LinkEvents) *Link {
 	linkContext, cancel := context.WithCancelCause(ctx)
 	link := &Link{
@@ -51,11 +53,11 @@
 	return link
 }
 
-// Close ends the link without a further event.
+// Close ends the link without a call of Refused or Lost.
 func (l *Link) Close() { l.cancel(errLinkClosed) }
 
-// Report sends a report, combined with others while the parent is busy with
-// one. It never blocks.
+// Report queues a report. Reports queued while an earlier one is being delivered
+// are combined into one. It never blocks.
 func (l *Link) Report(report distribution.Report) { l.reports.put(report) }
 
 func (l *Link) run(ctx context.Context, hello distribution.Hello, events LinkEvents) {
@@ -74,7 +76,8 @@
 	}
 }
 
-// receiveMessages opens the stream and hands on every message until the stream ends.
+// receiveMessages opens the stream and passes every message to the Received
+// callback until the stream ends.
 func (l *Link) receiveMessages(ctx context.Context, hello distribution.Hello, events LinkEvents) error {
 	opened, err := l.client.Open(ctx, l.address, hello)
 	if err != nil {
@@ -93,8 +96,8 @@
 	}
 }
 
-// sendReports delivers the reports in order. A report that fails ends the
-// link: the next hello carries what reports have said.
+// sendReports delivers queued reports in order. A failed delivery ends the link;
+// the next hello carries the content of the reports.
 func (l *Link) sendReports(ctx context.Context, session string, events LinkEvents) {
 	for {
 		select {
--- a/internal/distribution/stream/link_test.go
+++ b/internal/distribution/stream/link_test.go
@@ -11,8 +11,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// TestReportsToABusyParentAreCombined: a herd of children makes a relay report
-// far faster than its parent answers; the stream must not be lost by that.
+// TestReportsToABusyParentAreCombined checks that reports which a child makes much
+// faster than its parent answers are combined and don't end the stream. Many
+// children that reconnect at once make a relay report that fast.
 func TestReportsToABusyParentAreCombined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/distribution/stream/loss_linux_test.go
+++ b/internal/distribution/stream/loss_linux_test.go
@@ -10,7 +10,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-func TestConnectionsFailSoonAfterTheOtherMachineVanished(t *testing.T) {
+// TestAcceptedConnectionsHaveATCPUserTimeout checks the option that makes a
+// connection fail soon after the peer's machine vanished.
+func TestAcceptedConnectionsHaveATCPUserTimeout(t *testing.T) {
 	g := NewWithT(t)
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/distribution/stream/loss_other.go
+++ b/internal/distribution/stream/loss_other.go
@@ -4,5 +4,6 @@
 
 import "net"
 
-// DetectDeadPeers returns the listener itself: the option is one of Linux.
+// DetectDeadPeers returns the listener unchanged: TCP_USER_TIMEOUT is only
+// available on Linux.
 func DetectDeadPeers(listener net.Listener) net.Listener { return listener }
--- a/internal/distribution/stream/pipe_test.go
+++ b/internal/distribution/stream/pipe_test.go
@@ -14,8 +14,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-// pipeListener is a listener of in-memory connections, which block durably in
-// a synctest bubble.
+// pipeListener is a listener for in-memory connections. Unlike socket I/O, reads
+// and writes on them block durably in a synctest bubble.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -54,7 +54,8 @@
 	}
 }
 
-// fakeHost admits every child and lets the test feed its sessions.
+// fakeHost admits every child, unless refusal is set, and lets the test send
+// messages to its sessions.
 type fakeHost struct {
 	mutex    sync.Mutex
 	sessions map[string]*fakeSession
@@ -62,7 +63,7 @@
 	reports  []distribution.Report
 	refusal  error
 	attached chan *fakeSession
-	// gate, when set, holds each report back until it is received from.
+	// gate, when set, blocks each report until the test receives from it.
 	gate chan struct{}
 }
 
@@ -112,7 +113,7 @@
 func (s *fakeSession) Sent()                                   { s.sent <- struct{}{} }
 func (s *fakeSession) Detach()                                 { s.once.Do(func() { close(s.detached) }) }
 
-// testServer is a server and what is needed to reach it.
+// testServer is a parent's server with a client connected to it in memory.
 type testServer struct {
 	host          *fakeHost
 	listener      *pipeListener
@@ -139,7 +140,7 @@
 		p.transport.CloseIdleConnections()
 		_ = p.server.Close()
 		<-served
-		// Virtual time in which the server's connections finish closing.
+		// Let the server's connections finish closing, in virtual time.
 		time.Sleep(time.Second)
 	})
 	return p
--- a/internal/distribution/stream/server.go
+++ b/internal/distribution/stream/server.go
@@ -17,39 +17,41 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// Host is the parent's side of every stream: it admits children, chooses what
-// they are sent and takes their reports.
+// Host is the parent's side of all streams: it admits children, decides which
+// messages they are sent and handles their reports.
 type Host interface {
-	// Attach admits a child or returns a *RefusedError.
+	// Attach admits a child and returns its session, or a *RefusedError.
 	Attach(ctx context.Context, hello distribution.Hello) (Session, error)
-	// Report takes a report of an open session or returns a *RefusedError. It
-	// returns the parents that the child is to be told of, if they changed.
+	// Report handles a report for an open session or returns a *RefusedError.
+	// It returns the parents to advertise to the child, if they changed.
 	Report(ctx context.Context, session string, report distribution.Report) ([]Parent, error)
 }
 
-// Session is one admitted child.
+// Session is the session of one admitted child.
 type Session interface {
-	// ID is unguessable and names the session in reports.
+	// ID returns the identifier of the session in reports. It can't be guessed.
 	ID() string
-	// Parents are the parents that the child may turn to besides those it
-	// knows; none means that it is told of none.
+	// Parents returns the parents to advertise to the child in addition to
+	// those it knows. If there are none, the header is omitted.
 	Parents() []Parent
-	// Messages delivers one message at a time and is closed when the host
-	// ends the session. The next message comes only after Sent.
+	// Messages returns the channel of messages, which the host closes to end
+	// the session. The host sends the next message only after Sent was called.
 	Messages() <-chan *EncodedMessage
-	// Sent says that the last message was written to the connection.
+	// Sent reports to the host that the last message was written to the
+	// connection.
 	Sent()
-	// Detach ends the session from the child's side.
+	// Detach ends the session after the stream ended.
 	Detach()
 }
 
-// Authorizer replaces what a child claims by what its identity proves.
+// Authorizer replaces the claims in a child's requests by what its authenticated
+// identity allows.
 type Authorizer interface {
-	// Authorize returns the hello with the node and the entitlement that the
-	// request's authenticated identity has, or a *RefusedError.
+	// Authorize returns the hello with the node and the entitlement that apply
+	// to the authenticated identity of the request, or a *RefusedError.
 	Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error)
-	// AuthorizeReport refuses a report about another node than the
-	// request's identity.
+	// AuthorizeReport refuses a report that the authenticated identity of the
+	// request may not make, such as one about another node.
 	AuthorizeReport(request *http.Request, report distribution.Report) error
 }
 
@@ -59,16 +61,16 @@
 	authorizer Authorizer
 	traffic    *Traffic
 	logger     *zap.Logger
-	// writeTimeout bounds the writing of one message to a child.
+	// writeTimeout limits the time to write one message to a child.
 	writeTimeout time.Duration
 }
 
-// NewServer returns a server that asks host for every decision.
+// NewServer returns a server that delegates every decision to host.
 func NewServer(host Host, authorizer Authorizer, traffic *Traffic, logger *zap.Logger) *Server {
 	return &Server{host: host, authorizer: authorizer, traffic: traffic, logger: logger, writeTimeout: defaultWriteTimeout}
 }
 
-// Handler returns the HTTP handler of both paths.
+// Handler returns the HTTP handler for PathStream and PathReport.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathStream, s.serveStream)
@@ -93,6 +95,7 @@
 	}
 }
 
+// readHello decodes, validates and authorizes the hello of a request.
 func (s *Server) readHello(writer http.ResponseWriter, request *http.Request) (distribution.Hello, error) {
 	var hello distribution.Hello
 	size, err := readBody(writer, request, maximumHelloBytes, &hello)
@@ -121,6 +124,8 @@
 	}
 }
 
+// sendMessages answers the request and writes the session's messages until the
+// host or the child ends the stream.
 func (s *Server) sendMessages(writer http.ResponseWriter, request *http.Request, session Session) error {
 	encoding := negotiateEncoding(request.Header)
 	header := writer.Header()
@@ -160,6 +165,7 @@
 	}
 }
 
+// sendMessage writes one message and flushes it to the connection.
 func (s *Server) sendMessage(controller *http.ResponseController, compressor flushWriter, message *EncodedMessage) error {
 	line, err := message.Line()
 	if err != nil {
@@ -197,12 +203,13 @@
 		writeRefusal(writer, "report", err)
 		return
 	}
-	// Reports are frequent and nobody reads the date of their answers.
+	// Reports are frequent and clients don't use the Date header of their
+	// responses, so it is omitted.
 	writer.Header()["Date"] = nil
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// readBody decodes a bounded JSON body and returns its size in bytes.
+// readBody decodes a JSON body of at most limit bytes and returns its size.
 func readBody(writer http.ResponseWriter, request *http.Request, limit int64, target any) (int, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -222,7 +229,8 @@
 	return &RefusedError{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// writeRefusal writes the answer to a request that was not taken.
+// writeRefusal writes the response to a refused request. An error that is not a
+// *RefusedError becomes status 500.
 func writeRefusal(writer http.ResponseWriter, step string, err error) {
 	refusal := &RefusedError{Status: http.StatusInternalServerError, Reason: err.Error()}
 	errors.As(err, &refusal)
--- a/internal/distribution/stream/stream_test.go
+++ b/internal/distribution/stream/stream_test.go
@@ -74,7 +74,7 @@
 			<-session.sent
 		}
 		spent := p.serverTraffic.Totals().ConnectionBytesSent - before
-		g.Expect(spent/changes).To(BeNumerically("<=", 40), "bytes a change, chunk framing included")
+		g.Expect(spent/changes).To(BeNumerically("<=", 40), "bytes per change, including chunk framing")
 	})
 }
 
@@ -91,7 +91,7 @@
 		defer quick.Close()
 		quickSession := <-p.host.attached
 
-		// The slow child reads nothing: a large message blocks in its pipe.
+		// The slow child reads nothing, so a large message blocks in its pipe.
 		large := &distribution.Message{Endpoints: manyEndpoints(5000)}
 		slowSession.messages <- stream.Encode(large)
 		synctest.Wait()
@@ -103,14 +103,15 @@
 			g.Expect(received.Version).To(Equal(version))
 			<-quickSession.sent
 		}
-		g.Expect(time.Since(start)).To(BeZero(), "virtual time that passed for the quick child")
+		g.Expect(time.Since(start)).To(BeZero(), "virtual time elapsed for the quick child")
 		g.Expect(slowSession.sent).To(BeEmpty())
 
 		<-slowSession.detached
-		g.Expect(time.Since(start)).To(BeNumerically("<=", 11*time.Second), "the write deadline ends a child that reads nothing")
+		g.Expect(time.Since(start)).To(BeNumerically("<=", 11*time.Second), "the write deadline ends the stream of a child that reads nothing")
 	})
 }
 
+// manyEndpoints returns updates of count endpoints with names of various lengths.
 func manyEndpoints(count int) []endpoint.Update {
 	updates := make([]endpoint.Update, count)
 	for i := range updates {
@@ -189,8 +190,9 @@
 	}
 }
 
-// TestReceiveRejectsMalformedStreams covers what a child may read from a parent that is
-// broken: the child gets an error and holds no more than the bound.
+// TestReceiveRejectsMalformedStreams checks that a child gets an error from a
+// stream that is malformed, truncated or has an endless line, instead of
+// buffering more than MaximumMessageBytes.
 func TestReceiveRejectsMalformedStreams(t *testing.T) {
 	endless := strings.Repeat("x", 8<<10)
 	cases := map[string]struct {
@@ -214,9 +216,9 @@
 			func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "{\"version\":\n") },
 			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("decode message"))) },
 		},
-		"cut within a message": {
+		"ended within a message": {
 			func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, `{"version":1`) },
-			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("cut within a message"))) },
+			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("ended within a message"))) },
 		},
 		"not zstd at all": {
 			func(writer http.ResponseWriter, _ *http.Request) {
@@ -247,6 +249,8 @@
 	}
 }
 
+// TestReportsNameTheirSession checks that a report is accepted for its open
+// session and refused with status 410 for an unknown one.
 func TestReportsNameTheirSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/distribution/stream/traffic.go
+++ b/internal/distribution/stream/traffic.go
@@ -35,7 +35,8 @@
 // String returns the kind's label.
 func (k MessageKind) String() string { return kindNames[k] }
 
-// KindOf classifies a message by its largest part.
+// KindOf classifies a message. One with several parts counts as the part that is
+// usually the largest; a goodbye takes precedence.
 func KindOf(message *distribution.Message) MessageKind {
 	switch {
 	case message.Goodbye:
@@ -59,10 +60,10 @@
 	}
 }
 
-// Count is an amount of control traffic.
+// Count holds the number and the size of control messages.
 type Count struct {
 	Messages uint64 `json:"messages"`
-	// Bytes counts the encoded, compressed bodies.
+	// Bytes is the size of the message bodies after encoding and compression.
 	Bytes uint64 `json:"bytes"`
 }
 
@@ -70,12 +71,13 @@
 type Totals struct {
 	Sent     map[string]Count `json:"sent"`
 	Received map[string]Count `json:"received"`
-	// ConnectionBytesSent and ConnectionBytesReceived count everything on the
-	// control connections: HTTP headers, chunk framing and TLS records too.
+	// ConnectionBytesSent and ConnectionBytesReceived count all bytes on the
+	// control connections, including HTTP headers, chunk framing and TLS records.
 	ConnectionBytesSent     uint64 `json:"connectionBytesSent"`
 	ConnectionBytesReceived uint64 `json:"connectionBytesReceived"`
 }
 
+// counter counts messages and their bytes.
 type counter struct{ messages, bytes atomic.Uint64 }
 
 func (c *counter) add(size int) {
@@ -84,13 +86,13 @@
 }
 
 // Traffic counts the control traffic of one process. It is safe for
-// concurrent use; the zero value is ready.
+// concurrent use; the zero value is ready to use.
 type Traffic struct {
 	sent, received                     [messageKinds]counter
 	connectionSent, connectionReceived atomic.Uint64
 }
 
-// Totals returns what was counted so far.
+// Totals returns the traffic counted so far.
 func (t *Traffic) Totals() Totals {
 	totals := Totals{
 		Sent:                    map[string]Count{},
@@ -105,6 +107,7 @@
 	return totals
 }
 
+// addCount adds the count of a kind to counts, unless it is zero.
 func addCount(counts map[string]Count, kind MessageKind, counted *counter) {
 	if messages := counted.messages.Load(); messages > 0 {
 		counts[kind.String()] = Count{Messages: messages, Bytes: counted.bytes.Load()}
@@ -140,7 +143,7 @@
 	metrics <- prometheus.MustNewConstMetric(connectionDescription, prometheus.CounterValue, float64(totals.ConnectionBytesReceived), "received")
 }
 
-// Listener returns a listener whose connections are counted.
+// Listener returns a listener that counts the bytes of its connections.
 func (t *Traffic) Listener(listener net.Listener) net.Listener {
 	return &countingListener{Listener: listener, traffic: t}
 }
@@ -175,7 +178,7 @@
 	return n, err
 }
 
-// countingWriter counts what passes to the writer below.
+// countingWriter counts the bytes written to destination.
 type countingWriter struct {
 	destination interface{ Write([]byte) (int, error) }
 	written     int
@@ -187,7 +190,7 @@
 	return n, err
 }
 
-// take returns the bytes counted since the last call.
+// take returns the number of bytes written since the last call.
 func (w *countingWriter) take() int {
 	written := w.written
 	w.written = 0
--- a/internal/distribution/stream/waiting.go
+++ b/internal/distribution/stream/waiting.go
@@ -8,14 +8,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// pendingReport combines the reports that wait for a parent. It holds the
-// newest of each endpoint and of each summary, so it does not grow while the
-// parent is slow, however many reports are put.
+// pendingReport combines the reports that wait to be sent to a parent. It keeps
+// only the newest update of each endpoint and the newest status of each zone and
+// relay, so it does not grow with the number of reports while the parent is slow.
 type pendingReport struct {
-	// available receives when there is something to take.
+	// available receives a value when there is a report to take.
 	available chan struct{}
 
-	// mutex guards report, which is nil while nothing waits.
+	// mutex guards report, which is nil while no report is pending.
 	mutex  sync.Mutex
 	report *distribution.Report
 }
@@ -24,7 +24,8 @@
 	return &pendingReport{available: make(chan struct{}, 1)}
 }
 
-// put adds a report that is later than those put before. It never blocks.
+// put adds a report, which must be later than those added before. It never
+// blocks.
 func (w *pendingReport) put(report distribution.Report) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -38,7 +39,8 @@
 	}
 }
 
-// take returns what waits; nil when an earlier take had it already.
+// take returns the pending report and clears it. It returns nil when an earlier
+// call has already taken it.
 func (w *pendingReport) take() *distribution.Report {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -47,7 +49,9 @@
 	return taken
 }
 
-// combine returns one report that says what both say.
+// combine merges two reports. The result has the newest update of each endpoint
+// and the newest status of each zone and relay; all other fields are those of the
+// later report.
 func combine(earlier, later distribution.Report) distribution.Report {
 	combined := later
 	newest := endpoint.NewTable()
@@ -61,7 +65,8 @@
 	return combined
 }
 
-// combineZones keeps the later summary of each relay of a zone.
+// combineZones merges zone statuses and keeps the later one of each zone and
+// relay.
 func combineZones(earlier, later []distribution.ZoneStatus) []distribution.ZoneStatus {
 	combined := slices.Clone(earlier)
 	for _, status := range later {
--- a/internal/distribution/stream/waiting_test.go
+++ b/internal/distribution/stream/waiting_test.go
@@ -8,6 +8,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
+// TestAReportPutBeforeTheTakeIsTakenOnce checks that a report which is added
+// between the signal and take is returned by that take; the second signal then
+// finds nothing.
 func TestAReportPutBeforeTheTakeIsTakenOnce(t *testing.T) {
 	g := NewWithT(t)
 	pending := newPendingReport()
@@ -15,6 +18,6 @@
 	<-pending.available
 	pending.put(distribution.Report{Applied: 2})
 	g.Expect(pending.take()).To(Equal(&distribution.Report{Applied: 2}))
-	g.Expect(pending.available).To(Receive(), "the second put was signalled too")
+	g.Expect(pending.available).To(Receive(), "the second put is signalled too")
 	g.Expect(pending.take()).To(BeNil())
 }
