--- a/internal/distribution/stream/stream_test.go
+++ b/internal/distribution/stream/stream_test.go
@@ -259,9 +259,9 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
 		report := distribution.Report{Node: hello("child").Node, Applied: 9}
-		offered, err := p.client.Report(t.Context(), "parent:1", opened.Session(), report)
+		advertised, err := p.client.Report(t.Context(), "parent:1", opened.Session(), report)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(offered).To(Equal(opened.Parents()))
+		g.Expect(advertised).To(Equal(opened.Parents()))
 		g.Expect(p.host.reports).To(ConsistOf(report))
 		_, err = p.client.Report(t.Context(), "parent:1", "another", report)
 		var refused *stream.RefusedError
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -32,12 +32,12 @@
 // Sink receives the outputs of the core. Handle is called from one goroutine
 // only.
 type Sink interface {
-	Handle(ctx context.Context, received subscriber.Outputs) Outcome
+	Handle(ctx context.Context, outputs subscriber.Outputs) Outcome
 }
 
 // RankFunc returns the candidate parents, most preferred first: those that a
 // parent advertised and those known from the start.
-type RankFunc func(offered []stream.Parent) []subscriber.Parent
+type RankFunc func(advertised []stream.Parent) []subscriber.Parent
 
 // input is one call into the core, run on the loop's goroutine.
 type input func(now time.Time) subscriber.Outputs
