--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -206,9 +206,9 @@
 
 func provideAuthorizer(credentials *identity.Credentials) stream.Authorizer {
 	if credentials.Plain() {
-		return stream.Unauthenticated{}
+		return stream.PermissiveAuthorizer{}
 	}
-	return stream.Authenticated{}
+	return stream.CertificateAuthorizer{}
 }
 
 func provideCommands(loaded settings.Daemon, log *versionlog.Log, host *controlhost.Host) *command.Service {
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -46,7 +46,7 @@
 	core        *control.Core
 	local       *localChild
 	holding     bool
-	sharer      *stream.Sharer
+	sharer      *stream.EncodingCache
 	sessions    map[relay.SessionID]*session
 	byToken     map[string]relay.SessionID
 	lastSession relay.SessionID
@@ -82,7 +82,7 @@
 		history:  newHistory(parts.HistoryLength),
 		members:  parts.Members,
 		core:     parts.Core,
-		sharer:   stream.NewSharer(),
+		sharer:   stream.NewEncodingCache(),
 		sessions: map[relay.SessionID]*session{},
 		byToken:  map[string]relay.SessionID{},
 		links:    map[string]*uplink{},
--- a/internal/distribution/stream/authenticated.go
+++ b/internal/distribution/stream/authenticated.go
@@ -7,14 +7,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/identity"
 )
 
-// Authenticated is the Authorizer of mutual TLS: what a child may receive and
-// report comes from its certificate. Its requests have passed
+// CertificateAuthorizer is the Authorizer for mutual TLS: a child's certificate
+// determines what it may receive and report. Requests must have passed
 // identity.Credentials.Authenticate.
-type Authenticated struct{}
+type CertificateAuthorizer struct{}
 
 // Authorize returns the hello with the entitlement of the child's certificate.
-// A claim that goes beyond the certificate is refused.
-func (Authenticated) Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error) {
+// It refuses a hello that claims more than the certificate allows.
+func (CertificateAuthorizer) Authorize(request *http.Request, hello distribution.Hello) (distribution.Hello, error) {
 	peer, found := identity.FromRequest(request)
 	if !found {
 		return hello, forbidden("the request carries no identity")
@@ -26,8 +26,9 @@
 	return hello, nil
 }
 
-// AuthorizeReport refuses a report that goes beyond the child's certificate.
-func (Authenticated) AuthorizeReport(request *http.Request, report distribution.Report) error {
+// AuthorizeReport refuses a report that claims more than the child's certificate
+// allows.
+func (CertificateAuthorizer) AuthorizeReport(request *http.Request, report distribution.Report) error {
 	peer, found := identity.FromRequest(request)
 	if !found {
 		return forbidden("the request carries no identity")
--- a/internal/distribution/stream/encoding_test.go
+++ b/internal/distribution/stream/encoding_test.go
@@ -12,15 +12,15 @@
 )
 
 var _ = Describe("Sharer", func() {
-	It("encodes one message once and forgets old ones", func() {
-		sharer := stream.NewSharer()
+	It("encodes a message once and evicts old ones", func() {
+		cache := stream.NewEncodingCache()
 		message := &distribution.Message{Version: 1}
-		first := sharer.Encode(message)
-		Expect(sharer.Encode(message)).To(BeIdenticalTo(first))
+		first := cache.Encode(message)
+		Expect(cache.Encode(message)).To(BeIdenticalTo(first))
 		for range 100 {
-			sharer.Encode(&distribution.Message{})
+			cache.Encode(&distribution.Message{})
 		}
-		Expect(sharer.Encode(message)).NotTo(BeIdenticalTo(first))
+		Expect(cache.Encode(message)).NotTo(BeIdenticalTo(first))
 	})
 })
 
@@ -35,12 +35,13 @@
 	Entry(nil, distribution.Message{Goodbye: true}, "goodbye"),
 )
 
-// BenchmarkSharedEncoding measures what a message costs each further session.
+// BenchmarkSharedEncoding measures the cost of a message for each session after
+// the first.
 func BenchmarkSharedEncoding(b *testing.B) {
-	sharer := stream.NewSharer()
+	cache := stream.NewEncodingCache()
 	message := &distribution.Message{Endpoints: manyEndpoints(100)}
 	for b.Loop() {
-		if _, err := sharer.Encode(message).Line(); err != nil {
+		if _, err := cache.Encode(message).Line(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/distribution/stream/link.go
+++ b/internal/distribution/stream/link.go
@@ -8,59 +8,61 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// reportTimeout bounds one report. A parent that takes none is left: what is
-// lost travels in the next hello.
+// reportTimeout limits the delivery of one report. On a timeout the link ends;
+// the next hello carries the content of the lost report.
 const reportTimeout = 5 * time.Second
 
-// LinkEvents are called, one after the other, by the goroutine of a link. A
-// link calls Refused or Lost last, and nothing after it was closed or its
-// context ended, except for a call that had begun.
+// LinkEvents holds the callbacks of a link. The link's goroutine calls them one
+// at a time; Refused or Lost is the last one. After the link was closed or its
+// context ended there is no further call, except one already in progress.
 type LinkEvents struct {
 	Connected func()
-	// Offered brings the parents that the child may turn to. The goroutine
-	// that sends reports may call it, beside the link's.
-	Offered  func(parents []Parent)
-	Received func(message *distribution.Message)
-	// Refused says that the parent turned the child down.
+	// ParentsAdvertised receives the parents that the child may attach to. The
+	// goroutine that sends reports calls it too, possibly at the same time as the
+	// link's goroutine calls another callback.
+	ParentsAdvertised func(parents []Parent)
+	Received          func(message *distribution.Message)
+	// Refused is called when the parent refused the stream.
 	Refused func(refused *RefusedError)
-	// Lost says that the attempt failed or that the stream ended.
+	// Lost is called when the attempt failed or the stream ended.
 	Lost func(err error)
 }
 
-// Link is a child's attempt to open a stream and, once open, the stream with
-// its reports.
+// Link is a child's attempt to open a stream to a parent and, after it succeeds,
+// the open stream and the reports sent for it.
 type Link struct {
 	client  *Client
 	address string
 	cancel  context.CancelCauseFunc
-	reports *waitingReport
+	reports *pendingReport
 }
 
 var errLinkClosed = errors.New("link closed")
 
-// Link starts an attempt. It ends with ctx or by Close.
+// Link starts an attempt to open a stream. The link ends when ctx does or when
+// Close is called.
 func (c *Client) Link(ctx context.Context, address string, hello distribution.Hello, events LinkEvents) *Link {
 	linkContext, cancel := context.WithCancelCause(ctx)
 	link := &Link{
 		client:  c,
 		address: address,
 		cancel:  cancel,
-		reports: newWaitingReport(),
+		reports: newPendingReport(),
 	}
 	go link.run(linkContext, hello, events)
 	return link
 }
 
-// Close ends the link without a further event.
+// Close ends the link without a call of Refused or Lost.
 func (l *Link) Close() { l.cancel(errLinkClosed) }
 
-// Report sends a report, combined with others while the parent is busy with
-// one. It never blocks.
+// Report queues a report. Reports queued while an earlier one is being delivered
+// are combined into one. It never blocks.
 func (l *Link) Report(report distribution.Report) { l.reports.put(report) }
 
 func (l *Link) run(ctx context.Context, hello distribution.Hello, events LinkEvents) {
 	defer l.cancel(errLinkClosed)
-	err := l.follow(ctx, hello, events)
+	err := l.receiveMessages(ctx, hello, events)
 	cause := context.Cause(ctx)
 	var refused *RefusedError
 	switch {
@@ -74,15 +76,16 @@
 	}
 }
 
-// follow opens the stream and hands on every message until the stream ends.
-func (l *Link) follow(ctx context.Context, hello distribution.Hello, events LinkEvents) error {
+// receiveMessages opens the stream and passes every message to the Received
+// callback until the stream ends.
+func (l *Link) receiveMessages(ctx context.Context, hello distribution.Hello, events LinkEvents) error {
 	opened, err := l.client.Open(ctx, l.address, hello)
 	if err != nil {
 		return err
 	}
 	defer opened.Close()
 	events.Connected()
-	offer(events, opened.Parents())
+	notifyParents(events, opened.Parents())
 	go l.sendReports(ctx, opened.Session(), events)
 	for {
 		message, err := opened.Receive()
@@ -93,36 +96,36 @@
 	}
 }
 
-// sendReports delivers the reports in order. A report that fails ends the
-// link: the next hello carries what reports have said.
+// sendReports delivers queued reports in order. A failed delivery ends the link;
+// the next hello carries the content of the reports.
 func (l *Link) sendReports(ctx context.Context, session string, events LinkEvents) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.reports.filled:
+		case <-l.reports.available:
 			report := l.reports.take()
 			if report == nil {
 				continue
 			}
-			offered, err := l.sendReport(ctx, session, *report)
+			advertised, err := l.sendReport(ctx, session, *report)
 			if err != nil {
 				l.cancel(err)
 				return
 			}
-			offer(events, offered)
+			notifyParents(events, advertised)
 		}
 	}
 }
 
 func (l *Link) sendReport(ctx context.Context, session string, report distribution.Report) ([]Parent, error) {
-	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
+	reportContext, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return l.client.Report(bounded, l.address, session, report)
+	return l.client.Report(reportContext, l.address, session, report)
 }
 
-func offer(events LinkEvents, parents []Parent) {
-	if len(parents) > 0 && events.Offered != nil {
-		events.Offered(parents)
+func notifyParents(events LinkEvents, parents []Parent) {
+	if len(parents) > 0 && events.ParentsAdvertised != nil {
+		events.ParentsAdvertised(parents)
 	}
 }
--- a/internal/distribution/stream/loss_linux.go
+++ b/internal/distribution/stream/loss_linux.go
@@ -8,43 +8,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// lossTimeout is how long what was written to a child may stay unacknowledged
-// by the child's machine before its connection is lost. Heartbeats are written
-// far more often, so that a machine which vanished is noticed within it.
-const lossTimeout = 5 * time.Second
+// userTimeout is how long data written to a child may stay unacknowledged by the
+// child's machine before the kernel closes the connection. Heartbeats are written
+// far more often, so a machine that vanished is detected within about this time.
+const userTimeout = 5 * time.Second
 
-// DetectLoss returns a listener whose connections fail soon after the other
-// machine vanished, though nothing was read from them meanwhile.
-func DetectLoss(listener net.Listener) net.Listener { return &lossListener{listener} }
+// DetectDeadPeers returns a listener that sets TCP_USER_TIMEOUT on its
+// connections, so that they fail soon after the peer's machine vanished even if
+// nothing is read from them.
+func DetectDeadPeers(listener net.Listener) net.Listener { return &deadPeerListener{listener} }
 
-type lossListener struct{ net.Listener }
+// deadPeerListener sets TCP_USER_TIMEOUT on accepted connections.
+type deadPeerListener struct{ net.Listener }
 
-// Accept returns the next connection.
-func (l *lossListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, with the timeout set if possible.
+func (l *deadPeerListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	// A connection without the option is noticed later, by its silence.
-	_ = setLossTimeout(connection)
+	// The error is ignored: without the option a dead peer is still detected,
+	// though later, because it is silent.
+	_ = setUserTimeout(connection)
 	return connection, nil
 }
 
-func setLossTimeout(connection net.Conn) error {
-	owner, ok := connection.(syscall.Conn)
+func setUserTimeout(connection net.Conn) error {
+	syscallConnection, ok := connection.(syscall.Conn)
 	if !ok {
 		return syscall.ENOTSOCK
 	}
-	raw, err := owner.SyscallConn()
+	raw, err := syscallConnection.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failure error
+	var optionError error
 	err = raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(lossTimeout/time.Millisecond))
+		optionError = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionError
 }
--- a/internal/distribution/stream/loss_linux_test.go
+++ b/internal/distribution/stream/loss_linux_test.go
@@ -10,11 +10,13 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-func TestConnectionsFailSoonAfterTheOtherMachineVanished(t *testing.T) {
+// TestAcceptedConnectionsHaveATCPUserTimeout checks the option that makes a
+// connection fail soon after the peer's machine vanished.
+func TestAcceptedConnectionsHaveATCPUserTimeout(t *testing.T) {
 	g := NewWithT(t)
 	bound, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	listener := stream.DetectLoss(bound)
+	listener := stream.DetectDeadPeers(bound)
 	defer listener.Close()
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -26,10 +28,10 @@
 	raw, err := accepted.(*net.TCPConn).SyscallConn()
 	g.Expect(err).NotTo(HaveOccurred())
 	var milliseconds int
-	var failure error
+	var optionError error
 	g.Expect(raw.Control(func(descriptor uintptr) {
-		milliseconds, failure = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		milliseconds, optionError = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	})).To(Succeed())
-	g.Expect(failure).NotTo(HaveOccurred())
+	g.Expect(optionError).NotTo(HaveOccurred())
 	g.Expect(milliseconds).To(Equal(5000))
 }
--- a/internal/distribution/stream/pipe_test.go
+++ b/internal/distribution/stream/pipe_test.go
@@ -14,8 +14,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-// pipeListener is a listener of in-memory connections, which block durably in
-// a synctest bubble.
+// pipeListener is a listener for in-memory connections. Unlike socket I/O, reads
+// and writes on them block durably in a synctest bubble.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -43,10 +43,10 @@
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
 func (l *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	select {
-	case l.connections <- far:
-		return near, nil
+	case l.connections <- serverEnd:
+		return clientEnd, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -54,7 +54,8 @@
 	}
 }
 
-// fakeHost admits every child and lets the test feed its sessions.
+// fakeHost admits every child, unless refusal is set, and lets the test send
+// messages to its sessions.
 type fakeHost struct {
 	mutex    sync.Mutex
 	sessions map[string]*fakeSession
@@ -62,7 +63,7 @@
 	reports  []distribution.Report
 	refusal  error
 	attached chan *fakeSession
-	// gate, when set, holds each report back until it is received from.
+	// gate, when set, blocks each report until the test receives from it.
 	gate chan struct{}
 }
 
@@ -76,7 +77,7 @@
 	if h.refusal != nil {
 		return nil, h.refusal
 	}
-	session := &fakeSession{id: hello.Node.Name, messages: make(chan *stream.Encoded, 1), sent: make(chan struct{}, 64), detached: make(chan struct{})}
+	session := &fakeSession{id: hello.Node.Name, messages: make(chan *stream.EncodedMessage, 1), sent: make(chan struct{}, 64), detached: make(chan struct{})}
 	h.sessions[session.id] = session
 	h.hellos = append(h.hellos, hello)
 	h.attached <- session
@@ -98,7 +99,7 @@
 
 type fakeSession struct {
 	id       string
-	messages chan *stream.Encoded
+	messages chan *stream.EncodedMessage
 	sent     chan struct{}
 	detached chan struct{}
 	once     sync.Once
@@ -108,12 +109,12 @@
 func (s *fakeSession) Parents() []stream.Parent {
 	return []stream.Parent{{Node: "other", Address: "10.0.0.2:1"}}
 }
-func (s *fakeSession) Messages() <-chan *stream.Encoded { return s.messages }
-func (s *fakeSession) Sent()                            { s.sent <- struct{}{} }
-func (s *fakeSession) Detach()                          { s.once.Do(func() { close(s.detached) }) }
+func (s *fakeSession) Messages() <-chan *stream.EncodedMessage { return s.messages }
+func (s *fakeSession) Sent()                                   { s.sent <- struct{}{} }
+func (s *fakeSession) Detach()                                 { s.once.Do(func() { close(s.detached) }) }
 
-// peer is a server and what is needed to reach it.
-type peer struct {
+// testServer is a parent's server with a client connected to it in memory.
+type testServer struct {
 	host          *fakeHost
 	listener      *pipeListener
 	server        *http.Server
@@ -123,10 +124,10 @@
 	client        *stream.Client
 }
 
-func startPeer(t testing.TB) *peer {
+func startTestServer(t testing.TB) *testServer {
 	t.Helper()
-	p := &peer{host: newFakeHost(), listener: newPipeListener(), serverTraffic: &stream.Traffic{}, clientTraffic: &stream.Traffic{}}
-	handler := stream.NewServer(p.host, stream.Unauthenticated{}, p.serverTraffic, zap.NewNop()).Handler()
+	p := &testServer{host: newFakeHost(), listener: newPipeListener(), serverTraffic: &stream.Traffic{}, clientTraffic: &stream.Traffic{}}
+	handler := stream.NewServer(p.host, stream.PermissiveAuthorizer{}, p.serverTraffic, zap.NewNop()).Handler()
 	p.server = &http.Server{Handler: handler}
 	served := make(chan struct{})
 	go func() {
@@ -139,7 +140,7 @@
 		p.transport.CloseIdleConnections()
 		_ = p.server.Close()
 		<-served
-		// Virtual time in which the server's connections finish closing.
+		// Let the server's connections finish closing, in virtual time.
 		time.Sleep(time.Second)
 	})
 	return p
--- a/internal/distribution/stream/stream_test.go
+++ b/internal/distribution/stream/stream_test.go
@@ -20,7 +20,7 @@
 func TestMessagesArriveAsSentAndAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
@@ -57,10 +57,10 @@
 	})
 }
 
-func TestAnUnchangedVersionIsCheap(t *testing.T) {
+func TestVersionMessagesAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
@@ -74,14 +74,14 @@
 			<-session.sent
 		}
 		spent := p.serverTraffic.Totals().ConnectionBytesSent - before
-		g.Expect(spent/changes).To(BeNumerically("<=", 40), "bytes a change, chunk framing included")
+		g.Expect(spent/changes).To(BeNumerically("<=", 40), "bytes per change, including chunk framing")
 	})
 }
 
 func TestASlowChildDoesNotDelayItsSiblings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		slow, err := p.client.Open(t.Context(), "parent:1", hello("slow"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer slow.Close()
@@ -91,7 +91,7 @@
 		defer quick.Close()
 		quickSession := <-p.host.attached
 
-		// The slow child reads nothing: a large message blocks in its pipe.
+		// The slow child reads nothing, so a large message blocks in its pipe.
 		large := &distribution.Message{Endpoints: manyEndpoints(5000)}
 		slowSession.messages <- stream.Encode(large)
 		synctest.Wait()
@@ -103,14 +103,15 @@
 			g.Expect(received.Version).To(Equal(version))
 			<-quickSession.sent
 		}
-		g.Expect(time.Since(start)).To(BeZero(), "virtual time that passed for the quick child")
+		g.Expect(time.Since(start)).To(BeZero(), "virtual time elapsed for the quick child")
 		g.Expect(slowSession.sent).To(BeEmpty())
 
 		<-slowSession.detached
-		g.Expect(time.Since(start)).To(BeNumerically("<=", 11*time.Second), "the write deadline ends a child that reads nothing")
+		g.Expect(time.Since(start)).To(BeNumerically("<=", 11*time.Second), "the write deadline ends the stream of a child that reads nothing")
 	})
 }
 
+// manyEndpoints returns updates of count endpoints with names of various lengths.
 func manyEndpoints(count int) []endpoint.Update {
 	updates := make([]endpoint.Update, count)
 	for i := range updates {
@@ -122,7 +123,7 @@
 func TestCancellationDetachesTheSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		opened, err := p.client.Open(ctx, "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -143,7 +144,7 @@
 	for name, refusal := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			p := startPeer(t)
+			p := startTestServer(t)
 			p.host.refusal = &refusal
 			_, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 			var got *stream.RefusedError
@@ -174,7 +175,7 @@
 	for name, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			p := startPeer(t)
+			p := startTestServer(t)
 			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://parent:1"+c.path, strings.NewReader(c.body))
 			g.Expect(err).NotTo(HaveOccurred())
 			response, err := p.transport.RoundTrip(request)
@@ -189,9 +190,10 @@
 	}
 }
 
-// TestHostileParents covers what a child may read from a parent that is
-// broken: the child gets an error and holds no more than the bound.
-func TestHostileParents(t *testing.T) {
+// TestReceiveRejectsMalformedStreams checks that a child gets an error from a
+// stream that is malformed, truncated or has an endless line, instead of
+// buffering more than MaximumMessageBytes.
+func TestReceiveRejectsMalformedStreams(t *testing.T) {
 	endless := strings.Repeat("x", 8<<10)
 	cases := map[string]struct {
 		respond http.HandlerFunc
@@ -214,9 +216,9 @@
 			func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "{\"version\":\n") },
 			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("decode message"))) },
 		},
-		"cut within a message": {
+		"ended within a message": {
 			func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, `{"version":1`) },
-			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("cut within a message"))) },
+			func(g Gomega, err error) { g.Expect(err).To(MatchError(ContainSubstring("ended within a message"))) },
 		},
 		"not zstd at all": {
 			func(writer http.ResponseWriter, _ *http.Request) {
@@ -247,17 +249,19 @@
 	}
 }
 
+// TestReportsNameTheirSession checks that a report is accepted for its open
+// session and refused with status 410 for an unknown one.
 func TestReportsNameTheirSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := startPeer(t)
+		p := startTestServer(t)
 		opened, err := p.client.Open(t.Context(), "parent:1", hello("child"))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer opened.Close()
 		report := distribution.Report{Node: hello("child").Node, Applied: 9}
-		offered, err := p.client.Report(t.Context(), "parent:1", opened.Session(), report)
+		advertised, err := p.client.Report(t.Context(), "parent:1", opened.Session(), report)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(offered).To(Equal(opened.Parents()))
+		g.Expect(advertised).To(Equal(opened.Parents()))
 		g.Expect(p.host.reports).To(ConsistOf(report))
 		_, err = p.client.Report(t.Context(), "parent:1", "another", report)
 		var refused *stream.RefusedError
--- a/internal/distribution/stream/waiting.go
+++ b/internal/distribution/stream/waiting.go
@@ -8,24 +8,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// waitingReport combines the reports that wait for a parent. It holds the
-// newest of each endpoint and of each summary, so it does not grow while the
-// parent is slow, however many reports are put.
-type waitingReport struct {
-	// filled receives when there is something to take.
-	filled chan struct{}
+// pendingReport combines the reports that wait to be sent to a parent. It keeps
+// only the newest update of each endpoint and the newest status of each zone and
+// relay, so it does not grow with the number of reports while the parent is slow.
+type pendingReport struct {
+	// available receives a value when there is a report to take.
+	available chan struct{}
 
-	// mutex guards report, which is nil while nothing waits.
+	// mutex guards report, which is nil while no report is pending.
 	mutex  sync.Mutex
 	report *distribution.Report
 }
 
-func newWaitingReport() *waitingReport {
-	return &waitingReport{filled: make(chan struct{}, 1)}
+func newPendingReport() *pendingReport {
+	return &pendingReport{available: make(chan struct{}, 1)}
 }
 
-// put adds a report that is later than those put before. It never blocks.
-func (w *waitingReport) put(report distribution.Report) {
+// put adds a report, which must be later than those added before. It never
+// blocks.
+func (w *pendingReport) put(report distribution.Report) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.report != nil {
@@ -33,13 +34,14 @@
 	}
 	w.report = &report
 	select {
-	case w.filled <- struct{}{}:
+	case w.available <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what waits; nil when an earlier take had it already.
-func (w *waitingReport) take() *distribution.Report {
+// take returns the pending report and clears it. It returns nil when an earlier
+// call has already taken it.
+func (w *pendingReport) take() *distribution.Report {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	taken := w.report
@@ -47,7 +49,9 @@
 	return taken
 }
 
-// combine returns one report that says what both say.
+// combine merges two reports. The result has the newest update of each endpoint
+// and the newest status of each zone and relay; all other fields are those of the
+// later report.
 func combine(earlier, later distribution.Report) distribution.Report {
 	combined := later
 	newest := endpoint.NewTable()
@@ -61,18 +65,19 @@
 	return combined
 }
 
-// combineZones keeps the later summary of each relay of a zone.
+// combineZones merges zone statuses and keeps the later one of each zone and
+// relay.
 func combineZones(earlier, later []distribution.ZoneStatus) []distribution.ZoneStatus {
 	combined := slices.Clone(earlier)
-	for _, summary := range later {
-		at := slices.IndexFunc(combined, func(held distribution.ZoneStatus) bool {
-			return held.Zone == summary.Zone && held.Relay == summary.Relay
+	for _, status := range later {
+		index := slices.IndexFunc(combined, func(existing distribution.ZoneStatus) bool {
+			return existing.Zone == status.Zone && existing.Relay == status.Relay
 		})
-		if at < 0 {
-			combined = append(combined, summary)
+		if index < 0 {
+			combined = append(combined, status)
 			continue
 		}
-		combined[at] = summary
+		combined[index] = status
 	}
 	return combined
 }
--- a/internal/distribution/subscription/endpointbox.go
+++ b/internal/distribution/subscription/endpointbox.go
@@ -6,33 +6,35 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// endpointBox gathers updates until they are taken. It holds the newest of
-// each endpoint, so it does not grow while the loop is busy.
-type endpointBox struct {
-	// filled receives when there is something to take.
-	filled chan struct{}
+// endpointBuffer collects endpoint updates until the loop takes them. It keeps
+// only the newest update of each endpoint, so it does not grow with the number
+// of updates while the loop is busy.
+type endpointBuffer struct {
+	// available receives a value when there are updates to take.
+	available chan struct{}
 
 	// mutex guards table.
 	mutex sync.Mutex
 	table *endpoint.Table
 }
 
-func newEndpointBox() *endpointBox {
-	return &endpointBox{filled: make(chan struct{}, 1), table: endpoint.NewTable()}
+func newEndpointBuffer() *endpointBuffer {
+	return &endpointBuffer{available: make(chan struct{}, 1), table: endpoint.NewTable()}
 }
 
-func (b *endpointBox) put(update endpoint.Update) {
+// put adds an update. It never blocks.
+func (b *endpointBuffer) put(update endpoint.Update) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.table.Merge(update)
 	select {
-	case b.filled <- struct{}{}:
+	case b.available <- struct{}{}:
 	default:
 	}
 }
 
-// take empties the box.
-func (b *endpointBox) take() []endpoint.Update {
+// take returns the buffered updates and empties the buffer.
+func (b *endpointBuffer) take() []endpoint.Update {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	taken := b.table.All()
