--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -16,8 +16,8 @@
 	Silence time.Duration
 	// ConnectTimeout bounds one connection attempt up to the first message.
 	ConnectTimeout time.Duration
-	// AvoidFor is how long a candidate that stayed silent is passed over.
-	AvoidFor time.Duration
+	// CandidateCooldown is how long a candidate that stayed silent is passed over.
+	CandidateCooldown time.Duration
 	// BackoffBase and BackoffCap bound the full-jitter wait between rounds
 	// of attempts.
 	BackoffBase time.Duration
@@ -50,7 +50,7 @@
 	return Config{
 		Silence:        1800 * time.Millisecond,
 		ConnectTimeout: 400 * time.Millisecond,
-		AvoidFor:       3 * time.Second,
+		CandidateCooldown:       3 * time.Second,
 		BackoffBase:    50 * time.Millisecond,
 		BackoffCap:     time.Second,
 		AckWindow:      100 * time.Millisecond,
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -312,7 +312,7 @@
 // notices the silence late was paused itself and blames nobody.
 func (c *Core) avoidSilent(now time.Time) {
 	if now.Sub(c.deadline) < c.config.Silence {
-		c.avoid[c.current.Node] = now.Add(c.config.AvoidFor)
+		c.avoid[c.current.Node] = now.Add(c.config.CandidateCooldown)
 	}
 }
 
