--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -31,9 +31,9 @@
 	LazyAckWindow time.Duration
 	// KeepAlive is the longest time between two reports.
 	KeepAlive time.Duration
-	// ApplyRetry is the time between attempts to apply content that was
+	// ApplyRetryDelay is the time between attempts to apply content that was
 	// refused.
-	ApplyRetry time.Duration
+	ApplyRetryDelay time.Duration
 	// BehindAfter is how long a parent may be detached from the readers, or
 	// behind what its zone has in force, before the child tries another.
 	BehindAfter time.Duration
@@ -56,7 +56,7 @@
 		AckWindow:      100 * time.Millisecond,
 		LazyAckWindow:  2 * time.Second,
 		KeepAlive:      20 * time.Second,
-		ApplyRetry:     time.Second,
+		ApplyRetryDelay:     time.Second,
 		BehindAfter:    time.Second,
 		ReturnAfter:    time.Minute,
 		MaximumHops:    6,
--- a/internal/distribution/subscriber/report.go
+++ b/internal/distribution/subscriber/report.go
@@ -43,7 +43,7 @@
 // unless newer content comes first.
 func (c *Core) ApplyFailed(now time.Time, failure distribution.ApplyFailure) Outputs {
 	c.offered = nil
-	c.applyAt = now.Add(c.config.ApplyRetry)
+	c.applyAt = now.Add(c.config.ApplyRetryDelay)
 	c.fail(now, failure)
 	return c.finish(now)
 }
