--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -34,9 +34,9 @@
 	// ApplyRetryDelay is the time between attempts to apply content that was
 	// refused.
 	ApplyRetryDelay time.Duration
-	// BehindAfter is how long a parent may be detached from the readers, or
+	// StaleParentTimeout is how long a parent may be detached from the readers, or
 	// behind what its zone has in force, before the child tries another.
-	BehindAfter time.Duration
+	StaleParentTimeout time.Duration
 	// ReturnAfter is the mean time after which a child attached to another
 	// than its preferred parent tries that one again; zero never does.
 	ReturnAfter time.Duration
@@ -57,7 +57,7 @@
 		LazyAckWindow:  2 * time.Second,
 		KeepAlive:      20 * time.Second,
 		ApplyRetryDelay:     time.Second,
-		BehindAfter:    time.Second,
+		StaleParentTimeout:    time.Second,
 		ReturnAfter:    time.Minute,
 		MaximumHops:    6,
 	}
--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -62,7 +62,7 @@
 		c.behindAt = time.Time{}
 		c.behindMoves = 0
 	case c.behindAt.IsZero() && len(c.parents) > 1:
-		wait := c.config.BehindAfter << min(c.behindMoves, maximumBehindShift)
+		wait := c.config.StaleParentTimeout << min(c.behindMoves, maximumBehindShift)
 		c.behindAt = now.Add(wait + time.Duration(c.random.Int64N(int64(wait)+1)))
 		c.behindMoves++
 	}
