--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -37,9 +37,9 @@
 	// StaleParentTimeout is how long a parent may be detached from the readers, or
 	// behind what its zone has in force, before the child tries another.
 	StaleParentTimeout time.Duration
-	// ReturnAfter is the mean time after which a child attached to another
+	// FailbackInterval is the mean time after which a child attached to another
 	// than its preferred parent tries that one again; zero never does.
-	ReturnAfter time.Duration
+	FailbackInterval time.Duration
 	// MaximumHops is the distance to a reader beyond which a parent is taken
 	// to be part of a loop.
 	MaximumHops int
@@ -58,7 +58,7 @@
 		KeepAlive:      20 * time.Second,
 		ApplyRetryDelay:     time.Second,
 		StaleParentTimeout:    time.Second,
-		ReturnAfter:    time.Minute,
+		FailbackInterval:    time.Minute,
 		MaximumHops:    6,
 	}
 }
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -262,10 +262,10 @@
 // another one.
 func (c *Core) scheduleReturn(now time.Time) {
 	c.returnAt = time.Time{}
-	if len(c.parents) == 0 || c.parents[0] == c.current || c.config.ReturnAfter == 0 {
+	if len(c.parents) == 0 || c.parents[0] == c.current || c.config.FailbackInterval == 0 {
 		return
 	}
-	half := int64(c.config.ReturnAfter) / 2
+	half := int64(c.config.FailbackInterval) / 2
 	c.returnAt = now.Add(time.Duration(half + c.random.Int64N(2*half+1)))
 }
 
