--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -165,7 +165,7 @@
 	if !c.holding {
 		c.vacate(now)
 		for _, name := range c.peerNames() {
-			c.takeUplink(now, name, c.peers[name].Leave(now))
+			c.takeUplink(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
@@ -189,7 +189,7 @@
 // slots.
 func (c *Core) refreshParents(now time.Time) {
 	if c.holding {
-		c.takeUplink(now, MainUplink, c.uplink.Leave(now))
+		c.takeUplink(now, MainUplink, c.uplink.Detach(now))
 		c.refreshPeers(now)
 		return
 	}
@@ -206,7 +206,7 @@
 	}
 	for _, name := range c.peerNames() {
 		if _, still := wanted[name]; !still {
-			c.takeUplink(now, name, c.peers[name].Leave(now))
+			c.takeUplink(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -140,9 +140,9 @@
 	c.moveTo(now, 0)
 }
 
-// Leave ends the attempt or stream and makes no further attempt until Parents
+// Detach ends the attempt or stream and makes no further attempt until Parents
 // names candidates again.
-func (c *Core) Leave(now time.Time) Outputs {
+func (c *Core) Detach(now time.Time) Outputs {
 	if c.phase != idle {
 		c.drop()
 	}
