--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -93,9 +93,9 @@
 // Version returns the version in force.
 func (c *Core) Version() uint64 { return c.version }
 
-// InForce returns the snapshot in force; nil before the first and for control
+// ActiveSnapshot returns the snapshot in force; nil before the first and for control
 // children.
-func (c *Core) InForce() *projection.Snapshot { return c.inForce }
+func (c *Core) ActiveSnapshot() *projection.Snapshot { return c.inForce }
 
 // Parent returns the parent attached to; false while there is none.
 func (c *Core) Parent() (Parent, bool) { return c.current, c.phase == attached }
--- a/internal/distribution/subscriber/core_test.go
+++ b/internal/distribution/subscriber/core_test.go
@@ -102,7 +102,7 @@
 		report := core.ApplyFailed(start, distribution.ApplyFailure{Version: 6, Step: "compile", Reason: "bad"}).Report
 		Expect(report.Applied).To(BeEquivalentTo(5))
 		Expect(report.Failure.Step).To(Equal("compile"))
-		Expect(core.InForce().Version).To(BeEquivalentTo(5))
+		Expect(core.ActiveSnapshot().Version).To(BeEquivalentTo(5))
 		Expect(core.Received(start, &distribution.Message{Version: 7, Snapshot: content(7, 3, "orders")}).Apply.Version).To(BeEquivalentTo(7))
 		core.Applied(start, 7)
 		Expect(core.Tick(core.NextTick()).Report.Failure).To(BeNil())
