--- a/internal/agent/attachment/attachment.go
+++ b/internal/agent/attachment/attachment.go
@@ -68,7 +68,7 @@
 
 // Take applies a snapshot and the endpoint states that came with it.
 func (s *sink) Take(_ context.Context, received subscriber.Outputs) subscription.Outcome {
-	if received.Attached != "" {
+	if received.AttachedTo != "" {
 		s.announcer.repeat()
 	}
 	outcome := subscription.Outcome{}
--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -209,7 +209,7 @@
 	if outputs.Lost != "" {
 		c.takeRelay(now, c.relay.ParentLost(now, outputs.Lost))
 	}
-	if outputs.Attached != "" && uplink == MainUplink {
+	if outputs.AttachedTo != "" && uplink == MainUplink {
 		c.takeRelay(now, c.relay.ParentAttached(now))
 	}
 	if len(outputs.Zones) > 0 {
--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -95,10 +95,10 @@
 	Zones   []distribution.ZoneStatus
 	Readers []distribution.Reader
 	Source  *distribution.Source
-	// Attached names the parent when a stream has just been accepted; a
+	// AttachedTo names the parent when a stream has just been accepted; a
 	// control child then calls its relay's ParentAttached and hands over
 	// the report. Lost names the parent when an accepted stream ended.
-	Attached string
+	AttachedTo string
 	Lost     string
 	// Report is to be sent to the parent.
 	Report *distribution.Report
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -161,7 +161,7 @@
 	c.behindAt = time.Time{}
 	c.source = distribution.Source{Detached: true}
 	c.deadline = now.Add(c.config.Silence)
-	c.outputs.Attached = c.current.Node
+	c.outputs.AttachedTo = c.current.Node
 	c.scheduleReturn(now)
 	c.scheduleFirstReport(now)
 	return c.finish(now)
--- a/internal/distribution/subscriber/core_test.go
+++ b/internal/distribution/subscriber/core_test.go
@@ -35,7 +35,7 @@
 		distribution.ChildProxy, projection.Entitlement{Zone: "z1"}, rand.New(rand.NewPCG(1, 1)))
 	core.Parents(start, parents)
 	Expect(core.Tick(start).Connect.Parent).To(Equal(parents[0]))
-	Expect(core.Connected(start).Attached).To(Equal("r1"))
+	Expect(core.Connected(start).AttachedTo).To(Equal("r1"))
 	return core
 }
 
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -171,8 +171,8 @@
 	if outputs.Lost != "" {
 		s.logger.Info("parent lost", zap.String(telemetry.PeerField, outputs.Lost))
 	}
-	if outputs.Attached != "" {
-		s.logger.Info("attached to parent", zap.String(telemetry.PeerField, outputs.Attached))
+	if outputs.AttachedTo != "" {
+		s.logger.Info("attached to parent", zap.String(telemetry.PeerField, outputs.AttachedTo))
 	}
 	if outputs.Connect != nil {
 		s.connect(ctx, *outputs.Connect)
