--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -206,8 +206,8 @@
 		})
 	}
 	from := c.parentOf(uplink)
-	if outputs.Lost != "" {
-		c.takeRelay(now, c.relay.ParentLost(now, outputs.Lost))
+	if outputs.LostParent != "" {
+		c.takeRelay(now, c.relay.ParentLost(now, outputs.LostParent))
 	}
 	if outputs.AttachedTo != "" && uplink == MainUplink {
 		c.takeRelay(now, c.relay.ParentAttached(now))
--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -99,7 +99,7 @@
 	// control child then calls its relay's ParentAttached and hands over
 	// the report. Lost names the parent when an accepted stream ended.
 	AttachedTo string
-	Lost     string
+	LostParent     string
 	// Report is to be sent to the parent.
 	Report *distribution.Report
 }
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -222,7 +222,7 @@
 
 func (c *Core) drop() {
 	if c.phase == attached {
-		c.outputs.Lost = c.current.Node
+		c.outputs.LostParent = c.current.Node
 	}
 	c.phase = idle
 	c.deadline = time.Time{}
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -168,8 +168,8 @@
 	if outputs.Disconnect {
 		s.disconnect()
 	}
-	if outputs.Lost != "" {
-		s.logger.Info("parent lost", zap.String(telemetry.PeerField, outputs.Lost))
+	if outputs.LostParent != "" {
+		s.logger.Info("parent lost", zap.String(telemetry.PeerField, outputs.LostParent))
 	}
 	if outputs.AttachedTo != "" {
 		s.logger.Info("attached to parent", zap.String(telemetry.PeerField, outputs.AttachedTo))
