--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -48,18 +48,18 @@
 // DefaultConfig returns the values chosen in docs/design/0004.
 func DefaultConfig() Config {
 	return Config{
-		Silence:        1800 * time.Millisecond,
-		ConnectTimeout: 400 * time.Millisecond,
-		CandidateCooldown:       3 * time.Second,
-		BackoffBase:    50 * time.Millisecond,
-		BackoffCap:     time.Second,
-		AckWindow:      100 * time.Millisecond,
-		LazyAckWindow:  2 * time.Second,
-		KeepAlive:      20 * time.Second,
-		ApplyRetryDelay:     time.Second,
-		StaleParentTimeout:    time.Second,
-		FailbackInterval:    time.Minute,
-		MaximumHops:    6,
+		Silence:            1800 * time.Millisecond,
+		ConnectTimeout:     400 * time.Millisecond,
+		CandidateCooldown:  3 * time.Second,
+		BackoffBase:        50 * time.Millisecond,
+		BackoffCap:         time.Second,
+		AckWindow:          100 * time.Millisecond,
+		LazyAckWindow:      2 * time.Second,
+		KeepAlive:          20 * time.Second,
+		ApplyRetryDelay:    time.Second,
+		StaleParentTimeout: time.Second,
+		FailbackInterval:   time.Minute,
+		MaximumHops:        6,
 	}
 }
 
@@ -99,7 +99,7 @@
 	// control child then calls its relay's ParentAttached and hands over
 	// the report. Lost names the parent when an accepted stream ended.
 	AttachedTo string
-	LostParent     string
+	LostParent string
 	// Report is to be sent to the parent.
 	Report *distribution.Report
 }
--- a/internal/distribution/subscriber/core_test.go
+++ b/internal/distribution/subscriber/core_test.go
@@ -19,7 +19,7 @@
 	parents = []subscriber.Parent{{Node: "r1", Address: "a1"}, {Node: "r2", Address: "a2"}, {Node: "r3", Address: "a3"}}
 )
 
-func content(version uint64, slots int, route string) *projection.Snapshot {
+func newSnapshot(version uint64, slots int, route string) *projection.Snapshot {
 	snapshot := &projection.Snapshot{
 		Version:  version,
 		Services: map[string]*projection.Service{"orders": {Slots: slots, AllowedZones: []string{}}},
@@ -29,8 +29,8 @@
 	return snapshot
 }
 
-// connected returns a proxy's core attached to r1.
-func connected() *subscriber.Core {
+// newAttachedCore returns a proxy's core attached to r1.
+func newAttachedCore() *subscriber.Core {
 	core := subscriber.New(subscriber.DefaultConfig(), distribution.Node{Name: "p1", Incarnation: 1, Zone: "z1"},
 		distribution.ChildProxy, projection.Entitlement{Zone: "z1"}, rand.New(rand.NewPCG(1, 1)))
 	core.Parents(start, parents)
@@ -39,10 +39,10 @@
 	return core
 }
 
-// holding returns a connected core with a version in force.
-func holding(version uint64) *subscriber.Core {
-	core := connected()
-	outputs := core.Received(start, &distribution.Message{Version: version, Source: &distribution.Source{}, Snapshot: content(version, 1, "orders")})
+// newCoreWithVersion returns a connected core with a version in force.
+func newCoreWithVersion(version uint64) *subscriber.Core {
+	core := newAttachedCore()
+	outputs := core.Received(start, &distribution.Message{Version: version, Source: &distribution.Source{}, Snapshot: newSnapshot(version, 1, "orders")})
 	Expect(outputs.Apply.Version).To(Equal(version))
 	core.Applied(start, version)
 	return core
@@ -61,12 +61,12 @@
 }
 
 var _ = Describe("a child's stream", func() {
-	broken := content(6, 2, "orders")
-	broken.Digest = "wrong"
-	wrongDelta := projection.Diff(content(4, 9, "orders"), content(6, 2, "orders"))
+	corrupt := newSnapshot(6, 2, "orders")
+	corrupt.Digest = "wrong"
+	mismatchedDelta := projection.Diff(newSnapshot(4, 9, "orders"), newSnapshot(6, 2, "orders"))
 
-	DescribeTable("takes a message in", func(message *distribution.Message, applied uint64, failedStep string, distrusted bool) {
-		core := holding(5)
+	DescribeTable("takes a message in", func(message *distribution.Message, applied uint64, failedStep string, needsSnapshot bool) {
+		core := newCoreWithVersion(5)
 		outputs := core.Received(start, message)
 		if applied == 0 {
 			Expect(outputs.Apply).To(BeNil())
@@ -74,7 +74,7 @@
 			Expect(outputs.Apply.Version).To(Equal(applied))
 		}
 		Expect(core.Version()).To(BeEquivalentTo(5))
-		if distrusted {
+		if needsSnapshot {
 			Expect(outputs.Disconnect).To(BeTrue())
 			connect, _ := nextConnect(core)
 			Expect(connect.Parent).To(Equal(parents[1]))
@@ -85,31 +85,31 @@
 			Expect(outputs.Report.Applied).To(BeEquivalentTo(5))
 		}
 	},
-		Entry("a newer snapshot", &distribution.Message{Version: 6, Snapshot: content(6, 2, "orders")}, uint64(6), "", false),
-		Entry("an older snapshot", &distribution.Message{Version: 4, Snapshot: content(4, 2, "orders")}, uint64(0), "", false),
-		Entry("a snapshot of the same version", &distribution.Message{Version: 5, Snapshot: content(5, 2, "orders")}, uint64(0), "", false),
-		Entry("a delta on what is held", &distribution.Message{Version: 6, Delta: projection.Diff(content(5, 1, "orders"), content(6, 2, "orders"))}, uint64(6), "", false),
-		Entry("a delta on something else", &distribution.Message{Version: 6, Delta: wrongDelta}, uint64(0), "delta", true),
+		Entry("a newer snapshot", &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "orders")}, uint64(6), "", false),
+		Entry("an older snapshot", &distribution.Message{Version: 4, Snapshot: newSnapshot(4, 2, "orders")}, uint64(0), "", false),
+		Entry("a snapshot of the same version", &distribution.Message{Version: 5, Snapshot: newSnapshot(5, 2, "orders")}, uint64(0), "", false),
+		Entry("a delta on what is held", &distribution.Message{Version: 6, Delta: projection.Diff(newSnapshot(5, 1, "orders"), newSnapshot(6, 2, "orders"))}, uint64(6), "", false),
+		Entry("a delta on something else", &distribution.Message{Version: 6, Delta: mismatchedDelta}, uint64(0), "delta", true),
 		Entry("the version alone", &distribution.Message{Version: 7}, uint64(7), "", false),
 		Entry("a heartbeat", &distribution.Message{Version: 5}, uint64(0), "", false),
-		Entry("content without its digest", &distribution.Message{Version: 6, Snapshot: broken}, uint64(0), "digest", true),
-		Entry("a route without its service", &distribution.Message{Version: 6, Snapshot: content(6, 2, "none")}, uint64(0), "closure", false),
+		Entry("content without its digest", &distribution.Message{Version: 6, Snapshot: corrupt}, uint64(0), "digest", true),
+		Entry("a route without its service", &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "none")}, uint64(0), "closure", false),
 	)
 
 	It("keeps what is in force when the proxy can't apply, and reports why", func() {
-		core := holding(5)
-		core.Received(start, &distribution.Message{Version: 6, Snapshot: content(6, 2, "orders")})
+		core := newCoreWithVersion(5)
+		core.Received(start, &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "orders")})
 		report := core.ApplyFailed(start, distribution.ApplyFailure{Version: 6, Step: "compile", Reason: "bad"}).Report
 		Expect(report.Applied).To(BeEquivalentTo(5))
 		Expect(report.Failure.Step).To(Equal("compile"))
 		Expect(core.ActiveSnapshot().Version).To(BeEquivalentTo(5))
-		Expect(core.Received(start, &distribution.Message{Version: 7, Snapshot: content(7, 3, "orders")}).Apply.Version).To(BeEquivalentTo(7))
+		Expect(core.Received(start, &distribution.Message{Version: 7, Snapshot: newSnapshot(7, 3, "orders")}).Apply.Version).To(BeEquivalentTo(7))
 		core.Applied(start, 7)
 		Expect(core.Tick(core.NextTick()).Report.Failure).To(BeNil())
 	})
 
 	It("combines acknowledgements and sends endpoint states at once", func() {
-		core := holding(5)
+		core := newCoreWithVersion(5)
 		core.Received(start, &distribution.Message{Version: 6})
 		Expect(core.Applied(start, 6).Report).To(BeNil())
 		at := core.NextTick()
@@ -125,9 +125,9 @@
 })
 
 var _ = Describe("a child moves on", func() {
-	DescribeTable("when", func(lose func(*subscriber.Core) time.Time, within time.Duration) {
-		core := holding(5)
-		lost := lose(core)
+	DescribeTable("when", func(loseParent func(*subscriber.Core) time.Time, within time.Duration) {
+		core := newCoreWithVersion(5)
+		lost := loseParent(core)
 		connect, at := nextConnect(core)
 		Expect(connect.Parent).NotTo(Equal(parents[0]))
 		Expect(at.Sub(lost)).To(BeNumerically("<=", within))
@@ -140,11 +140,11 @@
 		Entry("the parent falls silent", func(c *subscriber.Core) time.Time { return start }, 1850*time.Millisecond),
 		Entry("the parent is cut off", func(c *subscriber.Core) time.Time {
 			c.Received(start, &distribution.Message{Source: &distribution.Source{Detached: true}})
-			return keepBeating(c)
+			return sendHeartbeat(c)
 		}, 2050*time.Millisecond),
 		Entry("the parent is behind its zone", func(c *subscriber.Core) time.Time {
 			c.Received(start, &distribution.Message{Source: &distribution.Source{Floor: 9}})
-			return keepBeating(c)
+			return sendHeartbeat(c)
 		}, 2050*time.Millisecond),
 	)
 
@@ -161,25 +161,25 @@
 	})
 
 	It("waits longer when streams are accepted and end at once", func() {
-		core := connected()
-		var longest time.Duration
+		core := newAttachedCore()
+		var maxWait time.Duration
 		at := start
 		for range 60 {
 			core.Disconnected(at, nil)
-			longest = max(longest, core.NextTick().Sub(at))
+			maxWait = max(maxWait, core.NextTick().Sub(at))
 			_, at = nextConnect(core)
 			core.Connected(at)
 		}
-		Expect(longest).To(BeNumerically(">", 500*time.Millisecond))
+		Expect(maxWait).To(BeNumerically(">", 500*time.Millisecond))
 	})
 
 	It("is not handed back and forth without pause by daemons that name each other first", func() {
-		core := connected()
+		core := newAttachedCore()
 		at, moves := start, 0
 		for range 60 {
 			first := 1 - moves%2
-			named := []subscriber.Parent{parents[first], parents[1-first]}
-			outputs := core.Parents(at, named)
+			candidates := []subscriber.Parent{parents[first], parents[1-first]}
+			outputs := core.Parents(at, candidates)
 			for outputs.Connect == nil {
 				at = core.NextTick()
 				outputs = core.Tick(at)
@@ -192,7 +192,7 @@
 	})
 
 	It("passes over a silent candidate while there are others, unless it was paused itself", func() {
-		core := holding(5)
+		core := newCoreWithVersion(5)
 		silence := subscriber.DefaultConfig().Silence
 		core.Tick(start.Add(silence))
 		connect, at := nextConnect(core)
@@ -202,7 +202,7 @@
 		connect, _ = nextConnect(core)
 		Expect(connect.Parent).To(Equal(parents[1]), "the preferred one was silent a moment ago")
 
-		paused := holding(5)
+		paused := newCoreWithVersion(5)
 		paused.Tick(start.Add(time.Minute))
 		_, at = nextConnect(paused)
 		paused.Connected(at)
@@ -212,20 +212,20 @@
 	})
 
 	It("waits longer with each round of refusals, never beyond the cap or what it is told", func() {
-		core := connected()
+		core := newAttachedCore()
 		core.Disconnected(start, nil)
-		var longest time.Duration
+		var maxWait time.Duration
 		for range 60 {
 			_, at := nextConnect(core)
 			core.Refused(at, 100*time.Millisecond)
-			longest = max(longest, core.NextTick().Sub(at))
+			maxWait = max(maxWait, core.NextTick().Sub(at))
 		}
-		Expect(longest).To(BeNumerically(">", 500*time.Millisecond))
-		Expect(longest).To(BeNumerically("<=", time.Second))
+		Expect(maxWait).To(BeNumerically(">", 500*time.Millisecond))
+		Expect(maxWait).To(BeNumerically("<=", time.Second))
 	})
 
 	It("returns to its preferred parent", func() {
-		core := holding(5)
+		core := newCoreWithVersion(5)
 		core.Disconnected(start, nil)
 		_, at := nextConnect(core)
 		core.Connected(at)
@@ -241,9 +241,9 @@
 	})
 })
 
-// keepBeating has the parent go on sending heartbeats, all but the last second
+// sendHeartbeat has the parent go on sending heartbeats, all but the last second
 // of which the child may wait.
-func keepBeating(core *subscriber.Core) time.Time {
+func sendHeartbeat(core *subscriber.Core) time.Time {
 	core.Received(start.Add(900*time.Millisecond), &distribution.Message{Version: 5})
 	return start
 }
--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -10,65 +10,65 @@
 
 // The steps a received message can fail at.
 const (
-	stepDelta  = "delta"
-	stepDigest = "digest"
-	stepClosed = "closure"
+	stepDelta   = "delta"
+	stepDigest  = "digest"
+	stepClosure = "closure"
 )
 
-// maximumBehindShift bounds how far the wait at a detached parent doubles when
+// maxStaleShift bounds how far the wait at a detached parent doubles when
 // each candidate in turn proves detached.
-const maximumBehindShift = 1
+const maxStaleShift = 1
 
 var errNoBase = errors.New("the child holds nothing to start from")
 
 // Received takes in a message of the stream.
 func (c *Core) Received(now time.Time, message *distribution.Message) Outputs {
 	if c.phase != attached {
-		return c.finish(now)
+		return c.takeOutputs(now)
 	}
 	c.deadline = now.Add(c.config.Silence)
-	if !now.Before(c.healthyAt) {
-		c.failures = 0
+	if !now.Before(c.stableAt) {
+		c.consecutiveFailures = 0
 	}
 	if message.Source != nil {
-		c.takeSource(now, *message.Source)
+		c.handleSource(now, *message.Source)
 	}
 	if c.phase == attached {
 		c.outputs.Endpoints = message.Endpoints
 		c.outputs.Heard = message.Heard
 		c.outputs.Zones = message.Zones
 		c.outputs.Readers = message.Readers
-		c.takeContent(now, message)
+		c.handleContent(now, message)
 	}
 	if message.Goodbye && c.phase == attached {
-		c.failed(now, 0)
+		c.closeAndRetry(now, 0)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// takeSource learns how fresh the parent is. One that lies too far from the
+// handleSource learns how fresh the parent is. One that lies too far from the
 // readers is part of a loop, which a control child breaks; one that is detached or behind is given a while
 // before the child looks at another.
-func (c *Core) takeSource(now time.Time, source distribution.Source) {
+func (c *Core) handleSource(now time.Time, source distribution.Source) {
 	c.source = source
 	c.outputs.Source = &source
 	if c.kind == distribution.ChildControl && source.Hops > c.config.MaximumHops {
-		c.failed(now, 0)
+		c.closeAndRetry(now, 0)
 		return
 	}
-	behind := source.Detached || source.Floor > 0
+	stale := source.Detached || source.Floor > 0
 	switch {
-	case !behind:
-		c.behindAt = time.Time{}
-		c.behindMoves = 0
-	case c.behindAt.IsZero() && len(c.parents) > 1:
-		wait := c.config.StaleParentTimeout << min(c.behindMoves, maximumBehindShift)
-		c.behindAt = now.Add(wait + time.Duration(c.random.Int64N(int64(wait)+1)))
-		c.behindMoves++
+	case !stale:
+		c.leaveStaleAt = time.Time{}
+		c.staleMoves = 0
+	case c.leaveStaleAt.IsZero() && len(c.parents) > 1:
+		wait := c.config.StaleParentTimeout << min(c.staleMoves, maxStaleShift)
+		c.leaveStaleAt = now.Add(wait + time.Duration(c.random.Int64N(int64(wait)+1)))
+		c.staleMoves++
 	}
 }
 
-func (c *Core) takeContent(now time.Time, message *distribution.Message) {
+func (c *Core) handleContent(now time.Time, message *distribution.Message) {
 	if c.kind == distribution.ChildControl {
 		c.outputs.Checkpoint = message.Checkpoint
 		c.outputs.Entries = message.Entries
@@ -76,11 +76,11 @@
 	}
 	switch {
 	case message.Snapshot != nil:
-		c.takeSnapshot(now, message.Snapshot)
+		c.handleSnapshot(now, message.Snapshot)
 	case message.Delta != nil:
-		c.takeDelta(now, message.Delta)
+		c.handleDelta(now, message.Delta)
 	case message.Version > c.newestVersion():
-		c.takeVersion(now, message.Version)
+		c.handleVersion(now, message.Version)
 	}
 }
 
@@ -89,7 +89,7 @@
 	if c.received != nil {
 		return c.received
 	}
-	return c.inForce
+	return c.active
 }
 
 func (c *Core) newestVersion() uint64 {
@@ -99,57 +99,57 @@
 	return 0
 }
 
-func (c *Core) takeSnapshot(now time.Time, snapshot *projection.Snapshot) {
+func (c *Core) handleSnapshot(now time.Time, snapshot *projection.Snapshot) {
 	if err := snapshot.Verify(); err != nil {
-		c.distrust(now, snapshot.Version, stepDigest, err)
+		c.rejectContent(now, snapshot.Version, stepDigest, err)
 		return
 	}
-	c.distrusted = false
-	c.offer(now, snapshot)
+	c.needsSnapshot = false
+	c.offerSnapshot(now, snapshot)
 }
 
-func (c *Core) takeDelta(now time.Time, delta *projection.Delta) {
+func (c *Core) handleDelta(now time.Time, delta *projection.Delta) {
 	base := c.base()
 	if base == nil {
-		c.distrust(now, delta.Version, stepDelta, errNoBase)
+		c.rejectContent(now, delta.Version, stepDelta, errNoBase)
 		return
 	}
 	next, err := base.ApplyDelta(delta)
 	if err != nil {
-		c.distrust(now, delta.Version, stepDelta, err)
+		c.rejectContent(now, delta.Version, stepDelta, err)
 		return
 	}
-	c.offer(now, next)
+	c.offerSnapshot(now, next)
 }
 
-// takeVersion advances the version of unchanged content.
-func (c *Core) takeVersion(now time.Time, version uint64) {
+// handleVersion advances the version of unchanged content.
+func (c *Core) handleVersion(now time.Time, version uint64) {
 	base := c.base()
 	if base == nil {
-		c.distrust(now, version, stepDelta, errNoBase)
+		c.rejectContent(now, version, stepDelta, errNoBase)
 		return
 	}
-	c.offer(now, base.AtVersion(version))
+	c.offerSnapshot(now, base.AtVersion(version))
 }
 
-// distrust handles content that is not what its parent says it is: the child
+// rejectContent handles content that is not what its parent says it is: the child
 // reports it, leaves, and asks the next parent for a whole snapshot.
-func (c *Core) distrust(now time.Time, version uint64, step string, cause error) {
+func (c *Core) rejectContent(now time.Time, version uint64, step string, cause error) {
 	c.failure = &distribution.ApplyFailure{Version: version, Step: step, Reason: cause.Error()}
-	c.distrusted = true
-	c.failed(now, 0)
+	c.needsSnapshot = true
+	c.closeAndRetry(now, 0)
 }
 
-// offer hands out content to be applied, unless it is not above what is in
+// offerSnapshot hands out content to be applied, unless it is not above what is in
 // force or is not closed.
-func (c *Core) offer(now time.Time, snapshot *projection.Snapshot) {
+func (c *Core) offerSnapshot(now time.Time, snapshot *projection.Snapshot) {
 	c.received = snapshot
-	c.applyAt = time.Time{}
+	c.reapplyAt = time.Time{}
 	if snapshot.Version <= c.version {
 		return
 	}
 	if err := snapshot.Closed(); err != nil {
-		c.fail(now, distribution.ApplyFailure{Version: snapshot.Version, Step: stepClosed, Reason: err.Error()})
+		c.recordFailure(now, distribution.ApplyFailure{Version: snapshot.Version, Step: stepClosure, Reason: err.Error()})
 		return
 	}
 	c.offered = snapshot
--- a/internal/distribution/subscriber/report.go
+++ b/internal/distribution/subscriber/report.go
@@ -12,29 +12,29 @@
 // follow before the next Received. Control children do not acknowledge: nothing
 // is enforced there.
 func (c *Core) Applied(now time.Time, version uint64) Outputs {
-	window := c.ackWindow()
+	delay := c.ackDelay()
 	if c.offered != nil && c.offered.Version == version {
-		if c.inForce != nil && c.inForce.Digest == c.offered.Digest {
-			window = c.lazyWindow()
+		if c.active != nil && c.active.Digest == c.offered.Digest {
+			delay = c.lazyAckDelay()
 		}
-		c.inForce, c.offered = c.offered, nil
+		c.active, c.offered = c.offered, nil
 	}
 	if version > c.version {
 		c.version = version
 		c.failure = nil
 		if c.kind == distribution.ChildProxy {
-			c.dueReport(now.Add(window))
+			c.scheduleReport(now.Add(delay))
 		}
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// ackWindow draws the wait of an acknowledgement of new content.
-func (c *Core) ackWindow() time.Duration {
+// ackDelay draws the wait of an acknowledgement of new content.
+func (c *Core) ackDelay() time.Duration {
 	return time.Duration(c.random.Int64N(int64(c.config.AckWindow) + 1))
 }
 
-func (c *Core) lazyWindow() time.Duration {
+func (c *Core) lazyAckDelay() time.Duration {
 	return c.config.AckWindow + time.Duration(c.random.Int64N(int64(c.config.LazyAckWindow)+1))
 }
 
@@ -43,16 +43,16 @@
 // unless newer content comes first.
 func (c *Core) ApplyFailed(now time.Time, failure distribution.ApplyFailure) Outputs {
 	c.offered = nil
-	c.applyAt = now.Add(c.config.ApplyRetryDelay)
-	c.fail(now, failure)
-	return c.finish(now)
+	c.reapplyAt = now.Add(c.config.ApplyRetryDelay)
+	c.recordFailure(now, failure)
+	return c.takeOutputs(now)
 }
 
-func (c *Core) fail(now time.Time, failure distribution.ApplyFailure) {
-	known := c.failure != nil && *c.failure == failure
+func (c *Core) recordFailure(now time.Time, failure distribution.ApplyFailure) {
+	unchanged := c.failure != nil && *c.failure == failure
 	c.failure = &failure
-	if !known {
-		c.dueReport(now)
+	if !unchanged {
+		c.scheduleReport(now)
 	}
 }
 
@@ -60,79 +60,79 @@
 // to the parent at once.
 func (c *Core) EndpointChanged(now time.Time, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
-		if c.own.Merge(update) {
-			c.pendEndpoint(update)
-			c.dueReport(now)
+		if c.ownEndpoints.Merge(update) {
+			c.queueEndpoint(update)
+			c.scheduleReport(now)
 		}
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
 // Forward takes in what the control child's own relay has to tell the parent.
 func (c *Core) Forward(now time.Time, report distribution.Report) Outputs {
 	for _, update := range report.Endpoints {
-		c.pendEndpoint(update)
+		c.queueEndpoint(update)
 	}
-	for _, summary := range report.Zones {
-		c.pendSummary(summary)
+	for _, status := range report.Zones {
+		c.queueZoneStatus(status)
 	}
 	if c.phase == attached && len(report.Endpoints)+len(report.Zones) > 0 {
-		c.dueReport(now)
+		c.scheduleReport(now)
 	}
-	return c.finish(now)
+	return c.takeOutputs(now)
 }
 
-// pendEndpoint queues a state for the next report. While an attempt is under
+// queueEndpoint queues a state for the next report. While an attempt is under
 // way its hello has left without it, so it is kept for the first report.
-func (c *Core) pendEndpoint(update endpoint.Update) {
+func (c *Core) queueEndpoint(update endpoint.Update) {
 	if c.phase == idle {
 		return
 	}
-	at := slices.IndexFunc(c.pending.Endpoints, func(u endpoint.Update) bool { return u.ID == update.ID })
+	at := slices.IndexFunc(c.pendingReport.Endpoints, func(u endpoint.Update) bool { return u.ID == update.ID })
 	if at < 0 {
-		c.pending.Endpoints = append(c.pending.Endpoints, update)
+		c.pendingReport.Endpoints = append(c.pendingReport.Endpoints, update)
 		return
 	}
-	c.pending.Endpoints[at] = update
+	c.pendingReport.Endpoints[at] = update
 }
 
-func (c *Core) pendSummary(summary distribution.ZoneStatus) {
+func (c *Core) queueZoneStatus(status distribution.ZoneStatus) {
 	if c.phase == idle {
 		return
 	}
-	at := slices.IndexFunc(c.pending.Zones, func(z distribution.ZoneStatus) bool {
-		return z.Zone == summary.Zone && z.Relay == summary.Relay
+	at := slices.IndexFunc(c.pendingReport.Zones, func(z distribution.ZoneStatus) bool {
+		return z.Zone == status.Zone && z.Relay == status.Relay
 	})
 	if at < 0 {
-		c.pending.Zones = append(c.pending.Zones, summary)
+		c.pendingReport.Zones = append(c.pendingReport.Zones, status)
 		return
 	}
-	c.pending.Zones[at] = summary
+	c.pendingReport.Zones[at] = status
 }
 
-// dueReport moves the next report to a time, unless it is due earlier.
-func (c *Core) dueReport(at time.Time) {
+// scheduleReport moves the next report to a time, unless it is due earlier.
+func (c *Core) scheduleReport(at time.Time) {
 	if c.phase == attached && (c.reportAt.IsZero() || at.Before(c.reportAt)) {
 		c.reportAt = at
 	}
 }
 
-// keepAlive draws the time to the next report when nothing else is due, between
+// keepAliveDelay draws the time to the next report when nothing else is due, between
 // three quarters and the whole of KeepAlive, so that children that began
 // together do not go on reporting together.
-func (c *Core) keepAlive() time.Duration {
+func (c *Core) keepAliveDelay() time.Duration {
 	return c.config.KeepAlive - time.Duration(c.random.Int64N(int64(c.config.KeepAlive)/4+1))
 }
 
 // flushReport hands out the report when it is due. A report that is lost ends
 // the stream, and the next hello and attach repeat what it said.
 func (c *Core) flushReport(now time.Time) {
-	if c.phase != attached || !due(now, c.reportAt) {
+	if c.phase != attached || !isDue(now, c.reportAt) {
 		return
 	}
-	report := c.pending
+	report := c.pendingReport
 	report.Node, report.Applied, report.Failure = c.node, c.version, c.failure
-	c.pending = distribution.Report{}
+	c.pendingReport = distribution.Report{}
 	c.outputs.Report = &report
-	c.reportAt = now.Add(c.keepAlive())
+	c.reportAt = now.Add(c.keepAliveDelay())
 }
