--- a/internal/distribution/subscriber/core_test.go
+++ b/internal/distribution/subscriber/core_test.go
@@ -19,6 +19,8 @@
 	parents = []subscriber.Parent{{Node: "r1", Address: "a1"}, {Node: "r2", Address: "a2"}, {Node: "r3", Address: "a3"}}
 )
 
+// newSnapshot returns a snapshot with one service and one route to the service
+// named route.
 func newSnapshot(version uint64, slots int, route string) *projection.Snapshot {
 	snapshot := &projection.Snapshot{
 		Version:  version,
@@ -29,7 +31,7 @@
 	return snapshot
 }
 
-// newAttachedCore returns a proxy's core attached to r1.
+// newAttachedCore returns the core of a proxy that is attached to r1.
 func newAttachedCore() *subscriber.Core {
 	core := subscriber.New(subscriber.DefaultConfig(), distribution.Node{Name: "p1", Incarnation: 1, Zone: "z1"},
 		distribution.ChildProxy, projection.Entitlement{Zone: "z1"}, rand.New(rand.NewPCG(1, 1)))
@@ -39,7 +41,7 @@
 	return core
 }
 
-// newCoreWithVersion returns a connected core with a version in force.
+// newCoreWithVersion returns an attached core that has applied a version.
 func newCoreWithVersion(version uint64) *subscriber.Core {
 	core := newAttachedCore()
 	outputs := core.Received(start, &distribution.Message{Version: version, Source: &distribution.Source{}, Snapshot: newSnapshot(version, 1, "orders")})
@@ -48,7 +50,8 @@
 	return core
 }
 
-// nextConnect ticks until the core asks for a connection.
+// nextConnect runs ticks until the core starts a connection attempt. It returns
+// the attempt and its time.
 func nextConnect(core *subscriber.Core) (*subscriber.Connect, time.Time) {
 	for range 20 {
 		at := core.NextTick()
@@ -56,16 +59,16 @@
 			return outputs.Connect, at
 		}
 	}
-	Fail("no further attempt")
+	Fail("the core started no connection attempt within 20 ticks")
 	return nil, time.Time{}
 }
 
-var _ = Describe("a child's stream", func() {
+var _ = Describe("The stream of a child", func() {
 	corrupt := newSnapshot(6, 2, "orders")
 	corrupt.Digest = "wrong"
 	mismatchedDelta := projection.Diff(newSnapshot(4, 9, "orders"), newSnapshot(6, 2, "orders"))
 
-	DescribeTable("takes a message in", func(message *distribution.Message, applied uint64, failedStep string, needsSnapshot bool) {
+	DescribeTable("handles a message with", func(message *distribution.Message, applied uint64, failedStep string, needsSnapshot bool) {
 		core := newCoreWithVersion(5)
 		outputs := core.Received(start, message)
 		if applied == 0 {
@@ -88,15 +91,15 @@
 		Entry("a newer snapshot", &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "orders")}, uint64(6), "", false),
 		Entry("an older snapshot", &distribution.Message{Version: 4, Snapshot: newSnapshot(4, 2, "orders")}, uint64(0), "", false),
 		Entry("a snapshot of the same version", &distribution.Message{Version: 5, Snapshot: newSnapshot(5, 2, "orders")}, uint64(0), "", false),
-		Entry("a delta on what is held", &distribution.Message{Version: 6, Delta: projection.Diff(newSnapshot(5, 1, "orders"), newSnapshot(6, 2, "orders"))}, uint64(6), "", false),
-		Entry("a delta on something else", &distribution.Message{Version: 6, Delta: mismatchedDelta}, uint64(0), "delta", true),
-		Entry("the version alone", &distribution.Message{Version: 7}, uint64(7), "", false),
-		Entry("a heartbeat", &distribution.Message{Version: 5}, uint64(0), "", false),
-		Entry("content without its digest", &distribution.Message{Version: 6, Snapshot: corrupt}, uint64(0), "digest", true),
-		Entry("a route without its service", &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "none")}, uint64(0), "closure", false),
+		Entry("a delta whose base is the applied content", &distribution.Message{Version: 6, Delta: projection.Diff(newSnapshot(5, 1, "orders"), newSnapshot(6, 2, "orders"))}, uint64(6), "", false),
+		Entry("a delta with another base", &distribution.Message{Version: 6, Delta: mismatchedDelta}, uint64(0), "delta", true),
+		Entry("a newer version and no content", &distribution.Message{Version: 7}, uint64(7), "", false),
+		Entry("no content and the current version", &distribution.Message{Version: 5}, uint64(0), "", false),
+		Entry("a snapshot that does not match its digest", &distribution.Message{Version: 6, Snapshot: corrupt}, uint64(0), "digest", true),
+		Entry("a route to a service that is not in the snapshot", &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "none")}, uint64(0), "closure", false),
 	)
 
-	It("keeps what is in force when the proxy can't apply, and reports why", func() {
+	It("keeps the active snapshot and reports the cause when the proxy fails to apply a newer one", func() {
 		core := newCoreWithVersion(5)
 		core.Received(start, &distribution.Message{Version: 6, Snapshot: newSnapshot(6, 2, "orders")})
 		report := core.ApplyFailed(start, distribution.ApplyFailure{Version: 6, Step: "compile", Reason: "bad"}).Report
@@ -108,7 +111,7 @@
 		Expect(core.Tick(core.NextTick()).Report.Failure).To(BeNil())
 	})
 
-	It("combines acknowledgements and sends endpoint states at once", func() {
+	It("delays acknowledgements, reports endpoint states at once and repeats them in the next hello", func() {
 		core := newCoreWithVersion(5)
 		core.Received(start, &distribution.Message{Version: 6})
 		Expect(core.Applied(start, 6).Report).To(BeNil())
@@ -120,11 +123,11 @@
 		Expect(core.EndpointChanged(at, []endpoint.Update{draining}).Report.Endpoints).To(Equal([]endpoint.Update{draining}))
 		core.Disconnected(at, nil)
 		connect, _ := nextConnect(core)
-		Expect(connect.Hello.Endpoints).To(Equal([]endpoint.Update{draining}), "an endpoint state survives the stream")
+		Expect(connect.Hello.Endpoints).To(Equal([]endpoint.Update{draining}), "the hello repeats the endpoint states after the stream was lost")
 	})
 })
 
-var _ = Describe("a child moves on", func() {
+var _ = Describe("A child leaves its parent", func() {
 	DescribeTable("when", func(loseParent func(*subscriber.Core) time.Time, within time.Duration) {
 		core := newCoreWithVersion(5)
 		lost := loseParent(core)
@@ -137,18 +140,18 @@
 			c.Received(start, &distribution.Message{Goodbye: true})
 			return start
 		}, 50*time.Millisecond),
-		Entry("the parent falls silent", func(c *subscriber.Core) time.Time { return start }, 1850*time.Millisecond),
-		Entry("the parent is cut off", func(c *subscriber.Core) time.Time {
+		Entry("the parent sends nothing", func(c *subscriber.Core) time.Time { return start }, 1850*time.Millisecond),
+		Entry("the parent is detached from the readers", func(c *subscriber.Core) time.Time {
 			c.Received(start, &distribution.Message{Source: &distribution.Source{Detached: true}})
 			return sendHeartbeat(c)
 		}, 2050*time.Millisecond),
-		Entry("the parent is behind its zone", func(c *subscriber.Core) time.Time {
+		Entry("the parent lags behind the version in its zone", func(c *subscriber.Core) time.Time {
 			c.Received(start, &distribution.Message{Source: &distribution.Source{Floor: 9}})
 			return sendHeartbeat(c)
 		}, 2050*time.Millisecond),
 	)
 
-	It("when the parent is part of a loop, but only a daemon, since a proxy closes none", func() {
+	It("when the parent is beyond the hop limit, but only a daemon does, since a proxy has no children and cannot be part of a loop", func() {
 		for kind, leaves := range map[distribution.ChildKind]bool{distribution.ChildControl: true, distribution.ChildProxy: false} {
 			core := subscriber.New(subscriber.DefaultConfig(), distribution.Node{Name: "d1", Incarnation: 1},
 				kind, projection.Entitlement{}, rand.New(rand.NewPCG(1, 1)))
@@ -160,7 +163,7 @@
 		}
 	})
 
-	It("waits longer when streams are accepted and end at once", func() {
+	It("and increases the backoff when streams are accepted and end at once", func() {
 		core := newAttachedCore()
 		var maxWait time.Duration
 		at := start
@@ -173,7 +176,7 @@
 		Expect(maxWait).To(BeNumerically(">", 500*time.Millisecond))
 	})
 
-	It("is not handed back and forth without pause by daemons that name each other first", func() {
+	It("and does not alternate without a delay between two detached daemons that each name the other first", func() {
 		core := newAttachedCore()
 		at, moves := start, 0
 		for range 60 {
@@ -191,7 +194,7 @@
 		Expect(at.Sub(start)).To(BeNumerically(">=", 30*time.Second))
 	})
 
-	It("passes over a silent candidate while there are others, unless it was paused itself", func() {
+	It("and skips a candidate that timed out while there are others, unless the child itself was paused", func() {
 		core := newCoreWithVersion(5)
 		silence := subscriber.DefaultConfig().Silence
 		core.Tick(start.Add(silence))
@@ -200,7 +203,7 @@
 		core.Connected(at)
 		core.Disconnected(at, nil)
 		connect, _ = nextConnect(core)
-		Expect(connect.Parent).To(Equal(parents[1]), "the preferred one was silent a moment ago")
+		Expect(connect.Parent).To(Equal(parents[1]), "the preferred candidate is in its cooldown")
 
 		paused := newCoreWithVersion(5)
 		paused.Tick(start.Add(time.Minute))
@@ -211,7 +214,7 @@
 		Expect(connect.Parent).To(Equal(parents[0]))
 	})
 
-	It("waits longer with each round of refusals, never beyond the cap or what it is told", func() {
+	It("and increases the backoff with each round of refusals, up to the larger of the cap and the given delay", func() {
 		core := newAttachedCore()
 		core.Disconnected(start, nil)
 		var maxWait time.Duration
@@ -224,7 +227,7 @@
 		Expect(maxWait).To(BeNumerically("<=", time.Second))
 	})
 
-	It("returns to its preferred parent", func() {
+	It("and later fails back to its preferred parent", func() {
 		core := newCoreWithVersion(5)
 		core.Disconnected(start, nil)
 		_, at := nextConnect(core)
@@ -241,8 +244,8 @@
 	})
 })
 
-// sendHeartbeat has the parent go on sending heartbeats, all but the last second
-// of which the child may wait.
+// sendHeartbeat delivers a heartbeat 900 ms after start, so that the silence
+// timeout does not expire before the child leaves a detached or lagging parent.
 func sendHeartbeat(core *subscriber.Core) time.Time {
 	core.Received(start.Add(900*time.Millisecond), &distribution.Message{Version: 5})
 	return start
