--- a/internal/distribution/subscriber/config.go
+++ b/internal/distribution/subscriber/config.go
@@ -9,43 +9,47 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// Config holds the intervals of the child's side of a stream.
+// Config holds the timeouts, intervals and limits of the child's side of a
+// stream.
 type Config struct {
-	// Silence is how long a parent may send nothing before the child moves
-	// on; a little over two heartbeats.
+	// Silence is the longest time without a message after which the child
+	// switches to another parent. It is a little over two heartbeats.
 	Silence time.Duration
-	// ConnectTimeout bounds one connection attempt up to the first message.
+	// ConnectTimeout limits a connection attempt, up to the first message.
 	ConnectTimeout time.Duration
-	// CandidateCooldown is how long a candidate that stayed silent is passed over.
+	// CandidateCooldown is how long a candidate that timed out is skipped.
 	CandidateCooldown time.Duration
-	// BackoffBase and BackoffCap bound the full-jitter wait between rounds
-	// of attempts.
+	// BackoffBase and BackoffCap are the initial and the largest upper bound
+	// of the exponential backoff with full jitter between connection
+	// attempts.
 	BackoffBase time.Duration
 	BackoffCap  time.Duration
-	// AckWindow is the longest wait of an acknowledgement of new content;
-	// the wait is drawn, so that the children of a relay do not report
-	// together.
+	// AckWindow is the longest delay before new content is acknowledged. The
+	// delay is random, so that the children of a relay do not all report at
+	// the same time.
 	AckWindow time.Duration
-	// LazyAckWindow is the same for a version that left the child's content
-	// as it was.
+	// LazyAckWindow is the longest delay, added to AckWindow, before a version
+	// that did not change the child's content is acknowledged.
 	LazyAckWindow time.Duration
-	// KeepAlive is the longest time between two reports.
+	// KeepAlive is the longest interval between two reports.
 	KeepAlive time.Duration
-	// ApplyRetryDelay is the time between attempts to apply content that was
-	// refused.
+	// ApplyRetryDelay is the delay before content that could not be applied is
+	// offered again.
 	ApplyRetryDelay time.Duration
-	// StaleParentTimeout is how long a parent may be detached from the readers, or
-	// behind what its zone has in force, before the child tries another.
+	// StaleParentTimeout is how long the child stays with a parent that is
+	// detached from the readers, or behind the version in force in its zone,
+	// before it tries another. A random time of up to the same length is
+	// added. The timeout doubles once if the next parent is stale as well.
 	StaleParentTimeout time.Duration
-	// FailbackInterval is the mean time after which a child attached to another
-	// than its preferred parent tries that one again; zero never does.
+	// FailbackInterval is the mean time after which a child attached to a less
+	// preferred parent tries the preferred one again. Zero disables this.
 	FailbackInterval time.Duration
-	// MaximumHops is the distance to a reader beyond which a parent is taken
-	// to be part of a loop.
+	// MaximumHops is the largest plausible distance to a reader. A parent that
+	// reports more is assumed to be part of a loop.
 	MaximumHops int
 }
 
-// DefaultConfig returns the values chosen in docs/design/0004.
+// DefaultConfig returns the default values, which docs/design/0004 explains.
 func DefaultConfig() Config {
 	return Config{
 		Silence:            1800 * time.Millisecond,
@@ -63,43 +67,46 @@
 	}
 }
 
-// Parent is a candidate to attach to.
+// Parent identifies a candidate parent and the address at which it accepts
+// streams.
 type Parent struct {
 	Node    string
 	Address string
 }
 
-// Connect asks the shell to open a stream. An attempt still under way or a
-// stream still open is closed first.
+// Connect asks the caller to open a stream. The caller first closes any
+// connection attempt or stream that is still open.
 type Connect struct {
 	Parent Parent
 	Hello  distribution.Hello
 }
 
-// Outputs is what the shell has to do after an input, in order of the fields.
+// Outputs lists the actions that the caller must perform after an input, in
+// the order of the fields.
 type Outputs struct {
-	// Disconnect closes the stream or attempt.
+	// Disconnect closes the stream or cancels the connection attempt.
 	Disconnect bool
 	Connect    *Connect
-	// Apply is a whole, checked snapshot to put in force; Applied or
-	// ApplyFailed must follow.
+	// Apply is a complete, validated snapshot to apply. The caller must then
+	// call Applied or ApplyFailed.
 	Apply *projection.Snapshot
-	// Checkpoint and Entries are for a control child's own relay, which
-	// takes them in; Applied must follow with its version.
+	// Checkpoint and Entries are passed to the relay of a control child. The
+	// caller must then call Applied with the relay's version.
 	Checkpoint *distribution.Checkpoint
 	Entries    []resource.Entry
-	// Endpoints are states learnt from the parent, Heard those that it has from a
-	// peer.
+	// Endpoints are endpoint states received from the parent. Heard are those
+	// that the parent, a reader, received from one of its peers.
 	Endpoints, Heard []endpoint.Update
-	// Zones, Readers and Source are for a control child's own relay.
+	// Zones, Readers and Source are passed to the relay of a control child.
 	Zones   []distribution.ZoneStatus
 	Readers []distribution.Reader
 	Source  *distribution.Source
-	// AttachedTo names the parent when a stream has just been accepted; a
-	// control child then calls its relay's ParentAttached and hands over
-	// the report. Lost names the parent when an accepted stream ended.
+	// AttachedTo names the parent when it has just accepted a stream. A control
+	// child then calls its relay's ParentAttached and forwards the report that
+	// it returns. LostParent names the parent when an accepted stream has
+	// ended.
 	AttachedTo string
 	LostParent string
-	// Report is to be sent to the parent.
+	// Report is sent to the parent.
 	Report *distribution.Report
 }
--- a/internal/distribution/subscriber/core.go
+++ b/internal/distribution/subscriber/core.go
@@ -1,8 +1,8 @@
-// Package subscriber is the decision core of the child's side of a stream, for
-// proxies and control daemons alike: which parent to attach to, when to move
-// on, what may be applied, and what to report. It has no goroutine, clock or
-// socket, draws only from the random source it is given, and is not safe for
-// concurrent use.
+// Package subscriber implements the child's side of a stream, for both proxies
+// and control daemons, as a state machine without I/O. It decides which parent
+// to attach to, when to switch to another, which content may be applied and
+// what to report. It uses no goroutines, clocks or sockets, takes random numbers
+// only from the source it is given, and is not safe for concurrent use.
 package subscriber
 
 import (
@@ -18,15 +18,15 @@
 type phase int
 
 const (
-	// idle: no parent is known, or the wait before an attempt runs.
+	// idle: no parent is known, or the next connection attempt is not due yet.
 	idle phase = iota
-	// connecting: an attempt is under way.
+	// connecting: a connection attempt is in progress.
 	connecting
 	// attached: the parent accepted the stream.
 	attached
 )
 
-// Core is the state of one child.
+// Core holds the connection, content and report state of one child.
 type Core struct {
 	config      Config
 	node        distribution.Node
@@ -35,44 +35,46 @@
 	random      *rand.Rand
 
 	parents []Parent
-	// cooldownUntil holds, by node, until when a candidate that stayed silent is
-	// passed over while there is another.
+	// cooldownUntil maps a node to the time until which it is skipped, while
+	// there are other candidates, because it timed out.
 	cooldownUntil map[string]time.Time
-	// current is the parent of the attempt or stream, an index of parents;
-	// it may be stale in phase idle.
+	// current is the parent of the attempt or stream; it may be stale in
+	// phase idle. candidateIndex is the index in parents at which the next
+	// attempt starts its search.
 	current             Parent
 	candidateIndex      int
 	consecutiveFailures int
 	phase               phase
 	// attemptAt is when the next attempt is due in phase idle.
 	attemptAt time.Time
-	// deadline is when the attempt or the silent stream is given up.
+	// deadline is when the attempt or stream times out.
 	deadline   time.Time
 	failbackAt time.Time
-	// stableAt is when the stream has lasted long enough for earlier
-	// failures to be forgotten; one that ends at once counts as another.
+	// stableAt is when the stream has lasted long enough to reset
+	// consecutiveFailures. A stream that ends earlier counts as one more
+	// failure.
 	stableAt time.Time
-	// leaveStaleAt is when a detached or lagging parent is left; behindMoves
-	// counts such moves in a row.
+	// leaveStaleAt is when the child switches away from a detached or lagging
+	// parent; staleMoves counts how often in a row this was scheduled.
 	leaveStaleAt time.Time
 	staleMoves   int
 	source       distribution.Source
 
-	// received is the newest content taken in on this stream, which the
-	// parent's next delta starts from; offered is the one handed out to be
-	// applied; inForce is the one applied last.
+	// received is the newest content received on this stream and the base of
+	// the parent's next delta; offered is the snapshot returned to be applied;
+	// active is the one applied last.
 	received *projection.Snapshot
 	offered  *projection.Snapshot
 	active   *projection.Snapshot
-	// version is the version in force.
+	// version is the version applied last.
 	version uint64
-	// helloVersion is the version in the hello of the attempt or stream.
+	// helloVersion is the version sent in the hello of the attempt or stream.
 	helloVersion uint64
 	failure      *distribution.ApplyFailure
-	// reapplyAt is when content that was refused is offered again.
+	// reapplyAt is when content that could not be applied is offered again.
 	reapplyAt time.Time
-	// needsSnapshot: the received content did not have its digest; the next
-	// hello asks for a whole snapshot.
+	// needsSnapshot is set when received content did not match its digest or
+	// base; the next hello then asks for a complete snapshot.
 	needsSnapshot bool
 
 	ownEndpoints  *endpoint.Table
@@ -82,7 +84,7 @@
 	outputs Outputs
 }
 
-// New returns a child that holds nothing and knows no parent.
+// New returns a child without content and without candidate parents.
 func New(config Config, node distribution.Node, kind distribution.ChildKind, entitlement projection.Entitlement, random *rand.Rand) *Core {
 	return &Core{
 		config: config, node: node, kind: kind, entitlement: entitlement, random: random,
@@ -90,17 +92,18 @@
 	}
 }
 
-// Version returns the version in force.
+// Version returns the version applied last.
 func (c *Core) Version() uint64 { return c.version }
 
-// ActiveSnapshot returns the snapshot in force; nil before the first and for control
-// children.
+// ActiveSnapshot returns the snapshot applied last. It is nil before the first
+// one and for control children.
 func (c *Core) ActiveSnapshot() *projection.Snapshot { return c.active }
 
-// Parent returns the parent attached to; false while there is none.
+// Parent returns the current parent and whether the child is attached to it.
 func (c *Core) Parent() (Parent, bool) { return c.current, c.phase == attached }
 
-// Source returns what the parent said of its own distance to the readers.
+// Source returns the parent's last report of its distance to the readers and
+// its lag. Without a parent the source is detached.
 func (c *Core) Source() distribution.Source {
 	if c.phase != attached {
 		return distribution.Source{Detached: true}
@@ -109,11 +112,11 @@
 }
 
 // Parents replaces the candidates, most preferred first. A stream to a parent
-// that is no longer a candidate is kept until it fails or until the child
-// returns to a preferred one; one that is cut off from the readers is left for
-// the preferred candidate at once, or once the stream has lasted a while: two
-// cut-off parents that each name the other first would hand the child back and
-// forth without pause.
+// that is no longer a candidate is kept until it fails or until the child fails
+// back to the preferred candidate. If the parent is detached from the readers,
+// the child switches to the preferred candidate as soon as the stream is
+// stable: otherwise two detached parents that each name the other first would
+// make the child alternate between them without a delay.
 func (c *Core) Parents(now time.Time, parents []Parent) Outputs {
 	if slices.Equal(parents, c.parents) {
 		return c.takeOutputs(now)
@@ -131,7 +134,8 @@
 	return c.takeOutputs(now)
 }
 
-// leaveDetachedParent moves to the preferred parent, not before the stream is healthyAt.
+// leaveDetachedParent switches to the preferred parent, but not before
+// stableAt.
 func (c *Core) leaveDetachedParent(now time.Time) {
 	if now.Before(c.stableAt) {
 		c.failbackAt = c.stableAt
@@ -140,8 +144,8 @@
 	c.moveTo(now, 0)
 }
 
-// Detach ends the attempt or stream and makes no further attempt until Parents
-// names candidates again.
+// Detach closes the attempt or stream and clears the candidates. No further
+// attempt is made until Parents sets new ones.
 func (c *Core) Detach(now time.Time) Outputs {
 	if c.phase != idle {
 		c.closeStream()
@@ -151,7 +155,7 @@
 	return c.takeOutputs(now)
 }
 
-// Connected says that the parent accepted the stream.
+// Connected reports that the parent accepted the stream.
 func (c *Core) Connected(now time.Time) Outputs {
 	if c.phase != connecting {
 		return c.takeOutputs(now)
@@ -167,7 +171,8 @@
 	return c.takeOutputs(now)
 }
 
-// scheduleFirstReport plans what the hello could not say any more.
+// scheduleFirstReport schedules the report of changes made after the hello was
+// sent.
 func (c *Core) scheduleFirstReport(now time.Time) {
 	switch {
 	case len(c.pendingReport.Endpoints)+len(c.pendingReport.Zones) > 0:
@@ -179,7 +184,8 @@
 	}
 }
 
-// Refused says that the parent turned the attach down.
+// Refused reports that the parent rejected the attach request. The bound of the
+// backoff is then at least retryAfter.
 func (c *Core) Refused(now time.Time, retryAfter time.Duration) Outputs {
 	if c.phase == connecting {
 		c.closeAndRetry(now, retryAfter)
@@ -187,7 +193,7 @@
 	return c.takeOutputs(now)
 }
 
-// Disconnected says that the attempt failed or the stream ended.
+// Disconnected reports that the attempt failed or the stream ended.
 func (c *Core) Disconnected(now time.Time, _ error) Outputs {
 	if c.phase != idle {
 		c.closeAndRetry(now, 0)
@@ -195,13 +201,14 @@
 	return c.takeOutputs(now)
 }
 
-// closeAndRetry ends the attempt or stream and schedules the next. The first attempts
-// of a round, to each other candidate, follow with a short jitter; then the
-// wait doubles up to the cap. Every wait has full jitter.
+// closeAndRetry closes the attempt or stream and schedules the next attempt. In
+// the first round, which tries each candidate once, the backoff is bounded by
+// BackoffBase; the bound doubles with each further round, up to BackoffCap.
+// Every delay has full jitter.
 //
-// After the loss of a stream the search begins at the preferred candidate
-// again: the order puts near ones first, which a cut is least likely to have
-// taken along.
+// After the loss of a stream the search restarts at the preferred candidate:
+// the list puts nearby candidates first, which a network partition is least
+// likely to separate from the child.
 func (c *Core) closeAndRetry(now time.Time, retryAfter time.Duration) {
 	if c.phase == attached {
 		c.candidateIndex = 0
@@ -214,7 +221,7 @@
 	c.closeStream()
 	c.consecutiveFailures++
 	if c.consecutiveFailures%max(1, len(c.parents)) == 0 {
-		// All others failed as well: none is passed over any more.
+		// Every candidate has failed, so none is skipped any longer.
 		clear(c.cooldownUntil)
 	}
 	c.attemptAt = now.Add(c.backoff(retryAfter))
@@ -236,9 +243,10 @@
 	c.reportAt = time.Time{}
 }
 
-// connectTimeout doubles after a few failures, so that a network that has become
-// slow is not given up on for ever; no more than that, since an attempt begun
-// during a cut must not outlast its healing by much.
+// connectTimeout returns the timeout of the next attempt. It doubles after
+// longTimeoutAfter failures, so that attempts can still succeed on a network
+// that has become slow. It grows no further, since an attempt that began during
+// a network partition must not last much longer than the partition.
 func (c *Core) connectTimeout() time.Duration {
 	if c.consecutiveFailures >= longTimeoutAfter {
 		return 2 * c.config.ConnectTimeout
@@ -246,8 +254,8 @@
 	return c.config.ConnectTimeout
 }
 
-// longTimeoutAfter is the number of failures in a row after which an attempt is
-// given more time.
+// longTimeoutAfter is the number of consecutive failures after which the connect
+// timeout doubles.
 const longTimeoutAfter = 3
 
 func (c *Core) completedRounds() int { return c.consecutiveFailures / max(1, len(c.parents)) }
@@ -258,8 +266,9 @@
 	return time.Duration(c.random.Int64N(int64(bound) + 1))
 }
 
-// scheduleFailback plans a return to the preferred parent when attached to
-// another one.
+// scheduleFailback schedules the switch back to the preferred parent if the
+// child is attached to another one. The delay is spread evenly between half and
+// one and a half times FailbackInterval.
 func (c *Core) scheduleFailback(now time.Time) {
 	c.failbackAt = time.Time{}
 	if len(c.parents) == 0 || c.parents[0] == c.current || c.config.FailbackInterval == 0 {
@@ -269,7 +278,7 @@
 	c.failbackAt = now.Add(time.Duration(half + c.random.Int64N(2*half+1)))
 }
 
-// Tick does whatever has come due.
+// Tick performs the actions that are due.
 func (c *Core) Tick(now time.Time) Outputs {
 	switch {
 	case c.phase == idle && isDue(now, c.attemptAt):
@@ -287,7 +296,8 @@
 	return c.takeOutputs(now)
 }
 
-// moveTo leaves the parent for the candidate at an index, at once.
+// moveTo closes the stream and immediately starts an attempt, beginning with the
+// candidate at the given index.
 func (c *Core) moveTo(now time.Time, index int) {
 	c.closeStream()
 	c.candidateIndex = index
@@ -308,16 +318,17 @@
 	c.outputs.Connect = &Connect{Parent: c.current, Hello: c.hello()}
 }
 
-// startCooldown has the silent candidate passed over for a while. A child that
-// notices the silence late was paused itself and blames nobody.
+// startCooldown makes the child skip the candidate that timed out. If the
+// timeout is noticed late, by Silence or more, the child itself was paused and
+// the candidate is not skipped.
 func (c *Core) startCooldown(now time.Time) {
 	if now.Sub(c.deadline) < c.config.Silence {
 		c.cooldownUntil[c.current.Node] = now.Add(c.config.CandidateCooldown)
 	}
 }
 
-// chooseCandidate returns the next candidate that did not stay silent a short while ago;
-// when all did, the next one.
+// chooseCandidate returns the index of the next candidate that is not in its
+// cooldown, or of the next one if all are.
 func (c *Core) chooseCandidate(now time.Time) int {
 	first := c.candidateIndex % len(c.parents)
 	for step := range c.parents {
@@ -341,8 +352,8 @@
 	return hello
 }
 
-// NextTick returns when Tick has to be called next; the zero time when nothing
-// is due.
+// NextTick returns when Tick must be called next, or the zero time if nothing is
+// scheduled.
 func (c *Core) NextTick() time.Time {
 	next := earliest(c.attemptAt, c.deadline)
 	next = earliest(next, c.failbackAt)
@@ -351,6 +362,7 @@
 	return earliest(next, c.reportAt)
 }
 
+// takeOutputs adds a due report to the outputs, then returns and clears them.
 func (c *Core) takeOutputs(now time.Time) Outputs {
 	c.flushReport(now)
 	outputs := c.outputs
--- a/internal/distribution/subscriber/receive.go
+++ b/internal/distribution/subscriber/receive.go
@@ -8,20 +8,21 @@
 	"github.com/kestrelstream/kestrelstream/internal/projection"
 )
 
-// The steps a received message can fail at.
+// The steps at which received content can fail, as reported to the parent.
 const (
 	stepDelta   = "delta"
 	stepDigest  = "digest"
 	stepClosure = "closure"
 )
 
-// maxStaleShift bounds how far the wait at a detached parent doubles when
-// each candidate in turn proves detached.
+// maxStaleShift limits how often StaleParentTimeout doubles when one candidate
+// after the other turns out to be detached or lagging.
 const maxStaleShift = 1
 
 var errNoBase = errors.New("the child holds nothing to start from")
 
-// Received takes in a message of the stream.
+// Received handles a message of the stream. Any message restarts the silence
+// timeout.
 func (c *Core) Received(now time.Time, message *distribution.Message) Outputs {
 	if c.phase != attached {
 		return c.takeOutputs(now)
@@ -46,9 +47,10 @@
 	return c.takeOutputs(now)
 }
 
-// handleSource learns how fresh the parent is. One that lies too far from the
-// readers is part of a loop, which a control child breaks; one that is detached or behind is given a while
-// before the child looks at another.
+// handleSource records the parent's distance to the readers and its lag. A
+// control child leaves a parent beyond MaximumHops at once, since it is assumed
+// to be part of a loop. A parent that is detached or lagging is left after
+// StaleParentTimeout, if there is another candidate.
 func (c *Core) handleSource(now time.Time, source distribution.Source) {
 	c.source = source
 	c.outputs.Source = &source
@@ -84,7 +86,7 @@
 	}
 }
 
-// base is the content that the parent takes this child to hold.
+// base returns the content that the parent assumes this child to hold.
 func (c *Core) base() *projection.Snapshot {
 	if c.received != nil {
 		return c.received
@@ -122,7 +124,7 @@
 	c.offerSnapshot(now, next)
 }
 
-// handleVersion advances the version of unchanged content.
+// handleVersion offers the unchanged content at a newer version.
 func (c *Core) handleVersion(now time.Time, version uint64) {
 	base := c.base()
 	if base == nil {
@@ -132,16 +134,17 @@
 	c.offerSnapshot(now, base.AtVersion(version))
 }
 
-// rejectContent handles content that is not what its parent says it is: the child
-// reports it, leaves, and asks the next parent for a whole snapshot.
+// rejectContent handles content that does not match its digest, or a delta that
+// does not match its base: the child records the failure, closes the stream and
+// asks the next parent for a complete snapshot.
 func (c *Core) rejectContent(now time.Time, version uint64, step string, cause error) {
 	c.failure = &distribution.ApplyFailure{Version: version, Step: step, Reason: cause.Error()}
 	c.needsSnapshot = true
 	c.closeAndRetry(now, 0)
 }
 
-// offerSnapshot hands out content to be applied, unless it is not above what is in
-// force or is not closed.
+// offerSnapshot returns a snapshot to be applied if it is newer than the applied
+// version and every reference in it resolves within the snapshot.
 func (c *Core) offerSnapshot(now time.Time, snapshot *projection.Snapshot) {
 	c.received = snapshot
 	c.reapplyAt = time.Time{}
--- a/internal/distribution/subscriber/report.go
+++ b/internal/distribution/subscriber/report.go
@@ -8,9 +8,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// Applied says that a version is in force. For what Apply handed out it must
-// follow before the next Received. Control children do not acknowledge: nothing
-// is enforced there.
+// Applied reports that a version has been applied. After Outputs.Apply it must
+// be called before the next Received. Control children do not acknowledge
+// versions, since they do not enforce the configuration.
 func (c *Core) Applied(now time.Time, version uint64) Outputs {
 	delay := c.ackDelay()
 	if c.offered != nil && c.offered.Version == version {
@@ -29,18 +29,21 @@
 	return c.takeOutputs(now)
 }
 
-// ackDelay draws the wait of an acknowledgement of new content.
+// ackDelay returns a random delay for the acknowledgement of new content.
 func (c *Core) ackDelay() time.Duration {
 	return time.Duration(c.random.Int64N(int64(c.config.AckWindow) + 1))
 }
 
+// lazyAckDelay returns a random delay for the acknowledgement of a version that
+// did not change the content.
 func (c *Core) lazyAckDelay() time.Duration {
 	return c.config.AckWindow + time.Duration(c.random.Int64N(int64(c.config.LazyAckWindow)+1))
 }
 
-// ApplyFailed says that what Apply handed out was refused; what was in force
-// before still is. The cause may pass, so it is offered again after a while
-// unless newer content comes first.
+// ApplyFailed reports that the snapshot of Outputs.Apply could not be applied and
+// that the previous one is still active. Because the cause may be temporary, the
+// snapshot is offered again after ApplyRetryDelay unless newer content arrives
+// first.
 func (c *Core) ApplyFailed(now time.Time, failure distribution.ApplyFailure) Outputs {
 	c.offered = nil
 	c.reapplyAt = now.Add(c.config.ApplyRetryDelay)
@@ -48,6 +51,8 @@
 	return c.takeOutputs(now)
 }
 
+// recordFailure stores a failure and reports it at once, unless it is the same as
+// the last one.
 func (c *Core) recordFailure(now time.Time, failure distribution.ApplyFailure) {
 	unchanged := c.failure != nil && *c.failure == failure
 	c.failure = &failure
@@ -56,8 +61,8 @@
 	}
 }
 
-// EndpointChanged takes in new states of the child's own endpoints, which go
-// to the parent at once.
+// EndpointChanged merges new states of the child's own endpoints and reports
+// the changes to the parent at once.
 func (c *Core) EndpointChanged(now time.Time, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
 		if c.ownEndpoints.Merge(update) {
@@ -68,7 +73,8 @@
 	return c.takeOutputs(now)
 }
 
-// Forward takes in what the control child's own relay has to tell the parent.
+// Forward queues the endpoint states and zone statuses that the relay of a
+// control child reports to the parent.
 func (c *Core) Forward(now time.Time, report distribution.Report) Outputs {
 	for _, update := range report.Endpoints {
 		c.queueEndpoint(update)
@@ -82,8 +88,9 @@
 	return c.takeOutputs(now)
 }
 
-// queueEndpoint queues a state for the next report. While an attempt is under
-// way its hello has left without it, so it is kept for the first report.
+// queueEndpoint adds a state to the next report, replacing an earlier state of
+// the same endpoint. During a connection attempt the hello has already been sent
+// without it, so it is kept for the first report.
 func (c *Core) queueEndpoint(update endpoint.Update) {
 	if c.phase == idle {
 		return
@@ -96,6 +103,8 @@
 	c.pendingReport.Endpoints[at] = update
 }
 
+// queueZoneStatus adds a zone status to the next report, replacing an earlier one
+// of the same zone and relay.
 func (c *Core) queueZoneStatus(status distribution.ZoneStatus) {
 	if c.phase == idle {
 		return
@@ -110,22 +119,22 @@
 	c.pendingReport.Zones[at] = status
 }
 
-// scheduleReport moves the next report to a time, unless it is due earlier.
+// scheduleReport schedules the next report no later than the given time.
 func (c *Core) scheduleReport(at time.Time) {
 	if c.phase == attached && (c.reportAt.IsZero() || at.Before(c.reportAt)) {
 		c.reportAt = at
 	}
 }
 
-// keepAliveDelay draws the time to the next report when nothing else is due, between
-// three quarters and the whole of KeepAlive, so that children that began
-// together do not go on reporting together.
+// keepAliveDelay returns the time until the next report if nothing else is due.
+// It is random, between three quarters of KeepAlive and KeepAlive, so that
+// children that started together do not keep reporting at the same time.
 func (c *Core) keepAliveDelay() time.Duration {
 	return c.config.KeepAlive - time.Duration(c.random.Int64N(int64(c.config.KeepAlive)/4+1))
 }
 
-// flushReport hands out the report when it is due. A report that is lost ends
-// the stream, and the next hello and attach repeat what it said.
+// flushReport returns the report if it is due. If a report is lost the stream
+// ends, and the next hello and attach repeat its content.
 func (c *Core) flushReport(now time.Time) {
 	if c.phase != attached || !isDue(now, c.reportAt) {
 		return
