--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -206,10 +206,10 @@
 		})
 	}
 	from := c.parentOf(uplink)
-	if outputs.Lost != "" {
-		c.takeRelay(now, c.relay.ParentLost(now, outputs.Lost))
+	if outputs.LostParent != "" {
+		c.takeRelay(now, c.relay.ParentLost(now, outputs.LostParent))
 	}
-	if outputs.Attached != "" && uplink == MainUplink {
+	if outputs.AttachedTo != "" && uplink == MainUplink {
 		c.takeRelay(now, c.relay.ParentAttached(now))
 	}
 	if len(outputs.Zones) > 0 {
--- a/internal/distribution/subscription/subscription.go
+++ b/internal/distribution/subscription/subscription.go
@@ -173,11 +173,11 @@
 	if outputs.Disconnect {
 		s.disconnect()
 	}
-	if outputs.Lost != "" {
-		s.logger.Info("parent lost", zap.String(telemetry.PeerField, outputs.Lost))
+	if outputs.LostParent != "" {
+		s.logger.Info("parent lost", zap.String(telemetry.PeerField, outputs.LostParent))
 	}
-	if outputs.Attached != "" {
-		s.logger.Info("attached to parent", zap.String(telemetry.PeerField, outputs.Attached))
+	if outputs.AttachedTo != "" {
+		s.logger.Info("attached to parent", zap.String(telemetry.PeerField, outputs.AttachedTo))
 	}
 	if outputs.Connect != nil {
 		s.connect(ctx, *outputs.Connect)
