--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -69,7 +69,7 @@
 
 func (c *Core) rankMembers() {
 	c.rank = membership.ReaderRank(c.members, c.identity.node.Name)
-	c.upper = membership.Upper(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
+	c.upper = membership.UpperTier(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
 }
 
 func memberNamed(members []membership.Member, node distribution.Node) membership.Member {
--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -104,10 +104,10 @@
 	return parents(order)
 }
 
-// Upper returns the daemons that others may be attached to when no reader is
+// UpperTier returns the daemons that others may be attached to when no reader is
 // known: the relays of every zone and the first candidates for reader, in the
 // order of the reader candidates.
-func Upper(members []Member, relays, candidates int) []Member {
+func UpperTier(members []Member, relays, candidates int) []Member {
 	chosen := map[string]bool{}
 	for _, zone := range zonesOf(members) {
 		for _, relay := range RelaysOf(members, zone, relays) {
--- a/internal/membership/ranking_test.go
+++ b/internal/membership/ranking_test.go
@@ -59,7 +59,7 @@
 
 	It("has daemons attach in no circle when no reader is known", func() {
 		all := members()
-		upper := membership.Upper(all, 2, 6)
+		upper := membership.UpperTier(all, 2, 6)
 		rank := map[string]int{}
 		for i, candidate := range upper {
 			rank[candidate.Name] = i + 1
@@ -80,6 +80,6 @@
 		all := members()
 		relay := membership.RelaysOf(all, "z3", 2)[0]
 		readers := []distribution.Reader{{Slot: 0, Node: "d0-0", Region: "g0"}, {Slot: 1, Node: "d2-0", Region: "g1"}}
-		Expect(membership.DaemonParents(all, membership.Upper(all, 2, 6), relay, 2, readers)[0].Node).To(Equal("d2-0"))
+		Expect(membership.DaemonParents(all, membership.UpperTier(all, 2, 6), relay, 2, readers)[0].Node).To(Equal("d2-0"))
 	})
 })
