--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -53,8 +53,8 @@
 	return xxhash.Sum64String(key + "\x00" + name)
 }
 
-// OfZone returns the members of a zone.
-func OfZone(members []Member, zone string) []Member {
+// InZone returns the members of a zone.
+func InZone(members []Member, zone string) []Member {
 	var list []Member
 	for _, member := range members {
 		if member.Zone == zone {
@@ -67,7 +67,7 @@
 // RelaysOf returns the members that serve a zone as relays: its first count by
 // rank.
 func RelaysOf(members []Member, zone string, count int) []Member {
-	ranked := Rank("relay/"+zone, OfZone(members, zone))
+	ranked := Rank("relay/"+zone, InZone(members, zone))
 	return ranked[:min(count, len(ranked))]
 }
 
@@ -98,7 +98,7 @@
 // proxy's own order, which spreads the proxies over them, then the zone's
 // other members. A proxy never attaches outside its zone.
 func ProxyParents(members []Member, zone, proxy string, relays int) []subscriber.Parent {
-	ranked := Rank("relay/"+zone, OfZone(members, zone))
+	ranked := Rank("relay/"+zone, InZone(members, zone))
 	chosen := min(relays, len(ranked))
 	order := append(Rank("proxy/"+proxy, ranked[:chosen]), ranked[chosen:]...)
 	return parents(order)
