--- a/internal/distribution/controlhost/members.go
+++ b/internal/distribution/controlhost/members.go
@@ -33,7 +33,7 @@
 
 // parentsFor returns the daemons that serve a zone first.
 func (h *Host) parentsFor(zone string) []stream.Parent {
-	relays := membership.RelaysOf(h.members.Load(), zone, offeredParents)
+	relays := membership.ZoneRelays(h.members.Load(), zone, offeredParents)
 	parents := make([]stream.Parent, len(relays))
 	for i, relay := range relays {
 		parents[i] = stream.Parent{Node: relay.Name, Address: relay.Address}
--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -64,9 +64,9 @@
 	return list
 }
 
-// RelaysOf returns the members that serve a zone as relays: its first count by
+// ZoneRelays returns the members that serve a zone as relays: its first count by
 // rank.
-func RelaysOf(members []Member, zone string, count int) []Member {
+func ZoneRelays(members []Member, zone string, count int) []Member {
 	ranked := Rank("relay/"+zone, InZone(members, zone))
 	return ranked[:min(count, len(ranked))]
 }
@@ -110,7 +110,7 @@
 func UpperTier(members []Member, relays, candidates int) []Member {
 	chosen := map[string]bool{}
 	for _, zone := range zonesOf(members) {
-		for _, relay := range RelaysOf(members, zone, relays) {
+		for _, relay := range ZoneRelays(members, zone, relays) {
 			chosen[relay.Name] = true
 		}
 	}
@@ -140,7 +140,7 @@
 	var order []subscriber.Parent
 	isUpper := slices.ContainsFunc(upper, func(m Member) bool { return m.Name == self.Name })
 	if !isUpper {
-		order = append(order, parents(Rank("daemon/"+self.Name, RelaysOf(members, self.Zone, relays)))...)
+		order = append(order, parents(Rank("daemon/"+self.Name, ZoneRelays(members, self.Zone, relays)))...)
 	}
 	for _, reader := range nearestFirst(readers, self) {
 		if reader.Node != "" {
--- a/internal/membership/ranking_test.go
+++ b/internal/membership/ranking_test.go
@@ -78,7 +78,7 @@
 
 	It("prefers the reader of the own region", func() {
 		all := members()
-		relay := membership.RelaysOf(all, "z3", 2)[0]
+		relay := membership.ZoneRelays(all, "z3", 2)[0]
 		readers := []distribution.Reader{{Slot: 0, Node: "d0-0", Region: "g0"}, {Slot: 1, Node: "d2-0", Region: "g1"}}
 		Expect(membership.DaemonParents(all, membership.UpperTier(all, 2, 6), relay, 2, readers)[0].Node).To(Equal("d2-0"))
 	})
