--- a/internal/daemon/slots.go
+++ b/internal/daemon/slots.go
@@ -64,7 +64,7 @@
 	members := s.members.Load()
 	readers := make([]distribution.Reader, 0, len(holders))
 	for _, holder := range holders {
-		readers = append(readers, membership.ReaderOf(members, holder.Slot, holder.Address, holder.Revision))
+		readers = append(readers, membership.ResolveReader(members, holder.Slot, holder.Address, holder.Revision))
 	}
 	return readers
 }
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -154,9 +154,9 @@
 	return Member{Name: update.ID.Name, Zone: update.Zone, Region: update.Labels[regionLabel], Address: update.Address}
 }
 
-// ReaderOf returns the reader that holds a slot with a stream address, named
+// ResolveReader returns the reader that holds a slot with a stream address, named
 // after the member of that address.
-func ReaderOf(members []Member, slot int, address string, revision uint64) distribution.Reader {
+func ResolveReader(members []Member, slot int, address string, revision uint64) distribution.Reader {
 	found := distribution.Reader{Slot: slot, Node: address, Address: address, Revision: revision}
 	at := slices.IndexFunc(members, func(m Member) bool { return m.Address == address })
 	if at >= 0 {
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -85,7 +85,7 @@
 	})
 
 	It("names a slot's holder after the member of its address", func() {
-		Expect(membership.ReaderOf([]membership.Member{self}, 1, "a:1", 9).Node).To(Equal("a"))
-		Expect(membership.ReaderOf([]membership.Member{self}, 1, "x:1", 9).Node).To(Equal("x:1"))
+		Expect(membership.ResolveReader([]membership.Member{self}, 1, "a:1", 9).Node).To(Equal("a"))
+		Expect(membership.ResolveReader([]membership.Member{self}, 1, "x:1", 9).Node).To(Equal("x:1"))
 	})
 })
