--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -79,7 +79,7 @@
 // inputs that follow, until nothing more does.
 func (l *localChild) step(ctx context.Context, now time.Time) {
 	l.steppedAt = now
-	l.roster.Path(now, !l.host.core.Relay().Source().Detached)
+	l.roster.SetReaderPath(now, !l.host.core.Relay().Source().Detached)
 	switch {
 	case l.id == 0 && !now.Before(l.retryAt):
 		l.attach(ctx, now)
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -87,8 +87,8 @@
 	return refutation, refuted
 }
 
-// Path notes whether the daemon has a path to a reader.
-func (r *Roster) Path(now time.Time, open bool) {
+// SetReaderPath notes whether the daemon has a path to a reader.
+func (r *Roster) SetReaderPath(now time.Time, open bool) {
 	switch {
 	case !open:
 		r.pathSince = time.Time{}
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -33,7 +33,7 @@
 
 	DescribeTable("lists members", func(updates []endpoint.Update, path bool, at time.Time, want ...string) {
 		roster := membership.NewRoster(self, 7, seeds)
-		roster.Path(start, path)
+		roster.SetReaderPath(start, path)
 		roster.Observe(start, updates)
 		Expect(names(roster.Members(at))).To(Equal(want))
 	},
@@ -49,7 +49,7 @@
 
 	It("makes a list anew only after a change", func() {
 		roster := membership.NewRoster(self, 7, seeds)
-		roster.Path(start, true)
+		roster.SetReaderPath(start, true)
 		first := roster.Members(start)
 		Expect(testing.AllocsPerRun(100, func() { roster.Members(start.Add(time.Second)) })).To(BeZero())
 		for _, change := range []struct {
@@ -58,8 +58,8 @@
 		}{
 			{func() { roster.Observe(start, []endpoint.Update{announce("n", 2, endpoint.Ready)}) }, []string{"a", "b", "c", "n"}},
 			{func() { roster.Observe(start, []endpoint.Update{announce("b", 3, endpoint.Down)}) }, []string{"a", "c", "n"}},
-			{func() { roster.Path(start, false) }, []string{"a", "b", "c", "n"}},
-			{func() { roster.Path(start, true) }, []string{"a", "c", "n"}},
+			{func() { roster.SetReaderPath(start, false) }, []string{"a", "b", "c", "n"}},
+			{func() { roster.SetReaderPath(start, true) }, []string{"a", "c", "n"}},
 		} {
 			change.make()
 			Expect(names(roster.Members(start))).To(Equal(change.want))
