--- a/internal/membership/machines/machines.go
+++ b/internal/membership/machines/machines.go
@@ -41,16 +41,16 @@
 // live, or as leaving with a later start, is a successor of the same name. A
 // machine missing from the list says nothing: the list may be cut short.
 func (t *Tracker) Observe(list List) []Machine {
-	var news []Machine
+	var newlyLeaving []Machine
 	for _, machine := range list.Machines {
-		if t.observeOne(machine) {
-			news = append(news, machine)
+		if t.record(machine) {
+			newlyLeaving = append(newlyLeaving, machine)
 		}
 	}
-	return news
+	return newlyLeaving
 }
 
-func (t *Tracker) observeOne(machine Machine) (isNews bool) {
+func (t *Tracker) record(machine Machine) (newlyLeaving bool) {
 	started, known := t.leaving[machine.Name]
 	switch {
 	case machine.Condition == Live && known && machine.Started >= started:
--- a/internal/membership/machines/machines_test.go
+++ b/internal/membership/machines/machines_test.go
@@ -56,10 +56,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := machinelist.New(2*time.Second, nil)
 		served := machinelist.NewHandler(list)
-		var broken http.Handler
+		var outage http.Handler
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			if broken != nil {
-				broken.ServeHTTP(writer, request)
+			if outage != nil {
+				outage.ServeHTTP(writer, request)
 				return
 			}
 			served.ServeHTTP(writer, request)
@@ -76,22 +76,22 @@
 
 		steps := []struct {
 			name   string
-			do     func()
+			action func()
 			wait   time.Duration
 			expect string
 		}{
 			{"a change shows only after the lag", func() { list.Set(machine("a", machines.Leaving, 1)) }, 1500 * time.Millisecond, ""},
 			{"then it is news", func() {}, 2 * time.Second, "a"},
-			{"an outage changes nothing", func() { broken = http.NotFoundHandler() }, 5 * time.Second, "a"},
+			{"an outage changes nothing", func() { outage = http.NotFoundHandler() }, 5 * time.Second, "a"},
 			{"a list cut short is refused whole", func() {
-				broken = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+				outage = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 					_, _ = writer.Write([]byte(`{"machines":[{"name":"b","condition":"leaving"}`))
 				})
 			}, 5 * time.Second, "a"},
-			{"it goes on after the outage", func() { broken = nil; list.Set(machine("c", machines.Leaving, 1)) }, 5 * time.Second, "a,c"},
+			{"it goes on after the outage", func() { outage = nil; list.Set(machine("c", machines.Leaving, 1)) }, 5 * time.Second, "a,c"},
 		}
 		for _, step := range steps {
-			step.do()
+			step.action()
 			time.Sleep(step.wait)
 			synctest.Wait()
 			if got := strings.Join(leaving, ","); got != step.expect {
--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -136,19 +136,19 @@
 // attaches to the relays of its zone before that. So the daemons can't attach
 // in a circle when no reader is known. A holder attaches to nobody: it is a
 // peer of the other holders.
-func DaemonParents(members, upper []Member, self Member, relays int, readers []distribution.Reader) []subscriber.Parent {
+func DaemonParents(members, upperTier []Member, self Member, relays int, readers []distribution.Reader) []subscriber.Parent {
 	var order []subscriber.Parent
-	isUpper := slices.ContainsFunc(upper, func(m Member) bool { return m.Name == self.Name })
-	if !isUpper {
+	inUpperTier := slices.ContainsFunc(upperTier, func(m Member) bool { return m.Name == self.Name })
+	if !inUpperTier {
 		order = append(order, parents(Rank("daemon/"+self.Name, ZoneRelays(members, self.Zone, relays)))...)
 	}
-	for _, reader := range nearestFirst(readers, self) {
+	for _, reader := range sameRegionFirst(readers, self) {
 		if reader.Node != "" {
 			order = append(order, subscriber.Parent{Node: reader.Node, Address: reader.Address})
 		}
 	}
-	order = append(order, parents(above(upper, self.Name))...)
-	return unique(order, self.Name)
+	order = append(order, parents(rankedAbove(upperTier, self.Name))...)
+	return deduplicate(order, self.Name)
 }
 
 // ReaderRank returns a member's place among the reader candidates.
@@ -156,29 +156,29 @@
 	return slices.IndexFunc(ReaderCandidates(members), func(m Member) bool { return m.Name == name })
 }
 
-func nearestFirst(readers []distribution.Reader, self Member) []distribution.Reader {
+func sameRegionFirst(readers []distribution.Reader, self Member) []distribution.Reader {
 	ordered := slices.Clone(readers)
 	slices.SortStableFunc(ordered, func(a, b distribution.Reader) int {
 		return cmp.Or(
-			cmp.Compare(distance(a.Region, self.Region), distance(b.Region, self.Region)),
+			cmp.Compare(regionDistance(a.Region, self.Region), regionDistance(b.Region, self.Region)),
 			cmp.Compare(score(self.Name, b.Node), score(self.Name, a.Node)))
 	})
 	return ordered
 }
 
-func distance(a, b string) int {
+func regionDistance(a, b string) int {
 	if a == b {
 		return 0
 	}
 	return 1
 }
 
-func above(candidates []Member, name string) []Member {
-	at := slices.IndexFunc(candidates, func(m Member) bool { return m.Name == name })
-	if at < 0 {
+func rankedAbove(candidates []Member, name string) []Member {
+	index := slices.IndexFunc(candidates, func(m Member) bool { return m.Name == name })
+	if index < 0 {
 		return candidates
 	}
-	return candidates[:at]
+	return candidates[:index]
 }
 
 func parents(members []Member) []subscriber.Parent {
@@ -189,7 +189,7 @@
 	return list
 }
 
-func unique(list []subscriber.Parent, except string) []subscriber.Parent {
+func deduplicate(list []subscriber.Parent, except string) []subscriber.Parent {
 	seen := map[string]bool{except: true}
 	var kept []subscriber.Parent
 	for _, parent := range list {
--- a/internal/membership/ranking_test.go
+++ b/internal/membership/ranking_test.go
@@ -59,13 +59,13 @@
 
 	It("has daemons attach in no circle when no reader is known", func() {
 		all := members()
-		upper := membership.UpperTier(all, 2, 6)
+		upperTier := membership.UpperTier(all, 2, 6)
 		rank := map[string]int{}
-		for i, candidate := range upper {
+		for i, candidate := range upperTier {
 			rank[candidate.Name] = i + 1
 		}
 		for _, member := range all {
-			parents := membership.DaemonParents(all, upper, member, 2, nil)
+			parents := membership.DaemonParents(all, upperTier, member, 2, nil)
 			Expect(parents != nil).To(Equal(rank[member.Name] != 1))
 			for _, parent := range parents {
 				Expect(rank[parent.Node]).NotTo(BeZero(), "a daemon that is not upper has no children")
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -31,12 +31,12 @@
 	// members is the newest list, made for view; stale says that an
 	// announcement came since.
 	members []Member
-	view    rosterView
+	key     cacheKey
 	stale   bool
 }
 
-// rosterView is what a list of members depends on beside the announcements.
-type rosterView struct{ path, settled bool }
+// cacheKey is what a list of members depends on beside the announcements.
+type cacheKey struct{ hasPath, settled bool }
 
 // NewRoster returns the view of a daemon that knows the seeds and itself.
 func NewRoster(self Member, incarnation uint64, seeds []Member) *Roster {
@@ -78,8 +78,8 @@
 		if update.ID.Service != endpoint.ControlService {
 			continue
 		}
-		if answer, wrong := r.self.Observe(now, update); wrong {
-			refutation, refuted = answer, true
+		if own, mustRefute := r.self.Observe(now, update); mustRefute {
+			refutation, refuted = own, true
 			continue
 		}
 		r.stale = r.announced.Merge(update) || r.stale
@@ -112,20 +112,20 @@
 // and is not to be modified.
 func (r *Roster) Members(now time.Time) []Member {
 	settlesAt := r.SettlesAt()
-	view := rosterView{path: !settlesAt.IsZero()}
-	view.settled = view.path && !now.Before(settlesAt)
-	if r.members == nil || r.stale || view != r.view {
-		r.members, r.view, r.stale = r.list(view.settled), view, false
+	key := cacheKey{hasPath: !settlesAt.IsZero()}
+	key.settled = key.hasPath && !now.Before(settlesAt)
+	if r.members == nil || r.stale || key != r.key {
+		r.members, r.key, r.stale = r.buildMembers(key.settled), key, false
 	}
 	return r.members
 }
 
-func (r *Roster) list(settled bool) []Member {
+func (r *Roster) buildMembers(settled bool) []Member {
 	own := r.self.Current()
-	members := []Member{memberOf(own)}
+	members := []Member{memberFromUpdate(own)}
 	for _, update := range r.announced.All() {
 		if update.ID != own.ID && update.State.AcceptsWork() {
-			members = append(members, memberOf(update))
+			members = append(members, memberFromUpdate(update))
 		}
 	}
 	if !settled {
@@ -150,7 +150,7 @@
 	return seeds
 }
 
-func memberOf(update endpoint.Update) Member {
+func memberFromUpdate(update endpoint.Update) Member {
 	return Member{Name: update.ID.Name, Zone: update.Zone, Region: update.Labels[regionLabel], Address: update.Address}
 }
 
@@ -158,9 +158,9 @@
 // after the member of that address.
 func ResolveReader(members []Member, slot int, address string, revision uint64) distribution.Reader {
 	found := distribution.Reader{Slot: slot, Node: address, Address: address, Revision: revision}
-	at := slices.IndexFunc(members, func(m Member) bool { return m.Address == address })
-	if at >= 0 {
-		found.Node, found.Region = members[at].Name, members[at].Region
+	index := slices.IndexFunc(members, func(m Member) bool { return m.Address == address })
+	if index >= 0 {
+		found.Node, found.Region = members[index].Name, members[index].Region
 	}
 	return found
 }
