--- a/internal/membership/machines/machines.go
+++ b/internal/membership/machines/machines.go
@@ -1,9 +1,10 @@
-// Package machines reads the platform's list of machines. The list lags:
-// "leaving" is believed at once, since to stop sending work to a machine is the
-// safe direction; "live" proves nothing and is never acted upon.
+// Package machines polls the platform's list of machines. The list may be out of
+// date. "leaving" is acted on immediately, because it is safe to stop sending
+// work to a machine; "live" does not prove that a machine is running and never
+// triggers an action.
 package machines
 
-// Condition is what the platform says of a machine.
+// Condition is the state of a machine as reported by the platform.
 type Condition string
 
 // The conditions of a machine.
@@ -12,9 +13,10 @@
 	Leaving Condition = "leaving"
 )
 
-// Machine is one line of the list. Name is the node name of the processes on
-// it. Started tells a machine from its predecessor of the same name, in Unix
-// milliseconds; zero when the platform does not say.
+// Machine is one entry of the list. Name is the node name of the processes on
+// the machine. Started is the start time in Unix milliseconds and distinguishes a
+// machine from a predecessor of the same name; it is zero if the platform does
+// not report it.
 type Machine struct {
 	Name      string    `json:"name"`
 	Zone      string    `json:"zone,omitempty"`
@@ -22,24 +24,25 @@
 	Started   uint64    `json:"started,omitempty"`
 }
 
-// List is the platform's answer.
+// List is the response body of the platform's machine list.
 type List struct {
 	Machines []Machine `json:"machines"`
 }
 
-// Tracker finds what is new in successive lists. It is pure and not safe for
-// concurrent use.
+// Tracker detects machines that start leaving between successive lists. It
+// performs no I/O and is not safe for concurrent use.
 type Tracker struct {
 	leaving map[string]uint64
 }
 
-// NewTracker returns a tracker that has seen no list.
+// NewTracker returns a tracker that has not observed a list yet.
 func NewTracker() *Tracker { return &Tracker{leaving: map[string]uint64{}} }
 
-// Observe takes in a list and returns the machines that it is the first to name
-// as leaving, in the list's order. A machine that was leaving and is listed as
-// live, or as leaving with a later start, is a successor of the same name. A
-// machine missing from the list says nothing: the list may be cut short.
+// Observe processes a list and returns the machines that are newly reported as
+// leaving, in list order. A machine that was leaving and is now listed as live,
+// or as leaving with a later start time, is treated as a successor of the same
+// name. The absence of a machine has no effect, because the list may be
+// truncated.
 func (t *Tracker) Observe(list List) []Machine {
 	var newlyLeaving []Machine
 	for _, machine := range list.Machines {
--- a/internal/membership/machines/machines_test.go
+++ b/internal/membership/machines/machines_test.go
@@ -27,21 +27,22 @@
 		Expect(tracker.Observe(machines.List{Machines: first})).To(HaveLen(wantFirst))
 		Expect(tracker.Observe(machines.List{Machines: second})).To(HaveLen(wantSecond))
 	},
-	Entry("live is never news",
+	Entry("live is never reported",
 		[]machines.Machine{machine("a", machines.Live, 1)}, []machines.Machine{machine("a", machines.Live, 2)}, 0, 0),
-	Entry("leaving twice is news once",
+	Entry("leaving in two lists is reported once",
 		[]machines.Machine{machine("a", machines.Leaving, 1)}, []machines.Machine{machine("a", machines.Leaving, 1)}, 1, 0),
-	Entry("missing from the list says nothing",
+	Entry("absence from the list has no effect",
 		[]machines.Machine{machine("a", machines.Leaving, 1)}, nil, 1, 0),
-	Entry("a successor that leaves is news again",
+	Entry("a leaving successor is reported again",
 		[]machines.Machine{machine("a", machines.Leaving, 1)}, []machines.Machine{machine("a", machines.Leaving, 2)}, 1, 1),
-	Entry("an old line about a predecessor is no news",
+	Entry("an outdated entry of a predecessor is not reported",
 		[]machines.Machine{machine("a", machines.Leaving, 2)}, []machines.Machine{machine("a", machines.Leaving, 1)}, 1, 0),
-	Entry("the condition is unknown",
+	Entry("an unknown condition is ignored",
 		[]machines.Machine{machine("a", "gone", 1)}, []machines.Machine{machine("a", machines.Leaving, 1)}, 0, 1),
 )
 
-// handlerTransport answers requests by a handler, without a network.
+// handlerTransport is a RoundTripper that calls a handler directly, without a
+// network.
 type handlerTransport struct{ handler http.Handler }
 
 func (t handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -50,8 +51,9 @@
 	return recorder.Result(), nil
 }
 
-// TestPollerFollowsALaggingList runs the poller against the stand-in on a
-// virtual clock: an outage and a list cut short change nothing.
+// TestPollerFollowsALaggingList runs the poller against a simulated platform on a
+// virtual clock. It guards against reporting machines early or twice, and against
+// an outage or a truncated list changing the tracked state.
 func TestPollerFollowsALaggingList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := machinelist.New(2*time.Second, nil)
@@ -80,15 +82,15 @@
 			wait   time.Duration
 			expect string
 		}{
-			{"a change shows only after the lag", func() { list.Set(machine("a", machines.Leaving, 1)) }, 1500 * time.Millisecond, ""},
-			{"then it is news", func() {}, 2 * time.Second, "a"},
-			{"an outage changes nothing", func() { outage = http.NotFoundHandler() }, 5 * time.Second, "a"},
-			{"a list cut short is refused whole", func() {
+			{"a change is not visible before the lag has elapsed", func() { list.Set(machine("a", machines.Leaving, 1)) }, 1500 * time.Millisecond, ""},
+			{"the change is reported after the lag", func() {}, 2 * time.Second, "a"},
+			{"an outage has no effect", func() { outage = http.NotFoundHandler() }, 5 * time.Second, "a"},
+			{"a truncated list is rejected as a whole", func() {
 				outage = http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 					_, _ = writer.Write([]byte(`{"machines":[{"name":"b","condition":"leaving"}`))
 				})
 			}, 5 * time.Second, "a"},
-			{"it goes on after the outage", func() { outage = nil; list.Set(machine("c", machines.Leaving, 1)) }, 5 * time.Second, "a,c"},
+			{"polling continues after the outage", func() { outage = nil; list.Set(machine("c", machines.Leaving, 1)) }, 5 * time.Second, "a,c"},
 		}
 		for _, step := range steps {
 			step.action()
--- a/internal/membership/machines/poller.go
+++ b/internal/membership/machines/poller.go
@@ -13,31 +13,33 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// Path is where the platform serves its list.
+// Path is the URL path of the platform's machine list.
 const Path = "/v1/machines"
 
 const (
-	// requestTimeout bounds one request for the list.
+	// requestTimeout is the time limit of one request for the list.
 	requestTimeout = 5 * time.Second
-	// maximumListBytes bounds the list; a longer one is refused whole.
+	// maximumListBytes is the maximum size of a response body; a larger one is
+	// rejected as a whole.
 	maximumListBytes = 4 << 20
 )
 
-// Poller reads the list again and again and hands on what is new in it.
+// Poller fetches the machine list periodically and reports machines that start
+// leaving.
 type Poller struct {
-	// Address is the platform's IP:port.
+	// Address is the IP:port address of the platform.
 	Address string
-	// Interval lies between two requests.
+	// Interval is the polling interval.
 	Interval time.Duration
-	// Leaving is told of each machine that begins to leave.
+	// Leaving is called for each machine that starts leaving.
 	Leaving func(ctx context.Context, machine Machine)
 	Logger  *zap.Logger
 	// Client sends the requests; nil means http.DefaultClient.
 	Client *http.Client
 }
 
-// Run polls until ctx ends. A failed request is logged and changes nothing:
-// what was leaving stays so.
+// Run polls until ctx is done. A failed request is logged and does not change the
+// tracked state: machines reported as leaving remain so.
 func (p *Poller) Run(ctx context.Context) error {
 	tracker := NewTracker()
 	ticker := time.NewTicker(p.Interval)
@@ -56,7 +58,7 @@
 	list, err := p.fetch(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
-			p.Logger.Warn("machine list not read", zap.String(telemetry.StepField, "poll machine list"), zap.String(telemetry.PeerField, p.Address), telemetry.Error(err))
+			p.Logger.Warn("failed to fetch the machine list", zap.String(telemetry.StepField, "poll machine list"), zap.String(telemetry.PeerField, p.Address), telemetry.Error(err))
 		}
 		return
 	}
@@ -78,7 +80,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return List{}, trace.BadParameter("the platform answered %s", response.Status)
+		return List{}, trace.BadParameter("platform returned status %s for the machine list", response.Status)
 	}
 	return decode(response.Body)
 }
@@ -96,11 +98,11 @@
 		return List{}, trace.Wrap(err)
 	}
 	if len(content) > maximumListBytes {
-		return List{}, trace.LimitExceeded("the list is longer than %d bytes", maximumListBytes)
+		return List{}, trace.LimitExceeded("machine list exceeds %d bytes", maximumListBytes)
 	}
 	var list List
 	if err := json.Unmarshal(content, &list); err != nil {
-		return List{}, trace.Wrap(err, "decode the list")
+		return List{}, trace.Wrap(err, "decode machine list")
 	}
 	return list, nil
 }
