--- a/internal/membership/ranking.go
+++ b/internal/membership/ranking.go
@@ -1,8 +1,9 @@
-// Package membership decides who does what without any agreement: from the
-// list of members each node computes, by rendezvous hashing, the relays of a
-// zone, the candidates for store reader, and its own parents in order of
-// preference. Two nodes with different lists differ only for the members they
-// disagree about. The package is pure.
+// Package membership assigns roles to control daemons without coordination.
+// Each node applies rendezvous hashing to its member list to determine the
+// relays of a zone, the candidates for store reader, and its own parents in
+// order of preference. Nodes with different lists reach different results only
+// for the members on which the lists disagree. The package performs no I/O and
+// reads no clock.
 package membership
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/subscriber"
 )
 
-// Member is a control daemon that may be attached to.
+// Member is a control daemon that other nodes may attach to.
 type Member struct {
 	Name    string
 	Zone    string
@@ -23,13 +24,14 @@
 	Address string
 }
 
-// Parent returns the member as a candidate to attach to.
+// Parent converts the member to a parent candidate.
 func (m Member) Parent() subscriber.Parent {
 	return subscriber.Parent{Node: m.Name, Address: m.Address}
 }
 
-// Rank orders members by rendezvous hash for a key, best first. Removing a
-// member leaves the order of the others as it was.
+// Rank orders members by rendezvous hash for a key, highest score first. Ties
+// are broken by name. Removing a member does not change the relative order of
+// the others.
 func Rank(key string, members []Member) []Member {
 	type scored struct {
 		member Member
@@ -64,15 +66,16 @@
 	return list
 }
 
-// ZoneRelays returns the members that serve a zone as relays: its first count by
-// rank.
+// ZoneRelays returns the relays of a zone: the count highest-ranked members of
+// that zone, or all of them if there are fewer.
 func ZoneRelays(members []Member, zone string, count int) []Member {
 	ranked := Rank("relay/"+zone, InZone(members, zone))
 	return ranked[:min(count, len(ranked))]
 }
 
-// ReaderCandidates orders all members as candidates for the reader slots. The
-// regions take turns, so that the first candidates lie in different ones.
+// ReaderCandidates orders all members as candidates for the reader slots. It
+// interleaves the regions round-robin, so that the first candidates are in
+// different regions.
 func ReaderCandidates(members []Member) []Member {
 	byRegion := map[string][]Member{}
 	var regions []string
@@ -94,9 +97,9 @@
 	return candidates
 }
 
-// ProxyParents returns a proxy's candidates: the relays of its zone in the
-// proxy's own order, which spreads the proxies over them, then the zone's
-// other members. A proxy never attaches outside its zone.
+// ProxyParents returns the parent candidates of a proxy: the relays of its zone,
+// ranked per proxy to distribute the proxies over them, followed by the other
+// members of the zone. A proxy never attaches outside its zone.
 func ProxyParents(members []Member, zone, proxy string, relays int) []subscriber.Parent {
 	ranked := Rank("relay/"+zone, InZone(members, zone))
 	chosen := min(relays, len(ranked))
@@ -104,9 +107,9 @@
 	return parents(order)
 }
 
-// UpperTier returns the daemons that others may be attached to when no reader is
-// known: the relays of every zone and the first candidates for reader, in the
-// order of the reader candidates.
+// UpperTier returns the daemons that other daemons may attach to when no reader
+// is known: the relays of every zone and the first reader candidates, in the
+// order of ReaderCandidates.
 func UpperTier(members []Member, relays, candidates int) []Member {
 	chosen := map[string]bool{}
 	for _, zone := range zonesOf(members) {
@@ -130,12 +133,12 @@
 	return slices.Compact(zones)
 }
 
-// DaemonParents returns a control daemon's candidates, given the upper daemons.
-// An upper daemon attaches to the held reader slots, those of its own region
-// first, then to the upper daemons that rank above itself; any other daemon
-// attaches to the relays of its zone before that. So the daemons can't attach
-// in a circle when no reader is known. A holder attaches to nobody: it is a
-// peer of the other holders.
+// DaemonParents returns the parent candidates of a control daemon, given the
+// upper tier. A daemon of the upper tier attaches to the holders of reader
+// slots, those in its own region first, then to upper-tier daemons that rank
+// above it. Any other daemon tries the relays of its zone first. This order
+// rules out attachment cycles when no reader is known. A slot holder does not
+// attach to a parent: it is a peer of the other holders.
 func DaemonParents(members, upperTier []Member, self Member, relays int, readers []distribution.Reader) []subscriber.Parent {
 	var order []subscriber.Parent
 	inUpperTier := slices.ContainsFunc(upperTier, func(m Member) bool { return m.Name == self.Name })
@@ -151,7 +154,8 @@
 	return deduplicate(order, self.Name)
 }
 
-// ReaderRank returns a member's place among the reader candidates.
+// ReaderRank returns the index of a member in ReaderCandidates, or -1 if it is
+// not a member.
 func ReaderRank(members []Member, name string) int {
 	return slices.IndexFunc(ReaderCandidates(members), func(m Member) bool { return m.Name == name })
 }
--- a/internal/membership/ranking_test.go
+++ b/internal/membership/ranking_test.go
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("the ranking", func() {
-	It("changes only for the member that left, whatever the list's order", func() {
+	It("keeps the order of the remaining members when one leaves, regardless of input order", func() {
 		all := members()
 		ranked := membership.Rank("key", all)
 		slices.Reverse(all)
@@ -43,7 +43,7 @@
 		Expect(regions).To(HaveLen(3))
 	})
 
-	It("spreads a zone's proxies over its relays and never leaves the zone", func() {
+	It("distributes the proxies of a zone over its relays and stays within the zone", func() {
 		first := map[string]int{}
 		for proxy := range 90 {
 			parents := membership.ProxyParents(members(), "z1", fmt.Sprint("p", proxy), 3)
@@ -57,7 +57,7 @@
 		}
 	})
 
-	It("has daemons attach in no circle when no reader is known", func() {
+	It("produces no attachment cycle when no reader is known", func() {
 		all := members()
 		upperTier := membership.UpperTier(all, 2, 6)
 		rank := map[string]int{}
@@ -68,7 +68,7 @@
 			parents := membership.DaemonParents(all, upperTier, member, 2, nil)
 			Expect(parents != nil).To(Equal(rank[member.Name] != 1))
 			for _, parent := range parents {
-				Expect(rank[parent.Node]).NotTo(BeZero(), "a daemon that is not upper has no children")
+				Expect(rank[parent.Node]).NotTo(BeZero(), "a daemon outside the upper tier has no children")
 				if rank[member.Name] != 0 {
 					Expect(rank[parent.Node]).To(BeNumerically("<", rank[member.Name]))
 				}
@@ -76,7 +76,7 @@
 		}
 	})
 
-	It("prefers the reader of the own region", func() {
+	It("prefers the reader in the same region", func() {
 		all := members()
 		relay := membership.ZoneRelays(all, "z3", 2)[0]
 		readers := []distribution.Reader{{Slot: 0, Node: "d0-0", Region: "g0"}, {Slot: 1, Node: "d2-0", Region: "g1"}}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -9,36 +9,37 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// regionLabel carries a member's region in its announcement.
+// regionLabel is the announcement label that holds the member's region.
 const regionLabel = "region"
 
 // settleTime is how long a daemon must have had a path to a reader before it
-// stops counting seeds that have not announced themselves.
+// stops listing seeds that have not announced themselves as members.
 const settleTime = 10 * time.Second
 
-// Roster is one daemon's view of which control daemons there are. Daemons
-// announce themselves like endpoints: the highest (incarnation, sequence) wins,
-// a relay that loses a daemon declares it down after a suspicion, and a daemon
-// wrongly declared down refutes it. It is not safe for concurrent use.
+// Roster is one daemon's view of the set of control daemons. Daemons announce
+// themselves like endpoints: the announcement with the highest (incarnation,
+// sequence) wins, a relay that loses its connection to a daemon declares it down
+// after a suspicion period, and a daemon wrongly declared down refutes the
+// declaration. A Roster is not safe for concurrent use.
 type Roster struct {
 	self      *endpoint.Authority
 	seeds     []Member
 	announced *endpoint.Table
-	// pathSince is since when there has been a path to a reader; zero while
-	// there is none.
+	// pathSince is the time at which the current path to a reader was
+	// established; zero while there is none.
 	pathSince time.Time
 
-	// members is the newest list, made for view; stale says that an
-	// announcement came since.
+	// members caches the member list computed for key. stale reports whether
+	// an announcement has changed the table since.
 	members []Member
 	key     cacheKey
 	stale   bool
 }
 
-// cacheKey is what a list of members depends on beside the announcements.
+// cacheKey holds the inputs of the member list other than the announcements.
 type cacheKey struct{ hasPath, settled bool }
 
-// NewRoster returns the view of a daemon that knows the seeds and itself.
+// NewRoster returns the roster of a daemon that knows only itself and the seeds.
 func NewRoster(self Member, incarnation uint64, seeds []Member) *Roster {
 	announcement := endpoint.Update{
 		ID:          endpoint.ID{Service: endpoint.ControlService, Name: self.Name},
@@ -60,19 +61,21 @@
 // Announcement returns the daemon's own announcement.
 func (r *Roster) Announcement() endpoint.Update { return r.self.Current() }
 
-// Reannounce returns the announcement anew. It is made on each new path to a
-// reader, so that whoever suspected the daemon learns that it lives.
+// Reannounce returns a renewed announcement of the daemon. It is sent on each
+// new path to a reader, so that nodes that suspected the daemon learn that it is
+// alive.
 func (r *Roster) Reannounce() endpoint.Update { return r.self.Reannounce() }
 
-// Leave returns the announcement that the daemon is stopping, which the others
-// believe at once.
+// Leave marks the daemon as draining and returns the announcement. Other daemons
+// act on it immediately, without a suspicion period.
 func (r *Roster) Leave() endpoint.Update {
 	update, _ := r.self.Set(endpoint.Draining)
 	return update
 }
 
-// Observe takes in announcements, ignoring other endpoints. It returns the
-// daemon's own new announcement when one of them has to be refuted.
+// Observe merges the announcements of control daemons and ignores updates of
+// other endpoints. If one of them has to be refuted, it returns the daemon's own
+// new announcement.
 func (r *Roster) Observe(now time.Time, updates []endpoint.Update) (refutation endpoint.Update, refuted bool) {
 	for _, update := range updates {
 		if update.ID.Service != endpoint.ControlService {
@@ -87,7 +90,7 @@
 	return refutation, refuted
 }
 
-// SetReaderPath notes whether the daemon has a path to a reader.
+// SetReaderPath records whether the daemon has a path to a reader.
 func (r *Roster) SetReaderPath(now time.Time, open bool) {
 	switch {
 	case !open:
@@ -97,8 +100,8 @@
 	}
 }
 
-// SettlesAt returns when seeds that have not announced themselves stop to
-// count; the zero time while there is no path to a reader.
+// SettlesAt returns the time from which seeds that have not announced themselves
+// are no longer listed, or the zero time while there is no path to a reader.
 func (r *Roster) SettlesAt() time.Time {
 	if r.pathSince.IsZero() {
 		return time.Time{}
@@ -107,9 +110,9 @@
 }
 
 // Members returns the daemon itself, every announced daemon that is not leaving
-// or down and, until the daemon has settled, the seeds that are not announced.
-// They are ordered by name. The list is the same slice until something changed,
-// and is not to be modified.
+// or down and, until SettlesAt, the seeds without an announcement. The list is
+// ordered by name. The same slice is returned until the list may have changed;
+// callers must not modify it.
 func (r *Roster) Members(now time.Time) []Member {
 	settlesAt := r.SettlesAt()
 	key := cacheKey{hasPath: !settlesAt.IsZero()}
@@ -135,8 +138,9 @@
 	return members
 }
 
-// unannounced returns the seeds of which no announcement is known, and, while
-// there is no path to a reader, those last heard of as down: they may be back.
+// unannounced returns the seeds without a known announcement. While there is no
+// path to a reader, it also returns seeds last announced as leaving or down,
+// because they may have restarted.
 func (r *Roster) unannounced(own endpoint.ID) []Member {
 	var seeds []Member
 	for _, seed := range r.seeds {
@@ -154,8 +158,9 @@
 	return Member{Name: update.ID.Name, Zone: update.Zone, Region: update.Labels[regionLabel], Address: update.Address}
 }
 
-// ResolveReader returns the reader that holds a slot with a stream address, named
-// after the member of that address.
+// ResolveReader returns the holder of a reader slot. It takes the node name and
+// the region from the member with the given stream address; if there is none, the
+// address serves as the node name.
 func ResolveReader(members []Member, slot int, address string, revision uint64) distribution.Reader {
 	found := distribution.Reader{Slot: slot, Node: address, Address: address, Revision: revision}
 	index := slices.IndexFunc(members, func(m Member) bool { return m.Address == address })
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -37,17 +37,17 @@
 		roster.Observe(start, updates)
 		Expect(names(roster.Members(at))).To(Equal(want))
 	},
-		Entry("seeds until it settles", nil, true, start, "a", "b", "c"),
-		Entry("only who announced itself afterwards", []endpoint.Update{announce("b", 2, endpoint.Ready)}, true, settled, "a", "b"),
-		Entry("who is no seed", []endpoint.Update{announce("n", 2, endpoint.Ready)}, true, settled, "a", "n"),
-		Entry("nobody that leaves, at once", []endpoint.Update{announce("b", 2, endpoint.Ready), announce("b", 4, endpoint.Draining)}, true, start, "a", "c"),
-		Entry("nobody that is down", []endpoint.Update{announce("b", 2, endpoint.Ready), announce("b", 3, endpoint.Down)}, true, start, "a", "c"),
-		Entry("not by an older word", []endpoint.Update{announce("b", 4, endpoint.Ready), announce("b", 2, endpoint.Draining)}, true, settled, "a", "b"),
-		Entry("every seed while there is no path, also those that were down", []endpoint.Update{announce("b", 3, endpoint.Down)}, false, settled, "a", "b", "c"),
-		Entry("no endpoint of an operator's service", []endpoint.Update{{ID: endpoint.ID{Service: "b", Name: "x"}, State: endpoint.Ready}}, true, settled, "a"),
+		Entry("unannounced seeds before the settle time", nil, true, start, "a", "b", "c"),
+		Entry("only announced daemons after the settle time", []endpoint.Update{announce("b", 2, endpoint.Ready)}, true, settled, "a", "b"),
+		Entry("an announced daemon that is not a seed", []endpoint.Update{announce("n", 2, endpoint.Ready)}, true, settled, "a", "n"),
+		Entry("not a leaving daemon, effective immediately", []endpoint.Update{announce("b", 2, endpoint.Ready), announce("b", 4, endpoint.Draining)}, true, start, "a", "c"),
+		Entry("not a daemon that is down", []endpoint.Update{announce("b", 2, endpoint.Ready), announce("b", 3, endpoint.Down)}, true, start, "a", "c"),
+		Entry("ignoring an older announcement", []endpoint.Update{announce("b", 4, endpoint.Ready), announce("b", 2, endpoint.Draining)}, true, settled, "a", "b"),
+		Entry("every seed without a path to a reader, including seeds that were down", []endpoint.Update{announce("b", 3, endpoint.Down)}, false, settled, "a", "b", "c"),
+		Entry("no endpoints of other services", []endpoint.Update{{ID: endpoint.ID{Service: "b", Name: "x"}, State: endpoint.Ready}}, true, settled, "a"),
 	)
 
-	It("makes a list anew only after a change", func() {
+	It("rebuilds the list only after a change", func() {
 		roster := membership.NewRoster(self, 7, seeds)
 		roster.SetReaderPath(start, true)
 		first := roster.Members(start)
@@ -65,16 +65,16 @@
 			Expect(names(roster.Members(start))).To(Equal(change.want))
 		}
 		Expect(names(roster.Members(settled))).To(Equal([]string{"a", "n"}))
-		Expect(names(first)).To(Equal([]string{"a", "b", "c"}), "an earlier list is left as it was")
+		Expect(names(first)).To(Equal([]string{"a", "b", "c"}), "an earlier list must not be modified")
 	})
 
-	It("takes the announced address in place of the seed's", func() {
+	It("prefers the announced address over the seed address", func() {
 		roster := membership.NewRoster(self, 7, seeds)
 		roster.Observe(start, []endpoint.Update{announce("b", 2, endpoint.Ready)})
 		Expect(roster.Members(start)[1]).To(Equal(membership.Member{Name: "b", Zone: "z", Address: "b:2"}))
 	})
 
-	It("refutes that it is down, and stays itself a member", func() {
+	It("refutes a down declaration about itself and remains a member", func() {
 		roster := membership.NewRoster(self, 7, seeds)
 		declared := roster.Announcement().RelayOverride(endpoint.Down)
 		refutation, refuted := roster.Observe(start, []endpoint.Update{declared})
@@ -84,7 +84,7 @@
 		Expect(names(roster.Members(settled))).To(ContainElement("a"))
 	})
 
-	It("names a slot's holder after the member of its address", func() {
+	It("resolves the holder of a slot by its address", func() {
 		Expect(membership.ResolveReader([]membership.Member{self}, 1, "a:1", 9).Node).To(Equal("a"))
 		Expect(membership.ResolveReader([]membership.Member{self}, 1, "x:1", 9).Node).To(Equal("x:1"))
 	})
