--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -222,7 +222,7 @@
 		c.takeRelay(now, c.relay.ParentEndpoints(now, from, outputs.Endpoints))
 	}
 	if len(outputs.Heard) > 0 {
-		c.takeRelay(now, c.relay.PeerHeard(now, from, outputs.Heard))
+		c.takeRelay(now, c.relay.PeerEndpoints(now, from, outputs.Heard))
 	}
 	c.setReaders(now, outputs.Readers)
 }
--- a/internal/distribution/relay/core_test.go
+++ b/internal/distribution/relay/core_test.go
@@ -374,7 +374,7 @@
 		core.ParentLost(start, "former")
 		core.SetSource(start, distribution.Source{})
 		core.ParentEndpoints(start, "reader", []endpoint.Update{reader})
-		core.PeerHeard(start, "other", []endpoint.Update{reader})
+		core.PeerEndpoints(start, "other", []endpoint.Update{reader})
 		core.ParentLost(start.Add(time.Second), "reader")
 		core.Tick(start.Add(time.Minute))
 		Expect(core.Endpoints()[0].State).To(Equal(endpoint.Down))
--- a/internal/distribution/relay/endpoints.go
+++ b/internal/distribution/relay/endpoints.go
@@ -17,10 +17,10 @@
 	return c.finish(now)
 }
 
-// PeerHeard takes in endpoint states that the named peer reader has from
+// PeerEndpoints takes in endpoint states that the named peer reader has from
 // another one. What is known already is left as it is: readers that took each
 // other for the origin would never declare an endpoint down.
-func (c *Core) PeerHeard(now time.Time, peer string, updates []endpoint.Update) Outputs {
+func (c *Core) PeerEndpoints(now time.Time, peer string, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
 		held, known := c.endpoints.Get(update.ID)
 		if !known || update.Compare(held) != 0 {
