--- a/internal/distribution/relay/claim.go
+++ b/internal/distribution/relay/claim.go
@@ -17,9 +17,9 @@
 type claim struct {
 	zone    string
 	version uint64
-	// until is when the claim ceases to count alone; it is put off while
+	// aloneUntil is when the claim ceases to count alone; it is put off while
 	// the relay has no path to a reader.
-	until time.Time
+	aloneUntil time.Time
 }
 
 // claims holds the claims by node and what follows from them by zone.
@@ -35,14 +35,14 @@
 	return claims{byNode: map[string]claim{}, floors: map[string]uint64{}}
 }
 
-// takeVersion learns from a version that a child says it has.
-func (c *Core) takeVersion(now time.Time, node distribution.Node, version uint64) {
+// observeVersion learns from a version that a child says it has.
+func (c *Core) observeVersion(now time.Time, node distribution.Node, version uint64) {
 	held, known := c.claims.byNode[node.Name]
 	if version <= c.state.Version() {
 		c.raiseFloor(node.Zone, version)
 		if known {
 			delete(c.claims.byNode, node.Name)
-			c.weighClaims(now)
+			c.recomputeClaimFloors(now)
 		}
 		return
 	}
@@ -50,15 +50,15 @@
 		if len(c.claims.byNode) >= maximumClaims {
 			return
 		}
-		held.until = now.Add(c.config.ClaimPatience)
+		held.aloneUntil = now.Add(c.config.ClaimPatience)
 	}
 	held.zone, held.version = node.Zone, version
 	c.claims.byNode[node.Name] = held
-	c.weighClaims(now)
+	c.recomputeClaimFloors(now)
 }
 
-// claimsReached turns claims that the relay has reached into floors.
-func (c *Core) claimsReached(now time.Time) {
+// resolveReachedClaims turns claims that the relay has reached into floors.
+func (c *Core) resolveReachedClaims(now time.Time) {
 	if len(c.claims.byNode) == 0 {
 		return
 	}
@@ -68,43 +68,43 @@
 			c.raiseFloor(held.zone, held.version)
 		}
 	}
-	c.weighClaims(now)
+	c.recomputeClaimFloors(now)
 }
 
 // renewClaims gives every claim its time again, when the relay has found a
 // path to a reader and may be about to catch up.
 func (c *Core) renewClaims(now time.Time) {
 	for name, held := range c.claims.byNode {
-		held.until = now.Add(c.config.ClaimPatience)
+		held.aloneUntil = now.Add(c.config.ClaimPatience)
 		c.claims.byNode[name] = held
 	}
-	c.weighClaims(now)
+	c.recomputeClaimFloors(now)
 }
 
-// weighClaims computes what the claims amount to: in each zone the highest
+// recomputeClaimFloors computes what the claims amount to: in each zone the highest
 // that still counts alone, or the second highest of all.
-func (c *Core) weighClaims(now time.Time) {
+func (c *Core) recomputeClaimFloors(now time.Time) {
 	clear(c.claims.floors)
 	c.claims.dueAt = time.Time{}
 	highest := map[string]uint64{}
 	for _, held := range c.claims.byNode {
 		supported := min(highest[held.zone], held.version)
 		highest[held.zone] = max(highest[held.zone], held.version)
-		alone := c.source.Detached || now.Before(held.until)
+		alone := c.source.Detached || now.Before(held.aloneUntil)
 		if alone {
 			supported = held.version
 			if !c.source.Detached {
-				c.claims.dueAt = earliest(c.claims.dueAt, held.until)
+				c.claims.dueAt = earliest(c.claims.dueAt, held.aloneUntil)
 			}
 		}
 		c.claims.floors[held.zone] = max(c.claims.floors[held.zone], supported)
 	}
-	c.floorChanged()
+	c.updateSourceFloor()
 }
 
-// floorChanged tells the children when the version in force in the own zone is
+// updateSourceFloor tells the children when the version in force in the own zone is
 // one that this relay has not reached.
-func (c *Core) floorChanged() {
+func (c *Core) updateSourceFloor() {
 	floor := c.Floor(c.node.Zone)
 	if floor <= c.state.Version() {
 		floor = 0
--- a/internal/distribution/relay/claim_test.go
+++ b/internal/distribution/relay/claim_test.go
@@ -11,8 +11,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// invented is a version that no relay ever reaches.
-const invented = 1 << 62
+// unreachableVersion is a version that no relay ever reaches.
+const unreachableVersion = 1 << 62
 
 var _ = Describe("a version from the future", func() {
 	var core *relay.Core
@@ -29,16 +29,16 @@
 
 	It("keeps newcomers out only for a while when one node alone claims it", func() {
 		for _, after := range []time.Duration{0, patience / 2, patience - 1} {
-			refused := attach(start.Add(after), "liar", invented)
+			refused := attach(start.Add(after), "liar", unreachableVersion)
 			Expect(refused.Refusals).To(ConsistOf(HaveField("Reason", relay.ReasonBehind)))
 			Expect(served(start.Add(after))).To(BeFalse())
 		}
-		Expect(core.Source().Floor).To(BeEquivalentTo(invented))
+		Expect(core.Source().Floor).To(BeEquivalentTo(unreachableVersion))
 		Expect(core.NextTick()).To(BeTemporally("<=", start.Add(patience)))
 		core.Tick(start.Add(patience))
 		Expect(core.Source().Floor).To(BeZero())
 		Expect(served(start.Add(patience))).To(BeTrue())
-		attach(start.Add(patience), "liar", invented-1)
+		attach(start.Add(patience), "liar", unreachableVersion-1)
 		Expect(served(start.Add(patience))).To(BeTrue(), "another invention of the same node")
 	})
 
@@ -76,7 +76,7 @@
 
 	It("of a report does not keep newcomers out for ever", func() {
 		attach(start, "liar", 2)
-		report := distribution.Report{Node: distribution.Node{Name: "liar", Incarnation: 1, Zone: "z1"}, Applied: invented}
+		report := distribution.Report{Node: distribution.Node{Name: "liar", Incarnation: 1, Zone: "z1"}, Applied: unreachableVersion}
 		core.Report(start, lastSession, report)
 		core.Tick(start.Add(patience))
 		Expect(served(start.Add(patience))).To(BeTrue())
--- a/internal/distribution/relay/class.go
+++ b/internal/distribution/relay/class.go
@@ -55,7 +55,7 @@
 // advance takes in one entry, projecting only when the entry can touch what
 // the class sees.
 func (k *class) advance(c *Core, entry resource.Entry) {
-	if k.touchedBy(entry) {
+	if k.affectedBy(entry) {
 		k.rebuild(c)
 		return
 	}
@@ -84,12 +84,12 @@
 	return text.String()
 }
 
-// touchedBy reports whether any change of the entry may alter the class's
+// affectedBy reports whether any change of the entry may alter the class's
 // snapshot. It may report true for an entry that alters nothing.
-func (k *class) touchedBy(entry resource.Entry) bool {
+func (k *class) affectedBy(entry resource.Entry) bool {
 	for _, batch := range entry.Batches {
 		for _, change := range batch.Changes {
-			if k.touchedByChange(change) {
+			if k.affectedByChange(change) {
 				return true
 			}
 		}
@@ -97,7 +97,7 @@
 	return false
 }
 
-func (k *class) touchedByChange(change resource.Change) bool {
+func (k *class) affectedByChange(change resource.Change) bool {
 	target := change.Target()
 	switch target.Kind {
 	case resource.KindRoute:
@@ -130,7 +130,7 @@
 	if digest == k.current.Digest {
 		return c.versionOnly()
 	}
-	if base := k.pastWith(digest); base != nil && !c.config.AlwaysSnapshot {
+	if base := k.pastSnapshot(digest); base != nil && !c.config.AlwaysSnapshot {
 		return k.deltaFrom(base)
 	}
 	if k.snapshot == nil {
@@ -139,7 +139,7 @@
 	return k.snapshot
 }
 
-func (k *class) pastWith(digest string) *projection.Snapshot {
+func (k *class) pastSnapshot(digest string) *projection.Snapshot {
 	for _, snapshot := range slices.Backward(k.past) {
 		if snapshot.Digest == digest {
 			return snapshot
--- a/internal/distribution/relay/core.go
+++ b/internal/distribution/relay/core.go
@@ -27,8 +27,8 @@
 	tail    []resource.Entry
 	classes map[string]*class
 	shared  sharedMessages
-	// beat is the heartbeat of every session: an empty message.
-	beat *distribution.Message
+	// heartbeatMessage is the heartbeat of every session: an empty message.
+	heartbeatMessage *distribution.Message
 
 	sessions map[SessionID]*session
 	// order lists the sessions by id, so that outputs do not depend on the
@@ -73,7 +73,7 @@
 		node:      node,
 		state:     resource.NewState(),
 		classes:   map[string]*class{},
-		beat:      &distribution.Message{},
+		heartbeatMessage:      &distribution.Message{},
 		sessions:  map[SessionID]*session{},
 		byNode:    map[string]*session{},
 		endpoints: endpoint.NewTable(),
@@ -145,14 +145,14 @@
 func (c *Core) contentChanged(now time.Time) {
 	c.shared.reset()
 	c.status.laggardsAt = now.Add(c.config.LaggardAfter)
-	c.claimsReached(now)
-	c.floorChanged()
+	c.resolveReachedClaims(now)
+	c.updateSourceFloor()
 	if c.status.ownAhead {
-		c.ownChanged(now)
+		c.scheduleOwnSummaries(now)
 	}
 	if c.flushAt.IsZero() {
 		c.flushAt = now
-		if c.isReading() {
+		if c.isStoreReader() {
 			c.flushAt = now.Add(c.config.BatchWindow)
 		}
 	}
@@ -176,7 +176,7 @@
 func (c *Core) sourceChanged() {
 	for _, session := range c.order {
 		session.sourceDue = true
-		c.pump(session)
+		c.sendPending(session)
 	}
 }
 
@@ -188,7 +188,7 @@
 		c.readers = merged
 		for _, session := range c.order {
 			session.readersDue = session.kind == distribution.ChildControl
-			c.pump(session)
+			c.sendPending(session)
 		}
 	}
 	return c.finish(now)
@@ -223,7 +223,7 @@
 func (c *Core) Goodbye(now time.Time) Outputs {
 	for _, session := range c.order {
 		session.goodbyeDue = true
-		c.pump(session)
+		c.sendPending(session)
 	}
 	return c.finish(now)
 }
@@ -231,10 +231,10 @@
 // Tick does whatever has come due.
 func (c *Core) Tick(now time.Time) Outputs {
 	c.expireSuspects(now)
-	c.repeatNotices(now)
-	c.settleDisputes(now)
+	c.resendNotices(now)
+	c.resolveDisputes(now)
 	if due(now, c.claims.dueAt) {
-		c.weighClaims(now)
+		c.recomputeClaimFloors(now)
 	}
 	if due(now, c.heartbeatAt) {
 		c.heartbeat(now)
@@ -268,10 +268,10 @@
 	if due(now, c.flushAt) {
 		c.flushAt = time.Time{}
 		for _, session := range c.order {
-			c.pump(session)
+			c.sendPending(session)
 		}
 	}
-	c.nameLaggards(now)
+	c.refreshLaggards(now)
 	c.flushStatus(now)
 	c.releaseDue(now)
 	c.reportEndpoints()
--- a/internal/distribution/relay/endpoints.go
+++ b/internal/distribution/relay/endpoints.go
@@ -12,7 +12,7 @@
 // reader; they go to the children only.
 func (c *Core) ParentEndpoints(now time.Time, parent string, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
-		c.takeParentEndpoint(now, parent, update)
+		c.mergeParentEndpoint(now, parent, update)
 	}
 	return c.finish(now)
 }
@@ -24,47 +24,47 @@
 	for _, update := range updates {
 		held, known := c.endpoints.Get(update.ID)
 		if !known || update.Compare(held) != 0 {
-			c.takeParentEndpoint(now, peer, update)
+			c.mergeParentEndpoint(now, peer, update)
 		}
 	}
 	return c.finish(now)
 }
 
-func (c *Core) takeParentEndpoint(now time.Time, parent string, update endpoint.Update) {
+func (c *Core) mergeParentEndpoint(now time.Time, parent string, update endpoint.Update) {
 	held, known := c.endpoints.Get(update.ID)
 	child := c.sessions[c.origins[update.ID].session]
 	if known && child != nil && c.contradicts(held, update) {
-		c.refer(now, child, update)
+		c.forwardToChild(now, child, update)
 		return
 	}
 	if known && update.Compare(held) < 0 {
 		if child == nil && c.contradicts(update, held) {
-			c.contest(parent, held)
+			c.forwardToOrigin(parent, held)
 		}
 		return
 	}
 	if child != nil && update.Compare(held) == 0 {
 		// The authority is heard of elsewhere: the child must not suspect
 		// it for having left.
-		if child.mayRepeat(now, update.ID) {
-			c.answer(child, update)
+		if child.allowRepeat(now, update.ID) {
+			c.reply(child, update)
 		}
 		return
 	}
 	c.confirmEndpoint(origin{parent: parent}, update.ID)
 	c.origins[update.ID] = origin{parent: parent}
 	if c.endpoints.Merge(update) {
-		c.spread(update, child)
-		c.answer(child, update)
+		c.broadcast(update, child)
+		c.reply(child, update)
 	}
 }
 
 // repeatInterval is the least time between two answers to one child that an
 // endpoint is heard of elsewhere. While daemons are attached in a circle such
 // an answer comes back to where it began.
-const repeatInterval = noticeRepeat / 2
+const repeatInterval = noticeResendDelay / 2
 
-func (s *session) mayRepeat(now time.Time, id endpoint.ID) bool {
+func (s *session) allowRepeat(now time.Time, id endpoint.ID) bool {
 	if at, before := s.repeated[id]; before && now.Sub(at) < repeatInterval {
 		return false
 	}
@@ -80,48 +80,48 @@
 		update.Incarnation == held.Incarnation && update.Sequence > held.Sequence && held.State != endpoint.Down
 }
 
-// contest sends a declaration made here or below toward whom the endpoint is
+// forwardToOrigin sends a declaration made here or below toward whom the endpoint is
 // heard of through, for its authority to refute: what the declaration says is
 // not believed there, and only a later update of the authority ends it here.
-func (c *Core) contest(toward string, declared endpoint.Update) {
+func (c *Core) forwardToOrigin(toward string, declared endpoint.Update) {
 	if peer := c.byNode[toward]; peer != nil {
-		c.answer(peer, declared)
+		c.reply(peer, declared)
 		return
 	}
 	c.contested = append(c.contested, declared)
 }
 
-// passOn sends a child's declaration that an endpoint is down toward whom the
+// forwardDeclaration sends a child's declaration that an endpoint is down toward whom the
 // endpoint is heard of through, unless that is the child itself. It reports
 // false when the endpoint is heard of nowhere else.
-func (c *Core) passOn(now time.Time, from *session, declared endpoint.Update) bool {
+func (c *Core) forwardDeclaration(now time.Time, from *session, declared endpoint.Update) bool {
 	source := c.origins[declared.ID]
 	if other := c.sessions[source.session]; other != nil {
 		if other == from {
 			return false
 		}
-		c.refer(now, other, declared)
+		c.forwardToChild(now, other, declared)
 		return true
 	}
-	if source.parent == "" || c.source.Detached || (c.isReading() && c.byNode[source.parent] == nil) {
+	if source.parent == "" || c.source.Detached || (c.isStoreReader() && c.byNode[source.parent] == nil) {
 		return false
 	}
-	c.contest(source.parent, declared)
+	c.forwardToOrigin(source.parent, declared)
 	c.dispute(now, declared)
 	return true
 }
 
-// refer sends a declaration to the child through which the endpoint is heard
+// forwardToChild sends a declaration to the child through which the endpoint is heard
 // of. A proxy is its authority; a daemon may itself have heard of it here.
-func (c *Core) refer(now time.Time, child *session, declared endpoint.Update) {
-	c.answer(child, declared)
+func (c *Core) forwardToChild(now time.Time, child *session, declared endpoint.Update) {
+	c.reply(child, declared)
 	if child.kind == distribution.ChildControl {
 		c.dispute(now, declared)
 	}
 }
 
-// disputePatience is how long an authority may take to refute a declaration.
-const disputePatience = 2 * time.Second
+// disputeTimeout is how long an authority may take to refute a declaration.
+const disputeTimeout = 2 * time.Second
 
 // dispute is a declaration that was passed on and not believed.
 type dispute struct {
@@ -132,14 +132,14 @@
 func (c *Core) dispute(now time.Time, declared endpoint.Update) {
 	same := func(held dispute) bool { return held.declared.ID == declared.ID }
 	if !slices.ContainsFunc(c.disputes, same) {
-		c.disputes = append(c.disputes, dispute{at: now.Add(disputePatience), declared: declared})
+		c.disputes = append(c.disputes, dispute{at: now.Add(disputeTimeout), declared: declared})
 	}
 }
 
-// settleDisputes believes the declarations that nobody refuted in time: what
+// resolveDisputes believes the declarations that nobody refuted in time: what
 // they were passed on to may not lead to the authority, but a declaration that
 // is believed reaches every relay and so the one that hears of the authority.
-func (c *Core) settleDisputes(now time.Time) {
+func (c *Core) resolveDisputes(now time.Time) {
 	var waiting []dispute
 	for _, dispute := range c.disputes {
 		if now.Before(dispute.at) {
@@ -148,53 +148,53 @@
 		}
 		held, _ := c.endpoints.Get(dispute.declared.ID)
 		if c.contradicts(held, dispute.declared) {
-			c.declare(dispute.declared)
+			c.applyDeclaration(dispute.declared)
 		}
 	}
 	c.disputes = waiting
 }
 
-// answer tells a child of an update about an endpoint that the child reported.
-func (c *Core) answer(child *session, update endpoint.Update) {
+// reply tells a child of an update about an endpoint that the child reported.
+func (c *Core) reply(child *session, update endpoint.Update) {
 	if child == nil {
 		return
 	}
-	child.answers = append(child.answers, update)
-	c.pump(child)
+	child.replies = append(child.replies, update)
+	c.sendPending(child)
 }
 
 // Endpoints returns the newest update of every endpoint, by service and name.
 func (c *Core) Endpoints() []endpoint.Update { return c.endpoints.All() }
 
-// takeChildEndpoints takes in endpoint states from a child; they go to the
+// mergeChildEndpoints takes in endpoint states from a child; they go to the
 // other children and to the parent.
-func (c *Core) takeChildEndpoints(now time.Time, from *session, updates []endpoint.Update) {
+func (c *Core) mergeChildEndpoints(now time.Time, from *session, updates []endpoint.Update) {
 	for _, update := range updates {
 		held, known := c.endpoints.Get(update.ID)
 		if known && update.Compare(held) < 0 {
-			c.answer(from, held)
+			c.reply(from, held)
 			continue
 		}
-		if known && c.contradicts(held, update) && c.passOn(now, from, update) {
+		if known && c.contradicts(held, update) && c.forwardDeclaration(now, from, update) {
 			continue
 		}
 		before := c.origins[update.ID]
 		c.origins[update.ID] = origin{session: from.id}
 		if c.endpoints.Merge(update) {
 			c.upward[update.ID] = struct{}{}
-			c.spread(update, from)
+			c.broadcast(update, from)
 			continue
 		}
-		c.moved(now, update, before, from)
+		c.endpointMoved(now, update, before, from)
 	}
 	if c.isLeaving(now, from) {
 		c.declareLeaving(from)
 	}
 }
 
-// noticeRepeat is when a notice that an endpoint moved is given again: the first
+// noticeResendDelay is when a notice that an endpoint moved is given again: the first
 // may come before the former parent has lost the child, and is then ignored.
-const noticeRepeat = time.Second
+const noticeResendDelay = time.Second
 
 // notice tells who heard of an endpoint before that it is heard of here.
 type notice struct {
@@ -204,33 +204,33 @@
 	former SessionID
 }
 
-// moved handles an update already held that is now heard of through another
+// endpointMoved handles an update already held that is now heard of through another
 // child: whoever heard of it before must learn so, or would declare it down.
-func (c *Core) moved(now time.Time, update endpoint.Update, before origin, through *session) {
+func (c *Core) endpointMoved(now time.Time, update endpoint.Update, before origin, through *session) {
 	if before.session == through.id {
 		return
 	}
 	if before.session == 0 {
 		c.upward[update.ID] = struct{}{}
 	}
-	first := notice{at: now.Add(noticeRepeat), update: update, former: before.session}
-	c.give(first)
+	first := notice{at: now.Add(noticeResendDelay), update: update, former: before.session}
+	c.sendNotice(first)
 	c.notices = append(c.notices, first)
 }
 
-// give tells the former child and the peers. A peer may take another child of
+// sendNotice tells the former child and the peers. A peer may take another child of
 // its own for the origin whatever this relay believed.
-func (c *Core) give(notice notice) {
-	c.spreadToPeers(notice.update, c.sessions[c.origins[notice.update.ID].session])
+func (c *Core) sendNotice(notice notice) {
+	c.broadcastToPeers(notice.update, c.sessions[c.origins[notice.update.ID].session])
 	former := c.sessions[notice.former]
 	if former != nil && former.kind == distribution.ChildControl {
-		c.answer(former, notice.update)
+		c.reply(former, notice.update)
 	}
 }
 
-// repeatNotices gives the notices that are due once more, unless the endpoint
+// resendNotices gives the notices that are due once more, unless the endpoint
 // has changed since.
-func (c *Core) repeatNotices(now time.Time) {
+func (c *Core) resendNotices(now time.Time) {
 	var waiting []notice
 	for _, notice := range c.notices {
 		held, _ := c.endpoints.Get(notice.update.ID)
@@ -238,26 +238,26 @@
 		case now.Before(notice.at):
 			waiting = append(waiting, notice)
 		case held.Compare(notice.update) == 0:
-			c.give(notice)
+			c.sendNotice(notice)
 		}
 	}
 	c.notices = waiting
 }
 
-func (c *Core) spread(update endpoint.Update, except *session) {
+func (c *Core) broadcast(update endpoint.Update, except *session) {
 	for _, session := range c.order {
 		if session != except && session.entitledTo(update) {
 			session.pendingEndpoints[update.ID] = struct{}{}
-			c.pump(session)
+			c.sendPending(session)
 		}
 	}
 }
 
-func (c *Core) spreadToPeers(update endpoint.Update, except *session) {
+func (c *Core) broadcastToPeers(update endpoint.Update, except *session) {
 	for _, session := range c.order {
-		if session != except && session.reads {
+		if session != except && session.isReader {
 			session.pendingEndpoints[update.ID] = struct{}{}
-			c.pump(session)
+			c.sendPending(session)
 		}
 	}
 }
@@ -280,13 +280,13 @@
 	}
 }
 
-// takeEndpoints empties the session's pending endpoints and answers. Of what goes
+// drainEndpoints empties the session's pending endpoints and answers. Of what goes
 // to a peer reader, heard is what this reader has from another one.
-func (c *Core) takeEndpoints(session *session) (updates, heard []endpoint.Update) {
-	if len(session.pendingEndpoints)+len(session.answers) == 0 {
+func (c *Core) drainEndpoints(session *session) (updates, heard []endpoint.Update) {
+	if len(session.pendingEndpoints)+len(session.replies) == 0 {
 		return nil, nil
 	}
-	isPeer := c.isReading() && session.reads
+	isPeer := c.isStoreReader() && session.isReader
 	for _, update := range c.newest(session.pendingEndpoints) {
 		if isPeer && c.origins[update.ID].parent != "" {
 			heard = append(heard, update)
@@ -294,14 +294,14 @@
 		}
 		updates = append(updates, update)
 	}
-	updates = append(updates, session.answers...)
+	updates = append(updates, session.replies...)
 	clear(session.pendingEndpoints)
-	session.answers = nil
+	session.replies = nil
 	return updates, heard
 }
 
-// isReading reports whether this relay is a store reader.
-func (c *Core) isReading() bool { return c.source.Hops == 0 && !c.source.Detached }
+// isStoreReader reports whether this relay is a store reader.
+func (c *Core) isStoreReader() bool { return c.source.Hops == 0 && !c.source.Detached }
 
 // newest returns the newest updates of a set of endpoints, by id.
 func (c *Core) newest(ids map[endpoint.ID]struct{}) []endpoint.Update {
@@ -318,7 +318,7 @@
 // endpointMessage returns a message of the pending endpoints alone. The usual
 // case, one endpoint changed for all children, shares one message.
 func (s *session) endpointMessage(c *Core) *distribution.Message {
-	updates, heard := c.takeEndpoints(s)
+	updates, heard := c.drainEndpoints(s)
 	if len(updates) != 1 || len(heard) > 0 {
 		return &distribution.Message{Version: s.version, Endpoints: updates, Heard: heard}
 	}
--- a/internal/distribution/relay/session.go
+++ b/internal/distribution/relay/session.go
@@ -17,8 +17,8 @@
 	node  distribution.Node
 	kind  distribution.ChildKind
 	class *class
-	// reads: the child is a store reader.
-	reads bool
+	// isReader: the child is a store reader.
+	isReader bool
 
 	// version and digest are what the child holds once the message in
 	// flight has arrived.
@@ -36,8 +36,8 @@
 	inFlight      bool
 	inFlightSince time.Time
 	inSnapshot    bool
-	heardAt       time.Time
-	sentSinceBeat bool
+	lastReportAt       time.Time
+	sentSinceHeartbeat bool
 
 	pendingEndpoints map[endpoint.ID]struct{}
 	pendingZones     map[zoneKey]struct{}
@@ -46,16 +46,16 @@
 	// the highest version in force there that the child was told of.
 	release release
 	zonesAt time.Time
-	// zonesWait: zonesAt was set for what is pending now; a tick that comes
+	// zonesScheduled: zonesAt was set for what is pending now; a tick that comes
 	// late must not set it anew.
-	zonesWait bool
+	zonesScheduled bool
 	floorDue  bool
-	floorTold uint64
+	floorSent uint64
 	// repeated is when the child was last told that an endpoint it reported
 	// is heard of elsewhere.
 	repeated map[endpoint.ID]time.Time
-	// answers are updates about endpoints that the child itself reports.
-	answers    []endpoint.Update
+	// replies are updates about endpoints that the child itself reports.
+	replies    []endpoint.Update
 	sourceDue  bool
 	readersDue bool
 	goodbyeDue bool
@@ -66,7 +66,7 @@
 // force.
 func (c *Core) Attach(now time.Time, id SessionID, hello distribution.Hello) Outputs {
 	previous := c.byNode[hello.Node.Name]
-	c.takeVersion(now, hello.Node, hello.Version)
+	c.observeVersion(now, hello.Node, hello.Version)
 	if reason, wait := c.refusal(now, hello, previous); reason != "" {
 		c.outputs.Refusals = append(c.outputs.Refusals, Refusal{Session: id, Reason: reason, RetryAfter: wait})
 		return c.finish(now)
@@ -76,8 +76,8 @@
 		c.outputs.Closes = append(c.outputs.Closes, previous.id)
 	}
 	session := c.open(now, id, hello)
-	c.takeChildEndpoints(now, session, hello.Endpoints)
-	c.pump(session)
+	c.mergeChildEndpoints(now, session, hello.Endpoints)
+	c.sendPending(session)
 	return c.finish(now)
 }
 
@@ -115,14 +115,14 @@
 		return c.state.Version()-hello.Version > uint64(len(c.tail))
 	}
 	class := c.classOf(hello.Entitlement)
-	return hello.Digest != class.current.Digest && class.pastWith(hello.Digest) == nil
+	return hello.Digest != class.current.Digest && class.pastSnapshot(hello.Digest) == nil
 }
 
 func (c *Core) open(now time.Time, id SessionID, hello distribution.Hello) *session {
 	opened := &session{
 		id: id, node: hello.Node, kind: hello.Kind,
 		version: hello.Version, digest: hello.Digest, applied: hello.Version,
-		heardAt: now, sourceDue: true, reads: len(hello.Readers) > 0,
+		lastReportAt: now, sourceDue: true, isReader: len(hello.Readers) > 0,
 		pendingEndpoints: map[endpoint.ID]struct{}{},
 		repeated:         map[endpoint.ID]time.Time{},
 		pendingZones:     map[zoneKey]struct{}{},
@@ -156,7 +156,7 @@
 }
 
 func (c *Core) remove(now time.Time, gone *session) {
-	c.landed(gone)
+	c.clearInFlight(gone)
 	delete(c.sessions, gone.id)
 	if c.byNode[gone.node.Name] == gone {
 		delete(c.byNode, gone.node.Name)
@@ -170,7 +170,7 @@
 		}
 	}
 	c.suspectEndpointsOf(now, gone)
-	c.childGone(now, gone)
+	c.suspectSummariesOf(now, gone)
 }
 
 // Sent says that the session's message was written; the next may go.
@@ -179,12 +179,12 @@
 	if session == nil {
 		return c.finish(now)
 	}
-	c.landed(session)
-	c.pump(session)
+	c.clearInFlight(session)
+	c.sendPending(session)
 	return c.finish(now)
 }
 
-func (c *Core) landed(session *session) {
+func (c *Core) clearInFlight(session *session) {
 	session.inFlight = false
 	if session.inSnapshot {
 		session.inSnapshot = false
@@ -192,9 +192,9 @@
 	}
 }
 
-// pump sends the newest state to a session that has no message in flight.
+// sendPending sends the newest state to a session that has no message in flight.
 // Content waits while a batch window is open.
-func (c *Core) pump(session *session) {
+func (c *Core) sendPending(session *session) {
 	if session.inFlight {
 		return
 	}
@@ -208,7 +208,7 @@
 
 func (c *Core) send(session *session, message *distribution.Message) {
 	session.inFlight = true
-	session.sentSinceBeat = true
+	session.sentSinceHeartbeat = true
 	if message.Snapshot != nil || message.Checkpoint != nil {
 		session.inSnapshot = true
 		c.snapshots++
@@ -248,7 +248,7 @@
 // on a copy; without extras the shared message itself is returned.
 func (s *session) withExtras(c *Core, content *distribution.Message) *distribution.Message {
 	if !s.sourceDue && !s.readersDue && !s.goodbyeDue && s.release == releaseNone {
-		if len(s.pendingEndpoints)+len(s.answers) == 0 {
+		if len(s.pendingEndpoints)+len(s.replies) == 0 {
 			return content
 		}
 		if content == nil {
@@ -267,8 +267,8 @@
 		message.Readers, s.readersDue = c.readers, false
 	}
 	message.Goodbye, s.goodbyeDue = s.goodbyeDue, false
-	message.Zones = c.takeSummaries(s)
-	message.Endpoints, message.Heard = c.takeEndpoints(s)
+	message.Zones = c.drainSummaries(s)
+	message.Endpoints, message.Heard = c.drainEndpoints(s)
 	return message
 }
 
@@ -282,14 +282,14 @@
 			c.outputs.Closes = append(c.outputs.Closes, session.id)
 			continue
 		}
-		if !session.inFlight && !session.sentSinceBeat {
-			c.send(session, c.beat)
+		if !session.inFlight && !session.sentSinceHeartbeat {
+			c.send(session, c.heartbeatMessage)
 		}
-		session.sentSinceBeat = false
+		session.sentSinceHeartbeat = false
 	}
 }
 
 func (c *Core) expired(now time.Time, session *session) bool {
 	stuck := session.inFlight && now.Sub(session.inFlightSince) > c.config.SendTimeout
-	return stuck || now.Sub(session.heardAt) > c.config.SessionSilence
+	return stuck || now.Sub(session.lastReportAt) > c.config.SessionSilence
 }
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -105,9 +105,9 @@
 	if session == nil || session.node.Incarnation != report.Node.Incarnation {
 		return c.finish(now)
 	}
-	session.heardAt = now
+	session.lastReportAt = now
 	if report.Applied > session.applied {
-		c.takeVersion(now, session.node, report.Applied)
+		c.observeVersion(now, session.node, report.Applied)
 	}
 	if report.Applied > session.applied || !sameFailure(report.Failure, session.failure) {
 		session.applied = max(session.applied, report.Applied)
@@ -115,16 +115,16 @@
 		c.childChanged(now, session)
 	}
 	for _, summary := range report.Zones {
-		c.takeSummary(now, heldStatus{summary: summary, origin: origin{session: id}})
+		c.mergeSummary(now, heldStatus{summary: summary, origin: origin{session: id}})
 	}
-	c.takeChildEndpoints(now, session, report.Endpoints)
+	c.mergeChildEndpoints(now, session, report.Endpoints)
 	return c.finish(now)
 }
 
 // ParentZones takes in summaries from the named parent or peer reader.
 func (c *Core) ParentZones(now time.Time, parent string, zones []distribution.ZoneStatus) Outputs {
 	for _, summary := range zones {
-		c.takeSummary(now, heldStatus{summary: summary, origin: origin{parent: parent}})
+		c.mergeSummary(now, heldStatus{summary: summary, origin: origin{parent: parent}})
 	}
 	return c.finish(now)
 }
@@ -132,7 +132,7 @@
 // ParentAttached returns, as a report, everything a new parent has to learn:
 // the summaries and the endpoints that came from children.
 func (c *Core) ParentAttached(now time.Time) Outputs {
-	c.restampOwn(now, true)
+	c.rebuildOwnSummaries(now, true)
 	for key, held := range c.status.held {
 		if held.origin.parent == "" {
 			c.status.upward[key] = struct{}{}
@@ -147,17 +147,17 @@
 	return c.finish(now)
 }
 
-// takeSummary stores a summary that is newer than the one held and queues it
+// mergeSummary stores a summary that is newer than the one held and queues it
 // for whoever has to learn it.
-func (c *Core) takeSummary(now time.Time, offered heldStatus) {
+func (c *Core) mergeSummary(now time.Time, offered heldStatus) {
 	key := zoneKey{offered.summary.Zone, offered.summary.Relay}
 	c.raiseFloor(key.zone, offered.summary.Highest)
 	held, known := c.status.held[key]
 	if key.relay == c.node.Name {
-		c.refute(now, offered.summary, held.summary)
+		c.refuteSummary(now, offered.summary, held.summary)
 		return
 	}
-	if known && !supersedes(offered.summary, held.summary) && !c.movedHere(held, offered) {
+	if known && !supersedes(offered.summary, held.summary) && !c.updateSummaryOrigin(held, offered) {
 		return
 	}
 	c.status.held[key] = offered
@@ -168,24 +168,24 @@
 	c.status.schedule(now)
 }
 
-// refute makes the own summaries anew when one under this relay's name would
+// refuteSummary makes the own summaries anew when one under this relay's name would
 // hide the proxies that are here now: a predecessor stamped it later, before the
 // clock was set back, or a relay retired the own one because it lost this relay
 // as a child, and others believe it.
-func (c *Core) refute(now time.Time, offered, held distribution.ZoneStatus) {
+func (c *Core) refuteSummary(now time.Time, offered, held distribution.ZoneStatus) {
 	retired := offered.Stamp == held.Stamp && supersedes(offered, held)
 	outstamped := offered.Stamp > c.status.stamp && offered.Stamp != math.MaxUint64
 	if !retired && !outstamped {
 		return
 	}
 	c.status.stamp = max(c.status.stamp, offered.Stamp)
-	c.restampOwn(now, true)
+	c.rebuildOwnSummaries(now, true)
 }
 
-// movedHere takes in where a summary already held is now heard of: that ends
+// updateSummaryOrigin takes in where a summary already held is now heard of: that ends
 // its suspicion. It reports whether peers have to learn that it is heard of
 // here.
-func (c *Core) movedHere(held, offered heldStatus) bool {
+func (c *Core) updateSummaryOrigin(held, offered heldStatus) bool {
 	if offered.summary.Stamp != held.summary.Stamp || offered.summary.Proxies != held.summary.Proxies {
 		return false
 	}
@@ -214,7 +214,7 @@
 		return
 	}
 	c.status.floors[zone] = version
-	c.floorChanged()
+	c.updateSourceFloor()
 }
 
 func (b *statusBoard) schedule(now time.Time) {
@@ -225,12 +225,12 @@
 
 func (c *Core) childChanged(now time.Time, child *session) {
 	if child.kind == distribution.ChildProxy {
-		c.ownChanged(now)
+		c.scheduleOwnSummaries(now)
 	}
 }
 
-// ownChanged has the own children's summary computed again.
-func (c *Core) ownChanged(now time.Time) {
+// scheduleOwnSummaries has the own children's summary computed again.
+func (c *Core) scheduleOwnSummaries(now time.Time) {
 	if c.status.ownAt.IsZero() {
 		c.status.ownAt = now.Add(c.statusWindow())
 	}
@@ -239,19 +239,19 @@
 // statusWindow differs from relay to relay by up to a half, so that the relays
 // of one reader do not report together.
 func (c *Core) statusWindow() time.Duration {
-	share := time.Duration(xxhash.Sum64String(c.node.Name) % statusTurns)
-	return c.config.StatusWindow/2 + c.config.StatusWindow*share/statusTurns
+	share := time.Duration(xxhash.Sum64String(c.node.Name) % staggerSlots)
+	return c.config.StatusWindow/2 + c.config.StatusWindow*share/staggerSlots
 }
 
-// childGone suspects the summaries that a lost child had reported: unless they
+// suspectSummariesOf suspects the summaries that a lost child had reported: unless they
 // are heard of elsewhere they are retired.
-func (c *Core) childGone(now time.Time, gone *session) {
+func (c *Core) suspectSummariesOf(now time.Time, gone *session) {
 	c.childChanged(now, gone)
 	if gone.kind == distribution.ChildProxy {
 		return
 	}
 	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.config.SuspectProxy)}
-	lost.summaries = c.status.from(lost.origin)
+	lost.summaries = c.status.summariesFrom(lost.origin)
 	if len(lost.summaries) > 0 {
 		c.suspects = append(c.suspects, lost)
 	}
@@ -266,8 +266,8 @@
 	b.schedule(now)
 }
 
-// from returns the summaries of one origin.
-func (b *statusBoard) from(origin origin) []distribution.ZoneStatus {
+// summariesFrom returns the summaries of one origin.
+func (b *statusBoard) summariesFrom(origin origin) []distribution.ZoneStatus {
 	var summaries []distribution.ZoneStatus
 	for _, held := range b.held {
 		if held.origin == origin && held.summary.Proxies > 0 {
@@ -290,7 +290,7 @@
 // flushStatus sends the combined summaries that are due.
 func (c *Core) flushStatus(now time.Time) {
 	if due(now, c.status.ownAt) {
-		c.restampOwn(now, false)
+		c.rebuildOwnSummaries(now, false)
 	}
 	if !due(now, c.status.dueAt) {
 		return
@@ -324,7 +324,7 @@
 // raisesFloorOf reports whether a summary tells a child of more in force in its
 // own zone than it was told before.
 func (c *Core) raisesFloorOf(session *session, key zoneKey) bool {
-	return key.zone == session.node.Zone && c.status.held[key].summary.Highest > session.floorTold
+	return key.zone == session.node.Zone && c.status.held[key].summary.Highest > session.floorSent
 }
 
 // releaseSummaries lets a child's pending summaries go when its interval has
@@ -334,14 +334,14 @@
 	if len(session.pendingZones) == 0 {
 		return
 	}
-	if !session.zonesWait && session.zonesAt.Before(now) {
+	if !session.zonesScheduled && session.zonesAt.Before(now) {
 		// The children take turns within the interval.
-		session.zonesAt = now.Add(c.config.StatusInterval * time.Duration(uint64(session.id)%statusTurns) / statusTurns)
+		session.zonesAt = now.Add(c.config.StatusInterval * time.Duration(uint64(session.id)%staggerSlots) / staggerSlots)
 	}
-	session.zonesWait = true
+	session.zonesScheduled = true
 	switch {
 	case !now.Before(session.zonesAt):
-		session.release, session.zonesWait = releaseAll, false
+		session.release, session.zonesScheduled = releaseAll, false
 	case session.floorDue:
 		session.release = max(session.release, releaseOwnZone)
 		c.status.releaseAt = earliest(c.status.releaseAt, session.zonesAt)
@@ -349,11 +349,11 @@
 		c.status.releaseAt = earliest(c.status.releaseAt, session.zonesAt)
 		return
 	}
-	c.pump(session)
+	c.sendPending(session)
 }
 
-// statusTurns is how many turns an interval has.
-const statusTurns = 16
+// staggerSlots is how many turns an interval has.
+const staggerSlots = 16
 
 // releaseDue lets go whatever waited for its child's interval.
 func (c *Core) releaseDue(now time.Time) {
@@ -373,9 +373,9 @@
 	session.release = releaseAll
 }
 
-// takeSummaries empties a session's pending summaries as far as they are
+// drainSummaries empties a session's pending summaries as far as they are
 // released.
-func (c *Core) takeSummaries(session *session) []distribution.ZoneStatus {
+func (c *Core) drainSummaries(session *session) []distribution.ZoneStatus {
 	release := session.release
 	session.release, session.floorDue = releaseNone, false
 	ready := map[zoneKey]struct{}{}
@@ -389,14 +389,14 @@
 		return nil
 	}
 	zones := c.status.summaries(ready)
-	session.noteFloor(zones)
+	session.recordSentFloor(zones)
 	return zones
 }
 
-func (s *session) noteFloor(zones []distribution.ZoneStatus) {
+func (s *session) recordSentFloor(zones []distribution.ZoneStatus) {
 	for _, summary := range zones {
 		if summary.Zone == s.node.Zone {
-			s.floorTold = max(s.floorTold, summary.Highest)
+			s.floorSent = max(s.floorSent, summary.Highest)
 		}
 	}
 }
--- a/internal/distribution/relay/summary.go
+++ b/internal/distribution/relay/summary.go
@@ -7,9 +7,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// restampOwn reduces the attached proxies to one summary per zone and queues
+// rebuildOwnSummaries reduces the attached proxies to one summary per zone and queues
 // those that differ from the last. Forced, it stamps and queues all of them.
-func (c *Core) restampOwn(now time.Time, forced bool) {
+func (c *Core) rebuildOwnSummaries(now time.Time, forced bool) {
 	c.status.ownAt, c.status.ownAhead = time.Time{}, false
 	summaries := map[string]*distribution.ZoneStatus{}
 	for _, session := range c.order {
@@ -31,12 +31,12 @@
 	}
 }
 
-// nameLaggards has the summaries made anew once children that have not reported
+// refreshLaggards has the summaries made anew once children that have not reported
 // the newest version are late.
-func (c *Core) nameLaggards(now time.Time) {
+func (c *Core) refreshLaggards(now time.Time) {
 	if due(now, c.status.laggardsAt) {
 		c.status.laggardsAt = time.Time{}
-		c.ownChanged(now)
+		c.scheduleOwnSummaries(now)
 	}
 }
 
--- a/internal/distribution/relay/suspicion.go
+++ b/internal/distribution/relay/suspicion.go
@@ -24,16 +24,16 @@
 	summaries []distribution.ZoneStatus
 }
 
-// leavingMemory is how long a machine listed as leaving is remembered for its
+// leavingRetention is how long a machine listed as leaving is remembered for its
 // process to attach; a process that is attached learns of it at once and keeps
 // it in mind itself.
-const leavingMemory = time.Minute
+const leavingRetention = time.Minute
 
 // MachineLeaving takes in that the platform lists a machine as leaving. It is
 // believed at once: the node's endpoints are declared draining, now or when its
 // process attaches.
 func (c *Core) MachineLeaving(now time.Time, node string) Outputs {
-	maps.DeleteFunc(c.leaving, func(_ string, since time.Time) bool { return now.Sub(since) > leavingMemory })
+	maps.DeleteFunc(c.leaving, func(_ string, since time.Time) bool { return now.Sub(since) > leavingRetention })
 	c.leaving[node] = now
 	if session := c.byNode[node]; session != nil {
 		c.declareLeaving(session)
@@ -45,7 +45,7 @@
 // listed its machine as leaving; a later one is a successor's.
 func (c *Core) isLeaving(now time.Time, session *session) bool {
 	since, listed := c.leaving[session.node.Name]
-	return listed && now.Sub(since) <= leavingMemory && session.node.Incarnation <= uint64(since.UnixMilli())
+	return listed && now.Sub(since) <= leavingRetention && session.node.Incarnation <= uint64(since.UnixMilli())
 }
 
 // declareLeaving declares a child's endpoints draining and tells the child,
@@ -54,8 +54,8 @@
 	for _, update := range c.updatesFrom(origin{session: child.id}) {
 		if update.State.AcceptsWork() {
 			declared := update.RelayOverride(endpoint.Draining)
-			c.declare(declared)
-			c.answer(child, declared)
+			c.applyDeclaration(declared)
+			c.reply(child, declared)
 		}
 	}
 }
@@ -64,10 +64,10 @@
 // store reader then suspects what it knows only from that peer.
 func (c *Core) ParentLost(now time.Time, parent string) Outputs {
 	lost := suspect{origin: origin{parent: parent}, at: now.Add(2 * c.config.SuspectRelay)}
-	if c.isReading() {
+	if c.isStoreReader() {
 		lost.updates = c.updatesFrom(lost.origin)
 	}
-	lost.summaries = c.status.from(lost.origin)
+	lost.summaries = c.status.summariesFrom(lost.origin)
 	if len(lost.updates)+len(lost.summaries) > 0 {
 		c.suspects = append(c.suspects, lost)
 	}
@@ -77,14 +77,14 @@
 // suspectEndpointsOf starts the suspicion of the endpoints last heard of
 // through a session that is gone.
 func (c *Core) suspectEndpointsOf(now time.Time, gone *session) {
-	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.suspicion(gone))}
+	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.suspicionTimeout(gone))}
 	lost.updates = c.updatesFrom(lost.origin)
 	if len(lost.updates) > 0 {
 		c.suspects = append(c.suspects, lost)
 	}
 }
 
-func (c *Core) suspicion(gone *session) time.Duration {
+func (c *Core) suspicionTimeout(gone *session) time.Duration {
 	if gone.kind == distribution.ChildProxy {
 		return c.config.SuspectProxy
 	}
@@ -147,12 +147,12 @@
 func (c *Core) expireEndpoint(from origin, update endpoint.Update) {
 	held, _ := c.endpoints.Get(update.ID)
 	if c.origins[update.ID] == from && held.Compare(update) == 0 {
-		c.declare(held.RelayOverride(endpoint.Down))
+		c.applyDeclaration(held.RelayOverride(endpoint.Down))
 	}
 }
 
-func (c *Core) declare(update endpoint.Update) {
+func (c *Core) applyDeclaration(update endpoint.Update) {
 	c.endpoints.Merge(update)
 	c.upward[update.ID] = struct{}{}
-	c.spread(update, nil)
+	c.broadcast(update, nil)
 }
