--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -10,52 +10,56 @@
 
 // Config holds the limits and intervals of a relay.
 type Config struct {
-	// BatchWindow is how long a store reader combines accepted changes
-	// before it passes them on; zero passes each on at once.
+	// BatchWindow is how long a store reader collects accepted changes before
+	// it sends them to its children. Zero sends each change immediately.
 	BatchWindow time.Duration
-	// Heartbeat is the interval of messages on an idle stream.
+	// Heartbeat is the interval between messages on an idle stream.
 	Heartbeat time.Duration
-	// SessionSilence is how long a child may report nothing before its
+	// SessionSilence is how long a child may go without reporting before its
 	// session is closed.
 	SessionSilence time.Duration
-	// SendTimeout is how long one message may take to be written.
+	// SendTimeout is the maximum time to write one message.
 	SendTimeout time.Duration
 	// SuspectProxy is how long after the loss of a proxy's session its
-	// endpoints are declared down, unless they are heard of elsewhere.
+	// endpoints are declared down, unless they are reported through another
+	// path.
 	SuspectProxy time.Duration
-	// SuspectRelay is the same for endpoints reported by a control child.
+	// SuspectRelay is the same delay for endpoints reported by a control child.
 	SuspectRelay time.Duration
-	// StatusWindow combines zone summaries on their way up.
+	// StatusWindow is how long zone summaries are collected before they are
+	// sent to the parent.
 	StatusWindow time.Duration
-	// StatusInterval is the least time between two messages of summaries to
-	// one control child. Those of the child's own zone that raise its floor
-	// do not wait for it.
+	// StatusInterval is the minimum time between two messages with summaries to
+	// one control child. Summaries of the child's own zone that raise its floor
+	// are sent without waiting for it.
 	StatusInterval time.Duration
-	// MaximumSnapshots bounds the snapshots and checkpoints being written.
+	// MaximumSnapshots bounds the number of snapshots and checkpoints being
+	// written at the same time.
 	MaximumSnapshots int
-	// RetryAfter is the base of what a refused child is told to wait; the
-	// wait grows with the number refused in the same interval.
+	// RetryAfter is the base delay that a refused child is told to wait. The
+	// delay grows with the number of children refused within the same interval.
 	RetryAfter time.Duration
-	// ClaimPatience is how long one child's claim to hold a version above
-	// the relay's own counts without another's support.
+	// ClaimPatience is how long a single child's claim to hold a version above
+	// the relay's own is accepted without a claim by another child.
 	ClaimPatience time.Duration
-	// HistoryLength is how many entries and, per class, snapshots are kept
-	// to answer with deltas.
+	// HistoryLength is how many entries, and how many snapshots per class, are
+	// kept for sending deltas.
 	HistoryLength int
-	// LaggardAfter is how long after a version came a child that has not
-	// reported it is named a laggard; longer than the children's lazy
-	// acknowledgements take.
+	// LaggardAfter is how long after a new version a child that has not
+	// reported it is listed as a laggard. It must exceed the delay of the
+	// children's lazy acknowledgements.
 	LaggardAfter time.Duration
-	// MaximumLaggards bounds the laggards named in a summary.
+	// MaximumLaggards bounds the laggards listed in a summary.
 	MaximumLaggards int
-	// AlwaysSnapshot sends full snapshots in place of deltas; it exists to
-	// measure what deltas save.
+	// AlwaysSnapshot sends full snapshots instead of deltas. It exists to
+	// measure the savings from deltas.
 	AlwaysSnapshot bool
-	// Project computes a class's snapshot; nil means projection.Project.
+	// Project computes a class's snapshot. Nil selects projection.Project.
 	Project func(*resource.State, projection.Entitlement) *projection.Snapshot
 }
 
-// DefaultConfig returns the values chosen in docs/design/0004.
+// DefaultConfig returns the default values, which are explained in
+// docs/design/0004.
 func DefaultConfig() Config {
 	return Config{
 		Heartbeat:        750 * time.Millisecond,
@@ -74,49 +78,51 @@
 	}
 }
 
-// SessionID identifies one stream to one child; the shell chooses it and never
-// uses one twice.
+// SessionID identifies one stream to one child. The caller that performs the
+// I/O assigns it and never reuses it.
 type SessionID uint64
 
-// Send asks the shell to write a message. Equal pointers are equal bytes, so
-// the shell may encode a message once for all sessions. The session gets no
-// further message before Sent.
+// Send asks the caller to write a message. Messages with equal pointers have
+// equal encodings, so the caller may encode a message once for all sessions.
+// The session gets no further message until Sent is called.
 type Send struct {
 	Session SessionID
 	Message *distribution.Message
 }
 
-// Reason says why an attach was refused.
+// Reason states why an attach was refused.
 type Reason string
 
-// The reasons of a refusal.
+// Reasons for a refusal.
 const (
-	// ReasonNotReady: the relay holds no configuration yet.
+	// ReasonNotReady means that the relay holds no configuration yet.
 	ReasonNotReady Reason = "relay holds no configuration yet"
-	// ReasonBehind: the child holds, or its zone has in force, a version
-	// that the relay has not reached.
+	// ReasonBehind means that the child holds, or its zone has in force, a
+	// version that the relay has not reached.
 	ReasonBehind Reason = "relay is behind the child or its zone"
-	// ReasonBusy: too many snapshots are being written.
+	// ReasonBusy means that too many snapshots are being written.
 	ReasonBusy Reason = "too many snapshots in progress"
-	// ReasonStaleIncarnation: a later start of the same node is attached.
+	// ReasonStaleIncarnation means that a later incarnation of the same node is
+	// attached.
 	ReasonStaleIncarnation Reason = "a later incarnation of the node is attached"
-	// ReasonLoop: the child is this daemon's own parent.
+	// ReasonLoop means that the child is this daemon's own parent.
 	ReasonLoop Reason = "the child is this daemon's own parent"
 )
 
-// Refusal answers an attach that cannot be served now.
+// Refusal is the answer to an attach that cannot be served now.
 type Refusal struct {
 	Session    SessionID
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Outputs is what the shell has to do after an input, in order of the fields.
+// Outputs lists the actions that the caller has to perform after an input, in
+// the order of the fields.
 type Outputs struct {
 	Sends    []Send
 	Refusals []Refusal
-	// Closes lists sessions whose stream is to be closed.
+	// Closes lists the sessions whose streams must be closed.
 	Closes []SessionID
-	// Report is to be handed to the subscriber toward the parent.
+	// Report must be passed to the subscriber, which sends it to the parent.
 	Report *distribution.Report
 }
