--- a/internal/distribution/relay/class.go
+++ b/internal/distribution/relay/class.go
@@ -10,23 +10,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// class holds what all proxies of one entitlement receive, computed once.
+// class holds the configuration shared by all proxies with the same
+// entitlement. It is computed once for all of them.
 type class struct {
 	entitlement projection.Entitlement
 	current     *projection.Snapshot
-	// past holds earlier snapshots of other content, newest last.
+	// past holds earlier snapshots with different content, newest last.
 	past []*projection.Snapshot
-	// visible names the services and zones whose endpoints the class sees.
+	// visible encodes the services and zones whose endpoints the class may see.
 	visible string
 	members int
 
-	// snapshot and deltas are messages shared by the class's sessions; they
-	// lead to current.
+	// snapshot and deltas cache the messages that bring sessions of the class
+	// to current.
 	snapshot *distribution.Message
 	deltas   map[string]*distribution.Message
 }
 
-// sharedMessages are equal for every session of the relay.
+// sharedMessages caches messages that are identical for every session of the
+// relay.
 type sharedMessages struct {
 	versionOnly *distribution.Message
 	checkpoint  *distribution.Message
@@ -49,11 +51,11 @@
 	return held
 }
 
-// rebuild computes the class anew from the relay's state.
+// rebuild recomputes the class's snapshot from the relay's state.
 func (k *class) rebuild(c *Core) { k.replace(c, c.config.Project(c.state, k.entitlement)) }
 
-// advance takes in one entry, projecting only when the entry can touch what
-// the class sees.
+// advance applies one entry. It recomputes the snapshot only if the entry can
+// affect what the class sees.
 func (k *class) advance(c *Core, entry resource.Entry) {
 	if k.affectedBy(entry) {
 		k.rebuild(c)
@@ -75,7 +77,8 @@
 	clear(k.deltas)
 }
 
-// visibleServices is equal for snapshots that admit the same endpoints.
+// visibleServices returns an encoding of the services and their allowed zones.
+// Snapshots that admit the same endpoints have equal encodings.
 func visibleServices(snapshot *projection.Snapshot) string {
 	var text strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Services)) {
@@ -84,8 +87,8 @@
 	return text.String()
 }
 
-// affectedBy reports whether any change of the entry may alter the class's
-// snapshot. It may report true for an entry that alters nothing.
+// affectedBy reports whether the entry may alter the class's snapshot. It may
+// return true for an entry that alters nothing.
 func (k *class) affectedBy(entry resource.Entry) bool {
 	for _, batch := range entry.Batches {
 		for _, change := range batch.Changes {
@@ -107,8 +110,8 @@
 	case resource.KindService:
 		return k.current.Services[target.Name] != nil || slices.Contains(k.entitlement.Services, target.Name)
 	case resource.KindPlacement:
-		// A placement names its service in its content, which may have
-		// been another one before.
+		// A placement names its service in its spec, which may have named a
+		// different service before this change.
 		return true
 	default:
 		return true
@@ -124,8 +127,8 @@
 	return false
 }
 
-// messageFrom returns the message that leads a session from what it holds to
-// the class's current snapshot.
+// messageFrom returns the message that brings a session from the content it
+// holds to the class's current snapshot.
 func (k *class) messageFrom(c *Core, version uint64, digest string) *distribution.Message {
 	if digest == k.current.Digest {
 		return c.versionOnly()
@@ -164,9 +167,9 @@
 	return c.shared.versionOnly
 }
 
-// controlMessageFrom returns the message that leads a control child from a
-// version to the relay's state: entries, or a checkpoint when the tail does
-// not reach back.
+// controlMessageFrom returns the message that brings a control child from a
+// version to the relay's state: the missing entries, or a checkpoint if the
+// tail does not reach back to that version.
 func (c *Core) controlMessageFrom(version uint64) *distribution.Message {
 	missing := c.state.Version() - version
 	if missing == 0 {
--- a/internal/distribution/relay/core.go
+++ b/internal/distribution/relay/core.go
@@ -1,9 +1,10 @@
-// Package relay is the decision core of the parent's side of a stream. It
-// holds the configuration, computes what each entitlement class of children
-// may have, keeps one message in flight per child with only the newest state
-// behind it, and reduces the children's reports. It is used by every control
-// daemon whatever its own parent is. It has no goroutine, clock, socket or
-// random source and is not safe for concurrent use.
+// Package relay implements the parent's side of a configuration stream as a
+// deterministic state machine. It holds the configuration, computes the content
+// for each entitlement class of children, keeps at most one message in flight
+// per child with only the newest state queued behind it, and aggregates the
+// children's reports. Every control daemon uses it, regardless of what its own
+// parent is. The package has no goroutine, clock, socket or random source and
+// is not safe for concurrent use.
 package relay
 
 import (
@@ -22,19 +23,19 @@
 	node   distribution.Node
 
 	state *resource.State
-	// tail holds the latest entries, contiguous, the last one at the
-	// state's version.
+	// tail holds the latest entries without gaps. The last one has the state's
+	// version.
 	tail    []resource.Entry
 	classes map[string]*class
 	shared  sharedMessages
-	// heartbeatMessage is the heartbeat of every session: an empty message.
+	// heartbeatMessage is the empty message sent to idle sessions.
 	heartbeatMessage *distribution.Message
 
 	sessions map[SessionID]*session
-	// order lists the sessions by id, so that outputs do not depend on the
-	// iteration order of a map.
+	// order lists the sessions by id, so that outputs do not depend on map
+	// iteration order.
 	order []*session
-	// byNode finds the session of a node's latest incarnation.
+	// byNode maps a node's name to the session of its latest incarnation.
 	byNode    map[string]*session
 	snapshots int
 	refused   int
@@ -43,12 +44,14 @@
 	origins   map[endpoint.ID]origin
 	suspects  []suspect
 	notices   []notice
-	// leaving holds by node when the platform listed its machine as leaving.
+	// leaving records, by node, when the platform listed its machine as
+	// leaving.
 	leaving map[string]time.Time
-	// upward holds endpoints learnt from children and not yet reported.
+	// upward holds endpoints learned from children and not yet reported to the
+	// parent.
 	upward map[endpoint.ID]struct{}
-	// contested are declarations that go toward the parent for an authority
-	// to refute.
+	// contested holds down declarations to be sent to the parent, so that the
+	// endpoint's authority can refute them.
 	contested []endpoint.Update
 	disputes  []dispute
 
@@ -63,43 +66,43 @@
 	outputs     Outputs
 }
 
-// New returns a relay that holds nothing.
+// New returns a relay that holds no configuration.
 func New(config Config, node distribution.Node) *Core {
 	if config.Project == nil {
 		config.Project = projection.Project
 	}
 	return &Core{
-		config:    config,
-		node:      node,
-		state:     resource.NewState(),
-		classes:   map[string]*class{},
-		heartbeatMessage:      &distribution.Message{},
-		sessions:  map[SessionID]*session{},
-		byNode:    map[string]*session{},
-		endpoints: endpoint.NewTable(),
-		origins:   map[endpoint.ID]origin{},
-		leaving:   map[string]time.Time{},
-		upward:    map[endpoint.ID]struct{}{},
-		source:    distribution.Source{Detached: true},
-		status:    newStatusBoard(),
-		claims:    newClaims(),
+		config:           config,
+		node:             node,
+		state:            resource.NewState(),
+		classes:          map[string]*class{},
+		heartbeatMessage: &distribution.Message{},
+		sessions:         map[SessionID]*session{},
+		byNode:           map[string]*session{},
+		endpoints:        endpoint.NewTable(),
+		origins:          map[endpoint.ID]origin{},
+		leaving:          map[string]time.Time{},
+		upward:           map[endpoint.ID]struct{}{},
+		source:           distribution.Source{Detached: true},
+		status:           newStatusBoard(),
+		claims:           newClaims(),
 	}
 }
 
 // State returns the newest configuration held.
 func (c *Core) State() *resource.State { return c.state }
 
-// Sessions returns how many children are attached.
+// Sessions returns the number of attached children.
 func (c *Core) Sessions() int { return len(c.sessions) }
 
-// Source returns what the relay was told of its own distance to a store reader.
+// Source returns the relay's last known distance to a store reader.
 func (c *Core) Source() distribution.Source { return c.source }
 
 // Readers returns the reader slots known to be held.
 func (c *Core) Readers() []distribution.Reader { return slices.Clone(c.readers) }
 
-// Restore takes in a whole configuration from the parent or the store. One
-// that is not above what is held changes nothing.
+// Restore replaces the configuration by a checkpoint from the parent or the
+// store. A checkpoint whose version is not above the version held is ignored.
 func (c *Core) Restore(now time.Time, checkpoint distribution.Checkpoint) Outputs {
 	if checkpoint.Version > c.state.Version() {
 		c.state = resource.Restore(checkpoint.Version, checkpoint.Resources)
@@ -112,8 +115,8 @@
 	return c.finish(now)
 }
 
-// Advance takes in accepted entries. Entries already held are skipped; a gap
-// ends the run, and State().Version() tells the shell where to resume.
+// Advance applies accepted entries. Entries already held are skipped, and so
+// are those after a gap. State().Version() tells the caller where to resume.
 func (c *Core) Advance(now time.Time, entries []resource.Entry) Outputs {
 	before := c.state.Version()
 	for _, entry := range entries {
@@ -140,8 +143,8 @@
 	}
 }
 
-// contentChanged schedules the children's messages: at once, or, at a store
-// reader with a batch window, when the window ends.
+// contentChanged schedules the messages to the children: immediately or, at a
+// store reader with a batch window, at the end of the window.
 func (c *Core) contentChanged(now time.Time) {
 	c.shared.reset()
 	c.status.laggardsAt = now.Add(c.config.LaggardAfter)
@@ -158,8 +161,8 @@
 	}
 }
 
-// SetSource tells the relay its own distance to a store reader. Floor is
-// computed by the relay itself.
+// SetSource sets the relay's own distance to a store reader. The Floor field is
+// ignored, because the relay computes it itself.
 func (c *Core) SetSource(now time.Time, source distribution.Source) Outputs {
 	source.Floor = c.source.Floor
 	if source != c.source {
@@ -180,9 +183,8 @@
 	}
 }
 
-// SetReaders tells the relay which reader slots are held; of two views of one
-// slot the one with the higher revision stays. It reports whether anything
-// was new by Readers.
+// SetReaders merges the reader slots that are held. For each slot the record
+// with the higher revision wins. Readers returns the merged result.
 func (c *Core) SetReaders(now time.Time, readers []distribution.Reader) Outputs {
 	if merged, changed := mergeReaders(c.readers, readers); changed {
 		c.readers = merged
@@ -209,8 +211,9 @@
 	return merged, changed
 }
 
-// supersedesReader reports whether one view of a slot replaces another: it is
-// later, or it says that the same holding was given up.
+// supersedesReader reports whether one record of a slot replaces another: it
+// has a higher revision, or it has the same revision and says that the slot was
+// released.
 func supersedesReader(offered, held distribution.Reader) bool {
 	if offered.Revision != held.Revision {
 		return offered.Revision > held.Revision
@@ -218,8 +221,8 @@
 	return offered.Node == "" && held.Node != ""
 }
 
-// Goodbye asks every child to move to another parent; used before a planned
-// stop.
+// Goodbye asks every child to move to another parent. It is used before a
+// planned stop.
 func (c *Core) Goodbye(now time.Time) Outputs {
 	for _, session := range c.order {
 		session.goodbyeDue = true
@@ -228,7 +231,7 @@
 	return c.finish(now)
 }
 
-// Tick does whatever has come due.
+// Tick performs all work that is due at now.
 func (c *Core) Tick(now time.Time) Outputs {
 	c.expireSuspects(now)
 	c.resendNotices(now)
@@ -242,8 +245,8 @@
 	return c.finish(now)
 }
 
-// NextTick returns when Tick has to be called next; the zero time when nothing
-// is due.
+// NextTick returns when Tick must be called next, or the zero time if nothing
+// is scheduled.
 func (c *Core) NextTick() time.Time {
 	next := earliest(c.flushAt, c.heartbeatAt)
 	next = earliest(next, c.status.dueAt)
@@ -263,7 +266,7 @@
 	return next
 }
 
-// finish flushes what is due at now and hands over the outputs collected.
+// finish flushes what is due at now and returns the collected outputs.
 func (c *Core) finish(now time.Time) Outputs {
 	if due(now, c.flushAt) {
 		c.flushAt = time.Time{}
