--- a/internal/distribution/relay/session.go
+++ b/internal/distribution/relay/session.go
@@ -9,61 +9,62 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// session is one attached child. Its size is bounded: what waits behind the
-// message in flight is only which version the child has and which endpoints
+// session is one attached child. Its size is bounded: behind the message in
+// flight it records only which version the child has and which endpoints
 // changed since.
 type session struct {
 	id    SessionID
 	node  distribution.Node
 	kind  distribution.ChildKind
 	class *class
-	// isReader: the child is a store reader.
+	// isReader reports whether the child is a store reader.
 	isReader bool
 
-	// version and digest are what the child holds once the message in
+	// version and digest describe what the child will hold once the message in
 	// flight has arrived.
 	version uint64
 	digest  string
-	// visible is the class's visible services when endpoints were last
-	// queued for the child.
+	// visible is the class's encoding of visible services at the time endpoints
+	// were last queued for the child.
 	visible string
-	// applied is what the child last reported.
+	// applied is the version that the child last reported as applied.
 	applied uint64
 	failure *distribution.ApplyFailure
-	// expiry is that of the child's certificate; nil without mutual TLS.
+	// expiry is the expiry of the child's certificate; nil without mutual TLS.
 	expiry *distribution.Expiry
 
-	inFlight      bool
-	inFlightSince time.Time
-	inSnapshot    bool
+	inFlight           bool
+	inFlightSince      time.Time
+	inSnapshot         bool
 	lastReportAt       time.Time
 	sentSinceHeartbeat bool
 
 	pendingEndpoints map[endpoint.ID]struct{}
 	pendingZones     map[zoneKey]struct{}
-	// release says which pending summaries may go now; zonesAt is when all
-	// may; floorDue: those of the child's zone raise its floor; floorTold is
-	// the highest version in force there that the child was told of.
+	// release states which pending summaries may be sent now, and zonesAt when
+	// all of them may be. floorDue is set if the pending summaries raise the
+	// floor of the child's own zone. floorSent is the highest version in force
+	// in that zone that was sent to the child.
 	release release
 	zonesAt time.Time
-	// zonesScheduled: zonesAt was set for what is pending now; a tick that comes
-	// late must not set it anew.
+	// zonesScheduled is set once zonesAt is chosen for the pending summaries,
+	// so that a late tick does not postpone it again.
 	zonesScheduled bool
-	floorDue  bool
-	floorSent uint64
-	// repeated is when the child was last told that an endpoint it reported
-	// is heard of elsewhere.
+	floorDue       bool
+	floorSent      uint64
+	// repeated records when the child was last told that an endpoint it
+	// reported is also reported through another path.
 	repeated map[endpoint.ID]time.Time
-	// replies are updates about endpoints that the child itself reports.
+	// replies holds updates about endpoints that the child itself reported.
 	replies    []endpoint.Update
 	sourceDue  bool
 	readersDue bool
 	goodbyeDue bool
 }
 
-// Attach opens a session for a child. It is refused when the relay could only
-// offer less than the child holds, or less than its zone is known to have in
-// force.
+// Attach opens a session for a child. It refuses the child if, among other
+// reasons, the relay holds an older version than the child, or than the version
+// known to be in force in a proxy's zone.
 func (c *Core) Attach(now time.Time, id SessionID, hello distribution.Hello) Outputs {
 	previous := c.byNode[hello.Node.Name]
 	c.observeVersion(now, hello.Node, hello.Version)
@@ -86,7 +87,7 @@
 	case previous != nil && previous.node.Incarnation > hello.Node.Incarnation:
 		return ReasonStaleIncarnation, c.config.RetryAfter
 	case c.state.Version() == 0 && (c.source.Detached || hello.Kind == distribution.ChildProxy):
-		// An empty log is not a reason to turn a control daemon away.
+		// An empty log is no reason to refuse a control daemon.
 		return ReasonNotReady, c.config.RetryAfter
 	case c.state.Version() < hello.Version:
 		return ReasonBehind, c.config.RetryAfter
@@ -99,8 +100,8 @@
 	}
 }
 
-// busyWait spreads refused children out: each one refused within an interval
-// is told to wait longer than the one before.
+// busyWait returns the delay for a refused child. It grows with the number of
+// children refused within an interval, so that their retries are spread out.
 func (c *Core) busyWait(now time.Time) time.Duration {
 	if now.Sub(c.refusedAt) >= c.config.RetryAfter {
 		c.refused, c.refusedAt = 0, now
@@ -147,7 +148,7 @@
 	return opened
 }
 
-// Detach ends a session whose stream was lost.
+// Detach closes the session of a child whose stream was lost.
 func (c *Core) Detach(now time.Time, id SessionID) Outputs {
 	if session := c.sessions[id]; session != nil {
 		c.remove(now, session)
@@ -173,7 +174,8 @@
 	c.suspectSummariesOf(now, gone)
 }
 
-// Sent says that the session's message was written; the next may go.
+// Sent records that the session's message was written, and sends the next one
+// if there is any.
 func (c *Core) Sent(now time.Time, id SessionID) Outputs {
 	session := c.sessions[id]
 	if session == nil {
@@ -192,8 +194,8 @@
 	}
 }
 
-// sendPending sends the newest state to a session that has no message in flight.
-// Content waits while a batch window is open.
+// sendPending sends the newest state to a session that has no message in
+// flight. Content is held back while a batch window is open.
 func (c *Core) sendPending(session *session) {
 	if session.inFlight {
 		return
@@ -217,7 +219,7 @@
 }
 
 // contentMessage returns the shared message that brings the session's
-// configuration up to date, or nil when it is.
+// configuration up to date, or nil if there is nothing to send.
 func (c *Core) contentMessage(session *session) *distribution.Message {
 	windowOpen := !c.flushAt.IsZero() && !session.sourceDue
 	version := c.state.Version()
@@ -244,8 +246,8 @@
 	return message
 }
 
-// withExtras adds to a shared content message what only this session needs,
-// on a copy; without extras the shared message itself is returned.
+// withExtras adds session-specific fields to a copy of a shared content
+// message. Without such fields it returns the shared message itself.
 func (s *session) withExtras(c *Core, content *distribution.Message) *distribution.Message {
 	if !s.sourceDue && !s.readersDue && !s.goodbyeDue && s.release == releaseNone {
 		if len(s.pendingEndpoints)+len(s.replies) == 0 {
@@ -272,8 +274,9 @@
 	return message
 }
 
-// heartbeat sends an empty message to every idle session, closes those whose
-// message cannot be written, and those that fell silent.
+// heartbeat sends an empty message to every idle session. It closes sessions
+// whose message could not be written in time and sessions that have been silent
+// for too long.
 func (c *Core) heartbeat(now time.Time) {
 	c.heartbeatAt = time.Time{}
 	for _, session := range slices.Clone(c.order) {
