--- a/internal/distribution/relay/endpoints.go
+++ b/internal/distribution/relay/endpoints.go
@@ -8,8 +8,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// ParentEndpoints takes in endpoint states from the named parent or peer
-// reader; they go to the children only.
+// ParentEndpoints merges endpoint states received from the named parent or peer
+// reader. They are sent to the children only.
 func (c *Core) ParentEndpoints(now time.Time, parent string, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
 		c.mergeParentEndpoint(now, parent, update)
@@ -17,9 +17,9 @@
 	return c.finish(now)
 }
 
-// PeerEndpoints takes in endpoint states that the named peer reader has from
-// another one. What is known already is left as it is: readers that took each
-// other for the origin would never declare an endpoint down.
+// PeerEndpoints merges endpoint states that the named peer reader received from
+// another reader. Updates already held are skipped: two readers that each
+// recorded the other as the origin would never declare an endpoint down.
 func (c *Core) PeerEndpoints(now time.Time, peer string, updates []endpoint.Update) Outputs {
 	for _, update := range updates {
 		held, known := c.endpoints.Get(update.ID)
@@ -44,8 +44,8 @@
 		return
 	}
 	if child != nil && update.Compare(held) == 0 {
-		// The authority is heard of elsewhere: the child must not suspect
-		// it for having left.
+		// The endpoint is also reported through another path. The child must be
+		// told, or it would suspect the endpoint after losing its session.
 		if child.allowRepeat(now, update.ID) {
 			c.reply(child, update)
 		}
@@ -59,9 +59,9 @@
 	}
 }
 
-// repeatInterval is the least time between two answers to one child that an
-// endpoint is heard of elsewhere. While daemons are attached in a circle such
-// an answer comes back to where it began.
+// repeatInterval is the minimum time between two messages to one child that an
+// endpoint is reported through another path. While daemons are attached in a
+// cycle, such a message comes back to the daemon that sent it.
 const repeatInterval = noticeResendDelay / 2
 
 func (s *session) allowRepeat(now time.Time, id endpoint.ID) bool {
@@ -72,17 +72,19 @@
 	return true
 }
 
-// contradicts reports whether a declaration made elsewhere that an endpoint is
-// down is contradicted by the live session through which it is heard of here.
-// The declaration then goes to that child alone, for the authority to refute.
+// contradicts reports whether a down declaration made elsewhere conflicts with
+// an endpoint that is held as not down in the same incarnation. If the endpoint
+// is reported through a live session, the declaration is sent to that child
+// alone, so that the authority can refute it.
 func (c *Core) contradicts(held, update endpoint.Update) bool {
 	return update.IsRelayOverride() && update.State == endpoint.Down &&
 		update.Incarnation == held.Incarnation && update.Sequence > held.Sequence && held.State != endpoint.Down
 }
 
-// forwardToOrigin sends a declaration made here or below toward whom the endpoint is
-// heard of through, for its authority to refute: what the declaration says is
-// not believed there, and only a later update of the authority ends it here.
+// forwardToOrigin sends a down declaration to the node through which the
+// endpoint is reported, so that its authority can refute it. That node does not
+// accept the declaration, and only a later update by the authority replaces it
+// here.
 func (c *Core) forwardToOrigin(toward string, declared endpoint.Update) {
 	if peer := c.byNode[toward]; peer != nil {
 		c.reply(peer, declared)
@@ -91,9 +93,9 @@
 	c.contested = append(c.contested, declared)
 }
 
-// forwardDeclaration sends a child's declaration that an endpoint is down toward whom the
-// endpoint is heard of through, unless that is the child itself. It reports
-// false when the endpoint is heard of nowhere else.
+// forwardDeclaration sends a child's down declaration to the node through which
+// the endpoint is reported. It returns false if that is the child itself or if
+// no other origin can be reached.
 func (c *Core) forwardDeclaration(now time.Time, from *session, declared endpoint.Update) bool {
 	source := c.origins[declared.ID]
 	if other := c.sessions[source.session]; other != nil {
@@ -111,8 +113,10 @@
 	return true
 }
 
-// forwardToChild sends a declaration to the child through which the endpoint is heard
-// of. A proxy is its authority; a daemon may itself have heard of it here.
+// forwardToChild sends a declaration to the child through which the endpoint is
+// reported. A proxy is the endpoint's authority. A control daemon may itself
+// have learned of the endpoint from this relay, so its answer is awaited as a
+// dispute.
 func (c *Core) forwardToChild(now time.Time, child *session, declared endpoint.Update) {
 	c.reply(child, declared)
 	if child.kind == distribution.ChildControl {
@@ -123,7 +127,7 @@
 // disputeTimeout is how long an authority may take to refute a declaration.
 const disputeTimeout = 2 * time.Second
 
-// dispute is a declaration that was passed on and not believed.
+// dispute is a declaration that was forwarded for refutation and not applied.
 type dispute struct {
 	at       time.Time
 	declared endpoint.Update
@@ -136,9 +140,10 @@
 	}
 }
 
-// resolveDisputes believes the declarations that nobody refuted in time: what
-// they were passed on to may not lead to the authority, but a declaration that
-// is believed reaches every relay and so the one that hears of the authority.
+// resolveDisputes applies the declarations that were not refuted in time. The
+// node they were forwarded to may not lead to the authority, but an applied
+// declaration reaches every relay, including the one that the authority reports
+// to.
 func (c *Core) resolveDisputes(now time.Time) {
 	var waiting []dispute
 	for _, dispute := range c.disputes {
@@ -154,7 +159,7 @@
 	c.disputes = waiting
 }
 
-// reply tells a child of an update about an endpoint that the child reported.
+// reply sends a child an update about an endpoint that the child reported.
 func (c *Core) reply(child *session, update endpoint.Update) {
 	if child == nil {
 		return
@@ -163,10 +168,11 @@
 	c.sendPending(child)
 }
 
-// Endpoints returns the newest update of every endpoint, by service and name.
+// Endpoints returns the newest update of every endpoint, sorted by service and
+// name.
 func (c *Core) Endpoints() []endpoint.Update { return c.endpoints.All() }
 
-// mergeChildEndpoints takes in endpoint states from a child; they go to the
+// mergeChildEndpoints merges endpoint states from a child. They are sent to the
 // other children and to the parent.
 func (c *Core) mergeChildEndpoints(now time.Time, from *session, updates []endpoint.Update) {
 	for _, update := range updates {
@@ -192,20 +198,23 @@
 	}
 }
 
-// noticeResendDelay is when a notice that an endpoint moved is given again: the first
-// may come before the former parent has lost the child, and is then ignored.
+// noticeResendDelay is how long after the first notice that an endpoint moved a
+// second one is sent. The first may arrive before the former parent has lost
+// the child, and is then ignored.
 const noticeResendDelay = time.Second
 
-// notice tells who heard of an endpoint before that it is heard of here.
+// notice tells the former origin of an endpoint that the endpoint is now
+// reported through this relay.
 type notice struct {
 	at     time.Time
 	update endpoint.Update
-	// former is the child it was heard of through here; zero when none.
+	// former is the child of this relay that reported the endpoint before; zero
+	// if none.
 	former SessionID
 }
 
-// endpointMoved handles an update already held that is now heard of through another
-// child: whoever heard of it before must learn so, or would declare it down.
+// endpointMoved handles an update already held that now arrives through another
+// child. The former origin must be told, or it would declare the endpoint down.
 func (c *Core) endpointMoved(now time.Time, update endpoint.Update, before origin, through *session) {
 	if before.session == through.id {
 		return
@@ -218,8 +227,9 @@
 	c.notices = append(c.notices, first)
 }
 
-// sendNotice tells the former child and the peers. A peer may take another child of
-// its own for the origin whatever this relay believed.
+// sendNotice sends a notice to the former child and to the peers. The peers are
+// always included, because a peer may have recorded one of its own children as
+// the origin, whatever this relay recorded.
 func (c *Core) sendNotice(notice notice) {
 	c.broadcastToPeers(notice.update, c.sessions[c.origins[notice.update.ID].session])
 	former := c.sessions[notice.former]
@@ -228,8 +238,8 @@
 	}
 }
 
-// resendNotices gives the notices that are due once more, unless the endpoint
-// has changed since.
+// resendNotices sends the notices that are due a second time, unless the
+// endpoint has changed since.
 func (c *Core) resendNotices(now time.Time) {
 	var waiting []notice
 	for _, notice := range c.notices {
@@ -262,8 +272,9 @@
 	}
 }
 
-// entitledTo reports whether the child may learn of the endpoint: proxies only
-// of services they hold, in zones they may use.
+// entitledTo reports whether the child may receive the endpoint. A proxy
+// receives only endpoints of services in its snapshot, in the zones allowed for
+// them.
 func (s *session) entitledTo(update endpoint.Update) bool {
 	if s.class == nil {
 		return true
@@ -280,8 +291,9 @@
 	}
 }
 
-// drainEndpoints empties the session's pending endpoints and answers. Of what goes
-// to a peer reader, heard is what this reader has from another one.
+// drainEndpoints empties the session's pending endpoints and replies. For a
+// peer reader, heard contains the endpoints that this reader received from
+// another reader.
 func (c *Core) drainEndpoints(session *session) (updates, heard []endpoint.Update) {
 	if len(session.pendingEndpoints)+len(session.replies) == 0 {
 		return nil, nil
@@ -303,7 +315,7 @@
 // isStoreReader reports whether this relay is a store reader.
 func (c *Core) isStoreReader() bool { return c.source.Hops == 0 && !c.source.Detached }
 
-// newest returns the newest updates of a set of endpoints, by id.
+// newest returns the newest updates of a set of endpoints, sorted by id.
 func (c *Core) newest(ids map[endpoint.ID]struct{}) []endpoint.Update {
 	updates := make([]endpoint.Update, 0, len(ids))
 	for id := range ids {
@@ -315,8 +327,8 @@
 	return updates
 }
 
-// endpointMessage returns a message of the pending endpoints alone. The usual
-// case, one endpoint changed for all children, shares one message.
+// endpointMessage returns a message with only the pending endpoints. In the
+// common case of a single changed endpoint, all children share one message.
 func (s *session) endpointMessage(c *Core) *distribution.Message {
 	updates, heard := c.drainEndpoints(s)
 	if len(updates) != 1 || len(heard) > 0 {
@@ -332,7 +344,8 @@
 
 func sameUpdate(a, b endpoint.Update) bool { return a.ID == b.ID && a.Compare(b) == 0 }
 
-// reportEndpoints hands endpoints learnt from children toward the parent.
+// reportEndpoints adds endpoints learned from children, and contested
+// declarations, to the report to the parent.
 func (c *Core) reportEndpoints() {
 	if len(c.upward)+len(c.contested) == 0 {
 		return
--- a/internal/distribution/relay/suspicion.go
+++ b/internal/distribution/relay/suspicion.go
@@ -9,14 +9,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// origin is where an endpoint's newest update came from: a child's session, or
-// the parent or peer reader of that name.
+// origin identifies where an endpoint's newest update came from: the session of
+// a child, or the name of a parent or peer reader.
 type origin struct {
 	session SessionID
 	parent  string
 }
 
-// suspect is a set of endpoints, or of summaries, whose origin was lost.
+// suspect is a set of endpoints or summaries whose origin was lost.
 type suspect struct {
 	at        time.Time
 	origin    origin
@@ -24,14 +24,14 @@
 	summaries []distribution.ZoneStatus
 }
 
-// leavingRetention is how long a machine listed as leaving is remembered for its
-// process to attach; a process that is attached learns of it at once and keeps
-// it in mind itself.
+// leavingRetention is how long a machine listed as leaving is remembered until
+// its process attaches. An attached process is told at once and keeps the state
+// itself.
 const leavingRetention = time.Minute
 
-// MachineLeaving takes in that the platform lists a machine as leaving. It is
-// believed at once: the node's endpoints are declared draining, now or when its
-// process attaches.
+// MachineLeaving records that the platform lists a machine as leaving. The
+// node's endpoints are declared draining immediately, or when its process
+// attaches.
 func (c *Core) MachineLeaving(now time.Time, node string) Outputs {
 	maps.DeleteFunc(c.leaving, func(_ string, since time.Time) bool { return now.Sub(since) > leavingRetention })
 	c.leaving[node] = now
@@ -41,15 +41,16 @@
 	return c.finish(now)
 }
 
-// isLeaving reports whether the session's process was there when the platform
-// listed its machine as leaving; a later one is a successor's.
+// isLeaving reports whether the session's process had started when the platform
+// listed its machine as leaving. A process that started later is a successor
+// and is not affected.
 func (c *Core) isLeaving(now time.Time, session *session) bool {
 	since, listed := c.leaving[session.node.Name]
 	return listed && now.Sub(since) <= leavingRetention && session.node.Incarnation <= uint64(since.UnixMilli())
 }
 
 // declareLeaving declares a child's endpoints draining and tells the child,
-// whose authority then stands by it.
+// whose authority then maintains that state.
 func (c *Core) declareLeaving(child *session) {
 	for _, update := range c.updatesFrom(origin{session: child.id}) {
 		if update.State.AcceptsWork() {
@@ -60,8 +61,8 @@
 	}
 }
 
-// ParentLost takes in that the stream from a parent or peer reader ended. A
-// store reader then suspects what it knows only from that peer.
+// ParentLost records that the stream from a parent or peer reader ended. A
+// store reader then suspects the endpoints that it knows only from that peer.
 func (c *Core) ParentLost(now time.Time, parent string) Outputs {
 	lost := suspect{origin: origin{parent: parent}, at: now.Add(2 * c.config.SuspectRelay)}
 	if c.isStoreReader() {
@@ -74,8 +75,8 @@
 	return c.finish(now)
 }
 
-// suspectEndpointsOf starts the suspicion of the endpoints last heard of
-// through a session that is gone.
+// suspectEndpointsOf starts the suspicion of the endpoints last reported
+// through a closed session.
 func (c *Core) suspectEndpointsOf(now time.Time, gone *session) {
 	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.suspicionTimeout(gone))}
 	lost.updates = c.updatesFrom(lost.origin)
@@ -91,7 +92,8 @@
 	return c.config.SuspectRelay
 }
 
-// updatesFrom returns the endpoints of an origin that are not down, by id.
+// updatesFrom returns the endpoints of an origin that are not down, sorted by
+// id.
 func (c *Core) updatesFrom(from origin) []endpoint.Update {
 	var updates []endpoint.Update
 	for id, held := range c.origins {
@@ -104,8 +106,8 @@
 	return updates
 }
 
-// confirmEndpoint ends the suspicion of an endpoint that its origin, a parent or
-// peer whose stream had ended, repeats on a new one.
+// confirmEndpoint ends the suspicion of an endpoint that a parent or peer,
+// whose stream had ended, reports again on a new stream.
 func (c *Core) confirmEndpoint(from origin, id endpoint.ID) {
 	for i := range c.suspects {
 		if c.suspects[i].origin == from {
@@ -114,7 +116,7 @@
 	}
 }
 
-// confirmSummary does the same for a summary.
+// confirmSummary ends the suspicion of a summary in the same way.
 func (c *Core) confirmSummary(from origin, key zoneKey) {
 	for i := range c.suspects {
 		if c.suspects[i].origin == from {
@@ -125,8 +127,8 @@
 	}
 }
 
-// expireSuspects declares down the suspected endpoints that were not heard of
-// since, and drops the suspected summaries that were not renewed.
+// expireSuspects declares down the suspected endpoints that were not reported
+// again in time, and retires the suspected summaries that were not renewed.
 func (c *Core) expireSuspects(now time.Time) {
 	var waiting []suspect
 	for _, suspect := range c.suspects {
