--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -12,7 +12,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/endpoint"
 )
 
-// release says which of a child's pending summaries may go with its next
+// release states which of a child's pending summaries may be sent with its next
 // message.
 type release int
 
@@ -24,38 +24,39 @@
 
 type zoneKey struct{ zone, relay string }
 
-// heldStatus is one summary and where it came from. The zero origin means the
-// relay's own children. A summary without proxies marks a relay that no longer
-// has any; it is kept so that an older summary can't bring it back.
+// heldStatus is one summary and its origin. The zero origin denotes the relay's
+// own children. A summary without proxies marks a relay that no longer has any.
+// It is kept so that an older summary cannot restore the relay's entry.
 type heldStatus struct {
 	summary distribution.ZoneStatus
 	origin  origin
 }
 
-// statusBoard holds the summaries of all zones that the relay knows of: its
-// own children's, those its control children report and those from its
-// parent or peers. Of two summaries of one relay the later stamp wins.
+// statusBoard holds the summaries of all known zones: those of the relay's own
+// children, those reported by its control children and those from its parent or
+// peers. Of two summaries of one relay, the one with the later stamp wins.
 type statusBoard struct {
 	held map[zoneKey]heldStatus
-	// floors holds, by zone, the highest version known to have been in
-	// force; it never falls.
+	// floors holds the highest version known to have been in force, by zone. It
+	// never decreases.
 	floors map[string]uint64
-	// ownAt is when the own children's summary is to be made again; zero
-	// while none of them changed.
+	// ownAt is when the summary of the relay's own children is recomputed; zero
+	// if none of them changed.
 	ownAt time.Time
-	// ownAhead: a child reported a version that the relay has not reached.
+	// ownAhead is set if a child reported a version that the relay has not
+	// reached.
 	ownAhead bool
 	stamp    uint64
-	// upward and changed are the summaries due to the parent and to the
+	// upward and changed hold the summaries to be sent to the parent and to the
 	// control children.
 	upward  map[zoneKey]struct{}
 	changed map[zoneKey]struct{}
-	// dueAt is when the next combined summaries go out.
+	// dueAt is when the collected summaries are sent next.
 	dueAt time.Time
-	// releaseAt is when the next child's summaries may go down.
+	// releaseAt is when a control child's summaries may be sent next.
 	releaseAt time.Time
 	// laggardsAt is when children behind the newest version become laggards;
-	// zero once they are.
+	// zero after that.
 	laggardsAt time.Time
 }
 
@@ -68,9 +69,9 @@
 	}
 }
 
-// Zones returns the newest summaries, by zone, then by relay. Those of a daemon
-// that is declared down do not count: readers may have them from each other
-// only, and then nobody retires them.
+// Zones returns the newest summaries, sorted by zone and relay. Summaries of a
+// daemon that is declared down are omitted: readers may have received them only
+// from each other, in which case no reader retires them.
 func (c *Core) Zones() []distribution.ZoneStatus {
 	zones := make([]distribution.ZoneStatus, 0, len(c.status.held))
 	for _, held := range c.status.held {
@@ -92,14 +93,14 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Relay, b.Relay))
 }
 
-// Floor returns the highest version known, or believably claimed, to have been
-// in force in a zone.
+// Floor returns the highest version known to have been in force in a zone, or
+// claimed to be and accepted as such.
 func (c *Core) Floor(zone string) uint64 {
 	return max(c.status.floors[zone], c.claims.floors[zone])
 }
 
-// Report takes in what a child reported. A report of another incarnation than
-// the session's is ignored.
+// Report processes a child's report. A report from another incarnation than the
+// session's is ignored.
 func (c *Core) Report(now time.Time, id SessionID, report distribution.Report) Outputs {
 	session := c.sessions[id]
 	if session == nil || session.node.Incarnation != report.Node.Incarnation {
@@ -121,7 +122,7 @@
 	return c.finish(now)
 }
 
-// ParentZones takes in summaries from the named parent or peer reader.
+// ParentZones merges summaries from the named parent or peer reader.
 func (c *Core) ParentZones(now time.Time, parent string, zones []distribution.ZoneStatus) Outputs {
 	for _, summary := range zones {
 		c.mergeSummary(now, heldStatus{summary: summary, origin: origin{parent: parent}})
@@ -129,8 +130,8 @@
 	return c.finish(now)
 }
 
-// ParentAttached returns, as a report, everything a new parent has to learn:
-// the summaries and the endpoints that came from children.
+// ParentAttached returns a report with everything that a new parent needs: the
+// summaries and the endpoints that came from children.
 func (c *Core) ParentAttached(now time.Time) Outputs {
 	c.rebuildOwnSummaries(now, true)
 	for key, held := range c.status.held {
@@ -148,7 +149,7 @@
 }
 
 // mergeSummary stores a summary that is newer than the one held and queues it
-// for whoever has to learn it.
+// for the nodes that need it.
 func (c *Core) mergeSummary(now time.Time, offered heldStatus) {
 	key := zoneKey{offered.summary.Zone, offered.summary.Relay}
 	c.raiseFloor(key.zone, offered.summary.Highest)
@@ -168,10 +169,11 @@
 	c.status.schedule(now)
 }
 
-// refuteSummary makes the own summaries anew when one under this relay's name would
-// hide the proxies that are here now: a predecessor stamped it later, before the
-// clock was set back, or a relay retired the own one because it lost this relay
-// as a child, and others believe it.
+// refuteSummary rebuilds the relay's own summaries if a summary under this
+// relay's name would hide the proxies attached now. Such a summary comes from
+// an earlier process that stamped it before the clock was set back, or from a
+// relay that lost this relay as a child, retired its summary and passed that
+// on.
 func (c *Core) refuteSummary(now time.Time, offered, held distribution.ZoneStatus) {
 	retired := offered.Stamp == held.Stamp && supersedes(offered, held)
 	outstamped := offered.Stamp > c.status.stamp && offered.Stamp != math.MaxUint64
@@ -182,9 +184,9 @@
 	c.rebuildOwnSummaries(now, true)
 }
 
-// updateSummaryOrigin takes in where a summary already held is now heard of: that ends
-// its suspicion. It reports whether peers have to learn that it is heard of
-// here.
+// updateSummaryOrigin updates the origin of a summary already held, which ends
+// its suspicion. It reports whether peers must be told that the summary is now
+// reported through this relay.
 func (c *Core) updateSummaryOrigin(held, offered heldStatus) bool {
 	if offered.summary.Stamp != held.summary.Stamp || offered.summary.Proxies != held.summary.Proxies {
 		return false
@@ -198,8 +200,8 @@
 	return held.origin.session == 0 && offered.origin.session != 0
 }
 
-// supersedes reports whether one summary of a relay replaces another: it is
-// later, or it says of the same stamp that the relay is gone.
+// supersedes reports whether one summary of a relay replaces another: it has a
+// later stamp, or it has the same stamp and says that the relay has no proxies.
 func supersedes(offered, held distribution.ZoneStatus) bool {
 	if offered.Stamp != held.Stamp {
 		return offered.Stamp > held.Stamp
@@ -207,8 +209,9 @@
 	return offered.Proxies == 0 && held.Proxies > 0
 }
 
-// raiseFloor notes a version in force in a zone. While it is above what this
-// relay holds, children of that zone are told to look for another relay.
+// raiseFloor records a version in force in a zone. While it is above the
+// version held, children of the relay's own zone are told to look for another
+// relay.
 func (c *Core) raiseFloor(zone string, version uint64) {
 	if version <= c.status.floors[zone] {
 		return
@@ -229,22 +232,24 @@
 	}
 }
 
-// scheduleOwnSummaries has the own children's summary computed again.
+// scheduleOwnSummaries schedules the recomputation of the own children's
+// summaries.
 func (c *Core) scheduleOwnSummaries(now time.Time) {
 	if c.status.ownAt.IsZero() {
 		c.status.ownAt = now.Add(c.statusWindow())
 	}
 }
 
-// statusWindow differs from relay to relay by up to a half, so that the relays
-// of one reader do not report together.
+// statusWindow returns a window between half and one and a half times the
+// configured one, chosen by the relay's name, so that the relays of one reader
+// do not all report at the same time.
 func (c *Core) statusWindow() time.Duration {
 	share := time.Duration(xxhash.Sum64String(c.node.Name) % staggerSlots)
 	return c.config.StatusWindow/2 + c.config.StatusWindow*share/staggerSlots
 }
 
-// suspectSummariesOf suspects the summaries that a lost child had reported: unless they
-// are heard of elsewhere they are retired.
+// suspectSummariesOf starts the suspicion of the summaries that a lost child
+// had reported. They are retired unless they are received through another path.
 func (c *Core) suspectSummariesOf(now time.Time, gone *session) {
 	c.childChanged(now, gone)
 	if gone.kind == distribution.ChildProxy {
@@ -257,7 +262,7 @@
 	}
 }
 
-// retire replaces a summary by one that says the relay has no proxies.
+// retire replaces a summary by one that says that the relay has no proxies.
 func (b *statusBoard) retire(now time.Time, key zoneKey) {
 	held := b.held[key]
 	held.summary = distribution.ZoneStatus{Zone: key.zone, Relay: key.relay, Stamp: held.summary.Stamp}
@@ -266,7 +271,7 @@
 	b.schedule(now)
 }
 
-// summariesFrom returns the summaries of one origin.
+// summariesFrom returns the summaries of one origin that are not retired.
 func (b *statusBoard) summariesFrom(origin origin) []distribution.ZoneStatus {
 	var summaries []distribution.ZoneStatus
 	for _, held := range b.held {
@@ -287,7 +292,7 @@
 	}
 }
 
-// flushStatus sends the combined summaries that are due.
+// flushStatus sends the collected summaries that are due.
 func (c *Core) flushStatus(now time.Time) {
 	if due(now, c.status.ownAt) {
 		c.rebuildOwnSummaries(now, false)
@@ -321,21 +326,21 @@
 	}
 }
 
-// raisesFloorOf reports whether a summary tells a child of more in force in its
-// own zone than it was told before.
+// raisesFloorOf reports whether a summary raises the version in force in the
+// child's own zone above the one last sent to the child.
 func (c *Core) raisesFloorOf(session *session, key zoneKey) bool {
 	return key.zone == session.node.Zone && c.status.held[key].summary.Highest > session.floorSent
 }
 
-// releaseSummaries lets a child's pending summaries go when its interval has
-// passed, or those of its own zone when its floor rose; else it notes when they
-// may go.
+// releaseSummaries sends a child's pending summaries once its interval has
+// passed, or those of its own zone at once if they raise its floor. Otherwise
+// it schedules them.
 func (c *Core) releaseSummaries(now time.Time, session *session) {
 	if len(session.pendingZones) == 0 {
 		return
 	}
 	if !session.zonesScheduled && session.zonesAt.Before(now) {
-		// The children take turns within the interval.
+		// Staggers the children over the interval.
 		session.zonesAt = now.Add(c.config.StatusInterval * time.Duration(uint64(session.id)%staggerSlots) / staggerSlots)
 	}
 	session.zonesScheduled = true
@@ -352,10 +357,10 @@
 	c.sendPending(session)
 }
 
-// staggerSlots is how many turns an interval has.
+// staggerSlots is the number of slots into which an interval is divided.
 const staggerSlots = 16
 
-// releaseDue lets go whatever waited for its child's interval.
+// releaseDue sends the summaries whose interval has passed.
 func (c *Core) releaseDue(now time.Time) {
 	if !due(now, c.status.releaseAt) {
 		return
@@ -373,8 +378,8 @@
 	session.release = releaseAll
 }
 
-// drainSummaries empties a session's pending summaries as far as they are
-// released.
+// drainSummaries removes the released summaries from the session's pending ones
+// and returns them.
 func (c *Core) drainSummaries(session *session) []distribution.ZoneStatus {
 	release := session.release
 	session.release, session.floorDue = releaseNone, false
--- a/internal/distribution/relay/summary.go
+++ b/internal/distribution/relay/summary.go
@@ -7,8 +7,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// rebuildOwnSummaries reduces the attached proxies to one summary per zone and queues
-// those that differ from the last. Forced, it stamps and queues all of them.
+// rebuildOwnSummaries reduces the attached proxies to one summary per zone and
+// queues the summaries that changed. With forced set, it stamps and queues all
+// of them.
 func (c *Core) rebuildOwnSummaries(now time.Time, forced bool) {
 	c.status.ownAt, c.status.ownAhead = time.Time{}, false
 	summaries := map[string]*distribution.ZoneStatus{}
@@ -31,8 +32,8 @@
 	}
 }
 
-// refreshLaggards has the summaries made anew once children that have not reported
-// the newest version are late.
+// refreshLaggards schedules the summaries anew once children that have not
+// reported the newest version count as laggards.
 func (c *Core) refreshLaggards(now time.Time) {
 	if due(now, c.status.laggardsAt) {
 		c.status.laggardsAt = time.Time{}
@@ -52,7 +53,8 @@
 }
 
 func (c *Core) addToSummary(summaries map[string]*distribution.ZoneStatus, session *session) {
-	// A version that the relay has not reached is only claimed.
+	// A version that the relay has not reached is only a claim and not reported
+	// as in force.
 	applied := min(session.applied, c.state.Version())
 	c.status.ownAhead = c.status.ownAhead || applied < session.applied
 	summary := summaries[session.node.Zone]
@@ -83,7 +85,8 @@
 	return a == b || (a != nil && b != nil && *a == *b)
 }
 
-// sourceFor returns the description of this relay for its children.
+// sourceFor returns the source description that this relay sends to its
+// children.
 func (c *Core) sourceFor() distribution.Source {
 	source := c.source
 	if source.Floor <= c.state.Version() {
