--- a/internal/distribution/relay/claim.go
+++ b/internal/distribution/relay/claim.go
@@ -6,28 +6,31 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution"
 )
 
-// maximumClaims bounds the claims held; certificates bound the names of nodes.
+// maximumClaims bounds the number of claims held. Certificates bound the node
+// names that can make them.
 const maximumClaims = 4096
 
-// claim is a version above the relay's own that a child says it has. The relay
-// can't tell whether it exists. A claim counts alone for a while, since a
-// relay that is behind soon catches up; after that it counts only as far as
-// another node supports it, so that one node's invention can't keep newcomers
-// out of its zone.
+// claim records that a child reports a version above the relay's own. The relay
+// cannot verify that the version exists. The claim of a single node is accepted
+// until aloneUntil, because a relay that is behind normally catches up by then.
+// After that it counts only up to a version that another node also claims, so
+// that one node reporting an invented version cannot keep new children out of
+// its zone.
 type claim struct {
 	zone    string
 	version uint64
-	// aloneUntil is when the claim ceases to count alone; it is put off while
-	// the relay has no path to a reader.
+	// aloneUntil is when the claim stops counting without a second claim. It
+	// does not apply while the relay has no path to a store reader, and is
+	// renewed when a path is found.
 	aloneUntil time.Time
 }
 
-// claims holds the claims by node and what follows from them by zone.
+// claims holds the claims by node and the floors derived from them by zone.
 type claims struct {
 	byNode map[string]claim
-	// floors holds, by zone, the version that the claims amount to.
+	// floors holds the version derived from the claims, by zone.
 	floors map[string]uint64
-	// dueAt is when the next claim ceases to count alone.
+	// dueAt is when the next claim stops counting on its own.
 	dueAt time.Time
 }
 
@@ -35,7 +38,8 @@
 	return claims{byNode: map[string]claim{}, floors: map[string]uint64{}}
 }
 
-// observeVersion learns from a version that a child says it has.
+// observeVersion records the version that a child reports: as a floor if the
+// relay has reached it, otherwise as a claim.
 func (c *Core) observeVersion(now time.Time, node distribution.Node, version uint64) {
 	held, known := c.claims.byNode[node.Name]
 	if version <= c.state.Version() {
@@ -57,7 +61,8 @@
 	c.recomputeClaimFloors(now)
 }
 
-// resolveReachedClaims turns claims that the relay has reached into floors.
+// resolveReachedClaims converts claims for versions that the relay has reached
+// into floors.
 func (c *Core) resolveReachedClaims(now time.Time) {
 	if len(c.claims.byNode) == 0 {
 		return
@@ -71,8 +76,8 @@
 	c.recomputeClaimFloors(now)
 }
 
-// renewClaims gives every claim its time again, when the relay has found a
-// path to a reader and may be about to catch up.
+// renewClaims restarts the timeout of every claim. It is called when the relay
+// has found a path to a store reader and may be about to catch up.
 func (c *Core) renewClaims(now time.Time) {
 	for name, held := range c.claims.byNode {
 		held.aloneUntil = now.Add(c.config.ClaimPatience)
@@ -81,8 +86,8 @@
 	c.recomputeClaimFloors(now)
 }
 
-// recomputeClaimFloors computes what the claims amount to: in each zone the highest
-// that still counts alone, or the second highest of all.
+// recomputeClaimFloors derives each zone's floor from its claims: the higher of
+// the highest claim that still counts on its own and the second highest claim.
 func (c *Core) recomputeClaimFloors(now time.Time) {
 	clear(c.claims.floors)
 	c.claims.dueAt = time.Time{}
@@ -102,8 +107,8 @@
 	c.updateSourceFloor()
 }
 
-// updateSourceFloor tells the children when the version in force in the own zone is
-// one that this relay has not reached.
+// updateSourceFloor tells the children when the version in force in the relay's
+// own zone is above the version the relay holds.
 func (c *Core) updateSourceFloor() {
 	floor := c.Floor(c.node.Zone)
 	if floor <= c.state.Version() {
--- a/internal/distribution/relay/claim_test.go
+++ b/internal/distribution/relay/claim_test.go
@@ -11,10 +11,10 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// unreachableVersion is a version that no relay ever reaches.
+// unreachableVersion is a version that no relay reaches.
 const unreachableVersion = 1 << 62
 
-var _ = Describe("a version from the future", func() {
+var _ = Describe("a version above the relay's own", func() {
 	var core *relay.Core
 	patience := relay.DefaultConfig().ClaimPatience
 	var lastSession relay.SessionID
@@ -25,11 +25,11 @@
 		lastSession++
 		return core.Attach(at, lastSession, proxyHello(name, version, "", "shop"))
 	}
-	served := func(at time.Time) bool { return len(attach(at, "newcomer", 0).Refusals) == 0 }
+	served := func(at time.Time) bool { return len(attach(at, "new-child", 0).Refusals) == 0 }
 
-	It("keeps newcomers out only for a while when one node alone claims it", func() {
+	It("keeps new children out only temporarily if a single node claims it", func() {
 		for _, after := range []time.Duration{0, patience / 2, patience - 1} {
-			refused := attach(start.Add(after), "liar", unreachableVersion)
+			refused := attach(start.Add(after), "faulty", unreachableVersion)
 			Expect(refused.Refusals).To(ConsistOf(HaveField("Reason", relay.ReasonBehind)))
 			Expect(served(start.Add(after))).To(BeFalse())
 		}
@@ -38,11 +38,11 @@
 		core.Tick(start.Add(patience))
 		Expect(core.Source().Floor).To(BeZero())
 		Expect(served(start.Add(patience))).To(BeTrue())
-		attach(start.Add(patience), "liar", unreachableVersion-1)
-		Expect(served(start.Add(patience))).To(BeTrue(), "another invention of the same node")
+		attach(start.Add(patience), "faulty", unreachableVersion-1)
+		Expect(served(start.Add(patience))).To(BeTrue(), "another claim by the same node")
 	})
 
-	It("counts on as far as two nodes claim it", func() {
+	It("remains accepted up to the version that two nodes claim", func() {
 		attach(start, "p1", 7)
 		attach(start, "p2", 9)
 		core.Tick(start.Add(patience))
@@ -52,7 +52,7 @@
 		Expect(served(start.Add(patience))).To(BeTrue())
 	})
 
-	It("counts alone as long as the relay has no path to a reader, and a while longer", func() {
+	It("is accepted from a single node until a timeout after the relay finds a path to a reader", func() {
 		core.SetSource(start, distribution.Source{Detached: true})
 		attach(start, "p1", 7)
 		core.Tick(start.Add(10 * patience))
@@ -63,7 +63,7 @@
 		Expect(served(start.Add(11 * patience))).To(BeTrue())
 	})
 
-	It("is not passed on as in force until the relay has reached it", func() {
+	It("is not reported as in force until the relay has reached it", func() {
 		attach(start, "p1", 2)
 		report := distribution.Report{Node: distribution.Node{Name: "p1", Incarnation: 1, Zone: "z1"}, Applied: 3}
 		core.Report(start, lastSession, report)
@@ -74,9 +74,9 @@
 		Expect(core.Zones()).To(ConsistOf(And(HaveField("Highest", BeEquivalentTo(3)), HaveField("Lowest", BeEquivalentTo(3)))))
 	})
 
-	It("of a report does not keep newcomers out for ever", func() {
-		attach(start, "liar", 2)
-		report := distribution.Report{Node: distribution.Node{Name: "liar", Incarnation: 1, Zone: "z1"}, Applied: unreachableVersion}
+	It("in a report does not keep new children out permanently", func() {
+		attach(start, "faulty", 2)
+		report := distribution.Report{Node: distribution.Node{Name: "faulty", Incarnation: 1, Zone: "z1"}, Applied: unreachableVersion}
 		core.Report(start, lastSession, report)
 		core.Tick(start.Add(patience))
 		Expect(served(start.Add(patience))).To(BeTrue())
