--- a/internal/distribution/relay/core_test.go
+++ b/internal/distribution/relay/core_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// loaded returns a relay at version 2: services orders and stock, and a route
-// to orders for consumer shop.
+// loaded returns a relay at version 2 with the services orders and stock, and a
+// route to orders for the consumer shop.
 func loaded(change func(*relay.Config)) *relay.Core {
 	config := relay.DefaultConfig()
 	if change != nil {
@@ -85,7 +85,7 @@
 }
 
 var _ = Describe("a relay's streams", func() {
-	It("sends a snapshot, then a delta, then the version alone, as one shared message a class", func() {
+	It("sends a snapshot, then a delta, then the version alone, as one message shared by the class", func() {
 		core := loaded(nil)
 		first := core.Attach(start, 1, proxyHello("p1", 0, "", "shop"))
 		core.Attach(start, 2, proxyHello("p2", 0, "", "shop"))
@@ -119,7 +119,7 @@
 		Expect(core.Sent(start, 1).Sends).To(BeEmpty())
 	})
 
-	It("closes a stream whose message can't be written, and never holds back its siblings", func() {
+	It("closes a stream whose message can't be written, without delaying its siblings", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, proxyHello("stuck", 0, "", "shop"))
 		core.Attach(start, 2, proxyHello("p2", 0, "", "shop"))
@@ -132,7 +132,7 @@
 		Expect(core.Tick(start.Add(11 * time.Second)).Closes).To(Equal([]relay.SessionID{1}))
 	})
 
-	DescribeTable("resumes by what the child holds", func(version uint64, known bool, want string) {
+	DescribeTable("resumes from what the child holds", func(version uint64, known bool, want string) {
 		core := loaded(nil)
 		digest := "unknown"
 		if known {
@@ -165,10 +165,10 @@
 	},
 		Entry("an empty relay", func(*relay.Core) {}, proxyHello("p", 0, "", "shop"), true, relay.ReasonNotReady),
 		Entry("a child ahead of it", func(*relay.Core) {}, proxyHello("p", 3, "d", "shop"), false, relay.ReasonBehind),
-		Entry("a newcomer after its zone had more", func(c *relay.Core) {
+		Entry("a new child after a higher version was claimed in its zone", func(c *relay.Core) {
 			c.Attach(start, 1, proxyHello("ahead", 7, "d", "shop"))
 		}, proxyHello("p", 0, "", "shop"), false, relay.ReasonBehind),
-		Entry("a newcomer after the parent told of more in force in the zone", func(c *relay.Core) {
+		Entry("a new child after the parent reported a higher version in force in the zone", func(c *relay.Core) {
 			c.ParentZones(start, "reader", []distribution.ZoneStatus{{Zone: "z1", Relay: "r2", Stamp: 1, Proxies: 1, Highest: 3}})
 		}, proxyHello("p", 0, "", "shop"), false, relay.ReasonBehind),
 		Entry("one snapshot too many", func(c *relay.Core) {
@@ -182,7 +182,7 @@
 		}, proxyHello("p", 0, "", "shop"), false, relay.ReasonStaleIncarnation),
 	)
 
-	It("lets summaries go to a control child although the tick comes late", func() {
+	It("sends summaries to a control child even if ticks are late", func() {
 		core := loaded(func(*relay.Config) {})
 		const late = 7 * time.Millisecond
 		for id := relay.SessionID(1); id <= 3; id++ {
@@ -201,7 +201,7 @@
 		Expect(told).To(Equal(map[relay.SessionID]bool{1: true, 2: true, 3: true}))
 	})
 
-	It("takes a control child though the log is empty, once it has a path to a reader", func() {
+	It("accepts a control child with an empty log once it has a path to a reader", func() {
 		core := relay.New(relay.DefaultConfig(), distribution.Node{Name: "r1"})
 		Expect(core.Attach(start, 1, controlHello("d1", 0)).Refusals).To(HaveLen(1))
 		core.SetSource(start, distribution.Source{Hops: 1})
@@ -232,20 +232,20 @@
 		Expect(flushed.Sends[0].Message.Delta.Version).To(BeEquivalentTo(4))
 	})
 
-	It("beats idle streams only", func() {
+	It("sends heartbeats on idle streams only", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, proxyHello("p1", 0, "", "shop"))
 		core.Sent(start, 1)
-		Expect(core.Tick(core.NextTick()).Sends).To(BeEmpty(), "the snapshot went in this interval")
-		var beats int
+		Expect(core.Tick(core.NextTick()).Sends).To(BeEmpty(), "the snapshot was sent in this interval")
+		var heartbeats int
 		for range 4 {
-			for _, beat := range messages(core.Tick(core.NextTick())) {
-				Expect(beat).To(Equal(&distribution.Message{}), "a heartbeat says nothing")
-				beats++
+			for _, heartbeat := range messages(core.Tick(core.NextTick())) {
+				Expect(heartbeat).To(Equal(&distribution.Message{}), "a heartbeat is an empty message")
+				heartbeats++
 			}
 			core.Sent(start, 1)
 		}
-		Expect(beats).To(BeNumerically(">=", 2))
+		Expect(heartbeats).To(BeNumerically(">=", 2))
 	})
 })
 
@@ -288,8 +288,8 @@
 		Expect(core.Endpoints()).To(HaveLen(1))
 		Expect(core.Endpoints()[0].State).To(Equal(want))
 	},
-		Entry("silence: down", func(*relay.Core) {}, endpoint.Down),
-		Entry("heard of from the parent under a new sequence: kept", func(c *relay.Core) {
+		Entry("not reported again: down", func(*relay.Core) {}, endpoint.Down),
+		Entry("reported by the parent with a new sequence: kept", func(c *relay.Core) {
 			c.ParentEndpoints(start, "reader", []endpoint.Update{update("b1", 4, endpoint.Ready)})
 		}, endpoint.Ready),
 		Entry("attached again: kept", func(c *relay.Core) {
@@ -299,7 +299,7 @@
 		}, endpoint.Ready),
 	)
 
-	It("are not declared down against a live session; its authority is asked to refute", func() {
+	It("are not declared down while a session reports them; their authority is asked to refute", func() {
 		core := loaded(nil)
 		attach(core)
 		core.Report(start, 1, reportOf(update("b1", 2, endpoint.Ready)))
@@ -313,7 +313,7 @@
 		Expect(refuting.Sequence).To(BeEquivalentTo(4))
 	})
 
-	It("declared down in a zone that was cut off are refuted by their authority once it heals", func() {
+	It("declared down in a partitioned zone are refuted by their authority once it reconnects", func() {
 		declared := update("b1", 3, endpoint.Down)
 		zone := loaded(nil)
 		zone.SetSource(start, distribution.Source{Hops: 1})
@@ -328,7 +328,7 @@
 		upper.Attach(start, 7, controlHello("zone", 2))
 		upper.Sent(start, 7)
 		outputs = upper.Report(start, 7, distribution.Report{Node: distribution.Node{Incarnation: 1}, Endpoints: []endpoint.Update{declared}})
-		Expect(upper.Endpoints()[0].State).To(Equal(endpoint.Ready), "not believed against a live session")
+		Expect(upper.Endpoints()[0].State).To(Equal(endpoint.Ready), "not applied while a session reports it")
 		Expect(outputs.Sends).To(HaveLen(1))
 		Expect(outputs.Sends[0].Session).To(Equal(relay.SessionID(1)))
 		Expect(outputs.Sends[0].Message.Endpoints).To(Equal([]endpoint.Update{declared}))
@@ -336,7 +336,7 @@
 		Expect(outputs.Sends).To(ContainElement(HaveField("Session", relay.SessionID(7))))
 	})
 
-	It("declared down are believed when what they were passed on to refutes nothing", func() {
+	It("are declared down when the node that the declaration was forwarded to does not refute it", func() {
 		core := loaded(nil)
 		reported := func(id relay.SessionID, said endpoint.Update) {
 			core.Report(start, id, distribution.Report{Node: distribution.Node{Incarnation: 1}, Endpoints: []endpoint.Update{said}})
@@ -353,7 +353,7 @@
 		Expect(core.Endpoints()[0].State).To(Equal(endpoint.Down))
 	})
 
-	It("heard of again from a parent that was lost and is back are not down", func() {
+	It("reported again by a parent that was lost and reattached are not down", func() {
 		core := loaded(nil)
 		ready := []endpoint.Update{update("b1", 2, endpoint.Ready)}
 		core.ParentEndpoints(start, "peer", ready)
@@ -363,7 +363,7 @@
 		Expect(core.Endpoints()).To(Equal(ready))
 	})
 
-	It("of a reader that died are down though a former parent told of it first", func() {
+	It("of a failed reader are down even if a former parent reported it first", func() {
 		core := loaded(nil)
 		reader := endpoint.Update{
 			ID:          endpoint.ID{Service: endpoint.ControlService, Name: "reader"},
@@ -380,7 +380,7 @@
 		Expect(core.Endpoints()[0].State).To(Equal(endpoint.Down))
 	})
 
-	It("are told to a peer as heard when another peer told of them", func() {
+	It("are sent to a peer as heard if another peer reported them", func() {
 		core := loaded(nil)
 		peer := controlHello("peer", 2)
 		peer.Readers = []distribution.Reader{{Slot: 1, Node: "10.0.0.1:2", Revision: 2}}
@@ -392,7 +392,7 @@
 		Expect(told.Heard).To(ConsistOf(HaveField("ID.Name", "theirs")))
 	})
 
-	It("are down when the child that they are heard of through says so", func() {
+	It("are down when the child that reports them declares so", func() {
 		core := loaded(nil)
 		core.Attach(start, 7, controlHello("zone", 2))
 		core.Sent(start, 7)
@@ -424,8 +424,8 @@
 			}
 		},
 		Entry("drain when it attaches", 20*time.Second, -time.Hour, endpoint.Draining),
-		Entry("are a successor's when it began later", 20*time.Second, 10*time.Second, endpoint.Ready),
-		Entry("are not held back for ever", time.Hour, -time.Hour, endpoint.Ready),
+		Entry("are unaffected if the process started later", 20*time.Second, 10*time.Second, endpoint.Ready),
+		Entry("are unaffected after the retention time", time.Hour, -time.Hour, endpoint.Ready),
 	)
 })
 
@@ -450,7 +450,7 @@
 		Expect(core.Zones()).To(Equal(outputs.Report.Zones))
 	})
 
-	It("outdoes what a predecessor stamped before the clock was set back", func() {
+	It("exceeds the stamp of an earlier process after the clock was set back", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, proxyHello("p1", 0, "", "shop"))
 		core.Tick(start.Add(time.Second))
@@ -462,7 +462,7 @@
 		Expect(outputs.Report.Zones[0].Proxies).To(Equal(1))
 	})
 
-	It("is told anew when others retired it although its proxies are here", func() {
+	It("is sent again if others retired it while its proxies are attached", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, proxyHello("p1", 0, "", "shop"))
 		told := core.Tick(start.Add(time.Second)).Report.Zones[0]
@@ -476,7 +476,7 @@
 		Expect(again.Report).To(BeNil())
 	})
 
-	It("of a lost relay is retired unless it is heard of elsewhere", func() {
+	It("of a lost relay is retired unless it is received through another path", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, controlHello("r7", 2))
 		core.Sent(start, 1)
--- a/internal/distribution/relay/expiry_test.go
+++ b/internal/distribution/relay/expiry_test.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/relay"
 )
 
-var _ = Describe("the certificate that expires first", func() {
-	It("is named in the zone's summary and follows its node", func() {
+var _ = Describe("the earliest certificate expiry", func() {
+	It("is listed in the zone's summary until its node detaches", func() {
 		core := loaded(nil)
 		for index, name := range []string{"p1", "p2", "p3"} {
 			hello := proxyHello(name, 0, "", "shop")
@@ -27,7 +27,7 @@
 		Expect(first(2 * time.Second)).To(Equal(&distribution.Expiry{Node: "p3", Time: start.Add(2 * time.Hour)}))
 	})
 
-	It("is not named without mutual TLS", func() {
+	It("is not listed without mutual TLS", func() {
 		core := loaded(nil)
 		core.Attach(start, 1, proxyHello("p1", 0, "", "shop"))
 		core.Tick(start.Add(time.Second))
