--- a/internal/distribution/relay/claim.go
+++ b/internal/distribution/relay/claim.go
@@ -54,7 +54,7 @@
 		if len(c.claims.byNode) >= maximumClaims {
 			return
 		}
-		held.aloneUntil = now.Add(c.config.ClaimPatience)
+		held.aloneUntil = now.Add(c.config.ClaimTimeout)
 	}
 	held.zone, held.version = node.Zone, version
 	c.claims.byNode[node.Name] = held
@@ -80,7 +80,7 @@
 // has found a path to a store reader and may be about to catch up.
 func (c *Core) renewClaims(now time.Time) {
 	for name, held := range c.claims.byNode {
-		held.aloneUntil = now.Add(c.config.ClaimPatience)
+		held.aloneUntil = now.Add(c.config.ClaimTimeout)
 		c.claims.byNode[name] = held
 	}
 	c.recomputeClaimFloors(now)
--- a/internal/distribution/relay/claim_test.go
+++ b/internal/distribution/relay/claim_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("a version above the relay's own", func() {
 	var core *relay.Core
-	patience := relay.DefaultConfig().ClaimPatience
+	patience := relay.DefaultConfig().ClaimTimeout
 	var lastSession relay.SessionID
 
 	BeforeEach(func() { core = loaded(nil) })
--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -39,9 +39,9 @@
 	// RetryAfter is the base delay that a refused child is told to wait. The
 	// delay grows with the number of children refused within the same interval.
 	RetryAfter time.Duration
-	// ClaimPatience is how long a single child's claim to hold a version above
+	// ClaimTimeout is how long a single child's claim to hold a version above
 	// the relay's own is accepted without a claim by another child.
-	ClaimPatience time.Duration
+	ClaimTimeout time.Duration
 	// HistoryLength is how many entries, and how many snapshots per class, are
 	// kept for sending deltas.
 	HistoryLength int
@@ -71,7 +71,7 @@
 		StatusInterval:   1250 * time.Millisecond,
 		MaximumSnapshots: 16,
 		RetryAfter:       100 * time.Millisecond,
-		ClaimPatience:    10 * time.Second,
+		ClaimTimeout:    10 * time.Second,
 		HistoryLength:    64,
 		LaggardAfter:     5 * time.Second,
 		MaximumLaggards:  5,
