--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -45,10 +45,10 @@
 	// HistoryLength is how many entries, and how many snapshots per class, are
 	// kept for sending deltas.
 	HistoryLength int
-	// LaggardAfter is how long after a new version a child that has not
+	// LaggardDelay is how long after a new version a child that has not
 	// reported it is listed as a laggard. It must exceed the delay of the
 	// children's lazy acknowledgements.
-	LaggardAfter time.Duration
+	LaggardDelay time.Duration
 	// MaximumLaggards bounds the laggards listed in a summary.
 	MaximumLaggards int
 	// AlwaysSnapshot sends full snapshots instead of deltas. It exists to
@@ -73,7 +73,7 @@
 		RetryAfter:       100 * time.Millisecond,
 		ClaimTimeout:    10 * time.Second,
 		HistoryLength:    64,
-		LaggardAfter:     5 * time.Second,
+		LaggardDelay:     5 * time.Second,
 		MaximumLaggards:  5,
 	}
 }
--- a/internal/distribution/relay/core.go
+++ b/internal/distribution/relay/core.go
@@ -147,7 +147,7 @@
 // store reader with a batch window, at the end of the window.
 func (c *Core) contentChanged(now time.Time) {
 	c.shared.reset()
-	c.status.laggardsAt = now.Add(c.config.LaggardAfter)
+	c.status.laggardsAt = now.Add(c.config.LaggardDelay)
 	c.resolveReachedClaims(now)
 	c.updateSourceFloor()
 	if c.status.ownAhead {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -126,7 +126,7 @@
 		config.Subscriber.AckWindow = time.Duration(overrides.AckWindow)
 	}
 	if overrides.LazyAckWindow > 0 {
-		config.Relay.LaggardAfter += time.Duration(overrides.LazyAckWindow) - config.Subscriber.LazyAckWindow
+		config.Relay.LaggardDelay += time.Duration(overrides.LazyAckWindow) - config.Subscriber.LazyAckWindow
 		config.Subscriber.LazyAckWindow = time.Duration(overrides.LazyAckWindow)
 	}
 	if overrides.StatusWindow > 0 {
