--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -174,7 +174,7 @@
 	config.Heartbeat = time.Duration(distribution.Heartbeat)
 	config.SendTimeout = time.Duration(distribution.WriteTimeout)
 	config.SessionSilence = time.Duration(distribution.SuspectAfter)
-	config.SuspectProxy = time.Duration(distribution.DownAfter - distribution.SuspectAfter)
+	config.ProxySuspicionTimeout = time.Duration(distribution.DownAfter - distribution.SuspectAfter)
 	config.MaximumSnapshots = distribution.MaximumSnapshots
 	return config
 }
--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -20,10 +20,10 @@
 	SessionSilence time.Duration
 	// SendTimeout is the maximum time to write one message.
 	SendTimeout time.Duration
-	// SuspectProxy is how long after the loss of a proxy's session its
+	// ProxySuspicionTimeout is how long after the loss of a proxy's session its
 	// endpoints are declared down, unless they are reported through another
 	// path.
-	SuspectProxy time.Duration
+	ProxySuspicionTimeout time.Duration
 	// SuspectRelay is the same delay for endpoints reported by a control child.
 	SuspectRelay time.Duration
 	// StatusWindow is how long zone summaries are collected before they are
@@ -65,7 +65,7 @@
 		Heartbeat:        750 * time.Millisecond,
 		SessionSilence:   50 * time.Second,
 		SendTimeout:      10 * time.Second,
-		SuspectProxy:     3 * time.Second,
+		ProxySuspicionTimeout:     3 * time.Second,
 		SuspectRelay:     8 * time.Second,
 		StatusWindow:     500 * time.Millisecond,
 		StatusInterval:   1250 * time.Millisecond,
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -255,7 +255,7 @@
 	if gone.kind == distribution.ChildProxy {
 		return
 	}
-	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.config.SuspectProxy)}
+	lost := suspect{origin: origin{session: gone.id}, at: now.Add(c.config.ProxySuspicionTimeout)}
 	lost.summaries = c.status.summariesFrom(lost.origin)
 	if len(lost.summaries) > 0 {
 		c.suspects = append(c.suspects, lost)
--- a/internal/distribution/relay/suspicion.go
+++ b/internal/distribution/relay/suspicion.go
@@ -87,7 +87,7 @@
 
 func (c *Core) suspicionTimeout(gone *session) time.Duration {
 	if gone.kind == distribution.ChildProxy {
-		return c.config.SuspectProxy
+		return c.config.ProxySuspicionTimeout
 	}
 	return c.config.SuspectRelay
 }
