--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -24,8 +24,8 @@
 	// endpoints are declared down, unless they are reported through another
 	// path.
 	ProxySuspicionTimeout time.Duration
-	// SuspectRelay is the same delay for endpoints reported by a control child.
-	SuspectRelay time.Duration
+	// RelaySuspicionTimeout is the same delay for endpoints reported by a control child.
+	RelaySuspicionTimeout time.Duration
 	// StatusWindow is how long zone summaries are collected before they are
 	// sent to the parent.
 	StatusWindow time.Duration
@@ -66,7 +66,7 @@
 		SessionSilence:   50 * time.Second,
 		SendTimeout:      10 * time.Second,
 		ProxySuspicionTimeout:     3 * time.Second,
-		SuspectRelay:     8 * time.Second,
+		RelaySuspicionTimeout:     8 * time.Second,
 		StatusWindow:     500 * time.Millisecond,
 		StatusInterval:   1250 * time.Millisecond,
 		MaximumSnapshots: 16,
--- a/internal/distribution/relay/suspicion.go
+++ b/internal/distribution/relay/suspicion.go
@@ -64,7 +64,7 @@
 // ParentLost records that the stream from a parent or peer reader ended. A
 // store reader then suspects the endpoints that it knows only from that peer.
 func (c *Core) ParentLost(now time.Time, parent string) Outputs {
-	lost := suspect{origin: origin{parent: parent}, at: now.Add(2 * c.config.SuspectRelay)}
+	lost := suspect{origin: origin{parent: parent}, at: now.Add(2 * c.config.RelaySuspicionTimeout)}
 	if c.isStoreReader() {
 		lost.updates = c.updatesFrom(lost.origin)
 	}
@@ -89,7 +89,7 @@
 	if gone.kind == distribution.ChildProxy {
 		return c.config.ProxySuspicionTimeout
 	}
-	return c.config.SuspectRelay
+	return c.config.RelaySuspicionTimeout
 }
 
 // updatesFrom returns the endpoints of an origin that are not down, sorted by
