--- a/internal/distribution/relay/claim_test.go
+++ b/internal/distribution/relay/claim_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("a version above the relay's own", func() {
 	var core *relay.Core
-	patience := relay.DefaultConfig().ClaimTimeout
+	claimTimeout := relay.DefaultConfig().ClaimTimeout
 	var lastSession relay.SessionID
 
 	BeforeEach(func() { core = loaded(nil) })
@@ -25,42 +25,42 @@
 		lastSession++
 		return core.Attach(at, lastSession, proxyHello(name, version, "", "shop"))
 	}
-	served := func(at time.Time) bool { return len(attach(at, "new-child", 0).Refusals) == 0 }
+	served := func(at time.Time) bool { return len(attach(at, "newcomer", 0).Refusals) == 0 }
 
 	It("keeps new children out only temporarily if a single node claims it", func() {
-		for _, after := range []time.Duration{0, patience / 2, patience - 1} {
-			refused := attach(start.Add(after), "faulty", unreachableVersion)
+		for _, after := range []time.Duration{0, claimTimeout / 2, claimTimeout - 1} {
+			refused := attach(start.Add(after), "liar", unreachableVersion)
 			Expect(refused.Refusals).To(ConsistOf(HaveField("Reason", relay.ReasonBehind)))
 			Expect(served(start.Add(after))).To(BeFalse())
 		}
 		Expect(core.Source().Floor).To(BeEquivalentTo(unreachableVersion))
-		Expect(core.NextTick()).To(BeTemporally("<=", start.Add(patience)))
-		core.Tick(start.Add(patience))
+		Expect(core.NextTick()).To(BeTemporally("<=", start.Add(claimTimeout)))
+		core.Tick(start.Add(claimTimeout))
 		Expect(core.Source().Floor).To(BeZero())
-		Expect(served(start.Add(patience))).To(BeTrue())
-		attach(start.Add(patience), "faulty", unreachableVersion-1)
-		Expect(served(start.Add(patience))).To(BeTrue(), "another claim by the same node")
+		Expect(served(start.Add(claimTimeout))).To(BeTrue())
+		attach(start.Add(claimTimeout), "liar", unreachableVersion-1)
+		Expect(served(start.Add(claimTimeout))).To(BeTrue(), "another claim by the same node")
 	})
 
 	It("remains accepted up to the version that two nodes claim", func() {
 		attach(start, "p1", 7)
 		attach(start, "p2", 9)
-		core.Tick(start.Add(patience))
+		core.Tick(start.Add(claimTimeout))
 		Expect(core.Floor("z1")).To(BeEquivalentTo(7))
-		Expect(served(start.Add(patience))).To(BeFalse())
-		core.Advance(start.Add(patience), []resource.Entry{entry(3), entry(4), entry(5), entry(6), entry(7)})
-		Expect(served(start.Add(patience))).To(BeTrue())
+		Expect(served(start.Add(claimTimeout))).To(BeFalse())
+		core.Advance(start.Add(claimTimeout), []resource.Entry{entry(3), entry(4), entry(5), entry(6), entry(7)})
+		Expect(served(start.Add(claimTimeout))).To(BeTrue())
 	})
 
 	It("is accepted from a single node until a timeout after the relay finds a path to a reader", func() {
 		core.SetSource(start, distribution.Source{Detached: true})
 		attach(start, "p1", 7)
-		core.Tick(start.Add(10 * patience))
-		Expect(served(start.Add(10 * patience))).To(BeFalse())
-		core.SetSource(start.Add(10*patience), distribution.Source{})
-		Expect(served(start.Add(10 * patience))).To(BeFalse())
-		core.Tick(start.Add(11 * patience))
-		Expect(served(start.Add(11 * patience))).To(BeTrue())
+		core.Tick(start.Add(10 * claimTimeout))
+		Expect(served(start.Add(10 * claimTimeout))).To(BeFalse())
+		core.SetSource(start.Add(10*claimTimeout), distribution.Source{})
+		Expect(served(start.Add(10 * claimTimeout))).To(BeFalse())
+		core.Tick(start.Add(11 * claimTimeout))
+		Expect(served(start.Add(11 * claimTimeout))).To(BeTrue())
 	})
 
 	It("is not reported as in force until the relay has reached it", func() {
@@ -75,11 +75,11 @@
 	})
 
 	It("in a report does not keep new children out permanently", func() {
-		attach(start, "faulty", 2)
-		report := distribution.Report{Node: distribution.Node{Name: "faulty", Incarnation: 1, Zone: "z1"}, Applied: unreachableVersion}
+		attach(start, "liar", 2)
+		report := distribution.Report{Node: distribution.Node{Name: "liar", Incarnation: 1, Zone: "z1"}, Applied: unreachableVersion}
 		core.Report(start, lastSession, report)
-		core.Tick(start.Add(patience))
-		Expect(served(start.Add(patience))).To(BeTrue())
+		core.Tick(start.Add(claimTimeout))
+		Expect(served(start.Add(claimTimeout))).To(BeTrue())
 		Expect(core.Floor("z1")).To(BeNumerically("<=", core.State().Version()))
 	})
 })
--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -24,7 +24,8 @@
 	// endpoints are declared down, unless they are reported through another
 	// path.
 	ProxySuspicionTimeout time.Duration
-	// RelaySuspicionTimeout is the same delay for endpoints reported by a control child.
+	// RelaySuspicionTimeout is the same delay for endpoints reported by a
+	// control child.
 	RelaySuspicionTimeout time.Duration
 	// StatusWindow is how long zone summaries are collected before they are
 	// sent to the parent.
@@ -62,19 +63,19 @@
 // docs/design/0004.
 func DefaultConfig() Config {
 	return Config{
-		Heartbeat:        750 * time.Millisecond,
-		SessionSilence:   50 * time.Second,
-		SendTimeout:      10 * time.Second,
-		ProxySuspicionTimeout:     3 * time.Second,
-		RelaySuspicionTimeout:     8 * time.Second,
-		StatusWindow:     500 * time.Millisecond,
-		StatusInterval:   1250 * time.Millisecond,
-		MaximumSnapshots: 16,
-		RetryAfter:       100 * time.Millisecond,
-		ClaimTimeout:    10 * time.Second,
-		HistoryLength:    64,
-		LaggardDelay:     5 * time.Second,
-		MaximumLaggards:  5,
+		Heartbeat:             750 * time.Millisecond,
+		SessionSilence:        50 * time.Second,
+		SendTimeout:           10 * time.Second,
+		ProxySuspicionTimeout: 3 * time.Second,
+		RelaySuspicionTimeout: 8 * time.Second,
+		StatusWindow:          500 * time.Millisecond,
+		StatusInterval:        1250 * time.Millisecond,
+		MaximumSnapshots:      16,
+		RetryAfter:            100 * time.Millisecond,
+		ClaimTimeout:          10 * time.Second,
+		HistoryLength:         64,
+		LaggardDelay:          5 * time.Second,
+		MaximumLaggards:       5,
 	}
 }
 
