--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -92,8 +92,8 @@
 	return c.finish(now)
 }
 
-// Members replaces the list of control daemons.
-func (c *Core) Members(now time.Time, members []membership.Member) Outputs {
+// SetMembers replaces the list of control daemons.
+func (c *Core) SetMembers(now time.Time, members []membership.Member) Outputs {
 	c.members = members
 	c.identity.self = memberNamed(members, c.identity.node)
 	c.rankMembers()
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -161,7 +161,7 @@
 	}
 	l.members = members
 	l.host.members.store(members)
-	l.host.carryOutCore(ctx, l.host.core.Members(now, members))
+	l.host.carryOutCore(ctx, l.host.core.SetMembers(now, members))
 }
 
 func earliest(a, b time.Time) time.Time {
