--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -107,8 +107,8 @@
 // Relay gives read access to the relay's state; its inputs go through Core.
 func (c *Core) Relay() *relay.Core { return c.relay }
 
-// Holding reports whether the daemon believes to hold a reader slot.
-func (c *Core) Holding() bool { return c.holding }
+// HoldsReaderSlot reports whether the daemon believes to hold a reader slot.
+func (c *Core) HoldsReaderSlot() bool { return c.holding }
 
 // Parent returns the parent attached to; false while there is none.
 func (c *Core) Parent() (subscriber.Parent, bool) { return c.uplink.Parent() }
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -161,10 +161,10 @@
 }
 
 func (h *Host) noteRole() {
-	if h.holding == h.core.Holding() {
+	if h.holding == h.core.HoldsReaderSlot() {
 		return
 	}
-	h.holding = h.core.Holding()
+	h.holding = h.core.HoldsReaderSlot()
 	if h.holding {
 		h.logger.Info("store reader slot won")
 		return
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -129,7 +129,7 @@
 
 // reannounce announces the daemon anew when its way to a reader is another one.
 func (l *localChild) reannounce(ctx context.Context, now time.Time) {
-	current := path{isReader: l.host.core.Holding()}
+	current := path{isReader: l.host.core.HoldsReaderSlot()}
 	if parent, attached := l.host.core.Parent(); attached {
 		current.parent = parent.Node
 	}
--- a/internal/distribution/controlhost/queries.go
+++ b/internal/distribution/controlhost/queries.go
@@ -61,7 +61,7 @@
 func (h *Host) status() Status {
 	status := Status{
 		Version:  h.core.State().Version(),
-		Reader:   h.core.Holding(),
+		Reader:   h.core.HoldsReaderSlot(),
 		Source:   h.core.Relay().Source(),
 		Readers:  h.core.Relay().Readers(),
 		Sessions: len(h.sessions),
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -286,7 +286,7 @@
 
 func (c *checker) hasReader() bool {
 	for _, daemon := range c.world.daemons {
-		if daemon.alive && c.world.clock.now >= daemon.pausedUntil && daemon.control.Holding() && c.world.store.reaches(daemon) {
+		if daemon.alive && c.world.clock.now >= daemon.pausedUntil && daemon.control.HoldsReaderSlot() && c.world.store.reaches(daemon) {
 			return true
 		}
 	}
@@ -342,8 +342,8 @@
 
 // daemonSettled is called after each input of a daemon.
 func (c *checker) daemonSettled(n *node) {
-	if n.control.Holding() != n.wasHolding {
-		n.wasHolding = n.control.Holding()
+	if n.control.HoldsReaderSlot() != n.wasHolding {
+		n.wasHolding = n.control.HoldsReaderSlot()
 		c.readersChanged()
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -260,9 +260,9 @@
 func (w *World) targets(fault Fault) []*node {
 	switch fault.Target {
 	case TargetReader:
-		return w.pickOne(w.daemonsWhere(func(n *node) bool { return n.control.Holding() }))
+		return w.pickOne(w.daemonsWhere(func(n *node) bool { return n.control.HoldsReaderSlot() }))
 	case TargetReaders:
-		return w.daemonsWhere(func(n *node) bool { return n.control.Holding() })
+		return w.daemonsWhere(func(n *node) bool { return n.control.HoldsReaderSlot() })
 	case TargetRelay:
 		return w.pickOne(w.daemonsWhere((*node).hasProxies))
 	case TargetDaemons:
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -215,7 +215,7 @@
 	switch {
 	case n.place == placeProxy:
 		return "proxy"
-	case n.alive && n.control.Holding():
+	case n.alive && n.control.HoldsReaderSlot():
 		return "reader"
 	case n.alive && len(n.sessions) > 0:
 		return "relay"
