--- a/internal/distribution/control/config.go
+++ b/internal/distribution/control/config.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// MainUplink names the stream to the parent. Every other uplink is named after
+// ParentUplink names the stream to the parent. Every other uplink is named after
 // the peer reader it leads to.
-const MainUplink = ""
+const ParentUplink = ""
 
 // UplinkOutput is what the shell has to do for one stream toward a parent or a
 // peer reader, in order of the fields.
--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -117,7 +117,7 @@
 func (c *Core) Tick(now time.Time) Outputs {
 	c.takeRelay(now, c.relay.Tick(now))
 	c.takeReader(c.reader.Tick(now))
-	c.takeUplink(now, MainUplink, c.uplink.Tick(now))
+	c.takeUplink(now, ParentUplink, c.uplink.Tick(now))
 	for _, name := range c.peerNames() {
 		c.takeUplink(now, name, c.peers[name].Tick(now))
 	}
@@ -189,12 +189,12 @@
 // slots.
 func (c *Core) refreshParents(now time.Time) {
 	if c.holding {
-		c.takeUplink(now, MainUplink, c.uplink.Detach(now))
+		c.takeUplink(now, ParentUplink, c.uplink.Detach(now))
 		c.refreshPeers(now)
 		return
 	}
 	parents := membership.DaemonParents(c.members, c.upper, c.identity.self, c.config.RelaysPerZone, c.relay.Readers())
-	c.takeUplink(now, MainUplink, c.uplink.Parents(now, parents))
+	c.takeUplink(now, ParentUplink, c.uplink.Parents(now, parents))
 }
 
 func (c *Core) refreshPeers(now time.Time) {
--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -76,7 +76,7 @@
 
 // subscriberNamed returns nil for the uplink to a peer that is none any more.
 func (c *Core) subscriberNamed(uplink string) *subscriber.Core {
-	if uplink == MainUplink {
+	if uplink == ParentUplink {
 		return c.uplink
 	}
 	return c.peers[uplink]
@@ -151,7 +151,7 @@
 
 // applied tells every uplink what this daemon holds now.
 func (c *Core) applied(now time.Time, version uint64) {
-	c.takeUplink(now, MainUplink, c.uplink.Applied(now, version))
+	c.takeUplink(now, ParentUplink, c.uplink.Applied(now, version))
 	for _, name := range c.peerNames() {
 		c.takeUplink(now, name, c.peers[name].Applied(now, version))
 	}
@@ -190,14 +190,14 @@
 	c.outputs.Refusals = append(c.outputs.Refusals, outputs.Refusals...)
 	c.outputs.Closes = append(c.outputs.Closes, outputs.Closes...)
 	if outputs.Report != nil && !c.holding {
-		c.takeUplink(now, MainUplink, c.uplink.Forward(now, *outputs.Report))
+		c.takeUplink(now, ParentUplink, c.uplink.Forward(now, *outputs.Report))
 	}
 }
 
 // takeUplink passes on what a parent or peer sent and queues what the shell
 // has to do.
 func (c *Core) takeUplink(now time.Time, uplink string, outputs subscriber.Outputs) {
-	if outputs.Connect != nil && uplink != MainUplink {
+	if outputs.Connect != nil && uplink != ParentUplink {
 		outputs.Connect.Hello.Readers = c.relay.Readers()
 	}
 	if outputs.Disconnect || outputs.Connect != nil || outputs.Report != nil {
@@ -209,7 +209,7 @@
 	if outputs.LostParent != "" {
 		c.takeRelay(now, c.relay.ParentLost(now, outputs.LostParent))
 	}
-	if outputs.AttachedTo != "" && uplink == MainUplink {
+	if outputs.AttachedTo != "" && uplink == ParentUplink {
 		c.takeRelay(now, c.relay.ParentAttached(now))
 	}
 	if len(outputs.Zones) > 0 {
@@ -228,7 +228,7 @@
 }
 
 func (c *Core) parentOf(uplink string) string {
-	if uplink != MainUplink {
+	if uplink != ParentUplink {
 		return uplink
 	}
 	parent, _ := c.uplink.Parent()
