--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -191,7 +191,7 @@
 }
 
 func provideHost(loaded settings.Daemon, node distribution.Node, core *control.Core, client *stream.Client, log *versionlog.Log, slots *readerSlots, roster *membership.Roster, members *controlhost.MemberList, logger *zap.Logger) *controlhost.Host {
-	return controlhost.New(controlhost.Parts{
+	return controlhost.New(controlhost.Dependencies{
 		Core:          core,
 		Node:          node,
 		Client:        client,
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -57,8 +57,8 @@
 	emptied  chan struct{}
 }
 
-// Parts are what a host is made of.
-type Parts struct {
+// Dependencies are what a host is made of.
+type Dependencies struct {
 	Core   *control.Core
 	Node   distribution.Node
 	Client *stream.Client
@@ -73,7 +73,7 @@
 }
 
 // New returns a host; Run starts it.
-func New(parts Parts) *Host {
+func New(parts Dependencies) *Host {
 	host := &Host{
 		logger:   parts.Logger,
 		client:   parts.Client,
