--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -63,7 +63,7 @@
 	Node   distribution.Node
 	Client *stream.Client
 	Log    Log
-	Slots  Slots
+	Slots  ReaderSlots
 	Roster *membership.Roster
 	// Members is where the host publishes the control daemons it knows.
 	Members *MemberList
--- a/internal/distribution/controlhost/store.go
+++ b/internal/distribution/controlhost/store.go
@@ -31,8 +31,8 @@
 	Watch(ctx context.Context, after versionlog.Position) *versionlog.Stream
 }
 
-// Slots are the reader slots as this daemon uses them.
-type Slots interface {
+// ReaderSlots are the reader slots as this daemon uses them.
+type ReaderSlots interface {
 	// Acquire tries once for a slot and returns who holds the slots then.
 	Acquire(ctx context.Context) (held bool, readers []distribution.Reader, err error)
 	// Renew keeps the slot; store.ErrLeaseNotFound says that it is lost.
@@ -46,7 +46,7 @@
 type storeOperations struct {
 	host  *Host
 	log   Log
-	slots Slots
+	slots ReaderSlots
 	// endWatch ends the running watch; nil while there is none. It is owned
 	// by the loop's goroutine.
 	endWatch context.CancelFunc
