--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -29,8 +29,8 @@
 	random   *rand.Rand
 
 	members []membership.Member
-	upper   []membership.Member
-	rank    int
+	upperMembers   []membership.Member
+	readerRank    int
 
 	relay  *relay.Core
 	reader *reader.Core
@@ -43,8 +43,8 @@
 	// while there is one.
 	detachedAt time.Time
 	startedAt  time.Time
-	eligibleAt time.Time
-	holding    bool
+	candidacyDueAt time.Time
+	holdsSlot    bool
 	// stopping: a planned stop began; no slot is tried for any more.
 	stopping bool
 	outputs  Outputs
@@ -61,18 +61,18 @@
 		reader:  reader.New(config.Reader, random),
 		peers:   map[string]*subscriber.Core{},
 	}
-	core.identity = identity{node: node, self: memberNamed(members, node)}
+	core.identity = identity{node: node, self: findMember(members, node)}
 	core.uplink = core.newSubscriber()
 	core.rankMembers()
 	return core
 }
 
 func (c *Core) rankMembers() {
-	c.rank = membership.ReaderRank(c.members, c.identity.node.Name)
-	c.upper = membership.Upper(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
+	c.readerRank = membership.ReaderRank(c.members, c.identity.node.Name)
+	c.upperMembers = membership.Upper(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
 }
 
-func memberNamed(members []membership.Member, node distribution.Node) membership.Member {
+func findMember(members []membership.Member, node distribution.Node) membership.Member {
 	at := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == node.Name })
 	if at < 0 {
 		return membership.Member{Name: node.Name, Zone: node.Zone, Region: node.Region}
@@ -95,7 +95,7 @@
 // SetMembers replaces the list of control daemons.
 func (c *Core) SetMembers(now time.Time, members []membership.Member) Outputs {
 	c.members = members
-	c.identity.self = memberNamed(members, c.identity.node)
+	c.identity.self = findMember(members, c.identity.node)
 	c.rankMembers()
 	c.refreshParents(now)
 	return c.finish(now)
@@ -108,18 +108,18 @@
 func (c *Core) Relay() *relay.Core { return c.relay }
 
 // HoldsReaderSlot reports whether the daemon believes to hold a reader slot.
-func (c *Core) HoldsReaderSlot() bool { return c.holding }
+func (c *Core) HoldsReaderSlot() bool { return c.holdsSlot }
 
 // Parent returns the parent attached to; false while there is none.
 func (c *Core) Parent() (subscriber.Parent, bool) { return c.uplink.Parent() }
 
 // Tick does whatever has come due.
 func (c *Core) Tick(now time.Time) Outputs {
-	c.takeRelay(now, c.relay.Tick(now))
-	c.takeReader(c.reader.Tick(now))
-	c.takeUplink(now, ParentUplink, c.uplink.Tick(now))
+	c.applyRelayOutputs(now, c.relay.Tick(now))
+	c.applyReaderOutputs(c.reader.Tick(now))
+	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Tick(now))
 	for _, name := range c.peerNames() {
-		c.takeUplink(now, name, c.peers[name].Tick(now))
+		c.applyUplinkOutputs(now, name, c.peers[name].Tick(now))
 	}
 	return c.finish(now)
 }
@@ -129,7 +129,7 @@
 func (c *Core) NextTick() time.Time {
 	next := earliest(c.relay.NextTick(), c.reader.NextTick())
 	next = earliest(next, c.uplink.NextTick())
-	next = earliest(next, c.eligibleAt)
+	next = earliest(next, c.candidacyDueAt)
 	for _, peer := range c.peers {
 		next = earliest(next, peer.NextTick())
 	}
@@ -140,8 +140,8 @@
 // planned stop.
 func (c *Core) Stop(now time.Time) Outputs {
 	c.stopping = true
-	c.takeReader(c.reader.Stop(now))
-	c.takeRelay(now, c.relay.Goodbye(now))
+	c.applyReaderOutputs(c.reader.Stop(now))
+	c.applyRelayOutputs(now, c.relay.Goodbye(now))
 	return c.finish(now)
 }
 
@@ -149,7 +149,7 @@
 func (c *Core) finish(now time.Time) Outputs {
 	c.updateRole(now)
 	c.updateSource(now)
-	c.updateEligibility(now)
+	c.updateCandidacy(now)
 	outputs := c.outputs
 	c.outputs = Outputs{}
 	return outputs
@@ -158,23 +158,23 @@
 // updateRole follows a slot won or lost: a reader has peers and no parent, any
 // other daemon a parent and no peers.
 func (c *Core) updateRole(now time.Time) {
-	if c.holding == c.reader.Holding() {
+	if c.holdsSlot == c.reader.Holding() {
 		return
 	}
-	c.holding = c.reader.Holding()
-	if !c.holding {
-		c.vacate(now)
+	c.holdsSlot = c.reader.Holding()
+	if !c.holdsSlot {
+		c.clearOwnSlots(now)
 		for _, name := range c.peerNames() {
-			c.takeUplink(now, name, c.peers[name].Detach(now))
+			c.applyUplinkOutputs(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
 	c.refreshParents(now)
 }
 
-// vacate marks the slots this daemon was known to hold as given up, so that
+// clearOwnSlots marks the slots this daemon was known to hold as given up, so that
 // nobody takes it for a reader any more.
-func (c *Core) vacate(now time.Time) {
+func (c *Core) clearOwnSlots(now time.Time) {
 	var vacated []distribution.Reader
 	for _, held := range c.relay.Readers() {
 		if held.Node == c.identity.node.Name {
@@ -182,19 +182,19 @@
 			vacated = append(vacated, held)
 		}
 	}
-	c.takeRelay(now, c.relay.SetReaders(now, vacated))
+	c.applyRelayOutputs(now, c.relay.SetReaders(now, vacated))
 }
 
 // refreshParents recomputes whom to attach to from the members and the reader
 // slots.
 func (c *Core) refreshParents(now time.Time) {
-	if c.holding {
-		c.takeUplink(now, ParentUplink, c.uplink.Detach(now))
+	if c.holdsSlot {
+		c.applyUplinkOutputs(now, ParentUplink, c.uplink.Detach(now))
 		c.refreshPeers(now)
 		return
 	}
-	parents := membership.DaemonParents(c.members, c.upper, c.identity.self, c.config.RelaysPerZone, c.relay.Readers())
-	c.takeUplink(now, ParentUplink, c.uplink.Parents(now, parents))
+	parents := membership.DaemonParents(c.members, c.upperMembers, c.identity.self, c.config.RelaysPerZone, c.relay.Readers())
+	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Parents(now, parents))
 }
 
 func (c *Core) refreshPeers(now time.Time) {
@@ -206,7 +206,7 @@
 	}
 	for _, name := range c.peerNames() {
 		if _, still := wanted[name]; !still {
-			c.takeUplink(now, name, c.peers[name].Detach(now))
+			c.applyUplinkOutputs(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
@@ -215,7 +215,7 @@
 			c.peers[name] = c.newSubscriber()
 			c.peers[name].Applied(now, c.relay.State().Version())
 		}
-		c.takeUplink(now, name, c.peers[name].Parents(now, []subscriber.Parent{wanted[name]}))
+		c.applyUplinkOutputs(now, name, c.peers[name].Parents(now, []subscriber.Parent{wanted[name]}))
 	}
 }
 
@@ -224,7 +224,7 @@
 // updateSource tells the relay how far from a reader this daemon is.
 func (c *Core) updateSource(now time.Time) {
 	source := distribution.Source{}
-	if !c.holding {
+	if !c.holdsSlot {
 		source = c.uplink.Source()
 		source.Hops++
 		source.Floor = 0
@@ -232,11 +232,11 @@
 			source.Hops = 0
 		}
 	}
-	c.takeRelay(now, c.relay.SetSource(now, source))
-	c.noteDetached(now, source.Detached)
+	c.applyRelayOutputs(now, c.relay.SetSource(now, source))
+	c.updateDetachedAt(now, source.Detached)
 }
 
-func (c *Core) noteDetached(now time.Time, detached bool) {
+func (c *Core) updateDetachedAt(now time.Time, detached bool) {
 	switch {
 	case !detached:
 		c.detachedAt = time.Time{}
@@ -249,53 +249,53 @@
 // free slot from time to time.
 const standbyFactor = 2
 
-// leadingStep is the time between the first attempts of the first candidates
+// leadingStagger is the time between the first attempts of the first candidates
 // after a start, so that a herd of restarted daemons does not turn to the store
 // together: taking a slot and loading costs nine requests.
-const leadingStep = time.Second
+const leadingStagger = time.Second
 
 // A daemon without a parent becomes a candidate after candidateDelay, and one
-// candidateStep later for each rank, so that a herd of orphans does not turn to
+// candidateStagger later for each rank, so that a herd of orphans does not turn to
 // the store together.
 const (
 	candidateDelay = time.Second
-	candidateStep  = 250 * time.Millisecond
+	candidateStagger  = 250 * time.Millisecond
 )
 
-// updateEligibility says who tries for a slot: the first candidates always,
+// updateCandidacy says who tries for a slot: the first candidates always,
 // the others once they have been without a parent for a while.
-func (c *Core) updateEligibility(now time.Time) {
-	c.takeReader(c.reader.SetCandidacy(now, c.candidacy(now)))
+func (c *Core) updateCandidacy(now time.Time) {
+	c.applyReaderOutputs(c.reader.SetCandidacy(now, c.candidacy(now)))
 }
 
 func (c *Core) candidacy(now time.Time) reader.Candidacy {
-	c.eligibleAt = time.Time{}
+	c.candidacyDueAt = time.Time{}
 	if c.stopping {
 		return reader.NotCandidate
 	}
 	if !c.detachedAt.IsZero() {
-		at := c.detachedAt.Add(candidateDelay + time.Duration(c.rank)*candidateStep)
+		at := c.detachedAt.Add(candidateDelay + time.Duration(c.readerRank)*candidateStagger)
 		if !now.Before(at) {
 			return reader.Urgent
 		}
-		c.eligibleAt = at
+		c.candidacyDueAt = at
 	}
 	switch {
-	case c.rank < c.config.Slots:
-		return c.leading(now)
-	case c.rank < standbyFactor*c.config.Slots:
+	case c.readerRank < c.config.Slots:
+		return c.leadingCandidacy(now)
+	case c.readerRank < standbyFactor*c.config.Slots:
 		return reader.Standby
 	default:
 		return reader.NotCandidate
 	}
 }
 
-// leading is the candidacy of one of the first candidates, whose turn comes by
+// leadingCandidacy is the candidacy of one of the first candidates, whose turn comes by
 // rank after the start.
-func (c *Core) leading(now time.Time) reader.Candidacy {
-	turn := c.startedAt.Add(time.Duration(c.rank) * leadingStep)
+func (c *Core) leadingCandidacy(now time.Time) reader.Candidacy {
+	turn := c.startedAt.Add(time.Duration(c.readerRank) * leadingStagger)
 	if now.Before(turn) {
-		c.eligibleAt = earliest(c.eligibleAt, turn)
+		c.candidacyDueAt = earliest(c.candidacyDueAt, turn)
 		return reader.NotCandidate
 	}
 	return reader.Leading
--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -19,63 +19,63 @@
 		return c.finish(now)
 	}
 	c.setReaders(now, hello.Readers)
-	c.takeRelay(now, c.relay.Attach(now, id, hello))
+	c.applyRelayOutputs(now, c.relay.Attach(now, id, hello))
 	return c.finish(now)
 }
 
 // Detach ends a session whose stream was lost.
 func (c *Core) Detach(now time.Time, id relay.SessionID) Outputs {
-	c.takeRelay(now, c.relay.Detach(now, id))
+	c.applyRelayOutputs(now, c.relay.Detach(now, id))
 	return c.finish(now)
 }
 
 // Sent says that the session's message was written.
 func (c *Core) Sent(now time.Time, id relay.SessionID) Outputs {
-	c.takeRelay(now, c.relay.Sent(now, id))
+	c.applyRelayOutputs(now, c.relay.Sent(now, id))
 	return c.finish(now)
 }
 
 // Report takes in what a child reported.
 func (c *Core) Report(now time.Time, id relay.SessionID, report distribution.Report) Outputs {
-	c.takeRelay(now, c.relay.Report(now, id, report))
+	c.applyRelayOutputs(now, c.relay.Report(now, id, report))
 	return c.finish(now)
 }
 
 // MachineLeaving takes in that the platform lists a machine as leaving.
 func (c *Core) MachineLeaving(now time.Time, node string) Outputs {
-	c.takeRelay(now, c.relay.MachineLeaving(now, node))
+	c.applyRelayOutputs(now, c.relay.MachineLeaving(now, node))
 	return c.finish(now)
 }
 
 // UplinkConnected says that a parent or peer accepted the stream.
 func (c *Core) UplinkConnected(now time.Time, uplink string) Outputs {
-	return c.uplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Connected(now) })
+	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Connected(now) })
 }
 
 // UplinkRefused says that a parent or peer turned the attach down.
 func (c *Core) UplinkRefused(now time.Time, uplink string, retryAfter time.Duration) Outputs {
-	return c.uplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Refused(now, retryAfter) })
+	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Refused(now, retryAfter) })
 }
 
 // UplinkReceived takes in a message of an uplink.
 func (c *Core) UplinkReceived(now time.Time, uplink string, message *distribution.Message) Outputs {
-	return c.uplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Received(now, message) })
+	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Received(now, message) })
 }
 
 // UplinkDisconnected says that an attempt failed or a stream ended.
 func (c *Core) UplinkDisconnected(now time.Time, uplink string, err error) Outputs {
-	return c.uplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Disconnected(now, err) })
+	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Disconnected(now, err) })
 }
 
-func (c *Core) uplinkInput(now time.Time, uplink string, input func(*subscriber.Core) subscriber.Outputs) Outputs {
-	if core := c.subscriberNamed(uplink); core != nil {
-		c.takeUplink(now, uplink, input(core))
+func (c *Core) applyUplinkInput(now time.Time, uplink string, input func(*subscriber.Core) subscriber.Outputs) Outputs {
+	if core := c.findSubscriber(uplink); core != nil {
+		c.applyUplinkOutputs(now, uplink, input(core))
 	}
 	return c.finish(now)
 }
 
-// subscriberNamed returns nil for the uplink to a peer that is none any more.
-func (c *Core) subscriberNamed(uplink string) *subscriber.Core {
+// findSubscriber returns nil for the uplink to a peer that is none any more.
+func (c *Core) findSubscriber(uplink string) *subscriber.Core {
 	if uplink == ParentUplink {
 		return c.uplink
 	}
@@ -85,13 +85,13 @@
 // Acquired answers reader.Acquire, with the slots found held.
 func (c *Core) Acquired(now time.Time, held bool, readers []distribution.Reader, err error) Outputs {
 	c.setReaders(now, readers)
-	c.takeReader(c.reader.Acquired(now, held, err))
+	c.applyReaderOutputs(c.reader.Acquired(now, held, err))
 	return c.finish(now)
 }
 
 // Renewed answers reader.Renew.
 func (c *Core) Renewed(now time.Time, err error) Outputs {
-	c.takeReader(c.reader.Renewed(now, err))
+	c.applyReaderOutputs(c.reader.Renewed(now, err))
 	return c.finish(now)
 }
 
@@ -99,28 +99,28 @@
 // after it or after the version held, and the store's revision.
 func (c *Core) Loaded(now time.Time, checkpoint *distribution.Checkpoint, entries []resource.Entry, revision uint64, err error) Outputs {
 	if err == nil {
-		c.takeContent(now, checkpoint, entries)
+		c.applyContent(now, checkpoint, entries)
 	}
-	c.takeReader(c.reader.Loaded(now, revision, err))
+	c.applyReaderOutputs(c.reader.Loaded(now, revision, err))
 	return c.finish(now)
 }
 
 // Watching answers reader.Watch.
 func (c *Core) Watching(now time.Time, err error) Outputs {
-	c.takeReader(c.reader.Watching(now, err))
+	c.applyReaderOutputs(c.reader.Watching(now, err))
 	return c.finish(now)
 }
 
 // WatchEntry takes in an entry that the watch delivered.
 func (c *Core) WatchEntry(now time.Time, entry resource.Entry, revision uint64) Outputs {
 	c.reader.WatchEvent(revision)
-	c.takeContent(now, nil, []resource.Entry{entry})
+	c.applyContent(now, nil, []resource.Entry{entry})
 	return c.finish(now)
 }
 
 // WatchEnded says that the running watch ended.
 func (c *Core) WatchEnded(now time.Time, err error) Outputs {
-	c.takeReader(c.reader.WatchEnded(now, err))
+	c.applyReaderOutputs(c.reader.WatchEnded(now, err))
 	return c.finish(now)
 }
 
@@ -129,31 +129,31 @@
 func (c *Core) Polled(now time.Time, entries []resource.Entry, revision uint64, err error) Outputs {
 	before := c.relay.State().Version()
 	if err == nil {
-		c.takeContent(now, nil, entries)
+		c.applyContent(now, nil, entries)
 	}
 	missed := c.relay.State().Version() != before
-	c.takeReader(c.reader.Polled(now, missed, revision, err))
+	c.applyReaderOutputs(c.reader.Polled(now, missed, revision, err))
 	return c.finish(now)
 }
 
-func (c *Core) takeContent(now time.Time, checkpoint *distribution.Checkpoint, entries []resource.Entry) {
+func (c *Core) applyContent(now time.Time, checkpoint *distribution.Checkpoint, entries []resource.Entry) {
 	before := c.relay.State().Version()
 	if checkpoint != nil {
-		c.takeRelay(now, c.relay.Restore(now, *checkpoint))
+		c.applyRelayOutputs(now, c.relay.Restore(now, *checkpoint))
 	}
 	if len(entries) > 0 {
-		c.takeRelay(now, c.relay.Advance(now, entries))
+		c.applyRelayOutputs(now, c.relay.Advance(now, entries))
 	}
 	if version := c.relay.State().Version(); version != before {
-		c.applied(now, version)
+		c.notifyApplied(now, version)
 	}
 }
 
-// applied tells every uplink what this daemon holds now.
-func (c *Core) applied(now time.Time, version uint64) {
-	c.takeUplink(now, ParentUplink, c.uplink.Applied(now, version))
+// notifyApplied tells every uplink what this daemon holds now.
+func (c *Core) notifyApplied(now time.Time, version uint64) {
+	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Applied(now, version))
 	for _, name := range c.peerNames() {
-		c.takeUplink(now, name, c.peers[name].Applied(now, version))
+		c.applyUplinkOutputs(now, name, c.peers[name].Applied(now, version))
 	}
 }
 
@@ -162,7 +162,7 @@
 		return
 	}
 	before := c.relay.Readers()
-	c.takeRelay(now, c.relay.SetReaders(now, readers))
+	c.applyRelayOutputs(now, c.relay.SetReaders(now, readers))
 	if !sameReaders(before, c.relay.Readers()) {
 		c.refreshParents(now)
 	}
@@ -180,23 +180,23 @@
 	return true
 }
 
-func (c *Core) takeReader(outputs reader.Outputs) {
+func (c *Core) applyReaderOutputs(outputs reader.Outputs) {
 	c.outputs.CancelWatch = c.outputs.CancelWatch || outputs.CancelWatch
 	c.outputs.Store = append(c.outputs.Store, outputs.Requests...)
 }
 
-func (c *Core) takeRelay(now time.Time, outputs relay.Outputs) {
+func (c *Core) applyRelayOutputs(now time.Time, outputs relay.Outputs) {
 	c.outputs.Sends = append(c.outputs.Sends, outputs.Sends...)
 	c.outputs.Refusals = append(c.outputs.Refusals, outputs.Refusals...)
 	c.outputs.Closes = append(c.outputs.Closes, outputs.Closes...)
-	if outputs.Report != nil && !c.holding {
-		c.takeUplink(now, ParentUplink, c.uplink.Forward(now, *outputs.Report))
+	if outputs.Report != nil && !c.holdsSlot {
+		c.applyUplinkOutputs(now, ParentUplink, c.uplink.Forward(now, *outputs.Report))
 	}
 }
 
-// takeUplink passes on what a parent or peer sent and queues what the shell
+// applyUplinkOutputs passes on what a parent or peer sent and queues what the shell
 // has to do.
-func (c *Core) takeUplink(now time.Time, uplink string, outputs subscriber.Outputs) {
+func (c *Core) applyUplinkOutputs(now time.Time, uplink string, outputs subscriber.Outputs) {
 	if outputs.Connect != nil && uplink != ParentUplink {
 		outputs.Connect.Hello.Readers = c.relay.Readers()
 	}
@@ -207,22 +207,22 @@
 	}
 	from := c.parentOf(uplink)
 	if outputs.LostParent != "" {
-		c.takeRelay(now, c.relay.ParentLost(now, outputs.LostParent))
+		c.applyRelayOutputs(now, c.relay.ParentLost(now, outputs.LostParent))
 	}
 	if outputs.AttachedTo != "" && uplink == ParentUplink {
-		c.takeRelay(now, c.relay.ParentAttached(now))
+		c.applyRelayOutputs(now, c.relay.ParentAttached(now))
 	}
 	if len(outputs.Zones) > 0 {
-		c.takeRelay(now, c.relay.ParentZones(now, from, outputs.Zones))
+		c.applyRelayOutputs(now, c.relay.ParentZones(now, from, outputs.Zones))
 	}
 	if outputs.Checkpoint != nil || len(outputs.Entries) > 0 {
-		c.takeContent(now, outputs.Checkpoint, outputs.Entries)
+		c.applyContent(now, outputs.Checkpoint, outputs.Entries)
 	}
 	if len(outputs.Endpoints) > 0 {
-		c.takeRelay(now, c.relay.ParentEndpoints(now, from, outputs.Endpoints))
+		c.applyRelayOutputs(now, c.relay.ParentEndpoints(now, from, outputs.Endpoints))
 	}
 	if len(outputs.Heard) > 0 {
-		c.takeRelay(now, c.relay.PeerHeard(now, from, outputs.Heard))
+		c.applyRelayOutputs(now, c.relay.PeerHeard(now, from, outputs.Heard))
 	}
 	c.setReaders(now, outputs.Readers)
 }
