--- a/internal/distribution/controlhost/history.go
+++ b/internal/distribution/controlhost/history.go
@@ -11,11 +11,11 @@
 // goroutine advances it; any may read.
 type history struct {
 	limit  int
-	newest atomic.Pointer[historyView]
+	newest atomic.Pointer[historySnapshot]
 }
 
-// historyView is immutable. Entries are contiguous and end at version.
-type historyView struct {
+// historySnapshot is immutable. Entries are contiguous and end at version.
+type historySnapshot struct {
 	version uint64
 	entries []resource.Entry
 	// changed is closed when a later view replaces this one.
@@ -24,7 +24,7 @@
 
 func newHistory(limit int) *history {
 	h := &history{limit: limit}
-	h.newest.Store(&historyView{changed: make(chan struct{})})
+	h.newest.Store(&historySnapshot{changed: make(chan struct{})})
 	return h
 }
 
@@ -35,7 +35,7 @@
 	if version == held.version {
 		return
 	}
-	next := &historyView{version: held.version, entries: held.entries, changed: make(chan struct{})}
+	next := &historySnapshot{version: held.version, entries: held.entries, changed: make(chan struct{})}
 	for _, entry := range entries {
 		if entry.Version == next.version+1 && entry.Version <= version {
 			// Readers of earlier views never look beyond their own length.
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -20,9 +20,9 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// inputQueue is how many inputs may wait for the loop; further ones block
+// inputQueueLength is how many inputs may wait for the loop; further ones block
 // their senders, which are goroutines of single sessions, links and requests.
-const inputQueue = 256
+const inputQueueLength = 256
 
 // ErrStopped says that the host no longer runs.
 var ErrStopped = errors.New("controlhost: stopped")
@@ -45,8 +45,8 @@
 	// The fields below are owned by the loop's goroutine.
 	core        *control.Core
 	local       *localChild
-	holding     bool
-	sharer      *stream.EncodingCache
+	holdsSlot     bool
+	encodingCache      *stream.EncodingCache
 	sessions    map[relay.SessionID]*session
 	byToken     map[string]relay.SessionID
 	lastSession relay.SessionID
@@ -54,7 +54,7 @@
 	// stopping turns new children away; emptied is closed once the last of the
 	// others has left.
 	stopping bool
-	emptied  chan struct{}
+	drained  chan struct{}
 }
 
 // Dependencies are what a host is made of.
@@ -77,16 +77,16 @@
 	host := &Host{
 		logger:   parts.Logger,
 		client:   parts.Client,
-		inputs:   make(chan input, inputQueue),
+		inputs:   make(chan input, inputQueueLength),
 		stopped:  make(chan struct{}),
 		history:  newHistory(parts.HistoryLength),
 		members:  parts.Members,
 		core:     parts.Core,
-		sharer:   stream.NewEncodingCache(),
+		encodingCache:   stream.NewEncodingCache(),
 		sessions: map[relay.SessionID]*session{},
 		byToken:  map[string]relay.SessionID{},
 		links:    map[string]*uplink{},
-		emptied:  make(chan struct{}),
+		drained:  make(chan struct{}),
 	}
 	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.Slots}
 	host.local = newLocalChild(host, parts.Node, parts.Roster)
@@ -100,16 +100,16 @@
 	defer close(h.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	h.carryOut(ctx, h.core.Start(time.Now()))
+	h.performOutputs(ctx, h.core.Start(time.Now()))
 	for {
-		resetTimer(timer, earliest(h.core.NextTick(), h.local.next()))
+		resetTimer(timer, earliest(h.core.NextTick(), h.local.nextStep()))
 		select {
 		case <-ctx.Done():
 			return nil
 		case step := <-h.inputs:
-			h.carryOut(ctx, step(time.Now()))
+			h.performOutputs(ctx, step(time.Now()))
 		case <-timer.C:
-			h.carryOut(ctx, h.core.Tick(time.Now()))
+			h.performOutputs(ctx, h.core.Tick(time.Now()))
 		}
 	}
 }
@@ -122,14 +122,14 @@
 	}
 }
 
-// carryOut does what the core asked for, and what follows from it for the
+// performOutputs does what the core asked for, and what follows from it for the
 // daemon's own membership.
-func (h *Host) carryOut(ctx context.Context, outputs control.Outputs) {
-	h.carryOutCore(ctx, outputs)
+func (h *Host) performOutputs(ctx context.Context, outputs control.Outputs) {
+	h.performCoreOutputs(ctx, outputs)
 	h.local.step(ctx, time.Now())
 }
 
-func (h *Host) carryOutCore(ctx context.Context, outputs control.Outputs) {
+func (h *Host) performCoreOutputs(ctx context.Context, outputs control.Outputs) {
 	h.publish(nil)
 	for _, send := range outputs.Sends {
 		h.send(send)
@@ -141,7 +141,7 @@
 		h.closeSession(id)
 	}
 	for _, uplink := range outputs.Uplinks {
-		h.carryOutUplink(ctx, uplink)
+		h.performUplinkOutput(ctx, uplink)
 	}
 	if outputs.CancelWatch {
 		h.store.cancelWatch()
@@ -149,7 +149,7 @@
 	for _, request := range outputs.Store {
 		h.store.perform(ctx, request, h.core.State().Version())
 	}
-	h.noteRole()
+	h.logRoleChange()
 }
 
 // publish makes the newest configuration visible to readers of State and to
@@ -160,12 +160,12 @@
 	h.history.advance(state.Version(), entries)
 }
 
-func (h *Host) noteRole() {
-	if h.holding == h.core.HoldsReaderSlot() {
+func (h *Host) logRoleChange() {
+	if h.holdsSlot == h.core.HoldsReaderSlot() {
 		return
 	}
-	h.holding = h.core.HoldsReaderSlot()
-	if h.holding {
+	h.holdsSlot = h.core.HoldsReaderSlot()
+	if h.holdsSlot {
 		h.logger.Info("store reader slot won")
 		return
 	}
@@ -176,7 +176,7 @@
 // flight per session; a session that breaks this is closed.
 func (h *Host) send(send relay.Send) {
 	if send.Session == h.local.id {
-		h.local.take(send.Message)
+		h.local.receive(send.Message)
 		return
 	}
 	session := h.sessions[send.Session]
@@ -184,7 +184,7 @@
 		return
 	}
 	select {
-	case session.messages <- h.sharer.Encode(send.Message):
+	case session.messages <- h.encodingCache.Encode(send.Message):
 	default:
 		h.logger.Error("second message in flight", zap.String("peer", session.node.Name))
 		h.closeSession(send.Session)
@@ -206,7 +206,7 @@
 
 // closeSession ends a session's stream.
 func (h *Host) closeSession(id relay.SessionID) {
-	h.local.closed(id)
+	h.local.sessionClosed(id)
 	session := h.sessions[id]
 	if session == nil {
 		return
@@ -214,7 +214,7 @@
 	delete(h.sessions, id)
 	delete(h.byToken, session.token)
 	close(session.messages)
-	h.noteEmpty()
+	h.signalDrained()
 }
 
 func (h *Host) closeAll() {
@@ -245,8 +245,8 @@
 	}
 }
 
-// ask hands an input to the loop and waits until the core has taken it.
-func (h *Host) ask(ctx context.Context, step input) error {
+// submitAndWait hands an input to the loop and waits until the core has taken it.
+func (h *Host) submitAndWait(ctx context.Context, step input) error {
 	done := make(chan struct{})
 	err := h.submit(ctx, func(now time.Time) control.Outputs {
 		defer close(done)
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -37,11 +37,11 @@
 	steppedAt time.Time
 	members   []membership.Member
 	// path is the way to a reader that the last announcement was made on.
-	path path
+	path readerPath
 }
 
-// path is a daemon's way to a reader.
-type path struct {
+// readerPath is a daemon's way to a reader.
+type readerPath struct {
 	isReader bool
 	parent   string
 }
@@ -51,20 +51,20 @@
 	return &localChild{host: host, node: node, roster: roster}
 }
 
-// take keeps a message for the next step.
-func (l *localChild) take(message *distribution.Message) {
+// receive keeps a message for the next step.
+func (l *localChild) receive(message *distribution.Message) {
 	l.received = append(l.received, message)
 }
 
-// closed notes that the relay ended the session.
-func (l *localChild) closed(id relay.SessionID) {
+// sessionClosed notes that the relay ended the session.
+func (l *localChild) sessionClosed(id relay.SessionID) {
 	if id == l.id {
 		l.id = 0
 	}
 }
 
-// next returns when step has to run at the latest.
-func (l *localChild) next() time.Time {
+// nextStep returns when step has to run at the latest.
+func (l *localChild) nextStep() time.Time {
 	next := l.reportAt
 	if l.id == 0 {
 		next = l.retryAt
@@ -92,7 +92,7 @@
 		message := l.received[0]
 		l.received = l.received[1:]
 		l.observe(ctx, now, message.Endpoints)
-		l.host.carryOutCore(ctx, l.host.core.Sent(now, l.id))
+		l.host.performCoreOutputs(ctx, l.host.core.Sent(now, l.id))
 		l.publishMembers(ctx, now)
 	}
 }
@@ -109,9 +109,9 @@
 		Endpoints: []endpoint.Update{l.roster.Announcement()},
 	})
 	for _, refusal := range outputs.Refusals {
-		l.closed(refusal.Session)
+		l.sessionClosed(refusal.Session)
 	}
-	l.host.carryOutCore(ctx, outputs)
+	l.host.performCoreOutputs(ctx, outputs)
 }
 
 // report says that the child is there, with new announcements if any.
@@ -120,7 +120,7 @@
 		return
 	}
 	l.reportAt = now.Add(localReportInterval)
-	l.host.carryOutCore(ctx, l.host.core.Report(now, l.id, distribution.Report{
+	l.host.performCoreOutputs(ctx, l.host.core.Report(now, l.id, distribution.Report{
 		Node:      l.node,
 		Applied:   l.host.core.State().Version(),
 		Endpoints: announcements,
@@ -129,11 +129,11 @@
 
 // reannounce announces the daemon anew when its way to a reader is another one.
 func (l *localChild) reannounce(ctx context.Context, now time.Time) {
-	current := path{isReader: l.host.core.HoldsReaderSlot()}
+	current := readerPath{isReader: l.host.core.HoldsReaderSlot()}
 	if parent, attached := l.host.core.Parent(); attached {
 		current.parent = parent.Node
 	}
-	if l.id == 0 || current == l.path || current == (path{}) {
+	if l.id == 0 || current == l.path || current == (readerPath{}) {
 		return
 	}
 	l.path = current
@@ -146,8 +146,8 @@
 	}
 }
 
-// leave announces that the daemon is stopping.
-func (l *localChild) leave(ctx context.Context, now time.Time) {
+// announceLeaving announces that the daemon is stopping.
+func (l *localChild) announceLeaving(ctx context.Context, now time.Time) {
 	l.report(ctx, now, []endpoint.Update{l.roster.Leave()})
 }
 
@@ -161,7 +161,7 @@
 	}
 	l.members = members
 	l.host.members.store(members)
-	l.host.carryOutCore(ctx, l.host.core.SetMembers(now, members))
+	l.host.performCoreOutputs(ctx, l.host.core.SetMembers(now, members))
 }
 
 func earliest(a, b time.Time) time.Time {
--- a/internal/distribution/controlhost/members.go
+++ b/internal/distribution/controlhost/members.go
@@ -7,8 +7,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/membership"
 )
 
-// offeredParents is how many daemons of its zone a proxy is told of.
-const offeredParents = 8
+// maxOfferedParents is how many daemons of its zone a proxy is told of.
+const maxOfferedParents = 8
 
 // MemberList holds the control daemons known at present. It is safe for
 // concurrent use; a list that was loaded is never changed.
@@ -31,9 +31,9 @@
 // Members returns the control daemons known at present.
 func (h *Host) Members() []membership.Member { return h.members.Load() }
 
-// parentsFor returns the daemons that serve a zone first.
-func (h *Host) parentsFor(zone string) []stream.Parent {
-	relays := membership.RelaysOf(h.members.Load(), zone, offeredParents)
+// relaysForZone returns the daemons that serve a zone first.
+func (h *Host) relaysForZone(zone string) []stream.Parent {
+	relays := membership.RelaysOf(h.members.Load(), zone, maxOfferedParents)
 	parents := make([]stream.Parent, len(relays))
 	for i, relay := range relays {
 		parents[i] = stream.Parent{Node: relay.Name, Address: relay.Address}
--- a/internal/distribution/controlhost/queries.go
+++ b/internal/distribution/controlhost/queries.go
@@ -51,7 +51,7 @@
 // host stopped.
 func query[T any](h *Host, read func() T) T {
 	var result T
-	_ = h.ask(context.Background(), func(time.Time) control.Outputs {
+	_ = h.submitAndWait(context.Background(), func(time.Time) control.Outputs {
 		result = read()
 		return control.Outputs{}
 	})
--- a/internal/distribution/controlhost/session.go
+++ b/internal/distribution/controlhost/session.go
@@ -24,9 +24,9 @@
 	messages chan *stream.EncodedMessage
 	// refusal and greeted are set by the loop before the attach is answered.
 	refusal *stream.RefusedError
-	greeted []stream.Parent
-	// told is what the child was told of last; owned by the loop's goroutine.
-	told []stream.Parent
+	initialParents []stream.Parent
+	// lastOffered is what the child was lastOffered of last; owned by the loop's goroutine.
+	lastOffered []stream.Parent
 }
 
 // ID names the session in reports.
@@ -36,19 +36,19 @@
 func (s *session) Messages() <-chan *stream.EncodedMessage { return s.messages }
 
 // Parents are the daemons that the child is told of as it attaches.
-func (s *session) Parents() []stream.Parent { return s.greeted }
+func (s *session) Parents() []stream.Parent { return s.initialParents }
 
-// offer returns the daemons that a proxy is to be told of, or none when it was
+// changedParents returns the daemons that a proxy is to be told of, or none when it was
 // told of the same before. It runs on the loop's goroutine.
-func (s *session) offer() []stream.Parent {
+func (s *session) changedParents() []stream.Parent {
 	if s.kind != distribution.ChildProxy {
 		return nil
 	}
-	parents := s.host.parentsFor(s.node.Zone)
-	if slices.Equal(parents, s.told) {
+	parents := s.host.relaysForZone(s.node.Zone)
+	if slices.Equal(parents, s.lastOffered) {
 		return nil
 	}
-	s.told = parents
+	s.lastOffered = parents
 	return parents
 }
 
@@ -82,12 +82,12 @@
 		return h.attach(now, opened, hello)
 	})
 	if err != nil {
-		return nil, stopping()
+		return nil, stoppingError()
 	}
 	select {
 	case <-answered:
 	case <-h.stopped:
-		return nil, stopping()
+		return nil, stoppingError()
 	}
 	if opened.refusal != nil {
 		return nil, opened.refusal
@@ -97,14 +97,14 @@
 
 func (h *Host) attach(now time.Time, opened *session, hello distribution.Hello) control.Outputs {
 	if h.stopping {
-		opened.refusal = stopping()
+		opened.refusal = stoppingError()
 		return control.Outputs{}
 	}
 	h.lastSession++
 	opened.id = h.lastSession
 	h.sessions[opened.id] = opened
 	h.byToken[opened.token] = opened.id
-	opened.greeted = opened.offer()
+	opened.initialParents = opened.changedParents()
 	outputs := h.core.Attach(now, opened.id, hello)
 	for _, refusal := range outputs.Refusals {
 		h.refuse(refusal)
@@ -115,7 +115,7 @@
 // stopRetryAfter is when a child of a stopping daemon may try again.
 const stopRetryAfter = time.Second
 
-func stopping() *stream.RefusedError {
+func stoppingError() *stream.RefusedError {
 	return &stream.RefusedError{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stopRetryAfter}
 }
 
@@ -125,13 +125,13 @@
 func (h *Host) Report(ctx context.Context, token string, report distribution.Report) ([]stream.Parent, error) {
 	var offered []stream.Parent
 	var refused error
-	err := h.ask(ctx, func(now time.Time) control.Outputs {
+	err := h.submitAndWait(ctx, func(now time.Time) control.Outputs {
 		var outputs control.Outputs
 		outputs, offered, refused = h.report(now, token, report)
 		return outputs
 	})
 	if err != nil {
-		return nil, stopping()
+		return nil, stoppingError()
 	}
 	return offered, refused
 }
@@ -145,5 +145,5 @@
 	if report.Node.Name != child.node.Name || report.Node.Incarnation != child.node.Incarnation {
 		return control.Outputs{}, nil, &stream.RefusedError{Status: http.StatusForbidden, Reason: "the report's node is not the session's"}
 	}
-	return h.core.Report(now, id, report), child.offer(), nil
+	return h.core.Report(now, id, report), child.changedParents(), nil
 }
--- a/internal/distribution/controlhost/stop.go
+++ b/internal/distribution/controlhost/stop.go
@@ -7,32 +7,32 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/control"
 )
 
-// farewellTime is how long a stopping host stays at the least, so that its
+// minStopDuration is how long a stopping host stays at the least, so that its
 // announcement that it leaves goes out.
-const farewellTime = 200 * time.Millisecond
+const minStopDuration = 200 * time.Millisecond
 
 // Stop announces that the daemon leaves, gives a reader slot back, asks the
 // children to move on and turns new ones away. It returns when no child is
 // left, at the latest after the grace period, when the streams that remain are
 // closed: their children move on then.
 func (h *Host) Stop(ctx context.Context, grace time.Duration) error {
-	if err := h.ask(ctx, func(now time.Time) control.Outputs { return h.stop(ctx, now) }); err != nil {
+	if err := h.submitAndWait(ctx, func(now time.Time) control.Outputs { return h.stop(ctx, now) }); err != nil {
 		return err
 	}
-	farewell := time.After(farewellTime)
+	announcementSent := time.After(minStopDuration)
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 	select {
-	case <-h.emptied:
+	case <-h.drained:
 		select {
-		case <-farewell:
+		case <-announcementSent:
 		case <-ctx.Done():
 		}
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return h.ask(context.WithoutCancel(ctx), func(time.Time) control.Outputs {
+	return h.submitAndWait(context.WithoutCancel(ctx), func(time.Time) control.Outputs {
 		h.closeSessions()
 		return control.Outputs{}
 	})
@@ -40,19 +40,19 @@
 
 func (h *Host) stop(ctx context.Context, now time.Time) control.Outputs {
 	h.stopping = true
-	h.noteEmpty()
-	h.local.leave(ctx, now)
+	h.signalDrained()
+	h.local.announceLeaving(ctx, now)
 	return h.core.Stop(now)
 }
 
-// noteEmpty closes emptied once, when a stopping host has no child left.
-func (h *Host) noteEmpty() {
+// signalDrained closes emptied once, when a stopping host has no child left.
+func (h *Host) signalDrained() {
 	if !h.stopping || len(h.sessions) > 0 {
 		return
 	}
 	select {
-	case <-h.emptied:
+	case <-h.drained:
 	default:
-		close(h.emptied)
+		close(h.drained)
 	}
 }
--- a/internal/distribution/controlhost/store.go
+++ b/internal/distribution/controlhost/store.go
@@ -47,9 +47,9 @@
 	host  *Host
 	log   Log
 	slots ReaderSlots
-	// endWatch ends the running watch; nil while there is none. It is owned
+	// stopWatch ends the running watch; nil while there is none. It is owned
 	// by the loop's goroutine.
-	endWatch context.CancelFunc
+	stopWatch context.CancelFunc
 	// releases counts slots being given back; the loop's end waits for them.
 	releases sync.WaitGroup
 }
@@ -71,8 +71,8 @@
 	}
 }
 
-// failed logs an operation's error, unless the host is stopping.
-func (o *storeOperations) failed(ctx context.Context, operation reader.Operation, err error) {
+// logFailure logs an operation's error, unless the host is stopping.
+func (o *storeOperations) logFailure(ctx context.Context, operation reader.Operation, err error) {
 	if err != nil && ctx.Err() == nil {
 		o.host.logger.Warn("store operation failed", zap.String(telemetry.StepField, string(operation)), telemetry.Error(err))
 	}
@@ -82,7 +82,7 @@
 	bounded, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	held, readers, err := o.slots.Acquire(bounded)
-	o.failed(ctx, reader.Acquire, err)
+	o.logFailure(ctx, reader.Acquire, err)
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs {
 		return o.host.core.Acquired(now, held, readers, err)
 	})
@@ -92,14 +92,14 @@
 	bounded, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	err := o.slots.Renew(bounded)
-	o.failed(ctx, reader.Renew, err)
+	o.logFailure(ctx, reader.Renew, err)
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs { return o.host.core.Renewed(now, err) })
 }
 
 func (o *storeOperations) release(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	o.failed(ctx, reader.Release, o.slots.Release(bounded))
+	o.logFailure(ctx, reader.Release, o.slots.Release(bounded))
 }
 
 // load reads the log. Entries are preferred to a checkpoint, since they keep
@@ -108,9 +108,9 @@
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	state, entries, revision, err := o.log.Load(bounded)
-	o.failed(ctx, reader.Load, err)
+	o.logFailure(ctx, reader.Load, err)
 	var checkpoint *distribution.Checkpoint
-	if err == nil && !covers(entries, version, state.Version()) {
+	if err == nil && !entriesCover(entries, version, state.Version()) {
 		checkpoint = &distribution.Checkpoint{Version: state.Version(), Resources: state.All()}
 	}
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs {
@@ -120,8 +120,8 @@
 	})
 }
 
-// covers reports whether entries lead from one version to another.
-func covers(entries []resource.Entry, from, to uint64) bool {
+// entriesCover reports whether entries lead from one version to another.
+func entriesCover(entries []resource.Entry, from, to uint64) bool {
 	return from >= to || (len(entries) > 0 && entries[0].Version <= from+1)
 }
 
@@ -129,7 +129,7 @@
 	bounded, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	entries, err := o.log.ReadAfter(bounded, version, pollEntries)
-	o.failed(ctx, reader.Poll, err)
+	o.logFailure(ctx, reader.Poll, err)
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs {
 		// The watch starts again where it was; what it repeats is skipped.
 		const revisionUnknown = 0
@@ -143,21 +143,21 @@
 func (o *storeOperations) watch(ctx context.Context, after versionlog.Position) {
 	o.cancelWatch()
 	watchContext, cancel := context.WithCancel(ctx)
-	o.endWatch = cancel
+	o.stopWatch = cancel
 	running := o.log.Watch(watchContext, after)
-	go o.follow(ctx, watchContext, running)
+	go o.forwardUpdates(ctx, watchContext, running)
 }
 
 func (o *storeOperations) cancelWatch() {
-	if o.endWatch != nil {
-		o.endWatch()
-		o.endWatch = nil
+	if o.stopWatch != nil {
+		o.stopWatch()
+		o.stopWatch = nil
 	}
 }
 
-// follow hands every update of a watch to the loop until the watch ends; what
+// forwardUpdates hands every update of a watch to the loop until the watch ends; what
 // a cancelled watch still brings is dropped.
-func (o *storeOperations) follow(ctx, watchContext context.Context, running *versionlog.Stream) {
+func (o *storeOperations) forwardUpdates(ctx, watchContext context.Context, running *versionlog.Stream) {
 	defer running.Close()
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs { return o.host.core.Watching(now, nil) })
 	for update := range running.Updates() {
@@ -165,12 +165,12 @@
 			o.watchEnded(watchContext, store.ErrCompacted)
 			return
 		}
-		o.whileWatching(watchContext, func(now time.Time) control.Outputs { return o.entry(now, update) })
+		o.submitIfWatching(watchContext, func(now time.Time) control.Outputs { return o.applyWatchEntry(now, update) })
 	}
 	o.watchEnded(watchContext, running.Err())
 }
 
-func (o *storeOperations) whileWatching(watchContext context.Context, step input) {
+func (o *storeOperations) submitIfWatching(watchContext context.Context, step input) {
 	_ = o.host.submit(watchContext, func(now time.Time) control.Outputs {
 		if watchContext.Err() != nil {
 			return control.Outputs{}
@@ -179,13 +179,13 @@
 	})
 }
 
-func (o *storeOperations) entry(now time.Time, update versionlog.Update) control.Outputs {
+func (o *storeOperations) applyWatchEntry(now time.Time, update versionlog.Update) control.Outputs {
 	outputs := o.host.core.WatchEntry(now, *update.Entry, update.Position.Revision)
 	o.host.publish([]resource.Entry{*update.Entry})
 	return outputs
 }
 
 func (o *storeOperations) watchEnded(watchContext context.Context, err error) {
-	o.failed(watchContext, reader.Watch, err)
-	o.whileWatching(watchContext, func(now time.Time) control.Outputs { return o.host.core.WatchEnded(now, err) })
+	o.logFailure(watchContext, reader.Watch, err)
+	o.submitIfWatching(watchContext, func(now time.Time) control.Outputs { return o.host.core.WatchEnded(now, err) })
 }
--- a/internal/distribution/controlhost/uplink.go
+++ b/internal/distribution/controlhost/uplink.go
@@ -18,15 +18,15 @@
 	link *stream.Link
 }
 
-func (h *Host) carryOutUplink(ctx context.Context, order control.UplinkOutput) {
-	if order.Disconnect {
-		h.disconnect(order.Uplink)
+func (h *Host) performUplinkOutput(ctx context.Context, output control.UplinkOutput) {
+	if output.Disconnect {
+		h.disconnect(output.Uplink)
 	}
-	if order.Connect != nil {
-		h.connect(ctx, order.Uplink, *order.Connect)
+	if output.Connect != nil {
+		h.connect(ctx, output.Uplink, *output.Connect)
 	}
-	if current := h.links[order.Uplink]; current != nil && order.Report != nil {
-		current.link.Report(*order.Report)
+	if current := h.links[output.Uplink]; current != nil && output.Report != nil {
+		current.link.Report(*output.Report)
 	}
 }
 
@@ -38,13 +38,13 @@
 }
 
 // connect starts an attempt in place of the uplink's present one.
-func (h *Host) connect(ctx context.Context, name string, order subscriber.Connect) {
+func (h *Host) connect(ctx context.Context, name string, request subscriber.Connect) {
 	h.disconnect(name)
 	opened := &uplink{}
 	h.links[name] = opened
-	peer := zap.String(telemetry.PeerField, order.Parent.Node)
-	step := func(next input) { h.stepUplink(ctx, name, opened, next) }
-	opened.link = h.client.Link(ctx, order.Parent.Address, order.Hello, stream.LinkEvents{
+	peer := zap.String(telemetry.PeerField, request.Parent.Node)
+	step := func(next input) { h.submitUplinkInput(ctx, name, opened, next) }
+	opened.link = h.client.Link(ctx, request.Parent.Address, request.Hello, stream.LinkEvents{
 		Connected: func() {
 			h.logger.Info("attached", peer)
 			step(func(now time.Time) control.Outputs { return h.core.UplinkConnected(now, name) })
@@ -67,9 +67,9 @@
 	})
 }
 
-// stepUplink submits an input of one attempt; it is dropped when another has
+// submitUplinkInput submits an input of one attempt; it is dropped when another has
 // taken the attempt's place.
-func (h *Host) stepUplink(ctx context.Context, name string, from *uplink, next input) {
+func (h *Host) submitUplinkInput(ctx context.Context, name string, from *uplink, next input) {
 	_ = h.submit(ctx, func(now time.Time) control.Outputs {
 		if h.links[name] != from {
 			return control.Outputs{}
