--- a/internal/distribution/control/config.go
+++ b/internal/distribution/control/config.go
@@ -8,25 +8,25 @@
 	"github.com/kestrelstream/kestrelstream/internal/membership"
 )
 
-// Config holds the parts' settings.
+// Config holds the settings of a control core and its components.
 type Config struct {
 	Relay      relay.Config
 	Subscriber subscriber.Config
 	Reader     reader.Config
-	// RelaysPerZone is how many control daemons of a zone its proxies
-	// prefer.
+	// RelaysPerZone is the number of control daemons of a zone that its
+	// proxies prefer.
 	RelaysPerZone int
-	// Slots is how many store readers there may be.
+	// Slots is the maximum number of store readers.
 	Slots int
 }
 
-// Defaults of the composition.
+// Defaults of Config.
 const (
 	defaultRelaysPerZone = 3
 	defaultSlots         = 3
 )
 
-// DefaultConfig returns the values chosen in docs/design/0004.
+// DefaultConfig returns the defaults described in docs/design/0004.
 func DefaultConfig() Config {
 	return Config{
 		Relay:         relay.DefaultConfig(),
@@ -37,12 +37,12 @@
 	}
 }
 
-// ParentUplink names the stream to the parent. Every other uplink is named after
-// the peer reader it leads to.
+// ParentUplink is the name of the stream to the parent. Every other uplink has the
+// name of the peer reader that it connects to.
 const ParentUplink = ""
 
-// UplinkOutput is what the shell has to do for one stream toward a parent or a
-// peer reader, in order of the fields.
+// UplinkOutput lists the actions for one stream to a parent or a peer reader.
+// The caller performs them in the order of the fields.
 type UplinkOutput struct {
 	Uplink     string
 	Disconnect bool
@@ -50,18 +50,19 @@
 	Report     *distribution.Report
 }
 
-// Outputs is what the shell has to do after an input.
+// Outputs lists the actions that the caller has to perform after an input.
 type Outputs struct {
 	Sends    []relay.Send
 	Refusals []relay.Refusal
 	Closes   []relay.SessionID
 	Uplinks  []UplinkOutput
-	// CancelWatch ends the running watch of the store, before Store.
+	// CancelWatch ends the running watch of the store; it is performed before
+	// the requests in Store.
 	CancelWatch bool
 	Store       []reader.Request
 }
 
-// identity is what a control daemon knows of itself.
+// identity describes the control daemon itself.
 type identity struct {
 	node distribution.Node
 	self membership.Member
--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -1,10 +1,11 @@
-// Package control composes the cores of one control daemon: its relay toward
-// the children, its uplink toward a parent, its candidacy for store reader and,
-// while it is one, the streams to the other readers. Readers need no root among
-// them: each watches the store and follows the others, so that configuration
-// passes around a reader that lost the store, and endpoint states pass between
-// the branches. Like its parts the core is a function of (now, input), with no
-// goroutine, clock or socket; it is not safe for concurrent use.
+// Package control composes the state machines of one control daemon: the relay
+// that serves its children, the uplink to a parent, the candidacy for a store
+// reader slot and, while it holds one, the streams to the other readers. The
+// readers have no root: each watches the store and subscribes to the others, so
+// that a reader that lost the store still receives configuration, and endpoint
+// states pass between the branches of the tree. Like its components, the core
+// depends only on the current time and the input. It uses no goroutine, clock or
+// socket and is not safe for concurrent use.
 package control
 
 import (
@@ -28,30 +29,31 @@
 	identity identity
 	random   *rand.Rand
 
-	members []membership.Member
-	upperMembers   []membership.Member
-	readerRank    int
+	members      []membership.Member
+	upperMembers []membership.Member
+	readerRank   int
 
 	relay  *relay.Core
 	reader *reader.Core
 	uplink *subscriber.Core
-	// peers holds the streams to the other readers, by node; empty while
-	// this daemon is no reader.
+	// peers holds the streams to the other readers, by node; it is empty
+	// unless this daemon is a reader.
 	peers map[string]*subscriber.Core
 
-	// detachedAt is since when there is neither a slot nor a parent; zero
-	// while there is one.
-	detachedAt time.Time
-	startedAt  time.Time
+	// detachedAt is the time since which the daemon has had neither a slot nor
+	// a parent; zero while it has one.
+	detachedAt     time.Time
+	startedAt      time.Time
 	candidacyDueAt time.Time
-	holdsSlot    bool
-	// stopping: a planned stop began; no slot is tried for any more.
+	holdsSlot      bool
+	// stopping is set once a planned stop began; the daemon then no longer
+	// tries to acquire a slot.
 	stopping bool
 	outputs  Outputs
 }
 
-// New returns a daemon that holds nothing. Members lists all control daemons,
-// this one included.
+// New returns a core with an empty configuration. Members lists all control
+// daemons, including this one.
 func New(config Config, node distribution.Node, members []membership.Member, random *rand.Rand) *Core {
 	core := &Core{
 		config:  config,
@@ -84,8 +86,8 @@
 	return subscriber.New(c.config.Subscriber, c.identity.node, distribution.ChildControl, projection.Entitlement{}, c.random)
 }
 
-// Start begins to look for a parent and, for the first candidates, for a
-// reader slot.
+// Start begins the search for a parent and, if the daemon is among the first
+// candidates, for a reader slot.
 func (c *Core) Start(now time.Time) Outputs {
 	c.detachedAt, c.startedAt = now, now
 	c.refreshParents(now)
@@ -101,19 +103,21 @@
 	return c.finish(now)
 }
 
-// State returns the newest configuration held.
+// State returns the newest configuration.
 func (c *Core) State() *resource.State { return c.relay.State() }
 
 // Relay gives read access to the relay's state; its inputs go through Core.
 func (c *Core) Relay() *relay.Core { return c.relay }
 
-// HoldsReaderSlot reports whether the daemon believes to hold a reader slot.
+// HoldsReaderSlot reports whether the daemon believes that it holds a
+// reader slot.
 func (c *Core) HoldsReaderSlot() bool { return c.holdsSlot }
 
-// Parent returns the parent attached to; false while there is none.
+// Parent returns the parent that the daemon is attached to, or false if there
+// is none.
 func (c *Core) Parent() (subscriber.Parent, bool) { return c.uplink.Parent() }
 
-// Tick does whatever has come due.
+// Tick performs all actions that are due.
 func (c *Core) Tick(now time.Time) Outputs {
 	c.applyRelayOutputs(now, c.relay.Tick(now))
 	c.applyReaderOutputs(c.reader.Tick(now))
@@ -136,8 +140,8 @@
 	return next
 }
 
-// Stop gives the reader slot back and asks the children to move on; for a
-// planned stop.
+// Stop begins a planned stop: it releases the reader slot and asks the children
+// to attach elsewhere.
 func (c *Core) Stop(now time.Time) Outputs {
 	c.stopping = true
 	c.applyReaderOutputs(c.reader.Stop(now))
@@ -145,7 +149,8 @@
 	return c.finish(now)
 }
 
-// finish brings roles up to date and hands over the outputs collected.
+// finish updates role, source and candidacy after an input and returns the
+// collected outputs.
 func (c *Core) finish(now time.Time) Outputs {
 	c.updateRole(now)
 	c.updateSource(now)
@@ -155,8 +160,8 @@
 	return outputs
 }
 
-// updateRole follows a slot won or lost: a reader has peers and no parent, any
-// other daemon a parent and no peers.
+// updateRole reacts to acquiring or losing a slot: a reader has peers and no
+// parent, any other daemon has a parent and no peers.
 func (c *Core) updateRole(now time.Time) {
 	if c.holdsSlot == c.reader.Holding() {
 		return
@@ -172,8 +177,8 @@
 	c.refreshParents(now)
 }
 
-// clearOwnSlots marks the slots this daemon was known to hold as given up, so that
-// nobody takes it for a reader any more.
+// clearOwnSlots marks the slots that this daemon was known to hold as vacant, so
+// that other daemons no longer treat it as a reader.
 func (c *Core) clearOwnSlots(now time.Time) {
 	var vacated []distribution.Reader
 	for _, held := range c.relay.Readers() {
@@ -185,8 +190,8 @@
 	c.applyRelayOutputs(now, c.relay.SetReaders(now, vacated))
 }
 
-// refreshParents recomputes whom to attach to from the members and the reader
-// slots.
+// refreshParents recomputes the candidate parents, or the peers of a reader,
+// from the members and the reader slots.
 func (c *Core) refreshParents(now time.Time) {
 	if c.holdsSlot {
 		c.applyUplinkOutputs(now, ParentUplink, c.uplink.Detach(now))
@@ -221,7 +226,7 @@
 
 func (c *Core) peerNames() []string { return slices.Sorted(maps.Keys(c.peers)) }
 
-// updateSource tells the relay how far from a reader this daemon is.
+// updateSource informs the relay of this daemon's distance to a reader.
 func (c *Core) updateSource(now time.Time) {
 	source := distribution.Source{}
 	if !c.holdsSlot {
@@ -245,25 +250,27 @@
 	}
 }
 
-// standbyFactor: that many times the slots' number of candidates look for a
-// free slot from time to time.
+// standbyFactor times the number of slots is the number of candidates; those
+// beyond the first check for a free slot from time to time.
 const standbyFactor = 2
 
-// leadingStagger is the time between the first attempts of the first candidates
-// after a start, so that a herd of restarted daemons does not turn to the store
-// together: taking a slot and loading costs nine requests.
+// leadingStagger is the interval between the first attempts of the first
+// candidates after a start. It prevents daemons that restart together from
+// accessing the store at the same time: acquiring a slot and loading takes nine
+// requests.
 const leadingStagger = time.Second
 
-// A daemon without a parent becomes a candidate after candidateDelay, and one
-// candidateStagger later for each rank, so that a herd of orphans does not turn to
-// the store together.
+// A daemon without a parent becomes a candidate after candidateDelay plus
+// candidateStagger times its rank, so that daemons that lost their parents
+// together do not access the store at the same time.
 const (
-	candidateDelay = time.Second
-	candidateStagger  = 250 * time.Millisecond
+	candidateDelay   = time.Second
+	candidateStagger = 250 * time.Millisecond
 )
 
-// updateCandidacy says who tries for a slot: the first candidates always,
-// the others once they have been without a parent for a while.
+// updateCandidacy decides whether this daemon tries to acquire a slot: the
+// first candidates always do, the others once they have had no parent for some
+// time.
 func (c *Core) updateCandidacy(now time.Time) {
 	c.applyReaderOutputs(c.reader.SetCandidacy(now, c.candidacy(now)))
 }
@@ -290,8 +297,8 @@
 	}
 }
 
-// leadingCandidacy is the candidacy of one of the first candidates, whose turn comes by
-// rank after the start.
+// leadingCandidacy returns the candidacy of one of the first candidates, whose
+// attempts after a start are staggered by rank.
 func (c *Core) leadingCandidacy(now time.Time) reader.Candidacy {
 	turn := c.startedAt.Add(time.Duration(c.readerRank) * leadingStagger)
 	if now.Before(turn) {
--- a/internal/distribution/control/inputs.go
+++ b/internal/distribution/control/inputs.go
@@ -10,8 +10,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// Attach opens a session for a child. The daemon's own parent is refused: the
-// two would keep each other attached with no reader behind either.
+// Attach opens a session for a child. It refuses the daemon's own parent, since
+// the two could stay attached to each other with no path to a reader.
 func (c *Core) Attach(now time.Time, id relay.SessionID, hello distribution.Hello) Outputs {
 	if parent, attached := c.uplink.Parent(); attached && parent.Node == hello.Node.Name {
 		refusal := relay.Refusal{Session: id, Reason: relay.ReasonLoop, RetryAfter: c.config.Relay.RetryAfter}
@@ -29,40 +29,40 @@
 	return c.finish(now)
 }
 
-// Sent says that the session's message was written.
+// Sent reports that the session's message was written.
 func (c *Core) Sent(now time.Time, id relay.SessionID) Outputs {
 	c.applyRelayOutputs(now, c.relay.Sent(now, id))
 	return c.finish(now)
 }
 
-// Report takes in what a child reported.
+// Report processes a child's report.
 func (c *Core) Report(now time.Time, id relay.SessionID, report distribution.Report) Outputs {
 	c.applyRelayOutputs(now, c.relay.Report(now, id, report))
 	return c.finish(now)
 }
 
-// MachineLeaving takes in that the platform lists a machine as leaving.
+// MachineLeaving reports that the platform lists a machine as leaving.
 func (c *Core) MachineLeaving(now time.Time, node string) Outputs {
 	c.applyRelayOutputs(now, c.relay.MachineLeaving(now, node))
 	return c.finish(now)
 }
 
-// UplinkConnected says that a parent or peer accepted the stream.
+// UplinkConnected reports that a parent or peer accepted the stream.
 func (c *Core) UplinkConnected(now time.Time, uplink string) Outputs {
 	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Connected(now) })
 }
 
-// UplinkRefused says that a parent or peer turned the attach down.
+// UplinkRefused reports that a parent or peer refused the attach request.
 func (c *Core) UplinkRefused(now time.Time, uplink string, retryAfter time.Duration) Outputs {
 	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Refused(now, retryAfter) })
 }
 
-// UplinkReceived takes in a message of an uplink.
+// UplinkReceived processes a message received on an uplink.
 func (c *Core) UplinkReceived(now time.Time, uplink string, message *distribution.Message) Outputs {
 	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Received(now, message) })
 }
 
-// UplinkDisconnected says that an attempt failed or a stream ended.
+// UplinkDisconnected reports that a connection attempt failed or a stream ended.
 func (c *Core) UplinkDisconnected(now time.Time, uplink string, err error) Outputs {
 	return c.applyUplinkInput(now, uplink, func(s *subscriber.Core) subscriber.Outputs { return s.Disconnected(now, err) })
 }
@@ -74,7 +74,8 @@
 	return c.finish(now)
 }
 
-// findSubscriber returns nil for the uplink to a peer that is none any more.
+// findSubscriber returns the subscriber of an uplink, or nil if the peer is no
+// longer a reader.
 func (c *Core) findSubscriber(uplink string) *subscriber.Core {
 	if uplink == ParentUplink {
 		return c.uplink
@@ -82,21 +83,21 @@
 	return c.peers[uplink]
 }
 
-// Acquired answers reader.Acquire, with the slots found held.
+// Acquired delivers the result of reader.Acquire and the holders of the slots.
 func (c *Core) Acquired(now time.Time, held bool, readers []distribution.Reader, err error) Outputs {
 	c.setReaders(now, readers)
 	c.applyReaderOutputs(c.reader.Acquired(now, held, err))
 	return c.finish(now)
 }
 
-// Renewed answers reader.Renew.
+// Renewed delivers the result of reader.Renew.
 func (c *Core) Renewed(now time.Time, err error) Outputs {
 	c.applyReaderOutputs(c.reader.Renewed(now, err))
 	return c.finish(now)
 }
 
-// Loaded answers reader.Load: a checkpoint, when one was needed, the entries
-// after it or after the version held, and the store's revision.
+// Loaded delivers the result of reader.Load: a checkpoint if one was needed, the
+// entries after it or after the current version, and the store's revision.
 func (c *Core) Loaded(now time.Time, checkpoint *distribution.Checkpoint, entries []resource.Entry, revision uint64, err error) Outputs {
 	if err == nil {
 		c.applyContent(now, checkpoint, entries)
@@ -105,27 +106,27 @@
 	return c.finish(now)
 }
 
-// Watching answers reader.Watch.
+// Watching delivers the result of reader.Watch.
 func (c *Core) Watching(now time.Time, err error) Outputs {
 	c.applyReaderOutputs(c.reader.Watching(now, err))
 	return c.finish(now)
 }
 
-// WatchEntry takes in an entry that the watch delivered.
+// WatchEntry processes an entry delivered by the watch.
 func (c *Core) WatchEntry(now time.Time, entry resource.Entry, revision uint64) Outputs {
 	c.reader.WatchEvent(revision)
 	c.applyContent(now, nil, []resource.Entry{entry})
 	return c.finish(now)
 }
 
-// WatchEnded says that the running watch ended.
+// WatchEnded reports that the running watch ended.
 func (c *Core) WatchEnded(now time.Time, err error) Outputs {
 	c.applyReaderOutputs(c.reader.WatchEnded(now, err))
 	return c.finish(now)
 }
 
-// Polled answers reader.Poll with the entries after the version held when the
-// poll began, and the store's revision.
+// Polled delivers the result of reader.Poll: the entries after the version that
+// was current when the poll began, and the store's revision.
 func (c *Core) Polled(now time.Time, entries []resource.Entry, revision uint64, err error) Outputs {
 	before := c.relay.State().Version()
 	if err == nil {
@@ -149,7 +150,7 @@
 	}
 }
 
-// notifyApplied tells every uplink what this daemon holds now.
+// notifyApplied reports the version that this daemon has applied to every uplink.
 func (c *Core) notifyApplied(now time.Time, version uint64) {
 	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Applied(now, version))
 	for _, name := range c.peerNames() {
@@ -194,8 +195,8 @@
 	}
 }
 
-// applyUplinkOutputs passes on what a parent or peer sent and queues what the shell
-// has to do.
+// applyUplinkOutputs processes what a parent or peer sent and queues the actions
+// for the caller.
 func (c *Core) applyUplinkOutputs(now time.Time, uplink string, outputs subscriber.Outputs) {
 	if outputs.Connect != nil && uplink != ParentUplink {
 		outputs.Connect.Hello.Readers = c.relay.Readers()
