--- a/internal/distribution/controlhost/history.go
+++ b/internal/distribution/controlhost/history.go
@@ -7,18 +7,19 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// history keeps the newest entries for the watches of the resource API. One
-// goroutine advances it; any may read.
+// history keeps the newest entries for the watches of the resource API. Only one
+// goroutine may call advance; any goroutine may read.
 type history struct {
 	limit  int
 	newest atomic.Pointer[historySnapshot]
 }
 
-// historySnapshot is immutable. Entries are contiguous and end at version.
+// historySnapshot is an immutable view of the history. Its entries are contiguous
+// and end at version.
 type historySnapshot struct {
 	version uint64
 	entries []resource.Entry
-	// changed is closed when a later view replaces this one.
+	// changed is closed when a later snapshot replaces this one.
 	changed chan struct{}
 }
 
@@ -28,8 +29,8 @@
 	return h
 }
 
-// advance moves to a version that was reached, with the entries that led to
-// it. Where these leave a gap the history starts anew at the version.
+// advance moves the history to a version, given the entries that led to it. If
+// the entries leave a gap, the history is cleared and restarts at the version.
 func (h *history) advance(version uint64, entries []resource.Entry) {
 	held := h.newest.Load()
 	if version == held.version {
@@ -38,7 +39,8 @@
 	next := &historySnapshot{version: held.version, entries: held.entries, changed: make(chan struct{})}
 	for _, entry := range entries {
 		if entry.Version == next.version+1 && entry.Version <= version {
-			// Readers of earlier views never look beyond their own length.
+			// Appending may share the array with earlier snapshots; their readers
+			// never access entries beyond their own length.
 			next.entries = append(next.entries, entry)
 			next.version = entry.Version
 		}
@@ -53,8 +55,8 @@
 	close(held.changed)
 }
 
-// after returns the entries above a version, and false when some of them are
-// no longer held.
+// after returns the entries after a version, or false if some of them are no
+// longer kept.
 func (h *history) after(version uint64) ([]resource.Entry, bool) {
 	view := h.newest.Load()
 	if version >= view.version {
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -1,6 +1,6 @@
-// Package controlhost runs the core of a control daemon: one goroutine owns
-// the core, takes inputs from children, parents, peers and the store, and
-// carries out its outputs.
+// Package controlhost runs the core of a control daemon. One goroutine owns the
+// core, processes inputs from children, parents, peers and the store, and performs
+// the core's outputs.
 package controlhost
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// inputQueueLength is how many inputs may wait for the loop; further ones block
-// their senders, which are goroutines of single sessions, links and requests.
+// inputQueueLength is the capacity of the loop's input queue. Further inputs block
+// their senders, each of which is a goroutine of one session, link or request.
 const inputQueueLength = 256
 
-// ErrStopped says that the host no longer runs.
+// ErrStopped is returned when the host is no longer running.
 var ErrStopped = errors.New("controlhost: stopped")
 
-// input is one step of the core, run on the loop's goroutine.
+// input is one call of the core; it runs on the loop's goroutine.
 type input func(now time.Time) control.Outputs
 
 // Host runs one control core. Its methods are safe for concurrent use.
@@ -43,15 +43,15 @@
 	members *MemberList
 
 	// The fields below are owned by the loop's goroutine.
-	core        *control.Core
-	local       *localChild
+	core          *control.Core
+	local         *localChild
 	holdsSlot     bool
-	encodingCache      *stream.EncodingCache
-	sessions    map[relay.SessionID]*session
-	byToken     map[string]relay.SessionID
-	lastSession relay.SessionID
-	links       map[string]*uplink
-	// stopping turns new children away; emptied is closed once the last of the
+	encodingCache *stream.EncodingCache
+	sessions      map[relay.SessionID]*session
+	byToken       map[string]relay.SessionID
+	lastSession   relay.SessionID
+	links         map[string]*uplink
+	// stopping is set when new children are refused. drained is closed once the last of the
 	// others has left.
 	stopping bool
 	drained  chan struct{}
@@ -65,28 +65,28 @@
 	Log    Log
 	Slots  ReaderSlots
 	Roster *membership.Roster
-	// Members is where the host publishes the control daemons it knows.
+	// Members receives the control daemons known to the host.
 	Members *MemberList
-	// HistoryLength is how many entries are kept for watches, at least.
+	// HistoryLength is the minimum number of entries kept for watches.
 	HistoryLength int
 	Logger        *zap.Logger
 }
 
-// New returns a host; Run starts it.
+// New returns a host that Run starts.
 func New(parts Dependencies) *Host {
 	host := &Host{
-		logger:   parts.Logger,
-		client:   parts.Client,
-		inputs:   make(chan input, inputQueueLength),
-		stopped:  make(chan struct{}),
-		history:  newHistory(parts.HistoryLength),
-		members:  parts.Members,
-		core:     parts.Core,
-		encodingCache:   stream.NewEncodingCache(),
-		sessions: map[relay.SessionID]*session{},
-		byToken:  map[string]relay.SessionID{},
-		links:    map[string]*uplink{},
-		drained:  make(chan struct{}),
+		logger:        parts.Logger,
+		client:        parts.Client,
+		inputs:        make(chan input, inputQueueLength),
+		stopped:       make(chan struct{}),
+		history:       newHistory(parts.HistoryLength),
+		members:       parts.Members,
+		core:          parts.Core,
+		encodingCache: stream.NewEncodingCache(),
+		sessions:      map[relay.SessionID]*session{},
+		byToken:       map[string]relay.SessionID{},
+		links:         map[string]*uplink{},
+		drained:       make(chan struct{}),
 	}
 	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.Slots}
 	host.local = newLocalChild(host, parts.Node, parts.Roster)
@@ -94,7 +94,7 @@
 	return host
 }
 
-// Run runs the core until ctx ends; then every stream is closed.
+// Run runs the core until ctx is done, then closes every stream.
 func (h *Host) Run(ctx context.Context) error {
 	defer h.closeAll()
 	defer close(h.stopped)
@@ -102,7 +102,7 @@
 	defer timer.Stop()
 	h.performOutputs(ctx, h.core.Start(time.Now()))
 	for {
-		resetTimer(timer, earliest(h.core.NextTick(), h.local.nextStep()))
+		resetTimer(timer, earliest(h.core.NextTick(), h.local.next()))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -114,7 +114,7 @@
 	}
 }
 
-// resetTimer arms the timer for the next tick; without one it stays unarmed.
+// resetTimer sets the timer for the next tick, or stops it if next is zero.
 func resetTimer(timer *time.Timer, next time.Time) {
 	timer.Stop()
 	if !next.IsZero() {
@@ -122,8 +122,8 @@
 	}
 }
 
-// performOutputs does what the core asked for, and what follows from it for the
-// daemon's own membership.
+// performOutputs performs the core's outputs and then updates the daemon's own
+// membership.
 func (h *Host) performOutputs(ctx context.Context, outputs control.Outputs) {
 	h.performCoreOutputs(ctx, outputs)
 	h.local.step(ctx, time.Now())
@@ -153,7 +153,7 @@
 }
 
 // publish makes the newest configuration visible to readers of State and to
-// watches. Entries are what led to it, as far as they are known.
+// watches. Entries are the known entries that led to it; they may be incomplete.
 func (h *Host) publish(entries []resource.Entry) {
 	state := h.core.State()
 	h.state.Store(state)
@@ -166,14 +166,14 @@
 	}
 	h.holdsSlot = h.core.HoldsReaderSlot()
 	if h.holdsSlot {
-		h.logger.Info("store reader slot won")
+		h.logger.Info("store reader slot acquired")
 		return
 	}
-	h.logger.Info("store reader slot lost or given back")
+	h.logger.Info("store reader slot lost or released")
 }
 
-// send places a message for its session. The core has at most one message in
-// flight per session; a session that breaks this is closed.
+// send queues a message for its session. The core keeps at most one message in
+// flight per session; a session for which a second one arrives is closed.
 func (h *Host) send(send relay.Send) {
 	if send.Session == h.local.id {
 		h.local.receive(send.Message)
@@ -186,7 +186,7 @@
 	select {
 	case session.messages <- h.encodingCache.Encode(send.Message):
 	default:
-		h.logger.Error("second message in flight", zap.String("peer", session.node.Name))
+		h.logger.Error("closing session: previous message still in flight", zap.String("peer", session.node.Name))
 		h.closeSession(send.Session)
 	}
 }
@@ -233,7 +233,7 @@
 	}
 }
 
-// submit hands an input to the loop.
+// submit queues an input for the loop.
 func (h *Host) submit(ctx context.Context, step input) error {
 	select {
 	case h.inputs <- step:
@@ -245,7 +245,7 @@
 	}
 }
 
-// submitAndWait hands an input to the loop and waits until the core has taken it.
+// submitAndWait queues an input and waits until the core has processed it.
 func (h *Host) submitAndWait(ctx context.Context, step input) error {
 	done := make(chan struct{})
 	err := h.submit(ctx, func(now time.Time) control.Outputs {
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	// localSuffix tells the name of a daemon's local child from the daemon's.
+	// localSuffix distinguishes the name of the local child from the daemon's.
 	localSuffix = "/members"
-	// localReportInterval keeps the local child's session alive.
+	// localReportInterval is the interval between the reports that keep the
+	// local child's session alive.
 	localReportInterval = 4 * time.Second
-	// localRetryInterval lies between two attempts to attach it.
+	// localRetryInterval is the interval between attempts to attach the local
+	// child.
 	localRetryInterval = time.Second
 )
 
-// localChild is the daemon's own child of its relay, without a connection. Over
-// it the daemon announces itself to the tree and learns of the other daemons,
-// in the way endpoint states travel. It is owned by the loop's goroutine.
+// localChild is an in-process child of the daemon's own relay. Through it the
+// daemon announces itself and learns of the other daemons by the same updates
+// that carry endpoint states. It is owned by the loop's goroutine.
 type localChild struct {
 	host   *Host
 	node   distribution.Node
 	roster *membership.Roster
-	// id is the session; zero while not attached.
+	// id is the ID of the session; zero while not attached.
 	id       relay.SessionID
 	received []*distribution.Message
-	// reportAt and retryAt are when the next report and attempt are due,
-	// steppedAt is when step ran last.
+	// reportAt and retryAt are the times of the next report and attempt;
+	// steppedAt is the time of the last call of step.
 	reportAt  time.Time
 	retryAt   time.Time
 	steppedAt time.Time
 	members   []membership.Member
-	// path is the way to a reader that the last announcement was made on.
-	path readerPath
+	// readerPath is the readerPath to a reader at the time of the last announcement.
+	readerPath readerPath
 }
 
-// readerPath is a daemon's way to a reader.
+// readerPath describes how a daemon is connected to a reader.
 type readerPath struct {
 	isReader bool
 	parent   string
@@ -51,20 +53,20 @@
 	return &localChild{host: host, node: node, roster: roster}
 }
 
-// receive keeps a message for the next step.
+// receive queues a message for the next step.
 func (l *localChild) receive(message *distribution.Message) {
 	l.received = append(l.received, message)
 }
 
-// sessionClosed notes that the relay ended the session.
+// sessionClosed records that the relay ended the session.
 func (l *localChild) sessionClosed(id relay.SessionID) {
 	if id == l.id {
 		l.id = 0
 	}
 }
 
-// nextStep returns when step has to run at the latest.
-func (l *localChild) nextStep() time.Time {
+// next returns the latest time at which step has to run.
+func (l *localChild) next() time.Time {
 	next := l.reportAt
 	if l.id == 0 {
 		next = l.retryAt
@@ -75,8 +77,8 @@
 	return next
 }
 
-// step does what is due, takes in what was received and gives the core the
-// inputs that follow, until nothing more does.
+// step performs the actions that are due and processes received messages until
+// none is left, passing the resulting inputs to the core.
 func (l *localChild) step(ctx context.Context, now time.Time) {
 	l.steppedAt = now
 	l.roster.Path(now, !l.host.core.Relay().Source().Detached)
@@ -114,7 +116,8 @@
 	l.host.performCoreOutputs(ctx, outputs)
 }
 
-// report says that the child is there, with new announcements if any.
+// report reports to the relay that the child is alive, with any new
+// announcements.
 func (l *localChild) report(ctx context.Context, now time.Time, announcements []endpoint.Update) {
 	if l.id == 0 {
 		return
@@ -127,16 +130,16 @@
 	}))
 }
 
-// reannounce announces the daemon anew when its way to a reader is another one.
+// reannounce announces the daemon again when its path to a reader has changed.
 func (l *localChild) reannounce(ctx context.Context, now time.Time) {
 	current := readerPath{isReader: l.host.core.HoldsReaderSlot()}
 	if parent, attached := l.host.core.Parent(); attached {
 		current.parent = parent.Node
 	}
-	if l.id == 0 || current == l.path || current == (readerPath{}) {
+	if l.id == 0 || current == l.readerPath || current == (readerPath{}) {
 		return
 	}
-	l.path = current
+	l.readerPath = current
 	l.report(ctx, now, []endpoint.Update{l.roster.Reannounce()})
 }
 
@@ -151,10 +154,11 @@
 	l.report(ctx, now, []endpoint.Update{l.roster.Leave()})
 }
 
-// publishMembers tells the core and readers of Members when the list changed.
+// publishMembers passes the member list to the core and to readers of Members
+// when it changed.
 func (l *localChild) publishMembers(ctx context.Context, now time.Time) {
 	members := l.roster.Members(now)
-	// The roster returns the same slice until something changed.
+	// The roster returns the same slice until its members change.
 	unchanged := len(l.members) > 0 && &members[0] == &l.members[0]
 	if unchanged || slices.Equal(members, l.members) {
 		return
--- a/internal/distribution/controlhost/queries.go
+++ b/internal/distribution/controlhost/queries.go
@@ -11,44 +11,45 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// State returns the newest configuration held.
+// State returns the newest configuration.
 func (h *Host) State() *resource.State { return h.state.Load() }
 
-// EntriesAfter returns the entries above a version, and false when some of
-// them are no longer held.
+// EntriesAfter returns the entries after a version, or false if some of them are
+// no longer kept.
 func (h *Host) EntriesAfter(version uint64) ([]resource.Entry, bool) { return h.history.after(version) }
 
-// Changed returns a channel that is closed at the next change of what
-// EntriesAfter returns.
+// Changed returns a channel that is closed when the result of EntriesAfter next
+// changes.
 func (h *Host) Changed() <-chan struct{} { return h.history.newest.Load().changed }
 
-// MachineLeaving tells the core that the platform lists a machine as leaving.
+// MachineLeaving reports to the core that the platform lists a machine as leaving.
 func (h *Host) MachineLeaving(ctx context.Context, node string) error {
 	return h.submit(ctx, func(now time.Time) control.Outputs { return h.core.MachineLeaving(now, node) })
 }
 
-// Status is what a host shows of itself.
+// Status describes the state of a host.
 type Status struct {
 	Version uint64 `json:"version"`
-	// Reader says whether this daemon believes to hold a reader slot.
+	// Reader reports whether this daemon believes that it holds a reader slot.
 	Reader bool `json:"reader"`
-	// Parent is the parent attached to, if any.
+	// Parent is the name of the parent that the daemon is attached to, if any.
 	Parent  string                `json:"parent,omitempty"`
 	Source  distribution.Source   `json:"source"`
 	Readers []distribution.Reader `json:"readers,omitempty"`
-	// Sessions is how many children are attached.
+	// Sessions is the number of attached children.
 	Sessions int `json:"sessions"`
-	// Uplinks is how many streams to a parent or to peers are open or tried.
+	// Uplinks is the number of streams to a parent or to peers that are open or
+	// being opened.
 	Uplinks int `json:"uplinks"`
-	// Members are the control daemons known.
+	// Members are the known control daemons.
 	Members []membership.Member `json:"members"`
 }
 
-// Status returns the host's present state, or the zero value once it stopped.
+// Status returns the host's current state, or the zero value once it stopped.
 func (h *Host) Status() Status { return query(h, h.status) }
 
-// query returns what is read on the loop's goroutine, or the zero value once the
-// host stopped.
+// query calls read on the loop's goroutine and returns its result, or the zero
+// value once the host stopped.
 func query[T any](h *Host, read func() T) T {
 	var result T
 	_ = h.submitAndWait(context.Background(), func(time.Time) control.Outputs {
--- a/internal/distribution/controlhost/session.go
+++ b/internal/distribution/controlhost/session.go
@@ -13,8 +13,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-// session is one child. The core sends the next message only after Sent, so
-// one place in messages is enough and the loop never blocks on it.
+// session is the session of one child. The core sends the next message only after
+// Sent, so a buffer of one message suffices and the loop never blocks on it.
 type session struct {
 	id       relay.SessionID
 	token    string
@@ -22,24 +22,24 @@
 	kind     distribution.ChildKind
 	host     *Host
 	messages chan *stream.EncodedMessage
-	// refusal and greeted are set by the loop before the attach is answered.
-	refusal *stream.RefusedError
+	// refusal and initialParents are set by the loop before the attach is answered.
+	refusal        *stream.RefusedError
 	initialParents []stream.Parent
 	// lastOffered is what the child was lastOffered of last; owned by the loop's goroutine.
 	lastOffered []stream.Parent
 }
 
-// ID names the session in reports.
+// ID returns the token that identifies the session in reports.
 func (s *session) ID() string { return s.token }
 
-// Messages delivers what the child is sent.
+// Messages returns the channel of messages to send to the child.
 func (s *session) Messages() <-chan *stream.EncodedMessage { return s.messages }
 
-// Parents are the daemons that the child is told of as it attaches.
+// Parents returns the daemons offered to the child when it attaches.
 func (s *session) Parents() []stream.Parent { return s.initialParents }
 
-// changedParents returns the daemons that a proxy is to be told of, or none when it was
-// told of the same before. It runs on the loop's goroutine.
+// changedParents returns the daemons to offer to a proxy, or nil if they are the
+// same as last time. It runs on the loop's goroutine.
 func (s *session) changedParents() []stream.Parent {
 	if s.kind != distribution.ChildProxy {
 		return nil
@@ -52,14 +52,14 @@
 	return parents
 }
 
-// Sent says that the last message was written.
+// Sent reports that the last message was written.
 func (s *session) Sent() {
 	_ = s.host.submit(context.Background(), func(now time.Time) control.Outputs {
 		return s.host.core.Sent(now, s.id)
 	})
 }
 
-// Detach ends the session since its stream ended.
+// Detach ends the session after its stream ended.
 func (s *session) Detach() {
 	_ = s.host.submit(context.Background(), func(now time.Time) control.Outputs {
 		s.host.closeSession(s.id)
@@ -82,12 +82,12 @@
 		return h.attach(now, opened, hello)
 	})
 	if err != nil {
-		return nil, stoppingError()
+		return nil, stopping()
 	}
 	select {
 	case <-answered:
 	case <-h.stopped:
-		return nil, stoppingError()
+		return nil, stopping()
 	}
 	if opened.refusal != nil {
 		return nil, opened.refusal
@@ -97,7 +97,7 @@
 
 func (h *Host) attach(now time.Time, opened *session, hello distribution.Hello) control.Outputs {
 	if h.stopping {
-		opened.refusal = stoppingError()
+		opened.refusal = stopping()
 		return control.Outputs{}
 	}
 	h.lastSession++
@@ -112,16 +112,17 @@
 	return outputs
 }
 
-// stopRetryAfter is when a child of a stopping daemon may try again.
+// stopRetryAfter is the delay after which a child refused by a stopping daemon
+// may try again.
 const stopRetryAfter = time.Second
 
-func stoppingError() *stream.RefusedError {
+func stopping() *stream.RefusedError {
 	return &stream.RefusedError{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stopRetryAfter}
 }
 
-// Report takes a report of an open session and returns the parents that the
-// child is to be told of, if they changed. Reports of sessions that ended, and
-// of another node than the session's, are refused.
+// Report processes a report of an open session and returns the parents to offer
+// to the child if they changed. It refuses reports of sessions that ended and
+// reports of a node other than the session's.
 func (h *Host) Report(ctx context.Context, token string, report distribution.Report) ([]stream.Parent, error) {
 	var offered []stream.Parent
 	var refused error
@@ -131,7 +132,7 @@
 		return outputs
 	})
 	if err != nil {
-		return nil, stoppingError()
+		return nil, stopping()
 	}
 	return offered, refused
 }
--- a/internal/distribution/controlhost/stop.go
+++ b/internal/distribution/controlhost/stop.go
@@ -7,14 +7,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/control"
 )
 
-// minStopDuration is how long a stopping host stays at the least, so that its
-// announcement that it leaves goes out.
+// minStopDuration is the minimum time that a host without children keeps running
+// after Stop, so that its announcement that it leaves is sent.
 const minStopDuration = 200 * time.Millisecond
 
-// Stop announces that the daemon leaves, gives a reader slot back, asks the
-// children to move on and turns new ones away. It returns when no child is
-// left, at the latest after the grace period, when the streams that remain are
-// closed: their children move on then.
+// Stop announces that the daemon leaves, releases its reader slot, asks the
+// children to attach elsewhere and refuses new ones. It returns when no child is
+// left. After the grace period it closes the remaining streams, whose children
+// then attach elsewhere.
 func (h *Host) Stop(ctx context.Context, grace time.Duration) error {
 	if err := h.submitAndWait(ctx, func(now time.Time) control.Outputs { return h.stop(ctx, now) }); err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return h.core.Stop(now)
 }
 
-// signalDrained closes emptied once, when a stopping host has no child left.
+// signalDrained closes drained once a stopping host has no child left.
 func (h *Host) signalDrained() {
 	if !h.stopping || len(h.sessions) > 0 {
 		return
--- a/internal/distribution/controlhost/store.go
+++ b/internal/distribution/controlhost/store.go
@@ -16,15 +16,15 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// Bounds of one operation on the store.
+// Limits of one store operation.
 const (
 	operationTimeout = 5 * time.Second
 	loadTimeout      = 30 * time.Second
-	// pollEntries bounds the entries of one poll.
+	// pollEntries is the maximum number of entries read by one poll.
 	pollEntries = 256
 )
 
-// Log is the version log as a store reader uses it.
+// Log is the part of the version log that a store reader uses.
 type Log interface {
 	Load(ctx context.Context) (*resource.State, []resource.Entry, uint64, error)
 	ReadAfter(ctx context.Context, after uint64, limit int) ([]resource.Entry, error)
@@ -33,16 +33,16 @@
 
 // ReaderSlots are the reader slots as this daemon uses them.
 type ReaderSlots interface {
-	// Acquire tries once for a slot and returns who holds the slots then.
+	// Acquire tries once to acquire a slot and returns the resulting holders.
 	Acquire(ctx context.Context) (held bool, readers []distribution.Reader, err error)
-	// Renew keeps the slot; store.ErrLeaseNotFound says that it is lost.
+	// Renew renews the slot; store.ErrLeaseNotFound means that it is lost.
 	Renew(ctx context.Context) error
-	// Release gives the slot back.
+	// Release releases the slot.
 	Release(ctx context.Context) error
 }
 
-// storeOperations performs what the reader core asks for, each operation on a
-// goroutine of its own; the answer is an input of the loop.
+// storeOperations performs the requests of the reader core, each on its own
+// goroutine, and submits the results to the loop.
 type storeOperations struct {
 	host  *Host
 	log   Log
@@ -50,7 +50,7 @@
 	// stopWatch ends the running watch; nil while there is none. It is owned
 	// by the loop's goroutine.
 	stopWatch context.CancelFunc
-	// releases counts slots being given back; the loop's end waits for them.
+	// releases counts the slot releases in progress; closeAll waits for them.
 	releases sync.WaitGroup
 }
 
@@ -102,8 +102,8 @@
 	o.logFailure(ctx, reader.Release, o.slots.Release(bounded))
 }
 
-// load reads the log. Entries are preferred to a checkpoint, since they keep
-// the children's deltas small.
+// load reads the log. It passes on a checkpoint only if the entries do not cover
+// the gap, since entries keep the children's deltas small.
 func (o *storeOperations) load(ctx context.Context, version uint64) {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -120,7 +120,7 @@
 	})
 }
 
-// entriesCover reports whether entries lead from one version to another.
+// entriesCover reports whether the entries lead from one version to another.
 func entriesCover(entries []resource.Entry, from, to uint64) bool {
 	return from >= to || (len(entries) > 0 && entries[0].Version <= from+1)
 }
@@ -131,7 +131,8 @@
 	entries, err := o.log.ReadAfter(bounded, version, pollEntries)
 	o.logFailure(ctx, reader.Poll, err)
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs {
-		// The watch starts again where it was; what it repeats is skipped.
+		// The watch restarts at its previous position; entries that it
+		// repeats are skipped.
 		const revisionUnknown = 0
 		outputs := o.host.core.Polled(now, entries, revisionUnknown, err)
 		o.host.publish(entries)
@@ -139,7 +140,7 @@
 	})
 }
 
-// watch starts the watch of the log in place of the running one.
+// watch replaces the running watch of the log, if any, with a new one.
 func (o *storeOperations) watch(ctx context.Context, after versionlog.Position) {
 	o.cancelWatch()
 	watchContext, cancel := context.WithCancel(ctx)
@@ -155,8 +156,8 @@
 	}
 }
 
-// forwardUpdates hands every update of a watch to the loop until the watch ends; what
-// a cancelled watch still brings is dropped.
+// forwardUpdates submits every update of a watch to the loop until the watch ends.
+// Updates of a cancelled watch are dropped.
 func (o *storeOperations) forwardUpdates(ctx, watchContext context.Context, running *versionlog.Stream) {
 	defer running.Close()
 	_ = o.host.submit(ctx, func(now time.Time) control.Outputs { return o.host.core.Watching(now, nil) })
--- a/internal/distribution/controlhost/uplink.go
+++ b/internal/distribution/controlhost/uplink.go
@@ -13,7 +13,7 @@
 	"github.com/kestrelstream/kestrelstream/internal/telemetry"
 )
 
-// uplink is the present attempt or stream toward a parent or peer.
+// uplink is the current connection attempt or stream to a parent or peer.
 type uplink struct {
 	link *stream.Link
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// connect starts an attempt in place of the uplink's present one.
+// connect replaces the uplink's current attempt or stream with a new attempt.
 func (h *Host) connect(ctx context.Context, name string, request subscriber.Connect) {
 	h.disconnect(name)
 	opened := &uplink{}
@@ -67,8 +67,8 @@
 	})
 }
 
-// submitUplinkInput submits an input of one attempt; it is dropped when another has
-// taken the attempt's place.
+// submitUplinkInput submits an input of one attempt. The input is dropped if
+// another attempt has replaced it.
 func (h *Host) submitUplinkInput(ctx context.Context, name string, from *uplink, next input) {
 	_ = h.submit(ctx, func(now time.Time) control.Outputs {
 		if h.links[name] != from {
