--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -94,8 +94,8 @@
 	return c.finish(now)
 }
 
-// SetMembers replaces the list of control daemons.
-func (c *Core) SetMembers(now time.Time, members []membership.Member) Outputs {
+// Members replaces the list of control daemons.
+func (c *Core) Members(now time.Time, members []membership.Member) Outputs {
 	c.members = members
 	c.identity.self = findMember(members, c.identity.node)
 	c.rankMembers()
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -165,7 +165,7 @@
 	}
 	l.members = members
 	l.host.members.store(members)
-	l.host.performCoreOutputs(ctx, l.host.core.SetMembers(now, members))
+	l.host.performCoreOutputs(ctx, l.host.core.Members(now, members))
 }
 
 func earliest(a, b time.Time) time.Time {
