--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -63,7 +63,7 @@
 	Node   distribution.Node
 	Client *stream.Client
 	Log    Log
-	Slots  ReaderSlots
+	ReaderSlots  ReaderSlots
 	Roster *membership.Roster
 	// Members receives the control daemons known to the host.
 	Members *MemberList
@@ -88,7 +88,7 @@
 		links:         map[string]*uplink{},
 		drained:       make(chan struct{}),
 	}
-	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.Slots}
+	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.ReaderSlots}
 	host.local = newLocalChild(host, parts.Node, parts.Roster)
 	host.state.Store(parts.Core.State())
 	return host
