--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -196,7 +196,7 @@
 		Node:          node,
 		Client:        client,
 		Log:           log,
-		ReaderSlots:         slots,
+		ReaderSlots:   slots,
 		Roster:        roster,
 		Members:       members,
 		HistoryLength: loaded.Distribution.LogTail,
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -59,12 +59,12 @@
 
 // Dependencies are what a host is made of.
 type Dependencies struct {
-	Core   *control.Core
-	Node   distribution.Node
-	Client *stream.Client
-	Log    Log
-	ReaderSlots  ReaderSlots
-	Roster *membership.Roster
+	Core        *control.Core
+	Node        distribution.Node
+	Client      *stream.Client
+	Log         Log
+	ReaderSlots ReaderSlots
+	Roster      *membership.Roster
 	// Members receives the control daemons known to the host.
 	Members *MemberList
 	// HistoryLength is the minimum number of entries kept for watches.
--- a/internal/distribution/controlhost/session.go
+++ b/internal/distribution/controlhost/session.go
@@ -25,7 +25,8 @@
 	// refusal and initialParents are set by the loop before the attach is answered.
 	refusal        *stream.RefusedError
 	initialParents []stream.Parent
-	// lastOffered is what the child was lastOffered of last; owned by the loop's goroutine.
+	// lastOffered is the list last offered to the child; it is owned by the
+	// loop's goroutine.
 	lastOffered []stream.Parent
 }
 
