--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -51,13 +51,13 @@
 	byToken       map[string]relay.SessionID
 	lastSession   relay.SessionID
 	links         map[string]*uplink
-	// stopping is set when new children are refused. drained is closed once the last of the
-	// others has left.
+	// stopping is set once a planned stop began; new children are then
+	// refused. drained is closed once the last attached child has left.
 	stopping bool
 	drained  chan struct{}
 }
 
-// Dependencies are what a host is made of.
+// Dependencies holds the components that New builds a host from.
 type Dependencies struct {
 	Core        *control.Core
 	Node        distribution.Node
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -38,7 +38,7 @@
 	retryAt   time.Time
 	steppedAt time.Time
 	members   []membership.Member
-	// readerPath is the readerPath to a reader at the time of the last announcement.
+	// readerPath is the path at the time of the last announcement.
 	readerPath readerPath
 }
 
--- a/internal/distribution/controlhost/store.go
+++ b/internal/distribution/controlhost/store.go
@@ -31,7 +31,7 @@
 	Watch(ctx context.Context, after versionlog.Position) *versionlog.Stream
 }
 
-// ReaderSlots are the reader slots as this daemon uses them.
+// ReaderSlots gives this daemon access to the store reader slots.
 type ReaderSlots interface {
 	// Acquire tries once to acquire a slot and returns the resulting holders.
 	Acquire(ctx context.Context) (held bool, readers []distribution.Reader, err error)
@@ -47,7 +47,7 @@
 	host  *Host
 	log   Log
 	slots ReaderSlots
-	// stopWatch ends the running watch; nil while there is none. It is owned
+	// stopWatch ends the running watch; nil if there is none. It is owned
 	// by the loop's goroutine.
 	stopWatch context.CancelFunc
 	// releases counts the slot releases in progress; closeAll waits for them.
