--- a/internal/distribution/control/core.go
+++ b/internal/distribution/control/core.go
@@ -1,10 +1,11 @@
-// Package control composes the cores of one control daemon: its relay toward
-// the children, its uplink toward a parent, its candidacy for store reader and,
-// while it is one, the streams to the other readers. Readers need no root among
-// them: each watches the store and follows the others, so that configuration
-// passes around a reader that lost the store, and endpoint states pass between
-// the branches. Like its parts the core is a function of (now, input), with no
-// goroutine, clock or socket; it is not safe for concurrent use.
+// Package control composes the state machines of one control daemon: the relay
+// that serves its children, the uplink to a parent, the candidacy for a store
+// reader slot and, while it holds one, the streams to the other readers. The
+// readers have no root: each watches the store and subscribes to the others, so
+// that a reader that lost the store still receives configuration, and endpoint
+// states pass between the branches of the tree. Like its components, the core
+// depends only on the current time and the input. It uses no goroutine, clock or
+// socket and is not safe for concurrent use.
 package control
 
 import (
@@ -28,30 +29,31 @@
 	identity identity
 	random   *rand.Rand
 
-	members []membership.Member
-	upper   []membership.Member
-	rank    int
+	members      []membership.Member
+	upperMembers []membership.Member
+	readerRank   int
 
 	relay  *relay.Core
 	reader *reader.Core
 	uplink *subscriber.Core
-	// peers holds the streams to the other readers, by node; empty while
-	// this daemon is no reader.
+	// peers holds the streams to the other readers, by node; it is empty
+	// unless this daemon is a reader.
 	peers map[string]*subscriber.Core
 
-	// detachedAt is since when there is neither a slot nor a parent; zero
-	// while there is one.
-	detachedAt time.Time
-	startedAt  time.Time
-	eligibleAt time.Time
-	holding    bool
-	// stopping: a planned stop began; no slot is tried for any more.
+	// detachedAt is the time since which the daemon has had neither a slot nor
+	// a parent; zero while it has one.
+	detachedAt     time.Time
+	startedAt      time.Time
+	candidacyDueAt time.Time
+	holdsSlot      bool
+	// stopping is set once a planned stop began; the daemon then no longer
+	// tries to acquire a slot.
 	stopping bool
 	outputs  Outputs
 }
 
-// New returns a daemon that holds nothing. Members lists all control daemons,
-// this one included.
+// New returns a core with an empty configuration. Members lists all control
+// daemons, including this one.
 func New(config Config, node distribution.Node, members []membership.Member, random *rand.Rand) *Core {
 	core := &Core{
 		config:  config,
@@ -61,18 +63,18 @@
 		reader:  reader.New(config.Reader, random),
 		peers:   map[string]*subscriber.Core{},
 	}
-	core.identity = identity{node: node, self: memberNamed(members, node)}
+	core.identity = identity{node: node, self: findMember(members, node)}
 	core.uplink = core.newSubscriber()
 	core.rankMembers()
 	return core
 }
 
 func (c *Core) rankMembers() {
-	c.rank = membership.ReaderRank(c.members, c.identity.node.Name)
-	c.upper = membership.UpperTier(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
+	c.readerRank = membership.ReaderRank(c.members, c.identity.node.Name)
+	c.upperMembers = membership.UpperTier(c.members, c.config.RelaysPerZone, standbyFactor*c.config.Slots)
 }
 
-func memberNamed(members []membership.Member, node distribution.Node) membership.Member {
+func findMember(members []membership.Member, node distribution.Node) membership.Member {
 	at := slices.IndexFunc(members, func(m membership.Member) bool { return m.Name == node.Name })
 	if at < 0 {
 		return membership.Member{Name: node.Name, Zone: node.Zone, Region: node.Region}
@@ -84,8 +86,8 @@
 	return subscriber.New(c.config.Subscriber, c.identity.node, distribution.ChildControl, projection.Entitlement{}, c.random)
 }
 
-// Start begins to look for a parent and, for the first candidates, for a
-// reader slot.
+// Start begins the search for a parent and, if the daemon is among the first
+// candidates, for a reader slot.
 func (c *Core) Start(now time.Time) Outputs {
 	c.detachedAt, c.startedAt = now, now
 	c.refreshParents(now)
@@ -95,31 +97,33 @@
 // Members replaces the list of control daemons.
 func (c *Core) Members(now time.Time, members []membership.Member) Outputs {
 	c.members = members
-	c.identity.self = memberNamed(members, c.identity.node)
+	c.identity.self = findMember(members, c.identity.node)
 	c.rankMembers()
 	c.refreshParents(now)
 	return c.finish(now)
 }
 
-// State returns the newest configuration held.
+// State returns the newest configuration.
 func (c *Core) State() *resource.State { return c.relay.State() }
 
 // Relay gives read access to the relay's state; its inputs go through Core.
 func (c *Core) Relay() *relay.Core { return c.relay }
 
-// Holding reports whether the daemon believes to hold a reader slot.
-func (c *Core) Holding() bool { return c.holding }
+// HoldsReaderSlot reports whether the daemon believes that it holds a
+// reader slot.
+func (c *Core) HoldsReaderSlot() bool { return c.holdsSlot }
 
-// Parent returns the parent attached to; false while there is none.
+// Parent returns the parent that the daemon is attached to, or false if there
+// is none.
 func (c *Core) Parent() (subscriber.Parent, bool) { return c.uplink.Parent() }
 
-// Tick does whatever has come due.
+// Tick performs all actions that are due.
 func (c *Core) Tick(now time.Time) Outputs {
-	c.takeRelay(now, c.relay.Tick(now))
-	c.takeReader(c.reader.Tick(now))
-	c.takeUplink(now, MainUplink, c.uplink.Tick(now))
+	c.applyRelayOutputs(now, c.relay.Tick(now))
+	c.applyReaderOutputs(c.reader.Tick(now))
+	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Tick(now))
 	for _, name := range c.peerNames() {
-		c.takeUplink(now, name, c.peers[name].Tick(now))
+		c.applyUplinkOutputs(now, name, c.peers[name].Tick(now))
 	}
 	return c.finish(now)
 }
@@ -129,52 +133,53 @@
 func (c *Core) NextTick() time.Time {
 	next := earliest(c.relay.NextTick(), c.reader.NextTick())
 	next = earliest(next, c.uplink.NextTick())
-	next = earliest(next, c.eligibleAt)
+	next = earliest(next, c.candidacyDueAt)
 	for _, peer := range c.peers {
 		next = earliest(next, peer.NextTick())
 	}
 	return next
 }
 
-// Stop gives the reader slot back and asks the children to move on; for a
-// planned stop.
+// Stop begins a planned stop: it releases the reader slot and asks the children
+// to attach elsewhere.
 func (c *Core) Stop(now time.Time) Outputs {
 	c.stopping = true
-	c.takeReader(c.reader.Stop(now))
-	c.takeRelay(now, c.relay.Goodbye(now))
+	c.applyReaderOutputs(c.reader.Stop(now))
+	c.applyRelayOutputs(now, c.relay.Goodbye(now))
 	return c.finish(now)
 }
 
-// finish brings roles up to date and hands over the outputs collected.
+// finish updates role, source and candidacy after an input and returns the
+// collected outputs.
 func (c *Core) finish(now time.Time) Outputs {
 	c.updateRole(now)
 	c.updateSource(now)
-	c.updateEligibility(now)
+	c.updateCandidacy(now)
 	outputs := c.outputs
 	c.outputs = Outputs{}
 	return outputs
 }
 
-// updateRole follows a slot won or lost: a reader has peers and no parent, any
-// other daemon a parent and no peers.
+// updateRole reacts to acquiring or losing a slot: a reader has peers and no
+// parent, any other daemon has a parent and no peers.
 func (c *Core) updateRole(now time.Time) {
-	if c.holding == c.reader.Holding() {
+	if c.holdsSlot == c.reader.Holding() {
 		return
 	}
-	c.holding = c.reader.Holding()
-	if !c.holding {
-		c.vacate(now)
+	c.holdsSlot = c.reader.Holding()
+	if !c.holdsSlot {
+		c.clearOwnSlots(now)
 		for _, name := range c.peerNames() {
-			c.takeUplink(now, name, c.peers[name].Detach(now))
+			c.applyUplinkOutputs(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
 	c.refreshParents(now)
 }
 
-// vacate marks the slots this daemon was known to hold as given up, so that
-// nobody takes it for a reader any more.
-func (c *Core) vacate(now time.Time) {
+// clearOwnSlots marks the slots that this daemon was known to hold as vacant, so
+// that other daemons no longer treat it as a reader.
+func (c *Core) clearOwnSlots(now time.Time) {
 	var vacated []distribution.Reader
 	for _, held := range c.relay.Readers() {
 		if held.Node == c.identity.node.Name {
@@ -182,19 +187,19 @@
 			vacated = append(vacated, held)
 		}
 	}
-	c.takeRelay(now, c.relay.SetReaders(now, vacated))
+	c.applyRelayOutputs(now, c.relay.SetReaders(now, vacated))
 }
 
-// refreshParents recomputes whom to attach to from the members and the reader
-// slots.
+// refreshParents recomputes the candidate parents, or the peers of a reader,
+// from the members and the reader slots.
 func (c *Core) refreshParents(now time.Time) {
-	if c.holding {
-		c.takeUplink(now, MainUplink, c.uplink.Detach(now))
+	if c.holdsSlot {
+		c.applyUplinkOutputs(now, ParentUplink, c.uplink.Detach(now))
 		c.refreshPeers(now)
 		return
 	}
-	parents := membership.DaemonParents(c.members, c.upper, c.identity.self, c.config.RelaysPerZone, c.relay.Readers())
-	c.takeUplink(now, MainUplink, c.uplink.Parents(now, parents))
+	parents := membership.DaemonParents(c.members, c.upperMembers, c.identity.self, c.config.RelaysPerZone, c.relay.Readers())
+	c.applyUplinkOutputs(now, ParentUplink, c.uplink.Parents(now, parents))
 }
 
 func (c *Core) refreshPeers(now time.Time) {
@@ -206,7 +211,7 @@
 	}
 	for _, name := range c.peerNames() {
 		if _, still := wanted[name]; !still {
-			c.takeUplink(now, name, c.peers[name].Detach(now))
+			c.applyUplinkOutputs(now, name, c.peers[name].Detach(now))
 			delete(c.peers, name)
 		}
 	}
@@ -215,16 +220,16 @@
 			c.peers[name] = c.newSubscriber()
 			c.peers[name].Applied(now, c.relay.State().Version())
 		}
-		c.takeUplink(now, name, c.peers[name].Parents(now, []subscriber.Parent{wanted[name]}))
+		c.applyUplinkOutputs(now, name, c.peers[name].Parents(now, []subscriber.Parent{wanted[name]}))
 	}
 }
 
 func (c *Core) peerNames() []string { return slices.Sorted(maps.Keys(c.peers)) }
 
-// updateSource tells the relay how far from a reader this daemon is.
+// updateSource informs the relay of this daemon's distance to a reader.
 func (c *Core) updateSource(now time.Time) {
 	source := distribution.Source{}
-	if !c.holding {
+	if !c.holdsSlot {
 		source = c.uplink.Source()
 		source.Hops++
 		source.Floor = 0
@@ -232,11 +237,11 @@
 			source.Hops = 0
 		}
 	}
-	c.takeRelay(now, c.relay.SetSource(now, source))
-	c.noteDetached(now, source.Detached)
+	c.applyRelayOutputs(now, c.relay.SetSource(now, source))
+	c.updateDetachedAt(now, source.Detached)
 }
 
-func (c *Core) noteDetached(now time.Time, detached bool) {
+func (c *Core) updateDetachedAt(now time.Time, detached bool) {
 	switch {
 	case !detached:
 		c.detachedAt = time.Time{}
@@ -245,57 +250,59 @@
 	}
 }
 
-// standbyFactor: that many times the slots' number of candidates look for a
-// free slot from time to time.
+// standbyFactor times the number of slots is the number of candidates; those
+// beyond the first check for a free slot from time to time.
 const standbyFactor = 2
 
-// leadingStep is the time between the first attempts of the first candidates
-// after a start, so that a herd of restarted daemons does not turn to the store
-// together: taking a slot and loading costs nine requests.
-const leadingStep = time.Second
+// leadingStagger is the interval between the first attempts of the first
+// candidates after a start. It prevents daemons that restart together from
+// accessing the store at the same time: acquiring a slot and loading takes nine
+// requests.
+const leadingStagger = time.Second
 
-// A daemon without a parent becomes a candidate after candidateDelay, and one
-// candidateStep later for each rank, so that a herd of orphans does not turn to
-// the store together.
+// A daemon without a parent becomes a candidate after candidateDelay plus
+// candidateStagger times its rank, so that daemons that lost their parents
+// together do not access the store at the same time.
 const (
-	candidateDelay = time.Second
-	candidateStep  = 250 * time.Millisecond
+	candidateDelay   = time.Second
+	candidateStagger = 250 * time.Millisecond
 )
 
-// updateEligibility says who tries for a slot: the first candidates always,
-// the others once they have been without a parent for a while.
-func (c *Core) updateEligibility(now time.Time) {
-	c.takeReader(c.reader.SetCandidacy(now, c.candidacy(now)))
+// updateCandidacy decides whether this daemon tries to acquire a slot: the
+// first candidates always do, the others once they have had no parent for some
+// time.
+func (c *Core) updateCandidacy(now time.Time) {
+	c.applyReaderOutputs(c.reader.SetCandidacy(now, c.candidacy(now)))
 }
 
 func (c *Core) candidacy(now time.Time) reader.Candidacy {
-	c.eligibleAt = time.Time{}
+	c.candidacyDueAt = time.Time{}
 	if c.stopping {
 		return reader.NotCandidate
 	}
 	if !c.detachedAt.IsZero() {
-		at := c.detachedAt.Add(candidateDelay + time.Duration(c.rank)*candidateStep)
+		at := c.detachedAt.Add(candidateDelay + time.Duration(c.readerRank)*candidateStagger)
 		if !now.Before(at) {
 			return reader.Urgent
 		}
-		c.eligibleAt = at
+		c.candidacyDueAt = at
 	}
 	switch {
-	case c.rank < c.config.Slots:
-		return c.leading(now)
-	case c.rank < standbyFactor*c.config.Slots:
+	case c.readerRank < c.config.Slots:
+		return c.leadingCandidacy(now)
+	case c.readerRank < standbyFactor*c.config.Slots:
 		return reader.Standby
 	default:
 		return reader.NotCandidate
 	}
 }
 
-// leading is the candidacy of one of the first candidates, whose turn comes by
-// rank after the start.
-func (c *Core) leading(now time.Time) reader.Candidacy {
-	turn := c.startedAt.Add(time.Duration(c.rank) * leadingStep)
+// leadingCandidacy returns the candidacy of one of the first candidates, whose
+// attempts after a start are staggered by rank.
+func (c *Core) leadingCandidacy(now time.Time) reader.Candidacy {
+	turn := c.startedAt.Add(time.Duration(c.readerRank) * leadingStagger)
 	if now.Before(turn) {
-		c.eligibleAt = earliest(c.eligibleAt, turn)
+		c.candidacyDueAt = earliest(c.candidacyDueAt, turn)
 		return reader.NotCandidate
 	}
 	return reader.Leading
--- a/internal/distribution/controlhost/host.go
+++ b/internal/distribution/controlhost/host.go
@@ -1,6 +1,6 @@
-// Package controlhost runs the core of a control daemon: one goroutine owns
-// the core, takes inputs from children, parents, peers and the store, and
-// carries out its outputs.
+// Package controlhost runs the core of a control daemon. One goroutine owns the
+// core, processes inputs from children, parents, peers and the store, and performs
+// the core's outputs.
 package controlhost
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/kestrelstream/kestrelstream/internal/resource"
 )
 
-// inputQueue is how many inputs may wait for the loop; further ones block
-// their senders, which are goroutines of single sessions, links and requests.
-const inputQueue = 256
+// inputQueueLength is the capacity of the loop's input queue. Further inputs block
+// their senders, each of which is a goroutine of one session, link or request.
+const inputQueueLength = 256
 
-// ErrStopped says that the host no longer runs.
+// ErrStopped is returned when the host is no longer running.
 var ErrStopped = errors.New("controlhost: stopped")
 
-// input is one step of the core, run on the loop's goroutine.
+// input is one call of the core; it runs on the loop's goroutine.
 type input func(now time.Time) control.Outputs
 
 // Host runs one control core. Its methods are safe for concurrent use.
@@ -43,78 +43,78 @@
 	members *MemberList
 
 	// The fields below are owned by the loop's goroutine.
-	core        *control.Core
-	local       *localChild
-	holding     bool
-	sharer      *stream.EncodingCache
-	sessions    map[relay.SessionID]*session
-	byToken     map[string]relay.SessionID
-	lastSession relay.SessionID
-	links       map[string]*uplink
-	// stopping turns new children away; emptied is closed once the last of the
-	// others has left.
+	core          *control.Core
+	local         *localChild
+	holdsSlot     bool
+	encodingCache *stream.EncodingCache
+	sessions      map[relay.SessionID]*session
+	byToken       map[string]relay.SessionID
+	lastSession   relay.SessionID
+	links         map[string]*uplink
+	// stopping is set once a planned stop began; new children are then
+	// refused. drained is closed once the last attached child has left.
 	stopping bool
-	emptied  chan struct{}
+	drained  chan struct{}
 }
 
-// Parts are what a host is made of.
-type Parts struct {
-	Core   *control.Core
-	Node   distribution.Node
-	Client *stream.Client
-	Log    Log
-	Slots  Slots
-	Roster *membership.Roster
-	// Members is where the host publishes the control daemons it knows.
+// Dependencies holds the components that New builds a host from.
+type Dependencies struct {
+	Core        *control.Core
+	Node        distribution.Node
+	Client      *stream.Client
+	Log         Log
+	ReaderSlots ReaderSlots
+	Roster      *membership.Roster
+	// Members receives the control daemons known to the host.
 	Members *MemberList
-	// HistoryLength is how many entries are kept for watches, at least.
+	// HistoryLength is the minimum number of entries kept for watches.
 	HistoryLength int
 	Logger        *zap.Logger
 }
 
-// New returns a host; Run starts it.
-func New(parts Parts) *Host {
+// New returns a host that Run starts.
+func New(parts Dependencies) *Host {
 	host := &Host{
-		logger:   parts.Logger,
-		client:   parts.Client,
-		inputs:   make(chan input, inputQueue),
-		stopped:  make(chan struct{}),
-		history:  newHistory(parts.HistoryLength),
-		members:  parts.Members,
-		core:     parts.Core,
-		sharer:   stream.NewEncodingCache(),
-		sessions: map[relay.SessionID]*session{},
-		byToken:  map[string]relay.SessionID{},
-		links:    map[string]*uplink{},
-		emptied:  make(chan struct{}),
+		logger:        parts.Logger,
+		client:        parts.Client,
+		inputs:        make(chan input, inputQueueLength),
+		stopped:       make(chan struct{}),
+		history:       newHistory(parts.HistoryLength),
+		members:       parts.Members,
+		core:          parts.Core,
+		encodingCache: stream.NewEncodingCache(),
+		sessions:      map[relay.SessionID]*session{},
+		byToken:       map[string]relay.SessionID{},
+		links:         map[string]*uplink{},
+		drained:       make(chan struct{}),
 	}
-	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.Slots}
+	host.store = &storeOperations{host: host, log: parts.Log, slots: parts.ReaderSlots}
 	host.local = newLocalChild(host, parts.Node, parts.Roster)
 	host.state.Store(parts.Core.State())
 	return host
 }
 
-// Run runs the core until ctx ends; then every stream is closed.
+// Run runs the core until ctx is done, then closes every stream.
 func (h *Host) Run(ctx context.Context) error {
 	defer h.closeAll()
 	defer close(h.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	h.carryOut(ctx, h.core.Start(time.Now()))
+	h.performOutputs(ctx, h.core.Start(time.Now()))
 	for {
 		resetTimer(timer, earliest(h.core.NextTick(), h.local.next()))
 		select {
 		case <-ctx.Done():
 			return nil
 		case step := <-h.inputs:
-			h.carryOut(ctx, step(time.Now()))
+			h.performOutputs(ctx, step(time.Now()))
 		case <-timer.C:
-			h.carryOut(ctx, h.core.Tick(time.Now()))
+			h.performOutputs(ctx, h.core.Tick(time.Now()))
 		}
 	}
 }
 
-// resetTimer arms the timer for the next tick; without one it stays unarmed.
+// resetTimer sets the timer for the next tick, or stops it if next is zero.
 func resetTimer(timer *time.Timer, next time.Time) {
 	timer.Stop()
 	if !next.IsZero() {
@@ -122,14 +122,14 @@
 	}
 }
 
-// carryOut does what the core asked for, and what follows from it for the
-// daemon's own membership.
-func (h *Host) carryOut(ctx context.Context, outputs control.Outputs) {
-	h.carryOutCore(ctx, outputs)
+// performOutputs performs the core's outputs and then updates the daemon's own
+// membership.
+func (h *Host) performOutputs(ctx context.Context, outputs control.Outputs) {
+	h.performCoreOutputs(ctx, outputs)
 	h.local.step(ctx, time.Now())
 }
 
-func (h *Host) carryOutCore(ctx context.Context, outputs control.Outputs) {
+func (h *Host) performCoreOutputs(ctx context.Context, outputs control.Outputs) {
 	h.publish(nil)
 	for _, send := range outputs.Sends {
 		h.send(send)
@@ -141,7 +141,7 @@
 		h.closeSession(id)
 	}
 	for _, uplink := range outputs.Uplinks {
-		h.carryOutUplink(ctx, uplink)
+		h.performUplinkOutput(ctx, uplink)
 	}
 	if outputs.CancelWatch {
 		h.store.cancelWatch()
@@ -149,34 +149,34 @@
 	for _, request := range outputs.Store {
 		h.store.perform(ctx, request, h.core.State().Version())
 	}
-	h.noteRole()
+	h.logRoleChange()
 }
 
 // publish makes the newest configuration visible to readers of State and to
-// watches. Entries are what led to it, as far as they are known.
+// watches. Entries are the known entries that led to it; they may be incomplete.
 func (h *Host) publish(entries []resource.Entry) {
 	state := h.core.State()
 	h.state.Store(state)
 	h.history.advance(state.Version(), entries)
 }
 
-func (h *Host) noteRole() {
-	if h.holding == h.core.Holding() {
+func (h *Host) logRoleChange() {
+	if h.holdsSlot == h.core.HoldsReaderSlot() {
 		return
 	}
-	h.holding = h.core.Holding()
-	if h.holding {
-		h.logger.Info("store reader slot won")
+	h.holdsSlot = h.core.HoldsReaderSlot()
+	if h.holdsSlot {
+		h.logger.Info("store reader slot acquired")
 		return
 	}
-	h.logger.Info("store reader slot lost or given back")
+	h.logger.Info("store reader slot lost or released")
 }
 
-// send places a message for its session. The core has at most one message in
-// flight per session; a session that breaks this is closed.
+// send queues a message for its session. The core keeps at most one message in
+// flight per session; a session for which a second one arrives is closed.
 func (h *Host) send(send relay.Send) {
 	if send.Session == h.local.id {
-		h.local.take(send.Message)
+		h.local.receive(send.Message)
 		return
 	}
 	session := h.sessions[send.Session]
@@ -184,9 +184,9 @@
 		return
 	}
 	select {
-	case session.messages <- h.sharer.Encode(send.Message):
+	case session.messages <- h.encodingCache.Encode(send.Message):
 	default:
-		h.logger.Error("second message in flight", zap.String("peer", session.node.Name))
+		h.logger.Error("closing session: previous message still in flight", zap.String("peer", session.node.Name))
 		h.closeSession(send.Session)
 	}
 }
@@ -206,7 +206,7 @@
 
 // closeSession ends a session's stream.
 func (h *Host) closeSession(id relay.SessionID) {
-	h.local.closed(id)
+	h.local.sessionClosed(id)
 	session := h.sessions[id]
 	if session == nil {
 		return
@@ -214,7 +214,7 @@
 	delete(h.sessions, id)
 	delete(h.byToken, session.token)
 	close(session.messages)
-	h.noteEmpty()
+	h.signalDrained()
 }
 
 func (h *Host) closeAll() {
@@ -233,7 +233,7 @@
 	}
 }
 
-// submit hands an input to the loop.
+// submit queues an input for the loop.
 func (h *Host) submit(ctx context.Context, step input) error {
 	select {
 	case h.inputs <- step:
@@ -245,8 +245,8 @@
 	}
 }
 
-// ask hands an input to the loop and waits until the core has taken it.
-func (h *Host) ask(ctx context.Context, step input) error {
+// submitAndWait queues an input and waits until the core has processed it.
+func (h *Host) submitAndWait(ctx context.Context, step input) error {
 	done := make(chan struct{})
 	err := h.submit(ctx, func(now time.Time) control.Outputs {
 		defer close(done)
--- a/internal/distribution/controlhost/local.go
+++ b/internal/distribution/controlhost/local.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// localSuffix tells the name of a daemon's local child from the daemon's.
+	// localSuffix distinguishes the name of the local child from the daemon's.
 	localSuffix = "/members"
-	// localReportInterval keeps the local child's session alive.
+	// localReportInterval is the interval between the reports that keep the
+	// local child's session alive.
 	localReportInterval = 4 * time.Second
-	// localRetryInterval lies between two attempts to attach it.
+	// localRetryInterval is the interval between attempts to attach the local
+	// child.
 	localRetryInterval = time.Second
 )
 
-// localChild is the daemon's own child of its relay, without a connection. Over
-// it the daemon announces itself to the tree and learns of the other daemons,
-// in the way endpoint states travel. It is owned by the loop's goroutine.
+// localChild is an in-process child of the daemon's own relay. Through it the
+// daemon announces itself and learns of the other daemons by the same updates
+// that carry endpoint states. It is owned by the loop's goroutine.
 type localChild struct {
 	host   *Host
 	node   distribution.Node
 	roster *membership.Roster
-	// id is the session; zero while not attached.
+	// id is the ID of the session; zero while not attached.
 	id       relay.SessionID
 	received []*distribution.Message
-	// reportAt and retryAt are when the next report and attempt are due,
-	// steppedAt is when step ran last.
+	// reportAt and retryAt are the times of the next report and attempt;
+	// steppedAt is the time of the last call of step.
 	reportAt  time.Time
 	retryAt   time.Time
 	steppedAt time.Time
 	members   []membership.Member
-	// path is the way to a reader that the last announcement was made on.
-	path path
+	// readerPath is the path at the time of the last announcement.
+	readerPath readerPath
 }
 
-// path is a daemon's way to a reader.
-type path struct {
+// readerPath describes how a daemon is connected to a reader.
+type readerPath struct {
 	isReader bool
 	parent   string
 }
@@ -51,19 +53,19 @@
 	return &localChild{host: host, node: node, roster: roster}
 }
 
-// take keeps a message for the next step.
-func (l *localChild) take(message *distribution.Message) {
+// receive queues a message for the next step.
+func (l *localChild) receive(message *distribution.Message) {
 	l.received = append(l.received, message)
 }
 
-// closed notes that the relay ended the session.
-func (l *localChild) closed(id relay.SessionID) {
+// sessionClosed records that the relay ended the session.
+func (l *localChild) sessionClosed(id relay.SessionID) {
 	if id == l.id {
 		l.id = 0
 	}
 }
 
-// next returns when step has to run at the latest.
+// next returns the latest time at which step has to run.
 func (l *localChild) next() time.Time {
 	next := l.reportAt
 	if l.id == 0 {
@@ -75,8 +77,8 @@
 	return next
 }
 
-// step does what is due, takes in what was received and gives the core the
-// inputs that follow, until nothing more does.
+// step performs the actions that are due and processes received messages until
+// none is left, passing the resulting inputs to the core.
 func (l *localChild) step(ctx context.Context, now time.Time) {
 	l.steppedAt = now
 	l.roster.SetReaderPath(now, !l.host.core.Relay().Source().Detached)
@@ -92,7 +94,7 @@
 		message := l.received[0]
 		l.received = l.received[1:]
 		l.observe(ctx, now, message.Endpoints)
-		l.host.carryOutCore(ctx, l.host.core.Sent(now, l.id))
+		l.host.performCoreOutputs(ctx, l.host.core.Sent(now, l.id))
 		l.publishMembers(ctx, now)
 	}
 }
@@ -109,34 +111,35 @@
 		Endpoints: []endpoint.Update{l.roster.Announcement()},
 	})
 	for _, refusal := range outputs.Refusals {
-		l.closed(refusal.Session)
+		l.sessionClosed(refusal.Session)
 	}
-	l.host.carryOutCore(ctx, outputs)
+	l.host.performCoreOutputs(ctx, outputs)
 }
 
-// report says that the child is there, with new announcements if any.
+// report reports to the relay that the child is alive, with any new
+// announcements.
 func (l *localChild) report(ctx context.Context, now time.Time, announcements []endpoint.Update) {
 	if l.id == 0 {
 		return
 	}
 	l.reportAt = now.Add(localReportInterval)
-	l.host.carryOutCore(ctx, l.host.core.Report(now, l.id, distribution.Report{
+	l.host.performCoreOutputs(ctx, l.host.core.Report(now, l.id, distribution.Report{
 		Node:      l.node,
 		Applied:   l.host.core.State().Version(),
 		Endpoints: announcements,
 	}))
 }
 
-// reannounce announces the daemon anew when its way to a reader is another one.
+// reannounce announces the daemon again when its path to a reader has changed.
 func (l *localChild) reannounce(ctx context.Context, now time.Time) {
-	current := path{isReader: l.host.core.Holding()}
+	current := readerPath{isReader: l.host.core.HoldsReaderSlot()}
 	if parent, attached := l.host.core.Parent(); attached {
 		current.parent = parent.Node
 	}
-	if l.id == 0 || current == l.path || current == (path{}) {
+	if l.id == 0 || current == l.readerPath || current == (readerPath{}) {
 		return
 	}
-	l.path = current
+	l.readerPath = current
 	l.report(ctx, now, []endpoint.Update{l.roster.Reannounce()})
 }
 
@@ -146,22 +149,23 @@
 	}
 }
 
-// leave announces that the daemon is stopping.
-func (l *localChild) leave(ctx context.Context, now time.Time) {
+// announceLeaving announces that the daemon is stopping.
+func (l *localChild) announceLeaving(ctx context.Context, now time.Time) {
 	l.report(ctx, now, []endpoint.Update{l.roster.Leave()})
 }
 
-// publishMembers tells the core and readers of Members when the list changed.
+// publishMembers passes the member list to the core and to readers of Members
+// when it changed.
 func (l *localChild) publishMembers(ctx context.Context, now time.Time) {
 	members := l.roster.Members(now)
-	// The roster returns the same slice until something changed.
+	// The roster returns the same slice until its members change.
 	unchanged := len(l.members) > 0 && &members[0] == &l.members[0]
 	if unchanged || slices.Equal(members, l.members) {
 		return
 	}
 	l.members = members
 	l.host.members.store(members)
-	l.host.carryOutCore(ctx, l.host.core.Members(now, members))
+	l.host.performCoreOutputs(ctx, l.host.core.Members(now, members))
 }
 
 func earliest(a, b time.Time) time.Time {
--- a/internal/distribution/controlhost/session.go
+++ b/internal/distribution/controlhost/session.go
@@ -13,8 +13,8 @@
 	"github.com/kestrelstream/kestrelstream/internal/distribution/stream"
 )
 
-// session is one child. The core sends the next message only after Sent, so
-// one place in messages is enough and the loop never blocks on it.
+// session is the session of one child. The core sends the next message only after
+// Sent, so a buffer of one message suffices and the loop never blocks on it.
 type session struct {
 	id       relay.SessionID
 	token    string
@@ -22,44 +22,45 @@
 	kind     distribution.ChildKind
 	host     *Host
 	messages chan *stream.EncodedMessage
-	// refusal and greeted are set by the loop before the attach is answered.
-	refusal *stream.RefusedError
-	greeted []stream.Parent
-	// told is what the child was told of last; owned by the loop's goroutine.
-	told []stream.Parent
+	// refusal and initialParents are set by the loop before the attach is answered.
+	refusal        *stream.RefusedError
+	initialParents []stream.Parent
+	// lastOffered is the list last offered to the child; it is owned by the
+	// loop's goroutine.
+	lastOffered []stream.Parent
 }
 
-// ID names the session in reports.
+// ID returns the token that identifies the session in reports.
 func (s *session) ID() string { return s.token }
 
-// Messages delivers what the child is sent.
+// Messages returns the channel of messages to send to the child.
 func (s *session) Messages() <-chan *stream.EncodedMessage { return s.messages }
 
-// Parents are the daemons that the child is told of as it attaches.
-func (s *session) Parents() []stream.Parent { return s.greeted }
+// Parents returns the daemons offered to the child when it attaches.
+func (s *session) Parents() []stream.Parent { return s.initialParents }
 
-// offer returns the daemons that a proxy is to be told of, or none when it was
-// told of the same before. It runs on the loop's goroutine.
-func (s *session) offer() []stream.Parent {
+// changedParents returns the daemons to offer to a proxy, or nil if they are the
+// same as last time. It runs on the loop's goroutine.
+func (s *session) changedParents() []stream.Parent {
 	if s.kind != distribution.ChildProxy {
 		return nil
 	}
-	parents := s.host.parentsFor(s.node.Zone)
-	if slices.Equal(parents, s.told) {
+	parents := s.host.relaysForZone(s.node.Zone)
+	if slices.Equal(parents, s.lastOffered) {
 		return nil
 	}
-	s.told = parents
+	s.lastOffered = parents
 	return parents
 }
 
-// Sent says that the last message was written.
+// Sent reports that the last message was written.
 func (s *session) Sent() {
 	_ = s.host.submit(context.Background(), func(now time.Time) control.Outputs {
 		return s.host.core.Sent(now, s.id)
 	})
 }
 
-// Detach ends the session since its stream ended.
+// Detach ends the session after its stream ended.
 func (s *session) Detach() {
 	_ = s.host.submit(context.Background(), func(now time.Time) control.Outputs {
 		s.host.closeSession(s.id)
@@ -104,7 +105,7 @@
 	opened.id = h.lastSession
 	h.sessions[opened.id] = opened
 	h.byToken[opened.token] = opened.id
-	opened.greeted = opened.offer()
+	opened.initialParents = opened.changedParents()
 	outputs := h.core.Attach(now, opened.id, hello)
 	for _, refusal := range outputs.Refusals {
 		h.refuse(refusal)
@@ -112,20 +113,21 @@
 	return outputs
 }
 
-// stopRetryAfter is when a child of a stopping daemon may try again.
+// stopRetryAfter is the delay after which a child refused by a stopping daemon
+// may try again.
 const stopRetryAfter = time.Second
 
 func stopping() *stream.RefusedError {
 	return &stream.RefusedError{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stopRetryAfter}
 }
 
-// Report takes a report of an open session and returns the parents that the
-// child is to be told of, if they changed. Reports of sessions that ended, and
-// of another node than the session's, are refused.
+// Report processes a report of an open session and returns the parents to offer
+// to the child if they changed. It refuses reports of sessions that ended and
+// reports of a node other than the session's.
 func (h *Host) Report(ctx context.Context, token string, report distribution.Report) ([]stream.Parent, error) {
 	var offered []stream.Parent
 	var refused error
-	err := h.ask(ctx, func(now time.Time) control.Outputs {
+	err := h.submitAndWait(ctx, func(now time.Time) control.Outputs {
 		var outputs control.Outputs
 		outputs, offered, refused = h.report(now, token, report)
 		return outputs
@@ -145,5 +147,5 @@
 	if report.Node.Name != child.node.Name || report.Node.Incarnation != child.node.Incarnation {
 		return control.Outputs{}, nil, &stream.RefusedError{Status: http.StatusForbidden, Reason: "the report's node is not the session's"}
 	}
-	return h.core.Report(now, id, report), child.offer(), nil
+	return h.core.Report(now, id, report), child.changedParents(), nil
 }
