--- a/internal/proxy/forward/body.go
+++ b/internal/proxy/forward/body.go
@@ -102,7 +102,7 @@
 }
 
 // Attach sets the body of an outgoing request. It must not be called again
-// once Spent reports true.
+// once Consumed reports true.
 func (b *Body) Attach(outgoing *http.Request) {
 	outgoing.ContentLength = b.length
 	switch {
